--- /dev/null
+++ b/crates/control-plane/tests/compatibility/main.rs
@@ -0,0 +1,181 @@
+//! Stored data and messages of the control plane keep the form in which an earlier version wrote them.
+
+mod samples;
+
+use common::{Epoch, Index, Revision};
+use control_plane::{
+    Role,
+    consensus::{DurableState, Record, Voter},
+    disk::{Disk, Found},
+    news::News,
+    rpc::{Ask, Proposed, Reply},
+    store::{FileStore, LOG_LEN, SLOT_LEN},
+};
+use rstest::rstest;
+use std::{fs, path::Path};
+use test_fixtures::Fixtures;
+
+/// Files of a store, and their full lengths in bytes.
+const STORE_FILES: [(&str, u64); 4] =
+    [("slot-0", SLOT_LEN), ("slot-1", SLOT_LEN), ("log-0", LOG_LEN), ("log-1", LOG_LEN)];
+
+fn fixtures() -> Fixtures {
+    Fixtures::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
+
+#[test]
+fn compatibility_of_changes_and_outcomes() {
+    for (name, change) in samples::changes() {
+        fixtures().assert_wire(&format!("change-{name}"), &change);
+    }
+    for (name, verdict) in samples::verdicts() {
+        fixtures().assert_wire(&format!("outcome-{name}"), &verdict);
+    }
+}
+
+#[test]
+fn compatibility_of_messages_between_voters() {
+    for (name, message) in samples::messages() {
+        fixtures().assert_wire(&format!("message-{name}"), &message);
+    }
+}
+
+#[test]
+fn compatibility_of_records() {
+    for (name, record) in samples::records() {
+        fixtures().assert_wire(&format!("record-{name}"), &record);
+    }
+}
+
+#[test]
+fn compatibility_of_requests() {
+    let info = || samples::node_info(Role::Router);
+    let (_, msg) = samples::messages().remove(0);
+    let (_, change) = samples::changes().remove(0);
+    let requests = [
+        ("consensus", Ask::Consensus { from: samples::address(1), msg: Box::new(msg) }),
+        ("renew", Ask::Renew { info: info(), idx: Index(4), revision: Revision(2) }),
+        ("leave", Ask::Leave { info: info() }),
+        ("updates", Ask::News { have: Index(4), wait_ms: 500 }),
+        ("propose", Ask::Propose { change }),
+        ("state", Ask::State),
+        ("heartbeat", Ask::Hail { idx: Index(4) }),
+    ];
+    for (name, request) in requests {
+        fixtures().assert_wire(&format!("request-{name}"), &request);
+    }
+}
+
+#[test]
+fn compatibility_of_replies() {
+    let (_, verdict) = samples::verdicts().remove(0);
+    let leader = || Some(samples::voter(1));
+    let why = "not the leader".to_string();
+    let replies = [
+        ("done", Reply::Done),
+        ("renewed", Reply::Renewed { epoch: Epoch(4), idx: Index(5) }),
+        ("not-yet", Reply::NotYet),
+        ("elsewhere", Reply::Elsewhere { leader: leader() }),
+        ("updates-none", Reply::News(News::Same)),
+        ("updates-snapshot", Reply::News(News::Snapshot(Box::new(samples::state())))),
+        ("updates-changes", Reply::News(News::Changes(samples::entries()))),
+        ("settled", Reply::Proposed(Proposed::Settled { idx: Index(41), verdict })),
+        ("not-logged", Reply::Proposed(Proposed::NotLogged { leader: leader(), why })),
+        ("undetermined", Reply::Proposed(Proposed::Undetermined)),
+        ("state", Reply::State(Box::new(samples::state()))),
+        ("heartbeat", Reply::Hailed { idx: Index(5) }),
+    ];
+    for (name, reply) in replies {
+        fixtures().assert_wire(&format!("reply-{name}"), &reply);
+    }
+}
+
+/// Parts of the state that `/v1/status` and `/v1/replicas` show.
+#[test]
+fn compatibility_of_json() {
+    let state = samples::state();
+    let shown = [
+        ("voters", serde_json::to_string(&state.voters)),
+        ("replicas", serde_json::to_string(&state.replicas)),
+        ("members", serde_json::to_string(&state.members)),
+        ("lost", serde_json::to_string(&state.lost)),
+        ("evacuated", serde_json::to_string(&state.evacuated)),
+    ];
+    for (name, json) in shown {
+        fixtures().assert_json(&format!("status-{name}"), &json.unwrap());
+    }
+}
+
+/// Writes a folder as a voter does: a blank identity, what `write` adds.
+fn write_store(folder: &Path, write: impl FnOnce(&mut FileStore)) {
+    let mut store = FileStore::open(folder, &Voter::blank_image(&samples::voter(1))).unwrap();
+    write(&mut store);
+}
+
+/// The file without the zeros at its end: a store reserves the full length of each file.
+fn without_reserve(path: &Path) -> Vec<u8> {
+    let mut bytes = fs::read(path).unwrap();
+    let end = bytes.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
+    bytes.truncate(end);
+    bytes
+}
+
+/// The folder as an earlier version left it.
+fn restore(name: &str, folder: &Path) {
+    for (file, length) in STORE_FILES {
+        let mut bytes = fixtures().read(&format!("store-{name}/{file}"));
+        bytes.resize(length as usize, 0);
+        fs::write(folder.join(file), bytes).unwrap();
+    }
+}
+
+fn replaced_voter() -> DurableState {
+    let mut state = samples::durable_state();
+    state.ledger.voters[2].inc = common::Incarnation(99);
+    state.entries.clear();
+    state
+}
+
+fn write_each_record(store: &mut FileStore) {
+    let state = DurableState { entries: Vec::new(), ..samples::durable_state() };
+    store.write(&Record::DurableState(Box::new(state))).unwrap();
+    for (_, record) in samples::records().into_iter().filter(|(name, _)| *name != "state") {
+        store.write(&record).unwrap();
+    }
+}
+
+fn write_replaced(store: &mut FileStore) {
+    store.write(&Record::DurableState(Box::new(replaced_voter()))).unwrap();
+    store.write(&Record::Promise(common::Term(41))).unwrap();
+}
+
+#[rstest]
+#[case::blank("blank", |_: &mut FileStore| {})]
+#[case::each_record("records", write_each_record)]
+#[case::after_a_replaced_voter("replaced", write_replaced)]
+fn compatibility_of_the_store(#[case] name: &str, #[case] write: fn(&mut FileStore)) {
+    let folder = tempfile::tempdir().unwrap();
+    write_store(folder.path(), write);
+    for (file, _) in STORE_FILES {
+        let bytes = without_reserve(&folder.path().join(file));
+        fixtures().assert_bytes(&format!("store-{name}/{file}"), &bytes);
+    }
+    let old = tempfile::tempdir().unwrap();
+    restore(name, old.path());
+    let found = FileStore::load(old.path()).unwrap();
+    assert!(matches!(found, Found::DurableState(_)), "{name}: {found:?}");
+    assert_eq!(found, FileStore::load(folder.path()).unwrap());
+}
+
+/// One flipped bit in the newest slot of a stored folder: refused, and the damage is named.
+#[test]
+fn compatibility_of_damage_reports() {
+    let folder = tempfile::tempdir().unwrap();
+    restore("records", folder.path());
+    let path = folder.path().join("slot-0");
+    let mut bytes = fs::read(&path).unwrap();
+    bytes[100] ^= 1;
+    fs::write(&path, bytes).unwrap();
+    let Found::Damaged(why) = FileStore::load(folder.path()).unwrap() else { panic!("taken as whole") };
+    assert_eq!(why, "slot 2 was synced and is damaged");
+}
--- /dev/null
+++ b/crates/control-plane/tests/compatibility/samples.rs
@@ -0,0 +1,182 @@
+//! Values of each kind that is stored or sent, with every field set.
+
+use common::{Area, Epoch, Incarnation, Index, NodeId, OpId, ReplicaId, Revision, Service, Term, Tick};
+use control_plane::{
+    Change, Ledger, Member, Replica, ReplicaMove, Role, Verdict,
+    change::{NodeInfo, VoterInfo},
+    consensus::{Body, DurableState, LogEntry, LogTail, Message, Record, VoterId},
+    mass::Lost,
+    operations::AcceptedOperations,
+};
+use std::{
+    collections::{BTreeMap, BTreeSet, VecDeque},
+    net::SocketAddr,
+};
+
+pub fn address(n: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, n], 7100))
+}
+
+pub fn voter(n: u8) -> VoterInfo {
+    VoterInfo {
+        number: n,
+        inc: Incarnation(10 + u64::from(n)),
+        node: NodeId::new(format!("s{n}")),
+        area: "centro-1".into(),
+        rail: address(n),
+        http: SocketAddr::from(([10, 0, 0, n], 8080)),
+    }
+}
+
+pub fn id(n: u8) -> VoterId {
+    VoterId { number: n, inc: Incarnation(10 + u64::from(n)) }
+}
+
+pub fn node_info(role: Role) -> NodeInfo {
+    NodeInfo {
+        node: NodeId::new("p1"),
+        inc: Incarnation(77),
+        role,
+        lang: 3,
+        area: Area::new("norte-1"),
+        rail: address(9),
+        http: SocketAddr::from(([10, 0, 0, 9], 8080)),
+    }
+}
+
+/// Each kind of change, by name.
+pub fn changes() -> Vec<(&'static str, Change)> {
+    let op = || OpId::new("op-1");
+    let long = "limits = 4096\n".repeat(64);
+    let replica = |what| Change::Replica { op: op(), id: ReplicaId::new("r-1"), what };
+    let list =
+        ReplicaMove::List { service: Service::new("verdict"), area: "centro-1".into(), addr: address(50) };
+    vec![
+        ("apply", Change::Apply { op: op(), base: Revision(6), text: "version = 7\n".into() }),
+        ("apply-packed", Change::Apply { op: op(), base: Revision(7), text: long.as_str().into() }),
+        ("evacuate", Change::Evacuate { op: op(), area: "norte-1".into(), on: true, seen: Index(3) }),
+        ("replica-list", replica(list)),
+        ("replica-drain", replica(ReplicaMove::Drain)),
+        ("replica-remove", replica(ReplicaMove::Remove)),
+        ("join", Change::Join(node_info(Role::Router))),
+        ("expire", Change::Expire { node: NodeId::new("p2"), inc: Incarnation(5), left: true }),
+        ("down", Change::Down { op: op(), node: NodeId::new("p2") }),
+        ("replace-voter", Change::ReplaceVoter(voter(2))),
+    ]
+}
+
+pub fn entries() -> Vec<LogEntry> {
+    changes()
+        .into_iter()
+        .zip(41..)
+        .map(|((_, change), index)| LogEntry { idx: Index(index), change })
+        .collect()
+}
+
+pub fn verdicts() -> Vec<(&'static str, Verdict)> {
+    vec![
+        ("accepted", Verdict::Accepted { revision: Revision(8) }),
+        ("conflict", Verdict::Conflict { current: Revision(9) }),
+        ("bounced", Verdict::Bounced { reason: "no replica 'r-9' is listed".into() }),
+    ]
+}
+
+/// A state with every part in use.
+pub fn state() -> Ledger {
+    let mut accepted = AcceptedOperations::default();
+    accepted.record(&OpId::new("op-a"));
+    accepted.record(&OpId::new("op-b"));
+    let replica =
+        Replica { service: "verdict".into(), area: "centro-1".into(), addr: address(50), draining: true };
+    let member = Member { info: node_info(Role::Core), epoch: Epoch(12) };
+    Ledger {
+        cluster: "bitacora".into(),
+        secret: 0x0123_4567_89ab_cdef_0011_2233_4455_6677,
+        idx: Index(40),
+        revision: Revision(7),
+        text: Some("version = 7\n".into()),
+        evacuated: BTreeSet::from(["norte-1".into()]),
+        evacuation_changes: BTreeMap::from([("norte-1".into(), Index(21))]),
+        replicas: BTreeMap::from([(ReplicaId::new("r-1"), replica)]),
+        members: BTreeMap::from([(NodeId::new("p1"), member)]),
+        epoch: Epoch(33),
+        voters: (0..3).map(voter).collect(),
+        lost: vec![Lost { node: NodeId::new("p4"), of: 12 }],
+        ops: verdicts().into_iter().map(|(name, v)| (OpId::new(name), v)).collect::<VecDeque<_>>(),
+        accepted,
+    }
+}
+
+pub fn durable_state() -> DurableState {
+    DurableState {
+        me: voter(1),
+        formed: true,
+        promised: Term(25),
+        log_term: Term(17),
+        ledger: state(),
+        entries: entries(),
+    }
+}
+
+/// Each kind of record of the short log.
+pub fn records() -> Vec<(&'static str, Record)> {
+    vec![
+        ("state", Record::DurableState(Box::new(durable_state()))),
+        ("promise", Record::Promise(Term(33))),
+        ("append", Record::Append { accepted: Index(40), entries: entries() }),
+        ("install", Record::Install { term: Term(33), cut: Index(40), entries: entries() }),
+    ]
+}
+
+/// Each kind of message between voters.
+pub fn messages() -> Vec<(&'static str, Message)> {
+    let append = |body| Message::Append {
+        by: id(1),
+        to: 2,
+        term: Term(25),
+        accepted: Index(40),
+        stamp: Tick(86_400_123),
+        body,
+    };
+    let tail = LogTail {
+        log_term: Term(17),
+        last: Index(50),
+        accepted: Index(40),
+        snapshot: Some(state()),
+        entries: entries(),
+    };
+    vec![
+        (
+            "discover",
+            Message::Discover {
+                holder: voter(0),
+                formed: true,
+                voters: vec![voter(0), voter(1)],
+                idx: Index(4),
+            },
+        ),
+        ("bootstrap", Message::Bootstrap { ledger: Ledger::founded("bitacora", vec![voter(0)]) }),
+        ("join-request", Message::JoinRequest { holder: voter(2) }),
+        ("leader-query", Message::LeaderQuery(Tick(7))),
+        ("not-leading", Message::NotLeading(Tick(7))),
+        ("step-down", Message::StepDown { by: id(1), term: Term(25) }),
+        ("pre-vote", Message::PreVote { by: id(1), term: Term(25) }),
+        ("pre-vote-granted", Message::PreVoteGranted { by: id(2), term: Term(25) }),
+        ("vote-request", Message::VoteRequest { by: id(1), term: Term(25), accepted: Index(40) }),
+        ("vote", Message::Vote { by: id(2), term: Term(25), tail }),
+        ("heartbeat", append(Body::Ping)),
+        ("append", append(Body::Append { prev: Index(40), entries: entries() })),
+        ("install", append(Body::Install { cut: Index(40), snapshot: Some(state()), entries: entries() })),
+        (
+            "append-reply",
+            Message::AppendReply {
+                by: id(2),
+                term: Term(25),
+                installed: true,
+                last: Index(50),
+                accepted: Index(40),
+                stamp: Tick(86_400_123),
+            },
+        ),
+    ]
+}
--- /dev/null
+++ b/crates/data-plane/tests/compatibility.rs
@@ -0,0 +1,207 @@
+//! Messages between routers keep the form in which an earlier version sent them.
+
+use common::{Epoch, Fence, Incarnation, Index, JobId, NodeId, ReplicaId, Revision, Service, Tenant, Tick};
+use control_plane::news::News;
+use data_plane::{
+    digest::{Digest, Event, Happened},
+    hop::{self, Hop},
+    lend::{Pass, Spent},
+    pressure::{Figures, Gauge},
+    rpc::{Ask, Reply},
+    serving::{
+        board::{Board, Row},
+        reading::Note,
+    },
+    tab::{Copy, Settled, UserKey},
+};
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    net::SocketAddr,
+};
+use test_fixtures::Fixtures;
+
+fn fixtures() -> Fixtures {
+    Fixtures::of_crate(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn address() -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, 50], 9000))
+}
+
+fn service() -> Service {
+    "verdict".into()
+}
+
+fn spent() -> Spent {
+    Spent { region: "norte".into(), service: service(), fence: Fence(4), serial: 9, node: "p1".into() }
+}
+
+fn note() -> Note {
+    Note {
+        replica: ReplicaId::new("r-1"),
+        prefixes: vec![(7, 13_300), (8, 17_020)],
+        tokens: 17_020,
+        memory: 318_206,
+    }
+}
+
+fn rows() -> Vec<Copy> {
+    vec![Copy { key: UserKey(99), service: service(), region: "centro".into(), ver: 3, ttl_ms: 900_000 }]
+}
+
+fn board() -> Board {
+    let row = Row {
+        id: ReplicaId::new("r-1"),
+        service: service(),
+        addr: address(),
+        slots: 48,
+        draining: true,
+        cold_left_ms: 1_500,
+        well: true,
+        running: 12,
+        waiting: 3,
+        memory_used: 4_000,
+        memory_total: 318_206,
+    };
+    Board {
+        area: "centro-1".into(),
+        publisher: NodeId::new("p1"),
+        fence: Fence(4),
+        seq: 17,
+        age_ms: 120,
+        waited_ms: 30,
+        rows: vec![row],
+        lends: BTreeMap::from([(service(), 5)]),
+    }
+}
+
+fn figures() -> Figures {
+    let replica = Gauge {
+        id: ReplicaId::new("r-1"),
+        addr: address(),
+        healthy: true,
+        capacity: 48.0,
+        consumption: 12.5,
+        allowance: Some(4),
+    };
+    Figures {
+        service: service(),
+        area: "centro-1".into(),
+        fence: Fence(4),
+        seq: 17,
+        age_ms: 120,
+        waited_ms: 30,
+        line: vec![NodeId::new("p1"), NodeId::new("p2")],
+        replicas: vec![replica],
+    }
+}
+
+fn forwarded() -> Hop {
+    Hop {
+        job: JobId::new("p1-1-1"),
+        from: "p1".into(),
+        epoch: Epoch(12),
+        number: 5,
+        to: "p2".into(),
+        to_epoch: Epoch(13),
+        revision: Revision(7),
+        entry: "verdict".into(),
+        tenant: Some(Tenant::new("club")),
+        service: service(),
+        region: "norte".into(),
+        key: Some(UserKey(99)),
+        spent: Some(spent()),
+        left_ms: 2_500,
+    }
+}
+
+#[test]
+fn compatibility_of_requests() {
+    let area = || "centro-1".into();
+    let requests = [
+        ("heartbeat", Ask::Hail { idx: Index(4) }),
+        ("updates", Ask::News { have: Index(4) }),
+        (
+            "place",
+            Ask::Settle {
+                fence: Fence(4),
+                key: UserKey(99),
+                service: service(),
+                stale: Some(2),
+                pick: Some("norte".into()),
+                ttl_ms: 900_000,
+            },
+        ),
+        ("replicate", Ask::Copy { fence: Fence(4), shard: 7, rows: rows() }),
+        ("fetch", Ask::Fetch { shard: 7 }),
+        ("watch", Ask::Watch { service: service(), area: area(), seq: 3, fence: Fence(4), wait_ms: 500 }),
+        ("last", Ask::Last { service: service(), area: area() }),
+        ("lend", Ask::Passes { region: "norte".into(), service: service(), node: "p1".into() }),
+        ("redeem", Ask::Redeem { spent: spent() }),
+        ("prompt", Ask::Note { note: note() }),
+        ("load-report", Ask::Board { area: area(), seq: 3, wait_ms: 500 }),
+    ];
+    for (name, request) in requests {
+        fixtures().assert_wire(&format!("request-{name}"), &request);
+    }
+}
+
+#[test]
+fn compatibility_of_replies() {
+    let pass = Pass {
+        region: "norte".into(),
+        service: service(),
+        fence: Fence(4),
+        serial: 9,
+        count: 3,
+        life_ms: 1_000,
+    };
+    let replies = [
+        ("heartbeat", Reply::Hailed { idx: Index(4), inc: Incarnation(77), fit: true }),
+        ("updates", Reply::News(News::Same)),
+        ("placed-empty", Reply::Settled(Settled::Empty)),
+        ("placed", Reply::Settled(Settled::Held { region: "norte".into(), ver: 3, won: true })),
+        ("rows", Reply::Rows(rows())),
+        ("figures", Reply::Figures(figures())),
+        ("pass", Reply::Pass(Some(pass))),
+        ("load-report", Reply::Board(Some(Box::new(board())))),
+        ("done", Reply::Done),
+        ("rejected", Reply::Bounced("stale fence".into())),
+    ];
+    for (name, reply) in replies {
+        fixtures().assert_wire(&format!("reply-{name}"), &reply);
+    }
+}
+
+#[test]
+fn compatibility_of_forwarded_requests() {
+    fixtures().assert_wire("forwarded", &forwarded());
+    let signed = hop::sign(0x0011_2233, &forwarded()).unwrap();
+    fixtures().assert_bytes("forwarded-signed.txt", signed.as_bytes());
+    assert_eq!(hop::verify(0x0011_2233, &signed), Some(forwarded()));
+}
+
+/// What `/foldshunt/journal` shows.
+#[test]
+fn compatibility_of_json() {
+    let happened = [
+        Happened::Governs(Revision(3)),
+        Happened::Member(Epoch(4)),
+        Happened::CutOff(true),
+        Happened::Health { replica: ReplicaId::new("r-1"), healthy: false },
+        Happened::Bounced("late".into()),
+        Happened::Unknown("answer".into()),
+    ];
+    let events: Vec<Event> = happened.into_iter().map(|what| Event { at: Tick(5), what }).collect();
+    fixtures().assert_json("journal-events", &serde_json::to_string(&events).unwrap());
+    let digest = Digest {
+        revision: Revision(3),
+        epoch: Epoch(4),
+        cut_off: true,
+        unwell: BTreeSet::from([ReplicaId::new("r-1")]),
+        bounced: BTreeMap::from([("late".into(), 2)]),
+        unknown: BTreeMap::from([("answer".into(), 1)]),
+        last: Tick(5),
+    };
+    fixtures().assert_json("journal-digest", &serde_json::to_string(&digest).unwrap());
+}
