--- a/crates/common/src/ids.rs
+++ b/crates/common/src/ids.rs
@@ -65,8 +65,8 @@
     /// One process of the system.
     NodeId,
     /// A zone: machines that fail together.
-    Area,
-    /// A group of areas that shares warm replicas.
+    Zone,
+    /// A group of zones that shares warm replicas.
     Region,
     /// A model, or an application that callers reach through an entry.
     Service,
--- a/crates/common/src/settings.rs
+++ b/crates/common/src/settings.rs
@@ -21,7 +21,8 @@
 pub struct Settings {
     pub cluster: String,
     pub node: String,
-    pub area: String,
+    #[serde(rename = "area")]
+    pub zone: String,
     /// Where own processes reach this one.
     pub rail: SocketAddr,
     /// Where callers (router) or operators (control node) reach this one.
@@ -123,10 +124,11 @@
     #[bpaf(argument("NAME"))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub node: Option<String>,
-    /// Area (zone) that this node stands in
-    #[bpaf(argument("NAME"))]
+    /// Zone of this node
+    #[bpaf(long("zone"), long("area"), argument("NAME"))]
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub area: Option<String>,
+    #[serde(rename = "area")]
+    pub zone: Option<String>,
     /// Address for other foldshunt processes
     #[bpaf(argument("IP:PORT"))]
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -170,7 +172,7 @@
     }
 
     pub fn check(&self) -> Result<()> {
-        for (f, v) in [("cluster", &self.cluster), ("node", &self.node), ("area", &self.area)] {
+        for (f, v) in [("cluster", &self.cluster), ("node", &self.node), ("area", &self.zone)] {
             ensure!(good_name(v), "{f}: {v:?}; allowed: 1 to 64 letters, digits, '-', '_' or '.'");
         }
         let distinct: std::collections::BTreeSet<_> = self.seeds.iter().collect();
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -6,7 +6,7 @@
     place::{Flaw, flaw, locate},
     table::{Entry, KeyPart, Kind, Policy, Table},
 };
-use common::{Area, Region, Service, Tenant, good_name};
+use common::{Region, Service, Tenant, Zone, good_name};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MAX_DEADLINE: f64 = 3.6e6;
@@ -52,25 +52,25 @@
     let doc = doc::read(src)?;
     let mut w = Work { src, doc: &doc, flaws: Vec::new() };
     let list = |f: &dyn Fn(usize) -> Option<String>| (0..).map_while(f).collect::<Vec<_>>();
-    w.names("areas", &list(&|n| doc.areas.get(n).map(|a| a.name.clone())));
+    w.names("areas", &list(&|n| doc.zones.get(n).map(|a| a.name.clone())));
     w.names("services", &list(&|n| doc.services.get(n).map(|a| a.name.clone())));
     w.names("tenants", &list(&|n| doc.tenants.get(n).map(|a| a.name.clone())));
-    for (n, a) in doc.areas.iter().enumerate().filter(|(_, a)| !good_name(&a.region)) {
+    for (n, a) in doc.zones.iter().enumerate().filter(|(_, a)| !good_name(&a.region)) {
         w.add(&["areas", &n.to_string(), "region"], format!("areas: {:?} is not a name", a.region));
     }
     for (f, why) in doc.tuning.faults() {
         w.add(&["tuning", f], format!("tuning.{f}: {why}"));
     }
-    let areas: BTreeMap<Area, Region> =
-        doc.areas.iter().map(|a| (Area::new(&a.name), Region::new(&a.region))).collect();
-    let regions: BTreeSet<Region> = areas.values().cloned().collect();
+    let zones: BTreeMap<Zone, Region> =
+        doc.zones.iter().map(|a| (Zone::new(&a.name), Region::new(&a.region))).collect();
+    let regions: BTreeSet<Region> = zones.values().cloned().collect();
     let tenants = tenants(&mut w, &regions);
     let services = doc.services.iter().map(|s| (Service::new(&s.name), s.kind)).collect();
     let mut tab = Table {
         cluster: doc.cluster.clone(),
         // All there is came with the first version; what comes later raises this where it is used.
         lang: 1,
-        areas,
+        zones,
         services,
         tenant_header: doc.tenancy.header.to_ascii_lowercase(),
         tenant_default: doc.tenancy.default.as_ref().map(Tenant::new),
--- a/crates/configuration/src/doc.rs
+++ b/crates/configuration/src/doc.rs
@@ -12,7 +12,8 @@
 pub struct Doc {
     /// Must equal the cluster's name, so that one firm's file is not applied at the other.
     pub cluster: String,
-    pub areas: Vec<AreaDoc>,
+    #[serde(rename = "areas")]
+    pub zones: Vec<ZoneDoc>,
     pub services: Vec<ServiceDoc>,
     #[serde(default)]
     pub tenancy: Tenancy,
@@ -26,7 +27,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct AreaDoc {
+pub struct ZoneDoc {
     pub name: String,
     pub region: String,
 }
--- a/crates/configuration/src/fleet.rs
+++ b/crates/configuration/src/fleet.rs
@@ -4,11 +4,11 @@
     place::{Flaw, flaw, locate},
     table::Table,
 };
-use common::{Area, Region, Service};
+use common::{Region, Service, Zone};
 use std::collections::BTreeSet;
 
 /// Homes in which no replica of the needed service is listed.
-pub fn check_fleet(src: &str, tab: &Table, listed: &[(Service, Area)]) -> Vec<Flaw> {
+pub fn check_fleet(src: &str, tab: &Table, listed: &[(Service, Zone)]) -> Vec<Flaw> {
     let served: BTreeSet<(&Service, &Region)> =
         listed.iter().filter_map(|(s, a)| tab.region_of(a).map(|r| (s, r))).collect();
     let base = crate::compile::timetable_offset(src);
--- a/crates/configuration/src/place.rs
+++ b/crates/configuration/src/place.rs
@@ -30,7 +30,7 @@
     Flaw { line, column, message: message.into() }
 }
 
-/// Finds where a dotted path such as `areas.2.region` stands in the TOML source; falls back to
+/// Finds where a dotted path such as `zones.2.region` stands in the TOML source; falls back to
 /// the nearest part of it that is there.
 pub fn locate(src: &str, path: &[String]) -> usize {
     use toml::de::{DeTable, DeValue};
--- a/crates/configuration/src/table.rs
+++ b/crates/configuration/src/table.rs
@@ -1,7 +1,7 @@
 //! The compiled plan table, and how a job finds its entry in it (design 4.5).
 
 use crate::doc::Tuning;
-use common::{Area, Region, Service, Tenant};
+use common::{Region, Service, Tenant, Zone};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -87,7 +87,7 @@
     pub cluster: String,
     /// Version of the language that a node must read to compile this document.
     pub lang: u32,
-    pub areas: BTreeMap<Area, Region>,
+    pub zones: BTreeMap<Zone, Region>,
     pub services: BTreeMap<Service, Kind>,
     pub tenant_header: String,
     pub tenant_default: Option<Tenant>,
@@ -103,11 +103,11 @@
     }
 
     pub fn regions(&self) -> BTreeSet<Region> {
-        self.areas.values().cloned().collect()
+        self.zones.values().cloned().collect()
     }
 
-    pub fn region_of(&self, area: &Area) -> Option<&Region> {
-        self.areas.get(area)
+    pub fn region_of(&self, zone: &Zone) -> Option<&Region> {
+        self.zones.get(zone)
     }
 
     /// The tenant that a job names; `Err` is the name that no tenant has.
--- a/crates/configuration/tests/compile.rs
+++ b/crates/configuration/tests/compile.rs
@@ -96,9 +96,9 @@
 #[test]
 fn homes_without_replicas_are_flaws() {
     let t = compile(DOC).unwrap();
-    let all = |areas: &[&str]| -> Vec<(common::Service, common::Area)> {
+    let all = |zones: &[&str]| -> Vec<(common::Service, common::Zone)> {
         let both = |a: &&str| [("match".into(), (*a).into()), ("tickets".into(), (*a).into())];
-        areas.iter().flat_map(both).collect()
+        zones.iter().flat_map(both).collect()
     };
     assert!(check_fleet(DOC, &t, &all(&["baires-1", "cordoba-1"])).is_empty());
     let flaws = check_fleet(DOC, &t, &all(&["cordoba-1"]));
--- a/crates/control-plane/src/api/document.rs
+++ b/crates/control-plane/src/api/document.rs
@@ -8,7 +8,7 @@
     patch::{self, Patch},
 };
 use common::{
-    Area, Revision, Service,
+    Revision, Service, Zone,
     http::{json, text},
 };
 use hyper::StatusCode;
@@ -96,8 +96,8 @@
 
 /// Why a document is not to be logged, seen from the state as it is.
 pub fn flaws(cluster: &str, src: &str, l: &Ledger) -> Vec<configuration::Flaw> {
-    let listed: Vec<(Service, Area)> =
-        l.replicas.values().filter(|r| !r.draining).map(|r| (r.service.clone(), r.area.clone())).collect();
+    let listed: Vec<(Service, Zone)> =
+        l.replicas.values().filter(|r| !r.draining).map(|r| (r.service.clone(), r.zone.clone())).collect();
     match configuration::compile(src) {
         Ok(t) if t.cluster != cluster => vec![configuration::Flaw {
             line: 1,
--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -32,14 +32,16 @@
 struct ReplicaBody {
     id: String,
     service: String,
-    area: String,
+    #[serde(rename = "area")]
+    zone: String,
     addr: SocketAddr,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct AreaBody {
-    area: String,
+struct ZoneBody {
+    #[serde(rename = "area")]
+    zone: String,
 }
 
 /// Two operators in the same moment must never share a verdict: each call without a name of its own
@@ -91,8 +93,8 @@
         (&Method::GET, ["v1", "evacuations"]) => {
             call.state().await.map(|l| json(StatusCode::OK, &l.evacuated))
         }
-        (&Method::POST, ["v1", "evacuations"]) => match serde_json::from_slice::<AreaBody>(&bytes) {
-            Ok(b) => call.evacuate(&b.area, true).await,
+        (&Method::POST, ["v1", "evacuations"]) => match serde_json::from_slice::<ZoneBody>(&bytes) {
+            Ok(b) => call.evacuate(&b.zone, true).await,
             Err(e) => early(no(StatusCode::BAD_REQUEST, format!("body: {e}"))),
         },
         (&Method::DELETE, ["v1", "evacuations", a]) => call.evacuate(a, false).await,
@@ -120,7 +122,7 @@
         let m = common::meter::Meter::default();
         let row = [
             ("view", "Number of the view that this seat has promised", v.term as i64),
-            ("accepted_index", "Place of the newest accepted change", v.ledger.idx.0 as i64),
+            ("accepted_index", "Place of the newest accepted change", v.ledger.index.0 as i64),
             ("revision", "Newest accepted document", v.ledger.revision.0 as i64),
             ("voting", "1 while this seat votes", i64::from(v.voting)),
             ("members", "Nodes that hold a tenure", v.ledger.members.len() as i64),
@@ -133,7 +135,7 @@
 
     fn status(&self) -> Value {
         let v = self.core.status();
-        let (idx, rev) = (v.ledger.idx, v.ledger.revision);
+        let (index, rev) = (v.ledger.index, v.ledger.revision);
         // Renewals go to the leader: only it knows what governs where.
         let leads = v.leader.as_ref().is_some_and(|l| l.node == v.me.node);
         let members: Vec<Value> = v
@@ -142,13 +144,13 @@
             .values()
             .map(|m| {
                 let told = v.reports.get(&m.info.node);
-                j!({"node": m.info.node, "area": m.info.area, "role": m.info.role, "lang": m.info.lang, "rail": m.info.rail,
+                j!({"node": m.info.node, "area": m.info.zone, "role": m.info.role, "lang": m.info.lang, "rail": m.info.rail,
                     "http": m.info.http, "epoch": m.epoch, "idx": told.map(|r| r.0), "revision": told.map(|r| r.1),
-                    "lags": leads.then(|| told.is_none_or(|r| r.0 < idx || r.1 < rev))})
+                    "lags": leads.then(|| told.is_none_or(|r| r.0 < index || r.1 < rev))})
             })
             .collect();
         j!({"cluster": self.core.set.cluster, "seat": v.me, "view": v.term, "leader": v.leader.map(|l| l.node),
-            "formed": v.formed, "voting": v.voting, "idx": idx, "revision": rev, "evacuated": v.ledger.evacuated,
+            "formed": v.formed, "voting": v.voting, "idx": index, "revision": rev, "evacuated": v.ledger.evacuated,
             "roster": v.ledger.voters, "lost": v.ledger.lost, "members": members, "replicas": v.ledger.replicas})
     }
 
--- a/crates/control-plane/src/api/moves.rs
+++ b/crates/control-plane/src/api/moves.rs
@@ -5,7 +5,7 @@
     change::{Change, ReplicaMove, Verdict},
     rpc::Proposed,
 };
-use common::{Area, Index, OpId, ReplicaId, good_name, http::json};
+use common::{Index, OpId, ReplicaId, Zone, good_name, http::json};
 use hyper::StatusCode;
 use serde_json::json as j;
 use std::time::Duration;
@@ -14,8 +14,8 @@
     pub(super) async fn propose(&self, ch: Change) -> Early<Res> {
         let ms = self.core.set.timing.rail_ms * 4;
         Ok(match self.core.propose(ch, ms).await {
-            Proposed::Settled { idx, verdict: v @ Verdict::Accepted { .. } } if self.wait_ms > 0 => {
-                let lagging = self.governs(idx).await;
+            Proposed::Settled { index, verdict: v @ Verdict::Accepted { .. } } if self.wait_ms > 0 => {
+                let lagging = self.governs(index).await;
                 let mut r = self.told_with(&v, Some(lagging));
                 *r.status_mut() = StatusCode::OK;
                 r
@@ -62,7 +62,7 @@
     }
 
     /// Waits until all live nodes say that this place governs; names those that still lag.
-    async fn governs(&self, idx: Index) -> Vec<String> {
+    async fn governs(&self, index: Index) -> Vec<String> {
         let until = self.core.clock.now() + self.wait_ms;
         loop {
             let v = match self.core.state_here() {
@@ -70,7 +70,7 @@
                 Err(_) => return vec!["unknown: asked at a seat that does not lead; see status".into()],
             };
             let lags =
-                |n: &common::NodeId| v.reports.get(n).is_none_or(|r| r.0 < idx || r.1 < v.ledger.revision);
+                |n: &common::NodeId| v.reports.get(n).is_none_or(|r| r.0 < index || r.1 < v.ledger.revision);
             let behind: Vec<String> =
                 v.ledger.members.keys().filter(|n| lags(n)).map(|n| n.to_string()).collect();
             if behind.is_empty() || self.core.clock.now() >= until {
@@ -80,18 +80,18 @@
         }
     }
 
-    pub(super) async fn evacuate(&self, area: &str, on: bool) -> Early<Res> {
-        self.named("area", area)?;
+    pub(super) async fn evacuate(&self, zone: &str, on: bool) -> Early<Res> {
+        self.named("area", zone)?;
         let l = self.state().await?;
         let named = l.text.as_deref().and_then(|t| configuration::compile(t).ok());
-        if let Some(t) = named.filter(|t| on && !t.areas.contains_key(&Area::new(area))) {
-            let all: Vec<String> = t.areas.keys().map(|a| a.to_string()).collect();
+        if let Some(t) = named.filter(|t| on && !t.zones.contains_key(&Zone::new(zone))) {
+            let all: Vec<String> = t.zones.keys().map(|a| a.to_string()).collect();
             return early(no(
                 StatusCode::NOT_FOUND,
-                format!("no area {area:?}; allowed: {}", all.join(", ")),
+                format!("no area {zone:?}; allowed: {}", all.join(", ")),
             ));
         }
-        self.propose(Change::Evacuate { op: self.op.clone(), area: Area::new(area), on, seen: l.idx }).await
+        self.propose(Change::Evacuate { op: self.op.clone(), zone: Zone::new(zone), on, seen: l.index }).await
     }
 
     pub(super) async fn list(&self, bytes: &[u8]) -> Early<Res> {
@@ -99,11 +99,11 @@
             Ok(b) => b,
             Err(e) => return early(no(StatusCode::BAD_REQUEST, format!("body: {e}"))),
         };
-        for (f, v) in [("service", &b.service), ("area", &b.area)] {
+        for (f, v) in [("service", &b.service), ("area", &b.zone)] {
             self.named(f, v)?;
         }
         let what =
-            ReplicaMove::List { service: b.service.as_str().into(), area: Area::new(&b.area), addr: b.addr };
+            ReplicaMove::List { service: b.service.as_str().into(), zone: Zone::new(&b.zone), addr: b.addr };
         self.replica(&b.id, what).await
     }
 
--- a/crates/control-plane/src/change.rs
+++ b/crates/control-plane/src/change.rs
@@ -1,7 +1,7 @@
 //! What the log can hold (design 2.1): every change of the shared state.
 
 use crate::document::Document;
-use common::{Area, Incarnation, Index, NodeId, OpId, ReplicaId, Revision, Service, settings::Settings};
+use common::{Incarnation, Index, NodeId, OpId, ReplicaId, Revision, Service, Zone, settings::Settings};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -15,9 +15,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterInfo {
     pub number: u8,
-    pub inc: Incarnation,
+    #[serde(rename = "inc")]
+    pub incarnation: Incarnation,
     pub node: NodeId,
-    pub area: Area,
+    #[serde(rename = "area")]
+    pub zone: Zone,
     pub rail: SocketAddr,
     pub http: SocketAddr,
 }
@@ -25,14 +27,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
     pub service: Service,
-    pub area: Area,
+    #[serde(rename = "area")]
+    pub zone: Zone,
     pub addr: SocketAddr,
     pub draining: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaMove {
-    List { service: Service, area: Area, addr: SocketAddr },
+    List {
+        service: Service,
+        #[serde(rename = "area")]
+        zone: Zone,
+        addr: SocketAddr,
+    },
     Drain,
     Remove,
 }
@@ -41,23 +49,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
     pub node: NodeId,
-    pub inc: Incarnation,
+    #[serde(rename = "inc")]
+    pub incarnation: Incarnation,
     pub role: Role,
     /// Version of the document's language that this node can compile.
     pub lang: u32,
-    pub area: Area,
+    #[serde(rename = "area")]
+    pub zone: Zone,
     pub rail: SocketAddr,
     pub http: SocketAddr,
 }
 
 impl NodeInfo {
-    pub fn of(set: &Settings, role: Role, inc: Incarnation) -> Self {
+    pub fn of(set: &Settings, role: Role, incarnation: Incarnation) -> Self {
         Self {
             node: set.node.as_str().into(),
-            inc,
+            incarnation,
             role,
             lang: configuration::LANG,
-            area: set.area.as_str().into(),
+            zone: set.zone.as_str().into(),
             rail: set.rail(),
             http: set.http_told(),
         }
@@ -73,9 +83,10 @@
     },
     Evacuate {
         op: OpId,
-        area: Area,
+        #[serde(rename = "area")]
+        zone: Zone,
         on: bool,
-        /// Newest place known when it was decided: an evacuation of the area that was begun or taken
+        /// Newest place known when it was decided: an evacuation of the zone that was begun or taken
         /// back since then stands.
         seen: Index,
     },
@@ -88,7 +99,8 @@
     /// `left`: given back on a planned stop.
     Expire {
         node: NodeId,
-        inc: Incarnation,
+        #[serde(rename = "inc")]
+        incarnation: Incarnation,
         left: bool,
     },
     /// An operator says that a lost node is down, and serves nobody.
--- a/crates/control-plane/src/consensus/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -146,13 +146,13 @@
     pub(super) fn tail_after(&self, from: Index) -> LogTail {
         let long = self.accepted() > from && self.weight_after(from) > self.room.batch();
         let snapshot = (self.base > from || from == Index(0) || long).then(|| self.ledger.clone());
-        let cut = snapshot.as_ref().map(|f| f.idx).unwrap_or(from);
+        let cut = snapshot.as_ref().map(|f| f.index).unwrap_or(from);
         LogTail {
             log_term: self.log_term,
             last: self.last(),
             accepted: self.accepted(),
             snapshot,
-            entries: self.log.iter().filter(|e| e.idx > cut).cloned().collect(),
+            entries: self.log.iter().filter(|e| e.index > cut).cloned().collect(),
         }
     }
 
@@ -170,7 +170,7 @@
         if *term != v || !known {
             return;
         }
-        got.insert(by.inc, tail);
+        got.insert(by.incarnation, tail);
         if got.len() + 1 < need {
             return;
         }
@@ -196,7 +196,7 @@
             self.slot(now, Vec::new(), effects);
         } else {
             let cut = self.accepted();
-            let entries = self.log.iter().filter(|e| e.idx > cut).cloned().collect();
+            let entries = self.log.iter().filter(|e| e.index > cut).cloned().collect();
             self.persist(Record::Install { term: v, cut, entries }, now, Vec::new(), effects);
         }
         // What a voter knows as accepted is so: a swap among it lets the newcomer be counted.
@@ -208,7 +208,7 @@
     /// must be a majority of that one, without those who were replaced (design 2.5).
     fn elected_by(&self, granted: &[Incarnation], best: Option<&LogTail>) -> bool {
         let voters = best.map_or_else(|| self.voters(), |t| t.voters(&self.ledger));
-        let votes = |h: &&VoterInfo| h.inc == self.me.inc || granted.contains(&h.inc);
+        let votes = |h: &&VoterInfo| h.incarnation == self.me.incarnation || granted.contains(&h.incarnation);
         voters.iter().filter(votes).count() > voters.len() / 2
     }
 
@@ -220,17 +220,17 @@
         entries: Vec<LogEntry>,
         effects: &mut Vec<Effect>,
     ) {
-        match snapshot.filter(|f| f.idx >= self.accepted()) {
+        match snapshot.filter(|f| f.index >= self.accepted()) {
             Some(f) => {
-                self.base = f.idx;
+                self.base = f.index;
                 self.ledger = f;
                 self.log.clear();
                 effects.push(Effect::SnapshotInstalled);
             }
-            None => self.log.retain(|e| e.idx <= cut),
+            None => self.log.retain(|e| e.index <= cut),
         }
         self.synced = self.synced.min(self.last());
         let from = self.last();
-        self.log.extend(entries.into_iter().filter(|e| e.idx > from));
+        self.log.extend(entries.into_iter().filter(|e| e.index > from));
     }
 }
--- a/crates/control-plane/src/consensus/feed.rs
+++ b/crates/control-plane/src/consensus/feed.rs
@@ -40,7 +40,7 @@
             let t = self.tail_after(p.accepted);
             return Some(Body::Install { cut: p.accepted, snapshot: t.snapshot, entries: t.entries });
         }
-        let entries = batch(self.log.iter().filter(|e| e.idx > p.last), self.room.batch());
+        let entries = batch(self.log.iter().filter(|e| e.index > p.last), self.room.batch());
         (!entries.is_empty()).then_some(Body::Append { prev: p.last, entries })
     }
 
@@ -48,7 +48,7 @@
         let upto = match &body {
             Body::Ping => None,
             Body::Install { .. } => Some(self.last()),
-            Body::Append { entries, .. } => entries.last().map(|e| e.idx),
+            Body::Append { entries, .. } => entries.last().map(|e| e.index),
         };
         let weight = body.weight();
         let msg = Message::Append {
@@ -78,9 +78,9 @@
             effects.push(Effect::NotLogged { change, why });
             return;
         }
-        let e = LogEntry { idx: self.last().next(), change };
+        let e = LogEntry { index: self.last().next(), change };
         self.log.push_back(e.clone());
-        effects.push(Effect::Logged { idx: e.idx, change: e.change.clone() });
+        effects.push(Effect::Logged { index: e.index, change: e.change.clone() });
         let accepted = self.accepted();
         self.persist(Record::Append { accepted, entries: vec![e] }, now, Vec::new(), effects);
         self.feed_due(&self.fed(), now, effects);
@@ -104,25 +104,25 @@
         self.promised = term;
         self.role = VoterRole::Follower { leader: Some(by), heard: now };
         let (mut rec, mut slot) = (None, false);
-        let ahead = |l: &Ledger| l.idx > self.last();
+        let ahead = |l: &Ledger| l.index > self.last();
         match body {
             Body::Install { cut, snapshot, entries }
                 if self.log_term < term || snapshot.as_ref().is_some_and(ahead) =>
             {
                 let fits =
-                    snapshot.as_ref().is_some_and(|f| f.idx >= self.accepted()) || cut == self.accepted();
+                    snapshot.as_ref().is_some_and(|f| f.index >= self.accepted()) || cut == self.accepted();
                 if fits {
                     slot = snapshot.is_some();
                     self.take(cut, snapshot, entries, effects);
                     self.log_term = term;
-                    let entries = self.log.iter().filter(|e| e.idx > cut).cloned().collect();
+                    let entries = self.log.iter().filter(|e| e.index > cut).cloned().collect();
                     rec = (!slot).then_some(Record::Install { term, cut, entries });
                 }
             }
             Body::Append { prev, entries } if self.log_term == term && prev <= self.last() => {
                 let from = self.last();
-                let new: Vec<_> = entries.into_iter().filter(|e| e.idx > from).collect();
-                if new.first().is_some_and(|e| e.idx == from.next()) {
+                let new: Vec<_> = entries.into_iter().filter(|e| e.index > from).collect();
+                if new.first().is_some_and(|e| e.index == from.next()) {
                     self.log.extend(new.iter().cloned());
                     rec = Some(Record::Append { accepted: self.accepted(), entries: new });
                 }
@@ -222,9 +222,10 @@
 
     pub(super) fn accept_to(&mut self, to: Index, effects: &mut Vec<Effect>) {
         let from = self.accepted();
-        let due: Vec<LogEntry> = self.log.iter().filter(|e| e.idx > from && e.idx <= to).cloned().collect();
+        let due: Vec<LogEntry> =
+            self.log.iter().filter(|e| e.index > from && e.index <= to).cloned().collect();
         for entry in due {
-            let verdict = self.ledger.fold(entry.idx, &entry.change);
+            let verdict = self.ledger.fold(entry.index, &entry.change);
             if let (VoterRole::Leader { peers, .. }, Change::ReplaceVoter(h)) =
                 (&mut self.role, &entry.change)
             {
--- a/crates/control-plane/src/consensus/form.rs
+++ b/crates/control-plane/src/consensus/form.rs
@@ -22,7 +22,7 @@
         }
         self.last_beat = now;
         let msg =
-            Message::Discover { holder: self.me.clone(), formed: false, voters: Vec::new(), idx: Index(0) };
+            Message::Discover { holder: self.me.clone(), formed: false, voters: Vec::new(), index: Index(0) };
         let own = self.me.rail;
         for s in self.seeds.clone().into_iter().filter(|s| *s != own) {
             effects.push(Effect::Send { to: s, msg: msg.clone() });
@@ -71,11 +71,11 @@
     }
 
     fn settle(&mut self, ledger: Ledger, now: Tick, then: Vec<Effect>, effects: &mut Vec<Effect>) {
-        let mine = ledger.voters.iter().find(|h| h.inc == self.me.inc);
+        let mine = ledger.voters.iter().find(|h| h.incarnation == self.me.incarnation);
         let Some(number) = mine.map(|h| h.number) else { return };
         self.me.number = number;
         self.formed = true;
-        self.base = ledger.idx;
+        self.base = ledger.index;
         self.ledger = ledger;
         self.role = VoterRole::Follower { leader: None, heard: now };
         self.slot(now, then, effects);
@@ -92,7 +92,7 @@
             holder: self.me.clone(),
             formed: true,
             voters: self.ledger.voters.clone(),
-            idx: self.accepted(),
+            index: self.accepted(),
         };
         effects.push(Effect::Send { to, msg });
     }
@@ -102,7 +102,7 @@
         from: SocketAddr,
         holder: VoterInfo,
         formed: bool,
-        (voters, idx): (Vec<VoterInfo>, Index),
+        (voters, index): (Vec<VoterInfo>, Index),
         now: Tick,
         effects: &mut Vec<Effect>,
     ) {
@@ -116,7 +116,10 @@
             // A founder's word that was lost is said again to a blank voter of its voters.
             (true, false)
                 if self.accepted() == Index(0)
-                    && self.knows(&VoterId { inc: holder.inc, number: self.number_of(&holder) }) =>
+                    && self.knows(&VoterId {
+                        incarnation: holder.incarnation,
+                        number: self.number_of(&holder),
+                    }) =>
             {
                 effects
                     .push(Effect::Send { to: from, msg: Message::Bootstrap { ledger: self.ledger.clone() } });
@@ -125,8 +128,8 @@
             (false, true) => {
                 let msg = Message::JoinRequest { holder: self.me.clone() };
                 self.discovered.remove(&holder.rail);
-                self.foreign = !voters.iter().any(|h| h.inc == self.me.inc);
-                if !voters.iter().any(|h| h.inc == self.me.inc) {
+                self.foreign = !voters.iter().any(|h| h.incarnation == self.me.incarnation);
+                if !voters.iter().any(|h| h.incarnation == self.me.incarnation) {
                     for h in &voters {
                         effects.push(Effect::Send { to: h.rail, msg: msg.clone() });
                     }
@@ -134,8 +137,8 @@
             }
             // Another holds this voter now, and a majority accepted it: this one is out.
             (true, true) => {
-                let mine = voters.iter().any(|h| h.inc == self.me.inc);
-                if !mine && idx > self.accepted() && !self.out {
+                let mine = voters.iter().any(|h| h.incarnation == self.me.incarnation);
+                if !mine && index > self.accepted() && !self.out {
                     self.out = true;
                     self.role = VoterRole::Follower { leader: None, heard: Tick(0) };
                     effects.push(Effect::Removed);
@@ -145,14 +148,19 @@
     }
 
     fn number_of(&self, h: &VoterInfo) -> u8 {
-        self.ledger.voters.iter().find(|o| o.inc == h.inc).map(|o| o.number).unwrap_or(u8::MAX)
+        self.ledger
+            .voters
+            .iter()
+            .find(|o| o.incarnation == h.incarnation)
+            .map(|o| o.number)
+            .unwrap_or(u8::MAX)
     }
 
     /// The leader readmits a blank voter in place of its own former self at once, and in place
     /// of another holder once that one has been silent for a lease.
     pub(super) fn on_join_request(&mut self, holder: VoterInfo, now: Tick) {
         let VoterRole::Leader { peers, since, .. } = &self.role else { return };
-        if self.voters().iter().any(|h| h.inc == holder.inc) {
+        if self.voters().iter().any(|h| h.incarnation == holder.incarnation) {
             return;
         }
         let silent = self.t.tenure_ms + self.t.margin_ms();
@@ -166,10 +174,12 @@
         // It pleads with each beat. Counted from the first time, or over a long line no answer would
         // ever be newer than the join_request.
         self.join_requests.retain(|_, p| now.since(p.1) <= silent);
-        let at = self.join_requests.get(&holder.inc).map_or(now, |p| p.1);
+        let at = self.join_requests.get(&holder.incarnation).map_or(now, |p| p.1);
         match found {
-            Some(number) => self.join_requests.insert(holder.inc, (VoterInfo { number, ..holder }, at)),
-            None => self.join_requests.remove(&holder.inc),
+            Some(number) => {
+                self.join_requests.insert(holder.incarnation, (VoterInfo { number, ..holder }, at))
+            }
+            None => self.join_requests.remove(&holder.incarnation),
         };
     }
 
@@ -191,15 +201,16 @@
 
     /// A blank voter takes its first snapshot, from a leader whose voters names it.
     pub(super) fn first_snapshot(&mut self, f: AppendRequest, now: Tick, effects: &mut Vec<Effect>) {
-        let inc = self.me.inc;
-        let named = |l: &Ledger| l.cluster == self.cluster && l.voters.iter().any(|h| h.inc == inc);
+        let incarnation = self.me.incarnation;
+        let named =
+            |l: &Ledger| l.cluster == self.cluster && l.voters.iter().any(|h| h.incarnation == incarnation);
         match f.body {
             Body::Install { snapshot: Some(l), entries, .. } if named(&l) && f.term >= self.promised => {
                 self.promised = f.term;
                 self.log_term = f.term;
                 self.log = entries.into();
                 self.me.number = f.to;
-                self.base = l.idx;
+                self.base = l.index;
                 self.ledger = l;
                 self.formed = true;
                 effects.push(Effect::SnapshotInstalled);
@@ -210,7 +221,7 @@
             // Says that it holds nothing, so that the leader sends the snapshot.
             _ => {
                 let msg = Message::AppendReply {
-                    by: VoterId { number: f.to, inc },
+                    by: VoterId { number: f.to, incarnation },
                     term: f.term,
                     installed: false,
                     last: Index(0),
--- a/crates/control-plane/src/consensus/lead.rs
+++ b/crates/control-plane/src/consensus/lead.rs
@@ -87,7 +87,9 @@
             VoterRole::Follower { leader, .. } => *leader,
             _ => None,
         };
-        v.and_then(|v| self.voters().into_iter().find(|h| h.number == v.number && h.inc == v.inc))
+        v.and_then(|v| {
+            self.voters().into_iter().find(|h| h.number == v.number && h.incarnation == v.incarnation)
+        })
     }
 }
 
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -129,12 +129,12 @@
             room: Room::default(),
         };
         if let Some(i) = img {
-            s.me.inc = i.me.inc;
+            s.me.incarnation = i.me.incarnation;
             s.me.number = i.me.number;
             s.formed = i.formed;
             s.promised = i.promised;
             s.log_term = i.log_term;
-            s.base = i.ledger.idx;
+            s.base = i.ledger.index;
             s.ledger = i.ledger;
             s.log = i.entries.into();
             s.synced = s.last();
@@ -143,18 +143,18 @@
     }
 
     pub fn last(&self) -> Index {
-        self.log.back().map(|e| e.idx).unwrap_or(self.base)
+        self.log.back().map(|e| e.index).unwrap_or(self.base)
     }
 
     pub fn accepted(&self) -> Index {
-        self.ledger.idx
+        self.ledger.index
     }
 
     /// The voters with logged changes applied: a replaced holder counts no more from the
     /// moment that the change is in the log (design 2.5).
     pub fn voters(&self) -> Vec<VoterInfo> {
         let mut r = self.ledger.voters.clone();
-        for e in self.log.iter().filter(|e| e.idx > self.accepted()) {
+        for e in self.log.iter().filter(|e| e.index > self.accepted()) {
             if let Change::ReplaceVoter(h) = &e.change {
                 r.iter_mut().filter(|o| o.number == h.number).for_each(|o| *o = h.clone());
             }
@@ -163,7 +163,7 @@
     }
 
     pub fn knows(&self, v: &VoterId) -> bool {
-        self.voters().iter().any(|h| h.number == v.number && h.inc == v.inc)
+        self.voters().iter().any(|h| h.number == v.number && h.incarnation == v.incarnation)
     }
 
     pub fn others(&self) -> Vec<VoterInfo> {
@@ -177,7 +177,7 @@
     }
 
     pub fn id(&self) -> VoterId {
-        VoterId { number: self.me.number, inc: self.me.inc }
+        VoterId { number: self.me.number, incarnation: self.me.incarnation }
     }
 
     pub fn is_leader(&self) -> bool {
@@ -223,8 +223,8 @@
             return effects.push(Effect::Refused { from, why });
         }
         match m {
-            Message::Discover { holder, formed, voters, idx } => {
-                self.on_discover(from, holder, formed, (voters, idx), now, effects)
+            Message::Discover { holder, formed, voters, index } => {
+                self.on_discover(from, holder, formed, (voters, index), now, effects)
             }
             Message::Bootstrap { ledger } => self.on_found(ledger, now, effects),
             Message::LeaderQuery(life) => self.on_asks(from, life, effects),
--- a/crates/control-plane/src/consensus/msg.rs
+++ b/crates/control-plane/src/consensus/msg.rs
@@ -12,12 +12,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterId {
     pub number: u8,
-    pub inc: Incarnation,
+    #[serde(rename = "inc")]
+    pub incarnation: Incarnation,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    pub idx: Index,
+    #[serde(rename = "idx")]
+    pub index: Index,
     pub change: Change,
 }
 
@@ -54,7 +56,8 @@
         holder: VoterInfo,
         formed: bool,
         voters: Vec<VoterInfo>,
-        idx: Index,
+        #[serde(rename = "idx")]
+        index: Index,
     },
     Bootstrap {
         ledger: Ledger,
@@ -202,7 +205,7 @@
     },
     /// Logged by this leader at this place, to be accepted or lost.
     Logged {
-        idx: Index,
+        index: Index,
         change: Change,
     },
     /// Not logged and never will be.
--- a/crates/control-plane/src/consensus/room.rs
+++ b/crates/control-plane/src/consensus/room.rs
@@ -51,17 +51,17 @@
     pub fn weight(&self) -> usize {
         64 + match self {
             Change::Apply { op, text, .. } => op.as_str().len() + text.packed_len(),
-            Change::Evacuate { op, area, .. } => op.as_str().len() + area.as_str().len(),
+            Change::Evacuate { op, zone, .. } => op.as_str().len() + zone.as_str().len(),
             Change::Replica { op, id, what } => {
                 let list = match what {
-                    ReplicaMove::List { service, area, .. } => {
-                        service.as_str().len() + area.as_str().len() + 64
+                    ReplicaMove::List { service, zone, .. } => {
+                        service.as_str().len() + zone.as_str().len() + 64
                     }
                     _ => 0,
                 };
                 op.as_str().len() + id.as_str().len() + list
             }
-            Change::Join(c) => c.node.as_str().len() + c.area.as_str().len() + 128,
+            Change::Join(c) => c.node.as_str().len() + c.zone.as_str().len() + 128,
             Change::Expire { node, .. } => node.as_str().len(),
             Change::Down { op, node } => op.as_str().len() + node.as_str().len(),
             Change::ReplaceVoter(h) => holder(h),
@@ -89,25 +89,25 @@
         self.op().is_none_or(|o| short(o.as_str()))
             && match self {
                 Change::Apply { .. } => true,
-                Change::Evacuate { area, .. } => short(area.as_str()),
+                Change::Evacuate { zone, .. } => short(zone.as_str()),
                 Change::Replica { id, what, .. } => {
                     short(id.as_str())
                         && match what {
-                            ReplicaMove::List { service, area, .. } => {
-                                short(service.as_str()) && short(area.as_str())
+                            ReplicaMove::List { service, zone, .. } => {
+                                short(service.as_str()) && short(zone.as_str())
                             }
                             _ => true,
                         }
                 }
-                Change::Join(c) => short(c.node.as_str()) && short(c.area.as_str()),
+                Change::Join(c) => short(c.node.as_str()) && short(c.zone.as_str()),
                 Change::Expire { node, .. } | Change::Down { node, .. } => short(node.as_str()),
-                Change::ReplaceVoter(h) => short(h.node.as_str()) && short(h.area.as_str()),
+                Change::ReplaceVoter(h) => short(h.node.as_str()) && short(h.zone.as_str()),
             }
     }
 }
 
 fn holder(h: &VoterInfo) -> usize {
-    h.node.as_str().len() + h.area.as_str().len() + 112
+    h.node.as_str().len() + h.zone.as_str().len() + 112
 }
 
 impl LogEntry {
@@ -139,16 +139,16 @@
         let text = self.text.as_ref().map_or(0, Document::packed_len);
         let evacuated: usize = self.evacuated.iter().map(|a| a.as_str().len() + 16).sum();
         let changes: usize = self.evacuation_changes.keys().map(|a| a.as_str().len() + 24).sum();
-        let areas = evacuated + changes;
+        let zones = evacuated + changes;
         let replicas: usize = self
             .replicas
             .iter()
-            .map(|(id, r)| id.as_str().len() + r.service.as_str().len() + r.area.as_str().len() + 96)
+            .map(|(id, r)| id.as_str().len() + r.service.as_str().len() + r.zone.as_str().len() + 96)
             .sum();
         let members: usize = self
             .members
             .values()
-            .map(|m| 2 * m.info.node.as_str().len() + m.info.area.as_str().len() + 160)
+            .map(|m| 2 * m.info.node.as_str().len() + m.info.zone.as_str().len() + 160)
             .sum();
         let voters: usize = self.voters.iter().map(holder).sum();
         let ops: usize = self.ops.iter().map(|(o, v)| o.as_str().len() + verdict(v) + 16).sum();
@@ -156,7 +156,7 @@
         256 + lost
             + self.cluster.len()
             + text
-            + areas
+            + zones
             + replicas
             + members
             + voters
@@ -167,7 +167,7 @@
 
 impl Voter {
     pub(super) fn weight_after(&self, from: Index) -> usize {
-        self.log.iter().filter(|e| e.idx > from).map(LogEntry::weight).sum()
+        self.log.iter().filter(|e| e.index > from).map(LogEntry::weight).sum()
     }
 
     /// Why a change can't be logged now, in whatever order the rest of the log is accepted.
@@ -178,7 +178,7 @@
         };
         let pending = self.weight_after(self.accepted()) + ch.weight() + 16;
         let growth: usize =
-            self.log.iter().filter(|e| e.idx > self.accepted()).map(|e| e.change.growth()).sum();
+            self.log.iter().filter(|e| e.index > self.accepted()).map(|e| e.change.growth()).sum();
         let whole = self.ledger.weight() + pending + growth + ch.growth();
         [
             (!ch.names_fit(), "a name of more than 64 bytes"),
@@ -193,13 +193,13 @@
     /// Accepted entries are kept for those that lag a little, within bounds of count and bytes.
     pub(super) fn trim(&mut self) {
         let accepted = self.accepted();
-        let mut kept: usize = self.log.iter().filter(|e| e.idx <= accepted).map(LogEntry::weight).sum();
-        while self.log.front().is_some_and(|e| e.idx < accepted)
+        let mut kept: usize = self.log.iter().filter(|e| e.index <= accepted).map(LogEntry::weight).sum();
+        while self.log.front().is_some_and(|e| e.index < accepted)
             && (self.log.len() > super::KEEP || kept > self.room.batch())
         {
             if let Some(e) = self.log.pop_front() {
                 kept -= e.weight();
-                self.base = e.idx;
+                self.base = e.index;
             }
         }
     }
--- a/crates/control-plane/src/consensus/sync.rs
+++ b/crates/control-plane/src/consensus/sync.rs
@@ -27,7 +27,7 @@
             promised: self.promised,
             log_term: self.log_term,
             ledger: self.ledger.clone(),
-            entries: self.log.iter().filter(|e| e.idx > self.accepted()).cloned().collect(),
+            entries: self.log.iter().filter(|e| e.index > self.accepted()).cloned().collect(),
         };
         self.persist(Record::DurableState(Box::new(img)), now, then, effects);
     }
@@ -68,7 +68,7 @@
             return;
         }
         // One that has lost its folder knows that there is a cluster, and must not found another.
-        let lost = self.formed && image.me.inc != self.me.inc;
+        let lost = self.formed && image.me.incarnation != self.me.incarnation;
         let me = self.me.clone();
         let fresh = Voter::new(me, &self.cluster, self.seeds.clone(), self.t.clone(), Some(image), now);
         *self = Voter {
--- a/crates/control-plane/src/consensus/valid.rs
+++ b/crates/control-plane/src/consensus/valid.rs
@@ -68,12 +68,12 @@
 fn follows(base: Index, entries: &[LogEntry]) -> Checked {
     within_reach(&[base])?;
     let due = (base.0 + 1)..;
-    ensure(entries.iter().zip(due).all(|(e, due)| e.idx.0 == due), Refusal::Gap)
+    ensure(entries.iter().zip(due).all(|(e, due)| e.index.0 == due), Refusal::Gap)
 }
 
 fn sound(voters: &[VoterInfo]) -> Checked {
     let numbers: BTreeSet<u8> = voters.iter().map(|h| h.number).collect();
-    let incarnations: BTreeSet<_> = voters.iter().map(|h| h.inc).collect();
+    let incarnations: BTreeSet<_> = voters.iter().map(|h| h.incarnation).collect();
     let distinct = numbers.len() == voters.len() && incarnations.len() == voters.len();
     let known = numbers.iter().all(|number| usize::from(*number) <= MOST_VOTERS);
     ensure(distinct && known && (1..=MOST_VOTERS).contains(&voters.len()), Refusal::UnsoundRoster)
@@ -83,12 +83,12 @@
     /// Looks at all of a message before any of it is taken in.
     pub(super) fn check(&self, msg: &Message, now: Tick) -> Checked {
         match msg {
-            Message::Discover { formed: true, voters, idx, .. } => {
-                within_reach(&[*idx])?;
+            Message::Discover { formed: true, voters, index, .. } => {
+                within_reach(&[*index])?;
                 sound(voters)
             }
             Message::Bootstrap { ledger } => {
-                ensure(ledger.idx == Index(0), Refusal::WrongEnd)?;
+                ensure(ledger.index == Index(0), Refusal::WrongEnd)?;
                 self.check_state(ledger)
             }
             Message::PreVote { by, term } | Message::StepDown { by, term } => self.check_candidate(by, *term),
@@ -135,7 +135,7 @@
 
     fn check_state(&self, ledger: &Ledger) -> Checked {
         ensure(ledger.cluster == self.cluster, Refusal::ForeignCluster)?;
-        within_reach(&[ledger.idx])?;
+        within_reach(&[ledger.index])?;
         sound(&ledger.voters)
     }
 
@@ -144,7 +144,7 @@
             Body::Ping => Ok(()),
             Body::Install { snapshot: Some(state), entries, .. } => {
                 self.check_state(state)?;
-                follows(state.idx, entries)
+                follows(state.index, entries)
             }
             Body::Install { cut, snapshot: None, entries } => follows(*cut, entries),
             Body::Append { prev, entries } => follows(*prev, entries),
@@ -163,9 +163,9 @@
         if let Some(state) = &tail.snapshot {
             self.check_state(state)?;
         }
-        let base = tail.snapshot.as_ref().map_or(self.accepted(), |f| f.idx);
+        let base = tail.snapshot.as_ref().map_or(self.accepted(), |f| f.index);
         follows(base, &tail.entries)?;
-        let end = tail.entries.last().map_or(base, |e| e.idx);
+        let end = tail.entries.last().map_or(base, |e| e.index);
         // One that holds less than was asked for has nothing to tell.
         let short = tail.snapshot.is_none() && tail.entries.is_empty() && tail.last < end;
         ensure((tail.last == end || short) && tail.accepted <= tail.last, Refusal::WrongEnd)
--- a/crates/control-plane/src/core/folder.rs
+++ b/crates/control-plane/src/core/folder.rs
@@ -13,9 +13,9 @@
 pub fn blank(set: &Settings) -> VoterInfo {
     VoterInfo {
         number: u8::MAX,
-        inc: Incarnation(common::ground::draw::<u64>() >> 1),
+        incarnation: Incarnation(common::ground::draw::<u64>() >> 1),
         node: set.node.as_str().into(),
-        area: set.area.as_str().into(),
+        zone: set.zone.as_str().into(),
         rail: set.rail(),
         http: set.http_told(),
     }
@@ -76,7 +76,7 @@
             let what = format!("belongs to node {}", image.me.node);
             return Err(self.not_ours(what, format!("one of {}", set.node)));
         }
-        let me = VoterInfo { number: image.me.number, inc: image.me.inc, ..blank(set) };
+        let me = VoterInfo { number: image.me.number, incarnation: image.me.incarnation, ..blank(set) };
         Ok(DurableState { me, ..image })
     }
 
--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -209,10 +209,10 @@
     }
 
     fn accepted(&self, g: &mut Inner, e: LogEntry, verdict: Verdict) {
-        if let Some((ch, tx)) = g.waiting.remove(&e.idx) {
+        if let Some((ch, tx)) = g.waiting.remove(&e.index) {
             let same = ch == e.change;
             let _ = tx.send(if same {
-                Proposed::Settled { idx: e.idx, verdict }
+                Proposed::Settled { index: e.index, verdict }
             } else {
                 Proposed::Undetermined
             });
--- a/crates/control-plane/src/core/propose.rs
+++ b/crates/control-plane/src/core/propose.rs
@@ -22,15 +22,15 @@
                 return Proposed::NotLogged { leader: None, why: OUT_OF_TOUCH.into() };
             }
             let effects = g.voter.step(Event::Propose(ch.clone()), self.clock.now());
-            let idx = effects.iter().find_map(|f| match f {
-                Effect::Logged { idx, .. } => Some(*idx),
+            let index = effects.iter().find_map(|f| match f {
+                Effect::Logged { index, .. } => Some(*index),
                 _ => None,
             });
             let (tx, rx) = oneshot::channel();
-            if let Some(idx) = idx {
-                g.waiting.insert(idx, (ch, tx));
+            if let Some(index) = index {
+                g.waiting.insert(index, (ch, tx));
             }
-            if idx.is_none() {
+            if index.is_none() {
                 let why = not_logged(&effects);
                 self.carry_out(&mut g, effects);
                 return Proposed::NotLogged { leader: g.voter.leader(), why };
@@ -41,9 +41,9 @@
         };
         let until = self.clock.now() + ms;
         match tokio::time::timeout(Duration::from_millis(ms), rx).await {
-            Ok(Ok(Proposed::Settled { idx, verdict: v @ Verdict::Accepted { .. } })) if narrows => {
-                let held = self.held_by_most(&of, idx, until).await;
-                if held { Proposed::Settled { idx, verdict: v } } else { Proposed::Undetermined }
+            Ok(Ok(Proposed::Settled { index, verdict: v @ Verdict::Accepted { .. } })) if narrows => {
+                let held = self.held_by_most(&of, index, until).await;
+                if held { Proposed::Settled { index, verdict: v } } else { Proposed::Undetermined }
             }
             Ok(Ok(p)) => p,
             _ => Proposed::Undetermined,
--- a/crates/control-plane/src/core/reach.rs
+++ b/crates/control-plane/src/core/reach.rs
@@ -63,7 +63,7 @@
     /// Waits until most of those that were members when a change was logged say that they hold it:
     /// then no majority can serve on without hearing of it from one of its own. Who expirations meanwhile
     /// counts still; who left in good order serves nobody.
-    pub(super) async fn held_by_most(self: &Arc<Self>, of: &[NodeId], idx: Index, until: Tick) -> bool {
+    pub(super) async fn held_by_most(self: &Arc<Self>, of: &[NodeId], index: Index, until: Tick) -> bool {
         loop {
             {
                 let g = self.lock();
@@ -73,7 +73,7 @@
                 let l = &g.voter.ledger;
                 let there = |n: &&NodeId| l.members.contains_key(*n) || l.lost.iter().any(|x| x.node == **n);
                 let all: Vec<&NodeId> = of.iter().filter(there).collect();
-                let held = all.iter().filter(|n| g.reports.get(**n).is_some_and(|r| r.0 >= idx)).count();
+                let held = all.iter().filter(|n| g.reports.get(**n).is_some_and(|r| r.0 >= index)).count();
                 if held * 2 > all.len() || all.is_empty() {
                     return true;
                 }
--- a/crates/control-plane/src/core/serve.rs
+++ b/crates/control-plane/src/core/serve.rs
@@ -27,16 +27,16 @@
         }
     }
 
-    pub fn renew(self: &Arc<Self>, info: NodeInfo, idx: Index, revision: Revision) -> Reply {
+    pub fn renew(self: &Arc<Self>, info: NodeInfo, index: Index, revision: Revision) -> Reply {
         let now = self.clock.now();
         let mut g = self.lock();
         if !g.voter.current(now) {
             return Reply::Elsewhere { leader: g.voter.leader() };
         }
-        g.reports.insert(info.node.clone(), (idx, revision, now));
+        g.reports.insert(info.node.clone(), (index, revision, now));
         let Inner { voter, leases, .. } = &mut *g;
         match leases.renew(&voter.ledger, &self.set.timing, &info, now) {
-            Ok(epoch) => Reply::Renewed { epoch: Epoch(epoch.0), idx: voter.accepted() },
+            Ok(epoch) => Reply::Renewed { epoch: Epoch(epoch.0), index: voter.accepted() },
             Err(ch) => {
                 if let Some(ch) = ch {
                     let effects = g.voter.step(Event::Propose(ch), now);
@@ -126,7 +126,7 @@
                 self.step(Event::Msg(from, *msg));
                 Reply::Done
             }
-            Ask::Renew { info, idx, revision } => self.renew(info, idx, revision),
+            Ask::Renew { info, index, revision } => self.renew(info, index, revision),
             Ask::Leave { info } => self.leave(info).await,
             Ask::News { have, wait_ms } => self.news(have, wait_ms).await,
             Ask::Propose { change } => {
@@ -137,7 +137,7 @@
                 Ok(l) => Reply::State(Box::new(l)),
                 Err(leader) => Reply::Elsewhere { leader },
             },
-            Ask::Hail { .. } => Reply::Hailed { idx: self.known_upto() },
+            Ask::Hail { .. } => Reply::Hailed { index: self.known_upto() },
         }
     }
 }
--- a/crates/control-plane/src/daemon.rs
+++ b/crates/control-plane/src/daemon.rs
@@ -35,7 +35,7 @@
     Fut: Future<Output = Result<Response<http::Body>, http::BoxErr>> + Send + 'static,
 {
     let core = Core::start(set.clone(), voters, start, drive);
-    let info = NodeInfo::of(&set, Role::Core, core.status().me.inc);
+    let info = NodeInfo::of(&set, Role::Core, core.status().me.incarnation);
     let member = Member::new(set.clone(), info, Clock::default());
     // The core follows its own news, so that its lease names what governs here.
     let m = member.clone();
--- a/crates/control-plane/src/desk.rs
+++ b/crates/control-plane/src/desk.rs
@@ -1,5 +1,5 @@
 //! The operator's desk (design 4.9): a document in any notation, replaced, amended and read back, and
-//! areas emptied and taken back, by sendings that may be repeated at any control node.
+//! zones emptied and taken back, by sendings that may be repeated at any control node.
 //!
 //! A document carries its own version; a change names the version that it builds on. The name of an
 //! operation is the hash of what was sent, so a sending that is repeated has the verdict of the first.
@@ -14,7 +14,7 @@
     operations::{Standing, standing},
     rpc::Proposed,
 };
-use common::{Area, OpId, Revision, good_name};
+use common::{OpId, Revision, Zone, good_name};
 use configuration::{Flaw, Notation};
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::{collections::BTreeSet, hash::Hasher, sync::Arc, time::Duration};
@@ -46,8 +46,8 @@
 pub struct Desk {
     core: Arc<Core>,
     notation: Arc<dyn Notation>,
-    /// Areas that exist whether or not a node stands in them now.
-    areas: BTreeSet<Area>,
+    /// Zones that exist whether or not a node stands in them now.
+    zones: BTreeSet<Zone>,
 }
 
 fn within(ms: u64) -> Instant {
@@ -68,8 +68,8 @@
 }
 
 impl Desk {
-    pub fn new(core: Arc<Core>, notation: Arc<dyn Notation>, areas: BTreeSet<Area>) -> Self {
-        Self { core, notation, areas }
+    pub fn new(core: Arc<Core>, notation: Arc<dyn Notation>, zones: BTreeSet<Zone>) -> Self {
+        Self { core, notation, zones }
     }
 
     /// A whole document, kept byte for byte; `expects` is 0 where there is none yet.
@@ -91,16 +91,16 @@
         Ok(l.text.map(|t| (version, t)))
     }
 
-    /// Asks that nothing more go to an area's replicas, or takes that back.
-    pub async fn evacuate(&self, area: &str, on: bool) -> Told {
-        if !good_name(area) {
+    /// Asks that nothing more go to an zone's replicas, or takes that back.
+    pub async fn evacuate(&self, zone: &str, on: bool) -> Told {
+        if !good_name(zone) {
             return invalid("area: allowed: 1 to 64 letters, digits, '-', '_' or '.'");
         }
-        let area = Area::new(area);
+        let zone = Zone::new(zone);
         let until = within(WAIT_MS);
         self.told_by(until, async {
             loop {
-                let told = self.evacuate_once(&area, on, until).await;
+                let told = self.evacuate_once(&zone, on, until).await;
                 // Another operator's order came between: this one is decided anew.
                 if !matches!(told, Told::Conflict { .. }) {
                     return told;
@@ -111,16 +111,16 @@
     }
 
     /// On top of the newest state: an order that is late on its way doesn't undo what came after it.
-    async fn evacuate_once(&self, area: &Area, on: bool, until: Instant) -> Told {
+    async fn evacuate_once(&self, zone: &Zone, on: bool, until: Instant) -> Told {
         let l = match self.newest(until).await {
             Ok(l) => l,
             Err(why) => return Told::Unavailable(why),
         };
-        if !self.areas.contains(area) && !stands_in(&l, area) {
-            return invalid(format!("area: {area} is known to no node"));
+        if !self.zones.contains(zone) && !stands_in(&l, zone) {
+            return invalid(format!("area: {zone} is known to no node"));
         }
         let op = OpId::new(crate::api::drawn_op());
-        self.log(Change::Evacuate { op, area: area.clone(), on, seen: l.idx }, until).await
+        self.log(Change::Evacuate { op, zone: zone.clone(), on, seen: l.index }, until).await
     }
 
     async fn submit(
@@ -224,10 +224,10 @@
     }
 }
 
-/// Whether anything that the core knows of stands in an area.
-fn stands_in(l: &Ledger, area: &Area) -> bool {
-    l.members.values().any(|m| m.info.area == *area)
-        || l.voters.iter().any(|h| h.area == *area)
-        || l.replicas.values().any(|r| r.area == *area)
-        || l.evacuated.contains(area)
+/// Whether anything that the core knows of stands in an zone.
+fn stands_in(l: &Ledger, zone: &Zone) -> bool {
+    l.members.values().any(|m| m.info.zone == *zone)
+        || l.voters.iter().any(|h| h.zone == *zone)
+        || l.replicas.values().any(|r| r.zone == *zone)
+        || l.evacuated.contains(zone)
 }
--- a/crates/control-plane/src/duty.rs
+++ b/crates/control-plane/src/duty.rs
@@ -1,7 +1,7 @@
 //! Duties cut by key over the live nodes, each under a fence (design 3.2).
 
 use crate::ledger::{Ledger, Member};
-use common::{Area, Fence, rank::ranked};
+use common::{Fence, Zone, rank::ranked};
 use std::collections::HashMap;
 
 /// The node that does a duty now, and the fence under which it does so.
@@ -11,16 +11,16 @@
     pub fence: Fence,
 }
 
-/// Cuts `key` over the routers, within one area where that is asked for. The fence is the
+/// Cuts `key` over the routers, within one zone where that is asked for. The fence is the
 /// number of the whole membership: any join or expire raises it.
-pub fn duty(l: &Ledger, key: &str, area: Option<&Area>) -> Option<Duty> {
-    line(l, key, area).into_iter().next().map(|holder| Duty { holder, fence: Fence(l.epoch.0) })
+pub fn duty(l: &Ledger, key: &str, zone: Option<&Zone>) -> Option<Duty> {
+    line(l, key, zone).into_iter().next().map(|holder| Duty { holder, fence: Fence(l.epoch.0) })
 }
 
 /// All claimants in order; the second and third serve as followers.
-pub fn line(l: &Ledger, key: &str, area: Option<&Area>) -> Vec<Member> {
+pub fn line(l: &Ledger, key: &str, zone: Option<&Zone>) -> Vec<Member> {
     let live: Vec<Member> =
-        l.routers().into_iter().filter(|m| area.is_none_or(|a| m.info.area == *a)).cloned().collect();
+        l.routers().into_iter().filter(|m| zone.is_none_or(|a| m.info.zone == *a)).cloned().collect();
     ranked(key, &live, |m| m.info.node.as_str()).into_iter().cloned().collect()
 }
 
--- a/crates/control-plane/src/lease.rs
+++ b/crates/control-plane/src/lease.rs
@@ -30,23 +30,23 @@
     ) -> Result<Epoch, Option<Change>> {
         match l.members.get(&info.node) {
             // Once its expire may be in the log, a lease is renewed no more: it joins anew.
-            Some(m) if m.info.inc == info.inc && self.expired(&m.info, t, now) => Err(None),
+            Some(m) if m.info.incarnation == info.incarnation && self.expired(&m.info, t, now) => Err(None),
             Some(m) if m.info == *info => {
-                self.heard.insert(info.node.clone(), (info.inc.0, now));
+                self.heard.insert(info.node.clone(), (info.incarnation.0, now));
                 Ok(m.epoch)
             }
             // A younger self takes over only after the old lease must have expired; but what holds the
             // old one's address now has outlived it, once nothing of the old one can be on its way.
             Some(m)
                 if !self.expired(&m.info, t, now)
-                    && m.info.inc != info.inc
+                    && m.info.incarnation != info.incarnation
                     && !self.outlived(&m.info, info, t, now) =>
             {
                 Err(None)
             }
             _ => {
                 // The new lease counts from when it was asked for.
-                self.heard.insert(info.node.clone(), (info.inc.0, now));
+                self.heard.insert(info.node.clone(), (info.incarnation.0, now));
                 let again = self.asked.get(&info.node).is_none_or(|at| now.since(*at) > t.renew_ms());
                 if again {
                     self.asked.insert(info.node.clone(), now);
@@ -58,29 +58,35 @@
 
     /// Whether `new` stands where `old` stood, which has been silent for two beats.
     fn outlived(&self, old: &NodeInfo, new: &NodeInfo, t: &Timing, now: Tick) -> bool {
-        let heard = self.heard.get(&old.node).filter(|h| h.0 == old.inc.0);
+        let heard = self.heard.get(&old.node).filter(|h| h.0 == old.incarnation.0);
         old.rail == new.rail && heard.is_none_or(|h| now.since(h.1) > 2 * t.beat_ms())
     }
 
     fn expired(&self, info: &NodeInfo, t: &Timing, now: Tick) -> bool {
-        let heard =
-            self.heard.get(&info.node).filter(|h| h.0 == info.inc.0).map(|h| h.1).unwrap_or(self.since);
+        let heard = self
+            .heard
+            .get(&info.node)
+            .filter(|h| h.0 == info.incarnation.0)
+            .map(|h| h.1)
+            .unwrap_or(self.since);
         now.since(heard.max(self.since)) > t.tenure_ms + t.margin_ms()
     }
 
     /// Members that have not renewed here for two renewals: they may not hear of what is logged now.
     pub fn silent(&self, l: &Ledger, t: &Timing, now: Tick) -> Vec<NodeId> {
         let lately = |c: &NodeInfo| {
-            self.heard.get(&c.node).is_some_and(|h| h.0 == c.inc.0 && now.since(h.1) <= 2 * t.renew_ms())
+            self.heard
+                .get(&c.node)
+                .is_some_and(|h| h.0 == c.incarnation.0 && now.since(h.1) <= 2 * t.renew_ms())
         };
         l.members.values().filter(|m| !lately(&m.info)).map(|m| m.info.node.clone()).collect()
     }
 
     /// A node gives its lease back on a planned stop.
     pub fn leave(&self, l: &Ledger, info: &NodeInfo) -> Option<Change> {
-        l.members.get(&info.node).filter(|m| m.info.inc == info.inc).map(|_| Change::Expire {
+        l.members.get(&info.node).filter(|m| m.info.incarnation == info.incarnation).map(|_| Change::Expire {
             node: info.node.clone(),
-            inc: info.inc,
+            incarnation: info.incarnation,
             left: true,
         })
     }
@@ -97,7 +103,7 @@
                 }
                 again
             })
-            .map(|c| Change::Expire { node: c.node, inc: c.inc, left: false })
+            .map(|c| Change::Expire { node: c.node, incarnation: c.incarnation, left: false })
             .collect()
     }
 }
--- a/crates/control-plane/src/ledger.rs
+++ b/crates/control-plane/src/ledger.rs
@@ -4,7 +4,7 @@
 use crate::document::Document;
 use crate::mass::Lost;
 use crate::operations::AcceptedOperations;
-use common::{Area, Epoch, Index, NodeId, OpId, ReplicaId, Revision};
+use common::{Epoch, Index, NodeId, OpId, ReplicaId, Revision, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -24,12 +24,13 @@
     pub cluster: String,
     /// Known to members only: signs what one router tells another over HTTP (design 5.6).
     pub secret: u128,
-    pub idx: Index,
+    #[serde(rename = "idx")]
+    pub index: Index,
     pub revision: Revision,
     pub text: Option<Document>,
-    pub evacuated: BTreeSet<Area>,
-    /// Where an area's evacuation was last begun or taken back.
-    pub evacuation_changes: BTreeMap<Area, Index>,
+    pub evacuated: BTreeSet<Zone>,
+    /// Where an zone's evacuation was last begun or taken back.
+    pub evacuation_changes: BTreeMap<Zone, Index>,
     pub replicas: BTreeMap<ReplicaId, Replica>,
     pub members: BTreeMap<NodeId, Member>,
     pub epoch: Epoch,
@@ -53,12 +54,12 @@
     }
 
     /// Folds the change at its place; the order is the core's alone.
-    pub fn fold(&mut self, idx: Index, ch: &Change) -> Verdict {
-        self.idx = idx;
+    pub fn fold(&mut self, index: Index, ch: &Change) -> Verdict {
+        self.index = index;
         if let Some(v) = ch.op().and_then(|op| self.verdict(op)) {
             return v;
         }
-        let v = self.effect(idx, ch);
+        let v = self.effect(index, ch);
         if let Some(op) = ch.op() {
             self.record(op, ch, &v);
         }
@@ -76,7 +77,7 @@
         }
     }
 
-    fn effect(&mut self, idx: Index, ch: &Change) -> Verdict {
+    fn effect(&mut self, index: Index, ch: &Change) -> Verdict {
         match ch {
             Change::Apply { base, text, .. } => {
                 if *base != self.revision {
@@ -85,23 +86,23 @@
                 self.revision = self.revision.next();
                 self.text = Some(text.clone());
             }
-            Change::Evacuate { area, on, seen, .. } => return self.evacuate(idx, area, *on, *seen),
+            Change::Evacuate { zone, on, seen, .. } => return self.evacuate(index, zone, *on, *seen),
             Change::Replica { id, what, .. } => return self.replica(id, what),
             Change::Join(info) => {
-                self.epoch = Epoch(idx.0);
+                self.epoch = Epoch(index.0);
                 let epoch = self.epoch;
                 let m = Member { info: info.clone(), epoch };
                 self.lost.retain(|x| x.node != info.node);
                 self.members.insert(info.node.clone(), m);
             }
-            Change::Expire { node, inc, left } => {
-                if self.members.get(node).is_some_and(|m| m.info.inc == *inc) {
+            Change::Expire { node, incarnation, left } => {
+                if self.members.get(node).is_some_and(|m| m.info.incarnation == *incarnation) {
                     if !left {
                         let of = self.members.len() as u32;
                         self.lost.push(Lost { node: node.clone(), of });
                     }
                     self.members.remove(node);
-                    self.epoch = Epoch(idx.0);
+                    self.epoch = Epoch(index.0);
                 }
             }
             Change::Down { node, .. } => {
@@ -118,29 +119,29 @@
     }
 
     /// One that changes nothing is accepted; one that is overtaken by a newer one is not.
-    fn evacuate(&mut self, idx: Index, area: &Area, on: bool, seen: Index) -> Verdict {
-        if self.evacuated.contains(area) == on {
+    fn evacuate(&mut self, index: Index, zone: &Zone, on: bool, seen: Index) -> Verdict {
+        if self.evacuated.contains(zone) == on {
             return Verdict::Accepted { revision: self.revision };
         }
-        let overtaken = self.evacuation_changes.get(area).is_some_and(|at| *at > seen);
+        let overtaken = self.evacuation_changes.get(zone).is_some_and(|at| *at > seen);
         if overtaken && !common::ground::broken("late-evacuations") {
             return Verdict::Conflict { current: self.revision };
         }
         if on {
-            self.evacuated.insert(area.clone());
+            self.evacuated.insert(zone.clone());
         } else {
-            self.evacuated.remove(area);
+            self.evacuated.remove(zone);
         }
-        self.evacuation_changes.insert(area.clone(), idx);
+        self.evacuation_changes.insert(zone.clone(), index);
         Verdict::Accepted { revision: self.revision }
     }
 
     fn replica(&mut self, id: &ReplicaId, what: &ReplicaMove) -> Verdict {
         let known = self.replicas.get_mut(id);
         match (what, known) {
-            (ReplicaMove::List { service, area, addr }, _) => {
+            (ReplicaMove::List { service, zone, addr }, _) => {
                 let r =
-                    Replica { service: service.clone(), area: area.clone(), addr: *addr, draining: false };
+                    Replica { service: service.clone(), zone: zone.clone(), addr: *addr, draining: false };
                 self.replicas.insert(id.clone(), r);
             }
             (ReplicaMove::Drain, Some(r)) => r.draining = true,
--- a/crates/control-plane/src/member.rs
+++ b/crates/control-plane/src/member.rs
@@ -106,15 +106,15 @@
     /// restart of this node is newer (design 3.3).
     pub fn caught_up(&self) -> bool {
         let h = self.held();
-        h.epoch.0 > 0 && self.ledger.load().idx.0 >= h.epoch.0
+        h.epoch.0 > 0 && self.ledger.load().index.0 >= h.epoch.0
     }
 
     /// The leader spoke of a place; `at` is before it did.
-    pub fn told_of(&self, idx: Index, at: Tick) {
+    pub fn told_of(&self, index: Index, at: Tick) {
         let mut g = self.told.lock().unwrap_or_else(|e| e.into_inner());
-        let newest = g.back().map(|t| t.0).unwrap_or_default().max(self.ledger.load().idx);
-        if idx > newest {
-            g.push_back((idx, at));
+        let newest = g.back().map(|t| t.0).unwrap_or_default().max(self.ledger.load().index);
+        if index > newest {
+            g.push_back((index, at));
         }
     }
 
@@ -130,7 +130,7 @@
     pub fn voters(&self) -> Vec<(SocketAddr, bool)> {
         let l = self.ledger.load();
         let mut v: Vec<(SocketAddr, bool)> =
-            l.voters.iter().map(|h: &VoterInfo| (h.rail, h.area == self.info.area)).collect();
+            l.voters.iter().map(|h: &VoterInfo| (h.rail, h.zone == self.info.zone)).collect();
         for s in &self.set.seeds {
             if !v.iter().any(|(a, _)| a == s) {
                 v.push((*s, false));
@@ -155,11 +155,11 @@
         while n < tries.len() && n <= crate::consensus::MOST_VOTERS {
             let (to, sent) = (tries[n], self.clock.now());
             n += 1;
-            let ask = Ask::Renew { info: self.info.clone(), idx: self.ledger.load().idx, revision };
+            let ask = Ask::Renew { info: self.info.clone(), index: self.ledger.load().index, revision };
             // Opening a line takes three ways there and back: as long as any call may take.
             match self.lines.call("renew", to, ask).await {
-                Ok(Reply::Renewed { epoch, idx }) => {
-                    self.told_of(idx, sent);
+                Ok(Reply::Renewed { epoch, index }) => {
+                    self.told_of(index, sent);
                     self.hold(epoch, sent);
                     return self.set_hint(Some(to));
                 }
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Takes news from the voter in the own area first, then from the others.
+    /// Takes news from the voter in the own zone first, then from the others.
     async fn follow(&self) -> bool {
         let mut voters = self.voters();
         voters.sort_by_key(|(_, near)| !near);
@@ -200,7 +200,7 @@
         let wait_ms = self.set.timing.renew_ms();
         for (to, _) in voters {
             let gap = self.gap.swap(false, Ordering::AcqRel);
-            let have = if gap { Index(0) } else { self.ledger.load().idx };
+            let have = if gap { Index(0) } else { self.ledger.load().index };
             let ask = Ask::News { have, wait_ms };
             match self.lines.call_within(wait_ms + self.set.timing.rail_ms, "news", to, ask).await {
                 Ok(Reply::News(n)) => {
@@ -220,9 +220,9 @@
 
     /// Whether a voter that told nothing new stands behind what this node has.
     async fn behind(&self, voter: SocketAddr) -> bool {
-        let have = self.ledger.load().idx;
-        match self.lines.call("hail", voter, Ask::Hail { idx: have }).await {
-            Ok(Reply::Hailed { idx }) => idx < have || idx == Index(0),
+        let have = self.ledger.load().index;
+        match self.lines.call("hail", voter, Ask::Hail { index: have }).await {
+            Ok(Reply::Hailed { index }) => index < have || index == Index(0),
             _ => true,
         }
     }
@@ -233,10 +233,10 @@
         let taken = news::take(&mut own, &self.set.cluster, n);
         match taken {
             Taken::Newer => {
-                let idx = own.idx;
+                let index = own.index;
                 self.ledger.store(Arc::new(own));
-                self.told.lock().unwrap_or_else(|e| e.into_inner()).retain(|t| t.0 > idx);
-                self.moved.send_replace(idx);
+                self.told.lock().unwrap_or_else(|e| e.into_inner()).retain(|t| t.0 > index);
+                self.moved.send_replace(index);
             }
             Taken::Gap => {
                 self.gap.store(true, Ordering::Release);
--- a/crates/control-plane/src/news.rs
+++ b/crates/control-plane/src/news.rs
@@ -18,13 +18,13 @@
 
 /// What to tell a follower that has `have`.
 pub fn since(have: Index, ledger: &Ledger, log: &VecDeque<LogEntry>, base: Index, room: Room) -> News {
-    if have >= ledger.idx && have != Index(0) {
+    if have >= ledger.index && have != Index(0) {
         return News::Same;
     }
     if have < base || have == Index(0) {
         return News::Snapshot(Box::new(ledger.clone()));
     }
-    let due = || log.iter().filter(|e| e.idx > have && e.idx <= ledger.idx);
+    let due = || log.iter().filter(|e| e.index > have && e.index <= ledger.index);
     // Where the changes weigh more than one message should, a snapshot is the shorter way.
     if due().map(LogEntry::weight).sum::<usize>() > room.batch() {
         return News::Snapshot(Box::new(ledger.clone()));
@@ -47,21 +47,21 @@
     match news {
         News::Same => Taken::Nothing,
         News::Snapshot(f) if f.cluster != cluster => Taken::Bounced("foreign cluster"),
-        News::Snapshot(f) if f.idx < own.idx => Taken::Bounced("older than what was seen"),
+        News::Snapshot(f) if f.index < own.index => Taken::Bounced("older than what was seen"),
         News::Snapshot(f) => {
-            let newer = f.idx > own.idx || own.cluster.is_empty();
+            let newer = f.index > own.index || own.cluster.is_empty();
             *own = *f;
             if newer { Taken::Newer } else { Taken::Nothing }
         }
         News::Changes(es) => {
-            let had = own.idx;
-            for e in es.into_iter().filter(|e| e.idx > had) {
-                if e.idx != own.idx.next() {
+            let had = own.index;
+            for e in es.into_iter().filter(|e| e.index > had) {
+                if e.index != own.index.next() {
                     return Taken::Gap;
                 }
-                own.fold(e.idx, &e.change);
+                own.fold(e.index, &e.change);
             }
-            if own.idx > had { Taken::Newer } else { Taken::Nothing }
+            if own.index > had { Taken::Newer } else { Taken::Nothing }
         }
     }
 }
--- a/crates/control-plane/src/rpc.rs
+++ b/crates/control-plane/src/rpc.rs
@@ -21,7 +21,8 @@
     /// Renewal of a lease, with what governs at the holder.
     Renew {
         info: NodeInfo,
-        idx: Index,
+        #[serde(rename = "idx")]
+        index: Index,
         revision: Revision,
     },
     Leave {
@@ -37,7 +38,8 @@
     /// The newest accepted state, from the leader only.
     State,
     Hail {
-        idx: Index,
+        #[serde(rename = "idx")]
+        index: Index,
     },
 }
 
@@ -47,7 +49,8 @@
     /// With the place of the newest accepted change, so that a node knows when it lags.
     Renewed {
         epoch: Epoch,
-        idx: Index,
+        #[serde(rename = "idx")]
+        index: Index,
     },
     /// Asked for; come again with the next renewal.
     NotYet,
@@ -58,15 +61,23 @@
     Proposed(Proposed),
     State(Box<Ledger>),
     Hailed {
-        idx: Index,
+        #[serde(rename = "idx")]
+        index: Index,
     },
 }
 
 /// Three results only, and one that says that nothing was tried (design 4.6).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Proposed {
-    Settled { idx: Index, verdict: Verdict },
-    NotLogged { leader: Option<VoterInfo>, why: String },
+    Settled {
+        #[serde(rename = "idx")]
+        index: Index,
+        verdict: Verdict,
+    },
+    NotLogged {
+        leader: Option<VoterInfo>,
+        why: String,
+    },
     Undetermined,
 }
 
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -82,7 +82,7 @@
     Settings {
         cluster: "c".into(),
         node: format!("s{n}"),
-        area: format!("a{n}"),
+        zone: format!("a{n}"),
         rail: SocketAddr::new(ip(n), 7100),
         http: SocketAddr::new(ip(n), 8080),
         rail_advertise: None,
@@ -104,11 +104,11 @@
         false => Start::from(Voter::blank_image(&blank(&set))),
     };
     let core = Core::start(set.clone(), voters, start, make);
-    let info = NodeInfo::of(&set, Role::Core, core.status().me.inc);
+    let info = NodeInfo::of(&set, Role::Core, core.status().me.incarnation);
     Member::new(set.clone(), info, Clock::default()).start();
     spawn(rpc::listen(rail_lst, set.me(), core.clone()));
-    let areas = ["a0", "far"].map(Into::into).into_iter().collect();
-    let desk = Arc::new(Desk::new(core.clone(), Arc::new(Lines), areas));
+    let zones = ["a0", "far"].map(Into::into).into_iter().collect();
+    let desk = Arc::new(Desk::new(core.clone(), Arc::new(Lines), zones));
     Stand { core, desk, host, ip }
 }
 
@@ -131,9 +131,9 @@
         self.on(move |d| Box::pin(async move { d.amend(expects, &change).await })).await
     }
 
-    pub async fn evacuate(&self, area: &str, on: bool) -> Told {
-        let area = area.to_string();
-        self.on(move |d| Box::pin(async move { d.evacuate(&area, on).await })).await
+    pub async fn evacuate(&self, zone: &str, on: bool) -> Told {
+        let zone = zone.to_string();
+        self.on(move |d| Box::pin(async move { d.evacuate(&zone, on).await })).await
     }
 
     pub async fn read(&self) -> Result<Option<(u64, String)>, String> {
@@ -156,7 +156,7 @@
         self.host.thaw();
     }
 
-    /// Names of the areas that are evacuated by the newest accepted state.
+    /// Names of the zones that are evacuated by the newest accepted state.
     pub async fn evacuated(&self) -> Vec<String> {
         let core = self.core.clone();
         let state = self.host.spawn(async move { core.state().await }).await.unwrap().unwrap();
--- a/crates/control-plane/tests/compatibility/main.rs
+++ b/crates/control-plane/tests/compatibility/main.rs
@@ -54,12 +54,12 @@
     let (_, change) = samples::changes().remove(0);
     let requests = [
         ("consensus", Ask::Consensus { from: samples::address(1), msg: Box::new(msg) }),
-        ("renew", Ask::Renew { info: info(), idx: Index(4), revision: Revision(2) }),
+        ("renew", Ask::Renew { info: info(), index: Index(4), revision: Revision(2) }),
         ("leave", Ask::Leave { info: info() }),
         ("updates", Ask::News { have: Index(4), wait_ms: 500 }),
         ("propose", Ask::Propose { change }),
         ("state", Ask::State),
-        ("heartbeat", Ask::Hail { idx: Index(4) }),
+        ("heartbeat", Ask::Hail { index: Index(4) }),
     ];
     for (name, request) in requests {
         fixtures().assert_wire(&format!("request-{name}"), &request);
@@ -73,17 +73,17 @@
     let why = "not the leader".to_string();
     let replies = [
         ("done", Reply::Done),
-        ("renewed", Reply::Renewed { epoch: Epoch(4), idx: Index(5) }),
+        ("renewed", Reply::Renewed { epoch: Epoch(4), index: Index(5) }),
         ("not-yet", Reply::NotYet),
         ("elsewhere", Reply::Elsewhere { leader: leader() }),
         ("updates-none", Reply::News(News::Same)),
         ("updates-snapshot", Reply::News(News::Snapshot(Box::new(samples::state())))),
         ("updates-changes", Reply::News(News::Changes(samples::entries()))),
-        ("settled", Reply::Proposed(Proposed::Settled { idx: Index(41), verdict })),
+        ("settled", Reply::Proposed(Proposed::Settled { index: Index(41), verdict })),
         ("not-logged", Reply::Proposed(Proposed::NotLogged { leader: leader(), why })),
         ("undetermined", Reply::Proposed(Proposed::Undetermined)),
         ("state", Reply::State(Box::new(samples::state()))),
-        ("heartbeat", Reply::Hailed { idx: Index(5) }),
+        ("heartbeat", Reply::Hailed { index: Index(5) }),
     ];
     for (name, reply) in replies {
         fixtures().assert_wire(&format!("reply-{name}"), &reply);
@@ -131,7 +131,7 @@
 
 fn replaced_voter() -> DurableState {
     let mut state = samples::durable_state();
-    state.ledger.voters[2].inc = common::Incarnation(99);
+    state.ledger.voters[2].incarnation = common::Incarnation(99);
     state.entries.clear();
     state
 }
--- a/crates/control-plane/tests/compatibility/samples.rs
+++ b/crates/control-plane/tests/compatibility/samples.rs
@@ -1,6 +1,6 @@
 //! Values of each kind that is stored or sent, with every field set.
 
-use common::{Area, Epoch, Incarnation, Index, NodeId, OpId, ReplicaId, Revision, Service, Term, Tick};
+use common::{Epoch, Incarnation, Index, NodeId, OpId, ReplicaId, Revision, Service, Term, Tick, Zone};
 use control_plane::{
     Change, Ledger, Member, Replica, ReplicaMove, Role, Verdict,
     change::{NodeInfo, VoterInfo},
@@ -20,25 +20,25 @@
 pub fn voter(n: u8) -> VoterInfo {
     VoterInfo {
         number: n,
-        inc: Incarnation(10 + u64::from(n)),
+        incarnation: Incarnation(10 + u64::from(n)),
         node: NodeId::new(format!("s{n}")),
-        area: "centro-1".into(),
+        zone: "centro-1".into(),
         rail: address(n),
         http: SocketAddr::from(([10, 0, 0, n], 8080)),
     }
 }
 
 pub fn id(n: u8) -> VoterId {
-    VoterId { number: n, inc: Incarnation(10 + u64::from(n)) }
+    VoterId { number: n, incarnation: Incarnation(10 + u64::from(n)) }
 }
 
 pub fn node_info(role: Role) -> NodeInfo {
     NodeInfo {
         node: NodeId::new("p1"),
-        inc: Incarnation(77),
+        incarnation: Incarnation(77),
         role,
         lang: 3,
-        area: Area::new("norte-1"),
+        zone: Zone::new("norte-1"),
         rail: address(9),
         http: SocketAddr::from(([10, 0, 0, 9], 8080)),
     }
@@ -50,16 +50,16 @@
     let long = "limits = 4096\n".repeat(64);
     let replica = |what| Change::Replica { op: op(), id: ReplicaId::new("r-1"), what };
     let list =
-        ReplicaMove::List { service: Service::new("verdict"), area: "centro-1".into(), addr: address(50) };
+        ReplicaMove::List { service: Service::new("verdict"), zone: "centro-1".into(), addr: address(50) };
     vec![
         ("apply", Change::Apply { op: op(), base: Revision(6), text: "version = 7\n".into() }),
         ("apply-packed", Change::Apply { op: op(), base: Revision(7), text: long.as_str().into() }),
-        ("evacuate", Change::Evacuate { op: op(), area: "norte-1".into(), on: true, seen: Index(3) }),
+        ("evacuate", Change::Evacuate { op: op(), zone: "norte-1".into(), on: true, seen: Index(3) }),
         ("replica-list", replica(list)),
         ("replica-drain", replica(ReplicaMove::Drain)),
         ("replica-remove", replica(ReplicaMove::Remove)),
         ("join", Change::Join(node_info(Role::Router))),
-        ("expire", Change::Expire { node: NodeId::new("p2"), inc: Incarnation(5), left: true }),
+        ("expire", Change::Expire { node: NodeId::new("p2"), incarnation: Incarnation(5), left: true }),
         ("down", Change::Down { op: op(), node: NodeId::new("p2") }),
         ("replace-voter", Change::ReplaceVoter(voter(2))),
     ]
@@ -69,7 +69,7 @@
     changes()
         .into_iter()
         .zip(41..)
-        .map(|((_, change), index)| LogEntry { idx: Index(index), change })
+        .map(|((_, change), index)| LogEntry { index: Index(index), change })
         .collect()
 }
 
@@ -87,12 +87,12 @@
     accepted.record(&OpId::new("op-a"));
     accepted.record(&OpId::new("op-b"));
     let replica =
-        Replica { service: "verdict".into(), area: "centro-1".into(), addr: address(50), draining: true };
+        Replica { service: "verdict".into(), zone: "centro-1".into(), addr: address(50), draining: true };
     let member = Member { info: node_info(Role::Core), epoch: Epoch(12) };
     Ledger {
         cluster: "bitacora".into(),
         secret: 0x0123_4567_89ab_cdef_0011_2233_4455_6677,
-        idx: Index(40),
+        index: Index(40),
         revision: Revision(7),
         text: Some("version = 7\n".into()),
         evacuated: BTreeSet::from(["norte-1".into()]),
@@ -152,7 +152,7 @@
                 holder: voter(0),
                 formed: true,
                 voters: vec![voter(0), voter(1)],
-                idx: Index(4),
+                index: Index(4),
             },
         ),
         ("bootstrap", Message::Bootstrap { ledger: Ledger::founded("bitacora", vec![voter(0)]) }),
--- a/crates/control-plane/tests/consensus.rs
+++ b/crates/control-plane/tests/consensus.rs
@@ -13,12 +13,12 @@
     SocketAddr::from(([127, 0, 0, 1], 7000 + u16::from(n)))
 }
 
-fn holder(n: u8, inc: u64) -> VoterInfo {
+fn holder(n: u8, incarnation: u64) -> VoterInfo {
     VoterInfo {
         number: n,
-        inc: Incarnation(inc),
+        incarnation: Incarnation(incarnation),
         node: format!("s{n}").as_str().into(),
-        area: "a".into(),
+        zone: "a".into(),
         rail: addr(n),
         http: addr(n),
     }
@@ -46,7 +46,7 @@
 }
 
 fn voter(n: u8) -> VoterId {
-    VoterId { number: n, inc: Incarnation(10 + u64::from(n)) }
+    VoterId { number: n, incarnation: Incarnation(10 + u64::from(n)) }
 }
 
 fn sent(effects: &[Effect]) -> Vec<&Message> {
@@ -105,7 +105,7 @@
     assert!(!accepted(&effects) && !accepted(&fx2) && s.accepted() == Index(0));
     // Neither a holder that is no more in the voters nor an older term's answer counts.
     let foreign = Message::AppendReply {
-        by: VoterId { number: 2, inc: Incarnation(99) },
+        by: VoterId { number: 2, incarnation: Incarnation(99) },
         term: Term(8),
         installed: true,
         last: Index(1),
@@ -118,7 +118,7 @@
 }
 
 fn evac(a: &str) -> Change {
-    Change::Evacuate { op: a.into(), area: a.into(), on: true, seen: common::Index(u64::MAX) }
+    Change::Evacuate { op: a.into(), zone: a.into(), on: true, seen: common::Index(u64::MAX) }
 }
 
 #[test]
@@ -187,7 +187,7 @@
         holder: holder(n, 90 + u64::from(n)),
         formed: false,
         voters: vec![],
-        idx: Index(0),
+        index: Index(0),
     };
     s.step(Event::Msg(addr(1), discovered(1)), Tick(11_000));
     s.step(Event::Msg(addr(2), discovered(2)), Tick(11_000 + gap));
@@ -204,7 +204,7 @@
     assert_eq!(s.ledger, before);
     // A blank voter that has seen a cluster without it is not founded either.
     let mut b = blank(0);
-    let seen = Message::Discover { holder: holder(1, 11), formed: true, voters: voters(), idx: Index(4) };
+    let seen = Message::Discover { holder: holder(1, 11), formed: true, voters: voters(), index: Index(4) };
     b.step(Event::Msg(addr(1), seen), Tick(12_000));
     b.step(Event::Msg(addr(1), Message::Bootstrap { ledger: other }), Tick(12_001));
     assert!(!b.formed);
@@ -266,7 +266,7 @@
 fn what_was_said_before_a_process_started_founds_nothing() {
     let discovered = |n: u8| {
         let (holder, voters) = (holder(n, 90 + u64::from(n)), Vec::new());
-        Event::Msg(addr(n), Message::Discover { holder, formed: false, voters, idx: Index(0) })
+        Event::Msg(addr(n), Message::Discover { holder, formed: false, voters, index: Index(0) })
     };
     let mut s = blank(0);
     let start = Tick(10_000);
--- a/crates/control-plane/tests/damage.rs
+++ b/crates/control-plane/tests/damage.rs
@@ -26,9 +26,9 @@
     let address = "127.0.0.1:1".parse().unwrap();
     let me = VoterInfo {
         number: 1,
-        inc: Incarnation(5),
+        incarnation: Incarnation(5),
         node: "s1".into(),
-        area: "a".into(),
+        zone: "a".into(),
         rail: address,
         http: address,
     };
@@ -38,11 +38,11 @@
 fn append(n: u64) -> Record {
     let change = Change::Evacuate {
         op: format!("o{n}").as_str().into(),
-        area: "a".into(),
+        zone: "a".into(),
         on: true,
         seen: Index(u64::MAX),
     };
-    Record::Append { accepted: Index(n - 1), entries: vec![LogEntry { idx: Index(n), change }] }
+    Record::Append { accepted: Index(n - 1), entries: vec![LogEntry { index: Index(n), change }] }
 }
 
 /// A folder with so many slots, each followed by three records; its states after each record of the
--- a/crates/control-plane/tests/desk.rs
+++ b/crates/control-plane/tests/desk.rs
@@ -234,8 +234,8 @@
         let c = Cluster::formed(w, 3).await;
         assert_eq!(c.at[0].replace(0, "1\na").await, Told::Accepted);
         // "far" is known by name only; in "a2" a voter stands.
-        for (at, area) in [(0, "far"), (1, "a2"), (2, "a2")] {
-            assert_eq!(c.at[at].evacuate(area, true).await, Told::Accepted);
+        for (at, zone) in [(0, "far"), (1, "a2"), (2, "a2")] {
+            assert_eq!(c.at[at].evacuate(zone, true).await, Told::Accepted);
         }
         assert_eq!(c.at[2].evacuated().await, ["a2", "far"]);
         // A document takes none back.
--- a/crates/control-plane/tests/disk_faults.rs
+++ b/crates/control-plane/tests/disk_faults.rs
@@ -28,7 +28,7 @@
     Settings {
         cluster: "c".into(),
         node: "s1".into(),
-        area: "a".into(),
+        zone: "a".into(),
         rail: addr(7000),
         http: addr(8000),
         rail_advertise: None,
@@ -45,9 +45,9 @@
     let set = settings(Path::new("/"));
     let me = VoterInfo {
         number: 1,
-        inc: Incarnation(5),
+        incarnation: Incarnation(5),
         node: "s1".into(),
-        area: "a".into(),
+        zone: "a".into(),
         rail: set.rail,
         http: set.http,
     };
@@ -57,11 +57,11 @@
 fn entry(n: u64) -> LogEntry {
     let change = Change::Evacuate {
         op: format!("o{n}").as_str().into(),
-        area: "a".into(),
+        zone: "a".into(),
         on: true,
         seen: Index(u64::MAX),
     };
-    LogEntry { idx: Index(n), change }
+    LogEntry { index: Index(n), change }
 }
 
 /// A folder with three synced records.
@@ -78,7 +78,7 @@
 }
 
 fn last(image: &DurableState) -> u64 {
-    image.entries.last().map_or(0, |e| e.idx.0)
+    image.entries.last().map_or(0, |e| e.index.0)
 }
 
 fn record(held: &DurableState, n: u64) -> Record {
@@ -142,14 +142,14 @@
 
 /// Whether an image holds all of another, and at most one record more: the one that was under way.
 fn holds(image: &DurableState, told: &DurableState) -> Result<(), String> {
-    if image.me.inc != told.me.inc {
+    if image.me.incarnation != told.me.incarnation {
         return Err("it came up blank".into());
     }
     let (has, want) = (last(image), last(told));
     if has < want || has > want + 1 || image.promised < told.promised {
         return Err(format!("it holds {has}, where {want} was told as synced"));
     }
-    let whole = image.entries.iter().map(|e| e.idx.0).eq(1..=has);
+    let whole = image.entries.iter().map(|e| e.index.0).eq(1..=has);
     if whole { Ok(()) } else { Err(format!("it has gaps up to {has}")) }
 }
 
@@ -262,7 +262,7 @@
     run.medium.plan(plan);
     assert!(run.recorder.write(&Record::Promise(Term(9))).is_err());
     let image = run.recorder.recover().unwrap();
-    assert!(!image.formed && image.me.inc != Incarnation(5));
+    assert!(!image.formed && image.me.incarnation != Incarnation(5));
     let aside = fs::read_dir(run.dir.path()).unwrap().map(|e| e.unwrap().file_name());
     assert_eq!(aside.filter(|n| n.to_string_lossy().starts_with("data.damaged-")).count(), 1);
 }
--- a/crates/control-plane/tests/drawn.rs
+++ b/crates/control-plane/tests/drawn.rs
@@ -9,7 +9,7 @@
     Settings {
         cluster: "c".into(),
         node: "s1".into(),
-        area: "a".into(),
+        zone: "a".into(),
         rail: at,
         http: at,
         rail_advertise: None,
@@ -25,7 +25,7 @@
 /// Folders that begin in the same millisecond and process, as after a restart with a reset clock.
 #[test]
 fn no_two_incarnations_are_alike() {
-    let all: BTreeSet<_> = (0..1_000).map(|_| blank(&settings()).inc).collect();
+    let all: BTreeSet<_> = (0..1_000).map(|_| blank(&settings()).incarnation).collect();
     assert_eq!(all.len(), 1_000);
 }
 
--- a/crates/control-plane/tests/larger.rs
+++ b/crates/control-plane/tests/larger.rs
@@ -13,20 +13,20 @@
     SocketAddr::from(([127, 0, 0, 1], 7000 + u16::from(n)))
 }
 
-fn holder(n: u8, inc: u64) -> VoterInfo {
+fn holder(n: u8, incarnation: u64) -> VoterInfo {
     let node = format!("s{n}");
     VoterInfo {
         number: n,
-        inc: Incarnation(inc),
+        incarnation: Incarnation(incarnation),
         node: node.as_str().into(),
-        area: "a".into(),
+        zone: "a".into(),
         rail: addr(n),
         http: addr(n),
     }
 }
 
-fn voter(n: u8, inc: u64) -> VoterId {
-    VoterId { number: n, inc: Incarnation(inc) }
+fn voter(n: u8, incarnation: u64) -> VoterId {
+    VoterId { number: n, incarnation: Incarnation(incarnation) }
 }
 
 fn formed(n: u8, of: u8, promised: u64) -> Voter {
@@ -78,7 +78,7 @@
         now = now + 50;
         for n in (1..3).chain(3..3 + others) {
             let holder = holder(n, 90 + u64::from(n));
-            let discovered = Message::Discover { holder, formed: false, voters: vec![], idx: Index(0) };
+            let discovered = Message::Discover { holder, formed: false, voters: vec![], index: Index(0) };
             s.step(Event::Msg(addr(n), discovered), now);
         }
         s.step(Event::Timer, now);
@@ -95,12 +95,12 @@
     let mut s = formed(2, 5, 0);
     let now = Tick(60_000);
     let term = pre_vote_granted(&mut s, now).expect("it stands");
-    for (n, inc) in [(0, 10), (3, 13)] {
-        s.step(Event::Msg(addr(n), Message::PreVoteGranted { by: voter(n, inc), term }), now);
+    for (n, incarnation) in [(0, 10), (3, 13)] {
+        s.step(Event::Msg(addr(n), Message::PreVoteGranted { by: voter(n, incarnation), term }), now);
     }
-    let swap = LogEntry { idx: Index(1), change: Change::ReplaceVoter(holder(0, 77)) };
+    let swap = LogEntry { index: Index(1), change: Change::ReplaceVoter(holder(0, 77)) };
     let mut led = false;
-    for (n, inc) in from {
+    for (n, incarnation) in from {
         let knows = *n != 0;
         let tail = LogTail {
             log_term: Term(u64::from(knows)),
@@ -109,7 +109,7 @@
             snapshot: None,
             entries: if knows { vec![swap.clone()] } else { vec![] },
         };
-        let stopped = Message::Vote { by: voter(*n, *inc), term, tail };
+        let stopped = Message::Vote { by: voter(*n, *incarnation), term, tail };
         let effects = s.step(Event::Msg(addr(*n), stopped), now);
         led |= effects.iter().any(|f| matches!(f, Effect::BecameLeader { .. }));
     }
--- a/crates/control-plane/tests/malformed.rs
+++ b/crates/control-plane/tests/malformed.rs
@@ -25,9 +25,9 @@
 fn holder(n: u8) -> VoterInfo {
     VoterInfo {
         number: n,
-        inc: Incarnation(10 + u64::from(n)),
+        incarnation: Incarnation(10 + u64::from(n)),
         node: format!("s{n}").as_str().into(),
-        area: "a".into(),
+        zone: "a".into(),
         rail: address(n),
         http: address(n),
     }
@@ -38,25 +38,25 @@
 }
 
 fn voter_id(n: u8) -> VoterId {
-    VoterId { number: n, inc: Incarnation(10 + u64::from(n)) }
+    VoterId { number: n, incarnation: Incarnation(10 + u64::from(n)) }
 }
 
 fn entry(n: u64) -> LogEntry {
     let change = Change::Evacuate {
         op: format!("o{n}").as_str().into(),
-        area: "a".into(),
+        zone: "a".into(),
         on: true,
         seen: Index(u64::MAX),
     };
-    LogEntry { idx: Index(n), change }
+    LogEntry { index: Index(n), change }
 }
 
-fn state(idx: u64) -> Ledger {
+fn state(index: u64) -> Ledger {
     let mut ledger = Ledger::founded("c", voters());
-    (1..=idx.min(5)).for_each(|n| {
+    (1..=index.min(5)).for_each(|n| {
         ledger.fold(Index(n), &entry(n).change);
     });
-    ledger.idx = Index(idx);
+    ledger.index = Index(index);
     ledger
 }
 
@@ -66,7 +66,7 @@
 }
 
 fn blank() -> Voter {
-    voter(Voter::blank_image(&VoterInfo { number: u8::MAX, inc: Incarnation(90), ..holder(2) }))
+    voter(Voter::blank_image(&VoterInfo { number: u8::MAX, incarnation: Incarnation(90), ..holder(2) }))
 }
 
 /// Voter 0 with five accepted changes, in the term 8 that it leads or once led.
@@ -132,16 +132,16 @@
     Message::Vote { by: voter_id(1), term: Term(16), tail }
 }
 
-fn foreign(idx: u64) -> Ledger {
-    Ledger { cluster: "another".into(), ..state(idx) }
+fn foreign(index: u64) -> Ledger {
+    Ledger { cluster: "another".into(), ..state(index) }
 }
 
 fn with_roster(voters: Vec<VoterInfo>) -> Ledger {
     Ledger { voters, ..state(9) }
 }
 
-fn discovered(voters: Vec<VoterInfo>, idx: u64) -> Message {
-    Message::Discover { holder: holder(1), formed: true, voters, idx: Index(idx) }
+fn discovered(voters: Vec<VoterInfo>, index: u64) -> Message {
+    Message::Discover { holder: holder(1), formed: true, voters, index: Index(index) }
 }
 
 /// All of a voter that a message could change and that must outlive it.
@@ -245,15 +245,15 @@
 #[case::vote_for_an_older_view(Message::PreVoteGranted { by: voter_id(1), term: Term(8) })]
 #[case::feed_of_an_older_view(feed(1, 5, append(5, &[6, 7])))]
 #[case::stop_of_a_removed_member(
-    Message::VoteRequest { by: VoterId { number: 1, inc: Incarnation(1) }, term: Term(25), accepted: Index(0) })]
+    Message::VoteRequest { by: VoterId { number: 1, incarnation: Incarnation(1) }, term: Term(25), accepted: Index(0) })]
 #[case::feed_of_a_removed_member(Message::Append {
-    by: VoterId { number: 1, inc: Incarnation(1) }, to: 0, term: Term(25), accepted: Index(5), stamp: NOW,
+    by: VoterId { number: 1, incarnation: Incarnation(1) }, to: 0, term: Term(25), accepted: Index(5), stamp: NOW,
     body: append(5, &[6, 7]) })]
 #[case::held_by_a_removed_member(Message::AppendReply {
-    by: VoterId { number: 1, inc: Incarnation(1) }, term: Term(16), installed: true, last: Index(6),
+    by: VoterId { number: 1, incarnation: Incarnation(1) }, term: Term(16), installed: true, last: Index(6),
     accepted: Index(5), stamp: NOW })]
 #[case::yield_of_a_removed_member(
-    Message::StepDown { by: VoterId { number: 1, inc: Incarnation(1) }, term: Term(17) })]
+    Message::StepDown { by: VoterId { number: 1, incarnation: Incarnation(1) }, term: Term(17) })]
 fn who_has_no_say_changes_nothing(
     #[case] msg: Message,
     #[values(formed, candidate, leader)] at: fn() -> Voter,
--- a/crates/control-plane/tests/model/describe.rs
+++ b/crates/control-plane/tests/model/describe.rs
@@ -57,7 +57,7 @@
             None => format!("n{n} is down"),
             Some(voter) => format!(
                 "n{n}/{}: term {} log term {} accepted {} last {} {:?}",
-                voter.me.inc,
+                voter.me.incarnation,
                 voter.promised,
                 voter.log_term,
                 voter.accepted(),
@@ -93,7 +93,7 @@
         Message::LeaderQuery(_) => "question whether it leads".into(),
         Message::NotLeading(_) => "answer that it does not lead".into(),
         Message::StepDown { term, .. } => format!("hand-over of term {term}"),
-        Message::JoinRequest { holder } => format!("join request of {}", holder.inc),
+        Message::JoinRequest { holder } => format!("join request of {}", holder.incarnation),
         Message::Discover { formed, .. } => format!("discovery, formed {formed}"),
         Message::Bootstrap { .. } => "founding".into(),
     }
--- a/crates/control-plane/tests/model/history.rs
+++ b/crates/control-plane/tests/model/history.rs
@@ -51,7 +51,7 @@
 
     /// Invariant `votes-of-voters`: the votes are a majority of the newest accepted voter set.
     pub fn elected_by(&self, voters: &[Incarnation]) -> Result<(), Broken> {
-        let counted = self.voters.iter().filter(|holder| voters.contains(&holder.inc)).count();
+        let counted = self.voters.iter().filter(|holder| voters.contains(&holder.incarnation)).count();
         if counted > self.voters.len() / 2 {
             return Ok(());
         }
@@ -60,33 +60,33 @@
 
     /// Invariants `one-order` and `not-logged-is-final`; true where the entry is accepted first.
     pub fn accepts(&mut self, entry: &LogEntry, verdict: &Verdict) -> Result<bool, Broken> {
-        if let Some((change, known)) = self.order.get(&entry.idx) {
+        if let Some((change, known)) = self.order.get(&entry.index) {
             if *change != entry.change || known != verdict {
-                let (at, other) = (entry.idx, &entry.change);
+                let (at, other) = (entry.index, &entry.change);
                 return Err(format!("one-order: at {at} {change:?} ({known:?}) and {other:?} ({verdict:?})"));
             }
             return Ok(false);
         }
-        if entry.idx != self.newest().next() {
-            return Err(format!("one-order: {} accepted after {}", entry.idx, self.newest()));
+        if entry.index != self.newest().next() {
+            return Err(format!("one-order: {} accepted after {}", entry.index, self.newest()));
         }
         if let Some(op) = entry.change.op().filter(|op| !self.logged.contains(*op)) {
             return Err(format!("not-logged-is-final: {op} was told as not logged and is accepted"));
         }
-        self.order.insert(entry.idx, (entry.change.clone(), verdict.clone()));
+        self.order.insert(entry.index, (entry.change.clone(), verdict.clone()));
         Ok(true)
     }
 
     /// Invariant `one-state`: at one index all voters hold the same replicated state.
     pub fn holds(&mut self, ledger: &Ledger) -> Result<(), Broken> {
-        if ledger.idx > self.newest() {
-            return Err(format!("one-state: state at {} before it was accepted", ledger.idx));
+        if ledger.index > self.newest() {
+            return Err(format!("one-state: state at {} before it was accepted", ledger.index));
         }
         let state = digest(ledger);
-        if *self.states.entry(ledger.idx).or_insert(state) != state {
-            return Err(format!("one-state: two states at {}", ledger.idx));
+        if *self.states.entry(ledger.index).or_insert(state) != state {
+            return Err(format!("one-state: two states at {}", ledger.index));
         }
-        if ledger.idx == self.newest() {
+        if ledger.index == self.newest() {
             self.voters = ledger.voters.clone();
         }
         Ok(())
@@ -142,16 +142,19 @@
             _ => return Ok(false),
         };
         self.votes_by_right(by, disk_formed)?;
-        let promised = self.voted.get(&by.inc).copied().unwrap_or_default();
+        let promised = self.voted.get(&by.incarnation).copied().unwrap_or_default();
         if term < promised {
-            return Err(format!("promise-is-kept: {} promised {promised} and answers in {term}", by.inc));
+            return Err(format!(
+                "promise-is-kept: {} promised {promised} and answers in {term}",
+                by.incarnation
+            ));
         }
         Ok(vote)
     }
 
     fn votes_by_right(&self, by: &VoterId, disk_formed: bool) -> Result<(), Broken> {
-        if self.lost.contains_key(&by.inc) || !disk_formed {
-            return Err(format!("blank-never-votes: {} answers without its state", by.inc));
+        if self.lost.contains_key(&by.incarnation) || !disk_formed {
+            return Err(format!("blank-never-votes: {} answers without its state", by.incarnation));
         }
         Ok(())
     }
--- a/crates/control-plane/tests/model/main.rs
+++ b/crates/control-plane/tests/model/main.rs
@@ -221,14 +221,14 @@
     let mut history = History::default();
     assert_eq!(history.leads(Term(8), Incarnation(10)), Ok(()));
     starts_with(history.leads(Term(8), Incarnation(11)), "one-leader-per-term");
-    let entry = |index, text| LogEntry { idx: Index(index), change: world::apply(text, 0, text) };
+    let entry = |index, text| LogEntry { index: Index(index), change: world::apply(text, 0, text) };
     let verdict = Verdict::Accepted { revision: Revision(1) };
     ["a", "b"].iter().for_each(|text| history.logged(&entry(1, text).change));
     assert_eq!(history.accepts(&entry(1, "a"), &verdict), Ok(true));
     assert_eq!(history.accepts(&entry(1, "a"), &verdict), Ok(false));
     starts_with(history.accepts(&entry(1, "b"), &verdict).map(drop), "one-order");
     starts_with(history.accepts(&entry(3, "b"), &verdict).map(drop), "one-order");
-    let state = |cluster: &str| Ledger { cluster: cluster.into(), idx: Index(1), ..Ledger::default() };
+    let state = |cluster: &str| Ledger { cluster: cluster.into(), index: Index(1), ..Ledger::default() };
     assert_eq!(history.holds(&state("a")), Ok(()));
     starts_with(history.holds(&state("b")), "one-state");
 }
--- a/crates/control-plane/tests/model/scenario.rs
+++ b/crates/control-plane/tests/model/scenario.rs
@@ -191,8 +191,8 @@
 
     /// It counts as a voter and has a state of its own.
     fn is_voter(&self, machine: usize) -> bool {
-        let me = self.machine(machine).disk.synced.me.inc;
-        self.is_whole() && self.history.value.voters.iter().any(|holder| holder.inc == me)
+        let me = self.machine(machine).disk.synced.me.incarnation;
+        self.is_whole() && self.history.value.voters.iter().any(|holder| holder.incarnation == me)
     }
 
     /// Runs with one machine cut off, until its pre-vote request is in flight.
--- a/crates/control-plane/tests/model/search.rs
+++ b/crates/control-plane/tests/model/search.rs
@@ -110,7 +110,7 @@
         self.terms = self.terms.max(term);
         self.accepted = self.accepted.max(history.newest().0);
         self.told = self.told.max(history.told_accepted.len());
-        self.replaced |= history.voters.iter().any(|holder| holder.inc.0 > 12);
+        self.replaced |= history.voters.iter().any(|holder| holder.incarnation.0 > 12);
     }
 }
 
--- a/crates/control-plane/tests/model/world.rs
+++ b/crates/control-plane/tests/model/world.rs
@@ -35,9 +35,9 @@
 pub fn holder(machine: usize, number: u8, incarnation: u64) -> VoterInfo {
     VoterInfo {
         number,
-        inc: Incarnation(incarnation),
+        incarnation: Incarnation(incarnation),
         node: format!("n{machine}").as_str().into(),
-        area: "a".into(),
+        zone: "a".into(),
         rail: address(machine),
         http: address(machine),
     }
@@ -67,8 +67,8 @@
 
 /// Whether an accepted change outlives a loss of power with this on disk.
 fn holds(image: &DurableState, index: Index, change: &Change) -> bool {
-    let logged = |entry: &LogEntry| entry.idx == index && entry.change == *change;
-    image.formed && (image.ledger.idx >= index || image.entries.iter().any(logged))
+    let logged = |entry: &LogEntry| entry.index == index && entry.change == *change;
+    image.formed && (image.ledger.index >= index || image.entries.iter().any(logged))
 }
 
 #[derive(Clone, Debug)]
@@ -395,7 +395,8 @@
                 all.extend(kept.map(|kept| Action::FailSync { machine, kept }));
             }
         }
-        let votes = self.history.value.voters.iter().any(|holder| holder.inc == disk.synced.me.inc);
+        let votes =
+            self.history.value.voters.iter().any(|holder| holder.incarnation == disk.synced.me.incarnation);
         if self.budget.wipes > 0 && votes && self.is_whole() && self.all_in_touch() {
             all.push(Action::Wipe { machine });
         }
@@ -404,10 +405,10 @@
     /// No loss of a disk waits to be repaired: each voter has its own state.
     pub fn is_whole(&self) -> bool {
         // A founder's word may still be on its way to a machine that never lost anything.
-        let first = |holder: &VoterInfo| holder.inc.0 < incarnation(VOTERS);
+        let first = |holder: &VoterInfo| holder.incarnation.0 < incarnation(VOTERS);
         let has_state = |holder: &VoterInfo| {
             let mut disks = self.machines.iter().map(|machine| &machine.value.disk.synced);
-            disks.any(|image| image.me.inc == holder.inc && (image.formed || first(holder)))
+            disks.any(|image| image.me.incarnation == holder.incarnation && (image.formed || first(holder)))
         };
         self.history.value.voters.iter().all(has_state)
     }
@@ -416,7 +417,7 @@
     fn all_in_touch(&self) -> bool {
         let out = self.schedule.iter().flat_map(|schedule| [schedule.cut_off, schedule.frozen]).flatten();
         let voters = &self.history.value.voters;
-        let runs = |holder: &VoterInfo| self.voters().any(|voter| voter.me.inc == holder.inc);
+        let runs = |holder: &VoterInfo| self.voters().any(|voter| voter.me.incarnation == holder.incarnation);
         out.count() == 0 && voters.iter().all(runs)
     }
 
@@ -538,7 +539,7 @@
         let lost = image.clone();
         let fresh = VoterInfo {
             number: u8::MAX,
-            inc: Incarnation(lost.me.inc.0 + NEXT_INCARNATION),
+            incarnation: Incarnation(lost.me.incarnation.0 + NEXT_INCARNATION),
             ..image.me.clone()
         };
         let mut blank = Voter::blank_image(&fresh);
@@ -552,7 +553,7 @@
             };
         }
         self.edit(machine, |here| here.disk.synced = blank);
-        self.record(|history| history.lost.insert(lost.me.inc, lost));
+        self.record(|history| history.lost.insert(lost.me.incarnation, lost));
     }
 
     pub fn restart(&mut self, machine: usize) {
@@ -700,21 +701,21 @@
                 }
                 Ok(())
             }
-            Effect::Logged { idx, change } => {
+            Effect::Logged { index, change } => {
                 self.record(|history| history.logged(&change));
                 self.edit(machine, |here| {
-                    here.waiting.insert(idx, change.clone());
+                    here.waiting.insert(index, change.clone());
                 });
                 match change.op() {
                     Some(op) if self.variant == Some(Variant::AcknowledgesOnceLogged) => {
-                        self.tell(op, idx, &Verdict::Accepted { revision: Revision(0) })
+                        self.tell(op, index, &Verdict::Accepted { revision: Revision(0) })
                     }
                     _ => Ok(()),
                 }
             }
             Effect::Accepted { entry, verdict } => self.accepted(machine, &entry, &verdict),
             Effect::BecameLeader { term } => {
-                let leader = self.machine(machine).disk.synced.me.inc;
+                let leader = self.machine(machine).disk.synced.me.incarnation;
                 self.record(|history| history.leads(term, leader))?;
                 self.history.value.elected_by(voters)
             }
@@ -734,7 +735,7 @@
         if self.history.value.sends(&message, formed)?
             && let Message::Vote { by, term, .. } = &message
         {
-            self.record(|history| history.voted.insert(by.inc, *term));
+            self.record(|history| history.voted.insert(by.incarnation, *term));
         }
         let Some(to) = (0..self.machines.len()).find(|n| address(*n) == to) else { return Ok(()) };
         self.put(Digested::new(Packet { from, to, message }));
@@ -756,15 +757,18 @@
             if let Change::ReplaceVoter(new) = &entry.change {
                 voters.iter_mut().filter(|old| old.number == new.number).for_each(|old| *old = new.clone());
             }
-            let copies = self.copies(&voters, entry.idx, &entry.change);
+            let copies = self.copies(&voters, entry.index, &entry.change);
             if copies <= voters.len() / 2 {
-                return Err(format!("acknowledged-is-durable: {} accepted with {copies} copies", entry.idx));
+                return Err(format!(
+                    "acknowledged-is-durable: {} accepted with {copies} copies",
+                    entry.index
+                ));
             }
         }
-        let waited = self.edit(machine, |here| here.waiting.remove(&entry.idx));
+        let waited = self.edit(machine, |here| here.waiting.remove(&entry.index));
         // Where another change took the place, the operator is told that the outcome is not known.
         match waited.filter(|change| *change == entry.change).as_ref().and_then(Change::op) {
-            Some(op) => self.tell(op, entry.idx, verdict),
+            Some(op) => self.tell(op, entry.index, verdict),
             None => Ok(()),
         }
     }
@@ -779,7 +783,9 @@
         let disks = self.machines.iter().map(|machine| &machine.value.disk.synced);
         let images: Vec<&DurableState> = disks.chain(self.history.value.lost.values()).collect();
         let holds = |holder: &VoterInfo| {
-            images.iter().any(|image| image.me.inc == holder.inc && holds(image, index, change))
+            images
+                .iter()
+                .any(|image| image.me.incarnation == holder.incarnation && holds(image, index, change))
         };
         voters.iter().filter(|holder| holds(holder)).count()
     }
@@ -829,12 +835,12 @@
 
 /// Those whose votes a candidate counts when it takes in this event.
 fn voters_of(voter: &Voter, event: &Event) -> Vec<Incarnation> {
-    let mut voters = vec![voter.me.inc];
+    let mut voters = vec![voter.me.incarnation];
     if let VoterRole::Candidate { got, .. } = &voter.role {
         voters.extend(got.keys());
     }
     if let Event::Msg(_, Message::Vote { by, .. }) = event {
-        voters.push(by.inc);
+        voters.push(by.incarnation);
     }
     voters
 }
@@ -844,7 +850,7 @@
 fn take_for_voter(voter: &Voter, message: &mut Message) {
     let known = |by: &mut VoterId| {
         if let Some(holder) = voter.voters().into_iter().find(|holder| holder.number == by.number) {
-            by.inc = holder.inc;
+            by.incarnation = holder.incarnation;
         }
     };
     match message {
@@ -867,10 +873,11 @@
 /// For `Variant::CountsReplacedVoter`: the answer of a voter that a logged entry replaces accepts it.
 fn accept_on_replaced_answer(voter: &mut Voter, event: &Event, effects: &mut Vec<Effect>) {
     let Event::Msg(_, Message::AppendReply { by, .. }) = event else { return };
-    let replaced = voter.ledger.voters.iter().any(|holder| holder.inc == by.inc) && !voter.knows(by);
-    let due = voter.log.iter().find(|entry| entry.idx == voter.accepted().next()).cloned();
-    if let Some(entry) = due.filter(|entry| voter.is_leader() && replaced && voter.synced >= entry.idx) {
-        let verdict = voter.ledger.fold(entry.idx, &entry.change);
+    let replaced =
+        voter.ledger.voters.iter().any(|holder| holder.incarnation == by.incarnation) && !voter.knows(by);
+    let due = voter.log.iter().find(|entry| entry.index == voter.accepted().next()).cloned();
+    if let Some(entry) = due.filter(|entry| voter.is_leader() && replaced && voter.synced >= entry.index) {
+        let verdict = voter.ledger.fold(entry.index, &entry.change);
         effects.push(Effect::Accepted { entry, verdict });
     }
 }
--- a/crates/control-plane/tests/modules/lease.rs
+++ b/crates/control-plane/tests/modules/lease.rs
@@ -8,13 +8,13 @@
 #[test]
 fn a_lapsed_tenure_is_not_renewed() {
     let addr = "127.0.0.1:1".parse().unwrap();
-    let inc = Incarnation(1);
+    let incarnation = Incarnation(1);
     let info = NodeInfo {
         node: "n".into(),
-        inc,
+        incarnation,
         role: Role::Router,
         lang: 1,
-        area: "a".into(),
+        zone: "a".into(),
         rail: addr,
         http: addr,
     };
@@ -26,7 +26,7 @@
     let late = Tick(101 + t.tenure_ms + t.margin_ms());
     assert_eq!(ten.wakeup(&l, &t, late).len(), 1);
     assert_eq!(ten.renew(&l, &t, &info, late + 1), Err(None));
-    l.fold(Index(2), &Change::Expire { node: "n".into(), inc, left: false });
+    l.fold(Index(2), &Change::Expire { node: "n".into(), incarnation, left: false });
     assert_eq!(ten.renew(&l, &t, &info, late + 600), Err(Some(Change::Join(info.clone()))));
     l.fold(Index(3), &Change::Join(info.clone()));
     assert_eq!(ten.renew(&l, &t, &info, late + 1100), Ok(Epoch(3)));
--- a/crates/control-plane/tests/modules/ledger.rs
+++ b/crates/control-plane/tests/modules/ledger.rs
@@ -26,14 +26,14 @@
     let addr = "127.0.0.1:1".parse().unwrap();
     let info = NodeInfo {
         node: "n".into(),
-        inc: Incarnation(3),
+        incarnation: Incarnation(3),
         role: control_plane::change::Role::Router,
         lang: 1,
-        area: "a".into(),
+        zone: "a".into(),
         rail: addr,
         http: addr,
     };
-    let list = ReplicaMove::List { service: "s".into(), area: "a".into(), addr };
+    let list = ReplicaMove::List { service: "s".into(), zone: "a".into(), addr };
     let mut l = Ledger::founded("c", vec![]);
     for (n, ch) in [
         apply("a", 0, "x"),
@@ -41,7 +41,7 @@
         Change::Join(info),
         Change::Replica { op: OpId::new("r"), id: "r1".into(), what: list },
         Change::Replica { op: OpId::new("q"), id: "r2".into(), what: ReplicaMove::Drain },
-        Change::Evacuate { op: OpId::new("e"), area: "a".into(), on: true, seen: common::Index(u64::MAX) },
+        Change::Evacuate { op: OpId::new("e"), zone: "a".into(), on: true, seen: common::Index(u64::MAX) },
     ]
     .iter()
     .enumerate()
@@ -57,9 +57,9 @@
 #[test]
 fn a_late_evacuation_does_not_come_back() {
     let mut l = Ledger::founded("c", vec![]);
-    let mut fold = |idx: u64, on: bool, seen: u64| {
-        let op = OpId::new(format!("e{idx}"));
-        let verdict = l.fold(Index(idx), &Change::Evacuate { op, area: "a".into(), on, seen: Index(seen) });
+    let mut fold = |index: u64, on: bool, seen: u64| {
+        let op = OpId::new(format!("e{index}"));
+        let verdict = l.fold(Index(index), &Change::Evacuate { op, zone: "a".into(), on, seen: Index(seen) });
         (verdict, l.evacuated.len())
     };
     let taken = Verdict::Accepted { revision: Revision(0) };
--- a/crates/control-plane/tests/modules/mass.rs
+++ b/crates/control-plane/tests/modules/mass.rs
@@ -12,10 +12,10 @@
     let addr = "127.0.0.1:1".parse().unwrap();
     let info = |n: usize| NodeInfo {
         node: format!("p{n}").as_str().into(),
-        inc: Incarnation(1),
+        incarnation: Incarnation(1),
         role: Role::Router,
         lang: 1,
-        area: "a".into(),
+        zone: "a".into(),
         rail: addr,
         http: addr,
     };
--- a/crates/control-plane/tests/modules/news.rs
+++ b/crates/control-plane/tests/modules/news.rs
@@ -1,6 +1,6 @@
 //! Tests of `control_plane::news`.
 
-use common::{Area, Index, OpId};
+use common::{Index, OpId, Zone};
 use control_plane::{
     Change, Ledger,
     consensus::LogEntry,
@@ -10,11 +10,11 @@
 fn evac(n: u64) -> LogEntry {
     let change = Change::Evacuate {
         op: OpId::new(format!("o{n}")),
-        area: Area::new(format!("a{n}")),
+        zone: Zone::new(format!("a{n}")),
         on: true,
         seen: Index(u64::MAX),
     };
-    LogEntry { idx: Index(n), change }
+    LogEntry { index: Index(n), change }
 }
 
 #[test]
@@ -24,8 +24,8 @@
     assert_eq!(take(&mut own, "c", News::Changes(vec![evac(4)])), Taken::Gap);
     let old = News::Snapshot(Box::new(Ledger::founded("c", vec![])));
     assert_eq!(take(&mut own, "c", old), Taken::Bounced("older than what was seen"));
-    let foreign = Ledger { idx: Index(9), ..Ledger::founded("d", vec![]) };
+    let foreign = Ledger { index: Index(9), ..Ledger::founded("d", vec![]) };
     let foreign = News::Snapshot(Box::new(foreign));
     assert_eq!(take(&mut own, "c", foreign), Taken::Bounced("foreign cluster"));
-    assert_eq!((own.idx, own.evacuated.len()), (Index(2), 2));
+    assert_eq!((own.index, own.evacuated.len()), (Index(2), 2));
 }
--- a/crates/control-plane/tests/operator/orders.rs
+++ b/crates/control-plane/tests/operator/orders.rs
@@ -145,8 +145,8 @@
     World::run(3, broken.map(Into::into), |w| async move {
         let c = Cluster::formed(w, 3).await;
         let s = &c.at[c.leader()];
-        let seen = s.core.status().ledger.idx;
-        let late = Change::Evacuate { op: "late".into(), area: "far".into(), on: true, seen };
+        let seen = s.core.status().ledger.index;
+        let late = Change::Evacuate { op: "late".into(), zone: "far".into(), on: true, seen };
         assert_eq!(c.at[0].evacuate("far", true).await, Told::Accepted);
         assert_eq!(c.at[1].evacuate("far", false).await, Told::Accepted);
         assert!(matches!(s.propose(late).await, Proposed::Settled { .. }));
--- a/crates/control-plane/tests/outlived.rs
+++ b/crates/control-plane/tests/outlived.rs
@@ -4,10 +4,10 @@
 use control_plane::{Change, Ledger, Role, change::NodeInfo, lease::Leases};
 use rstest::rstest;
 
-fn info(inc: u64, port: u16) -> NodeInfo {
+fn info(incarnation: u64, port: u16) -> NodeInfo {
     let rail = ([127, 0, 0, 1], port).into();
-    let (node, inc) = (NodeId::new("n"), Incarnation(inc));
-    NodeInfo { node, inc, role: Role::Router, lang: 1, area: "a".into(), rail, http: rail }
+    let (node, incarnation) = (NodeId::new("n"), Incarnation(incarnation));
+    NodeInfo { node, incarnation, role: Role::Router, lang: 1, zone: "a".into(), rail, http: rail }
 }
 
 /// Found on the users' platform: after a loss of all processes each router waited for its former
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -79,7 +79,7 @@
         let shown = format!("{event:?}");
         assert!(r.voters[at].step(event, late).is_empty(), "{shown}");
     }
-    let change = Change::Evacuate { op: "o9".into(), area: "a".into(), on: true, seen: Index(u64::MAX) };
+    let change = Change::Evacuate { op: "o9".into(), zone: "a".into(), on: true, seen: Index(u64::MAX) };
     let effects = r.voters[at].step(Event::Propose(change), late);
     assert!(matches!(effects.as_slice(), [Effect::NotLogged { .. }]), "{effects:?}");
 }
@@ -151,10 +151,11 @@
 #[rstest]
 #[case::the_folder_was_damaged(77, false)]
 #[case::the_founding_was_refused(10, true)]
-fn who_may_found_after_a_recovery(#[case] inc: u64, #[case] founds: bool) {
+fn who_may_found_after_a_recovery(#[case] incarnation: u64, #[case] founds: bool) {
     let dir = tempdir().unwrap();
     let mut r = settled(dir.path());
-    let me = control_plane::change::VoterInfo { inc: Incarnation(inc), ..r.voters[0].me.clone() };
+    let me =
+        control_plane::change::VoterInfo { incarnation: Incarnation(incarnation), ..r.voters[0].me.clone() };
     r.voters[0].step(Event::SyncFailed, r.now);
     r.voters[0].step(Event::Recovered(Box::new(Voter::blank_image(&me))), r.now);
     assert_eq!(r.voters[0].founds, founds);
--- a/crates/control-plane/tests/refusing.rs
+++ b/crates/control-plane/tests/refusing.rs
@@ -32,10 +32,11 @@
         assert_eq!(c.at[lead].read().await, Ok(Some((2, "2\nsecond".into()))));
         let wait_ms = 400;
         let asked = c.world.ms();
-        let news = core.clone().answer(Ask::News { have: core.status().ledger.idx, wait_ms }).await;
+        let news = core.clone().answer(Ask::News { have: core.status().ledger.index, wait_ms }).await;
         assert!(matches!(news, Reply::Elsewhere { .. }) && c.world.ms() == asked, "not after the wait");
         // Its folder turns out damaged: it comes back blank and is readmitted.
-        let blank = control_plane::change::VoterInfo { inc: common::Incarnation(77), number: u8::MAX, ..me };
+        let blank =
+            control_plane::change::VoterInfo { incarnation: common::Incarnation(77), number: u8::MAX, ..me };
         core.step(Event::Recovered(Box::new(Voter::blank_image(&blank))));
         c.until("its vote", |c| c.at[lead].core.status().voting).await;
         assert_eq!(c.at[lead].core.status().ledger.revision, c.at[c.leader()].core.status().ledger.revision);
--- a/crates/control-plane/tests/rig/mod.rs
+++ b/crates/control-plane/tests/rig/mod.rs
@@ -45,9 +45,9 @@
 pub fn start(dir: &Path) -> Rig {
     let holder = |n: usize| VoterInfo {
         number: n as u8,
-        inc: Incarnation(10 + n as u64),
+        incarnation: Incarnation(10 + n as u64),
         node: format!("s{n}").as_str().into(),
-        area: "a".into(),
+        zone: "a".into(),
         rail: addr(n),
         http: addr(n),
     };
@@ -156,7 +156,7 @@
     /// The process ends and starts again by what its disk holds; a blank disk makes another holder.
     pub fn restart(&mut self, n: usize, blank: Option<u64>) {
         let dir = self.dir.join(format!("s{n}"));
-        let me = VoterInfo { inc: Incarnation(blank.unwrap_or(0)), ..self.voters[n].me.clone() };
+        let me = VoterInfo { incarnation: Incarnation(blank.unwrap_or(0)), ..self.voters[n].me.clone() };
         if blank.is_some() {
             std::fs::remove_dir_all(&dir).unwrap();
         }
@@ -194,7 +194,7 @@
         assert!(self.widest < wire::MAX_FRAME, "a message of {} bytes", self.widest);
         let l = &self.voters[self.leader()].ledger;
         for s in &self.voters {
-            assert_eq!((s.ledger.idx, s.ledger.revision), (l.idx, l.revision));
+            assert_eq!((s.ledger.index, s.ledger.revision), (l.index, l.revision));
         }
     }
 }
--- a/crates/control-plane/tests/size.rs
+++ b/crates/control-plane/tests/size.rs
@@ -40,7 +40,7 @@
     let at = r.leader();
     let s = &r.voters[at];
     assert_eq!(s.ledger.revision, Revision(count), "each was accepted");
-    for have in [1, s.ledger.idx.0 / 2, s.ledger.idx.0 - 1] {
+    for have in [1, s.ledger.index.0 / 2, s.ledger.index.0 - 1] {
         let told = wire::enc(&news::since(Index(have), &s.ledger, &s.log, s.base, s.room)).unwrap();
         assert!(told.len() < wire::MAX_FRAME, "news of {} bytes after {have}", told.len());
     }
@@ -100,7 +100,7 @@
 fn list() -> ReplicaMove {
     ReplicaMove::List {
         service: "s".repeat(60).as_str().into(),
-        area: "a".repeat(60).as_str().into(),
+        zone: "a".repeat(60).as_str().into(),
         addr: addr(9),
     }
 }
@@ -147,29 +147,29 @@
 fn nothing_is_longer_than_its_weight() {
     let info = NodeInfo {
         node: "n".repeat(64).as_str().into(),
-        inc: Incarnation(u64::MAX),
+        incarnation: Incarnation(u64::MAX),
         role: Role::Router,
         lang: u32::MAX,
-        area: "a".repeat(64).as_str().into(),
+        zone: "a".repeat(64).as_str().into(),
         rail: "[2001:db8::1:2:3:4]:65535".parse().unwrap(),
         http: "[2001:db8::1:2:3:4]:65535".parse().unwrap(),
     };
     let holder = VoterInfo {
         number: 255,
-        inc: info.inc,
+        incarnation: info.incarnation,
         node: info.node.clone(),
-        area: info.area.clone(),
+        zone: info.zone.clone(),
         rail: info.rail,
         http: info.http,
     };
     let op = || "o".repeat(64).as_str().into();
-    let area = || info.area.clone();
+    let zone = || info.zone.clone();
     let all = [
         Change::Apply { op: op(), base: Revision(u64::MAX), text: noise(1, 70_000).into() },
         Change::Apply { op: "y".into(), base: Revision(1), text: "t".repeat(70_000).into() },
-        Change::Evacuate { op: op(), area: area(), on: true, seen: common::Index(u64::MAX) },
+        Change::Evacuate { op: op(), zone: zone(), on: true, seen: common::Index(u64::MAX) },
         Change::Join(info.clone()),
-        Change::Expire { node: info.node.clone(), inc: info.inc, left: false },
+        Change::Expire { node: info.node.clone(), incarnation: info.incarnation, left: false },
         Change::Down { op: op(), node: info.node.clone() },
         Change::ReplaceVoter(holder.clone()),
         named(&"p".repeat(64), &"r".repeat(64), list()),
@@ -179,9 +179,9 @@
     let mut l = Ledger::founded(&"c".repeat(64), vec![holder.clone(), holder.clone(), holder]);
     let mut told = vec![];
     for (n, change) in all.into_iter().enumerate() {
-        let e = LogEntry { idx: Index(u64::MAX - 100 + n as u64), change };
+        let e = LogEntry { index: Index(u64::MAX - 100 + n as u64), change };
         assert!(wire::enc(&e).unwrap().len() <= e.weight(), "{e:?}");
-        l.fold(e.idx, &e.change);
+        l.fold(e.index, &e.change);
         assert!(wire::enc(&l).unwrap().len() <= l.weight(), "{l:?}");
         told.push(e);
     }
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -15,9 +15,9 @@
     let addr = "127.0.0.1:1".parse().unwrap();
     let me = VoterInfo {
         number: 1,
-        inc: Incarnation(5),
+        incarnation: Incarnation(5),
         node: "s1".into(),
-        area: "a".into(),
+        zone: "a".into(),
         rail: addr,
         http: addr,
     };
@@ -27,16 +27,16 @@
 fn append(n: u64) -> Record {
     let change = Change::Evacuate {
         op: format!("o{n}").as_str().into(),
-        area: "a".into(),
+        zone: "a".into(),
         on: true,
         seen: common::Index(u64::MAX),
     };
-    Record::Append { accepted: Index(0), entries: vec![LogEntry { idx: Index(n), change }] }
+    Record::Append { accepted: Index(0), entries: vec![LogEntry { index: Index(n), change }] }
 }
 
 fn last(f: Found) -> Option<u64> {
     match f {
-        Found::DurableState(i) => Some(i.entries.last().map(|e| e.idx.0).unwrap_or(0)),
+        Found::DurableState(i) => Some(i.entries.last().map(|e| e.index.0).unwrap_or(0)),
         _ => None,
     }
 }
--- a/crates/data-plane/src/answer.rs
+++ b/crates/data-plane/src/answer.rs
@@ -5,7 +5,7 @@
     router::{Router, lock},
     rpc::{Ask, Reply},
 };
-use common::{Area, Fence, Service, log_event, settings::Settings};
+use common::{Fence, Service, Zone, log_event, settings::Settings};
 use control_plane::{consensus::Room, news};
 use std::{
     collections::VecDeque,
@@ -18,13 +18,13 @@
         match ask {
             // No sign of life by itself: it may have waited here while this node was frozen.
             Ask::Hail { .. } => Reply::Hailed {
-                idx: self.ledger().idx,
-                inc: self.member.info.inc,
+                index: self.ledger().index,
+                incarnation: self.member.info.incarnation,
                 fit: self.standing().is_none() && !self.draining.load(Ordering::Acquire),
             },
             Ask::News { have } => {
                 let l = self.ledger();
-                let base = l.idx;
+                let base = l.index;
                 Reply::News(news::since(have, &l, &VecDeque::new(), base, Room::default()))
             }
             Ask::Settle { fence, key, service, stale, pick, ttl_ms } => {
@@ -44,13 +44,13 @@
                 }
             }
             Ask::Fetch { shard } => Reply::Rows(lock(&self.tab).rows_of(shard, self.now())),
-            Ask::Watch { service, area, seq, fence, wait_ms } => {
-                match self.tell_figures(service, area, seq, fence, wait_ms).await {
+            Ask::Watch { service, zone, seq, fence, wait_ms } => {
+                match self.tell_figures(service, zone, seq, fence, wait_ms).await {
                     Some(f) => Reply::Figures(f),
                     None => Reply::Bounced("not the home".into()),
                 }
             }
-            Ask::Last { service, area } => match self.last_figures(&service, &area) {
+            Ask::Last { service, zone } => match self.last_figures(&service, &zone) {
                 Some(f) => Reply::Figures(f),
                 None => Reply::Bounced("nothing heard".into()),
             },
@@ -62,8 +62,8 @@
                 self.heard_of(&note);
                 Reply::Done
             }
-            Ask::Board { area, seq, wait_ms } => {
-                Reply::Board(self.tell_board(area, seq, wait_ms).await.map(Box::new))
+            Ask::Board { zone, seq, wait_ms } => {
+                Reply::Board(self.tell_board(zone, seq, wait_ms).await.map(Box::new))
             }
             Ask::Redeem { spent } => match self.redeem_here(&spent) {
                 Ok(()) => Reply::Done,
@@ -79,9 +79,9 @@
     }
 
     /// Figures with their age, as long as they still count.
-    pub fn last_figures(&self, svc: &Service, area: &Area) -> Option<Figures> {
+    pub fn last_figures(&self, svc: &Service, zone: &Zone) -> Option<Figures> {
         let b = self.pressure.board();
-        let s = b.seen.get(&(svc.clone(), area.clone()))?;
+        let s = b.seen.get(&(svc.clone(), zone.clone()))?;
         let age_ms = self.now().since(s.at);
         (age_ms <= self.set.timing.stale_ms()).then(|| Figures { age_ms, waited_ms: 0, ..s.fig.clone() })
     }
@@ -89,18 +89,18 @@
     async fn tell_figures(
         &self,
         svc: Service,
-        area: Area,
+        zone: Zone,
         seq: u64,
         fence: Fence,
         wait_ms: u64,
     ) -> Option<Figures> {
-        let mut rx = lock(&self.published).get(&(svc.clone(), area.clone()))?.subscribe();
+        let mut rx = lock(&self.published).get(&(svc.clone(), zone.clone()))?.subscribe();
         let newer = |f: &Option<Figures>| f.as_ref().is_some_and(|f| f.fence != fence || f.seq > seq);
         let wait = Duration::from_millis(wait_ms.min(10_000));
         let came = self.now();
         let _ = tokio::time::timeout(wait, rx.wait_for(newer)).await;
         let mut fig = rx.borrow().clone()?;
-        let at = self.pressure.board().seen.get(&(svc, area)).map(|s| s.at);
+        let at = self.pressure.board().seen.get(&(svc, zone)).map(|s| s.at);
         let now = self.now();
         fig.age_ms = at.map(|t| now.since(t)).unwrap_or(0);
         fig.waited_ms = now.since(came);
--- a/crates/data-plane/src/carry.rs
+++ b/crates/data-plane/src/carry.rs
@@ -101,13 +101,13 @@
         (self.now() >= p.deadline).then_some("past its deadline").or_else(|| self.standing())
     }
 
-    /// No more listed there, draining, or in an area that was evacuated since it was picked.
+    /// No more listed there, draining, or in an zone that was evacuated since it was picked.
     fn departed(&self, id: &ReplicaId, addr: SocketAddr) -> bool {
         let l = self.ledger();
         if common::ground::broken("departed-still-used") {
             return false;
         }
-        l.replicas.get(id).is_none_or(|r| r.draining || r.addr != addr || l.evacuated.contains(&r.area))
+        l.replicas.get(id).is_none_or(|r| r.draining || r.addr != addr || l.evacuated.contains(&r.zone))
     }
 
     pub(crate) fn way<'a>(
--- a/crates/data-plane/src/cut.rs
+++ b/crates/data-plane/src/cut.rs
@@ -57,21 +57,23 @@
             let turns = if common::ground::broken("hails-squared") { l.members.len() / 4 } else { 1 };
             let others = l.members.values().filter(|m| m.info.node != *self.node());
             for m in others.flat_map(|m| std::iter::repeat_n(m, turns)) {
-                let (me, m, idx) = (self.clone(), m.clone(), l.idx);
+                let (me, m, index) = (self.clone(), m.clone(), l.index);
                 // Counted from here: an answer may lie in a socket for as long as this node is frozen.
                 let asked = me.now();
                 common::ground::spawn(async move {
                     let to = m.info.rail;
-                    let idx = match m.info.role {
-                        Role::Router => match me.lines.call("hail", to, Ask::Hail { idx }).await {
-                            Ok(Reply::Hailed { idx, inc, fit }) if inc == m.info.inc => {
+                    let index = match m.info.role {
+                        Role::Router => match me.lines.call("hail", to, Ask::Hail { index }).await {
+                            Ok(Reply::Hailed { index, incarnation, fit })
+                                if incarnation == m.info.incarnation =>
+                            {
                                 let mut g = lock(&me.unfit);
                                 if fit {
                                     g.remove(&m.info.node)
                                 } else {
                                     g.insert(m.info.node.clone())
                                 };
-                                Some(idx)
+                                Some(index)
                             }
                             // Nothing listens there any more: no need to wait until it is missed.
                             Err(e) if e.refused => {
@@ -81,17 +83,17 @@
                             _ => None,
                         },
                         Role::Core => {
-                            let ask = signal::Ask::Hail { idx };
+                            let ask = signal::Ask::Hail { index };
                             match me.member.lines.call("hail", to, ask).await {
-                                Ok(signal::Reply::Hailed { idx }) => Some(idx),
+                                Ok(signal::Reply::Hailed { index }) => Some(index),
                                 _ => None,
                             }
                         }
                     };
-                    if let Some(idx) = idx {
+                    if let Some(index) = index {
                         me.hear(m.info.node.clone(), asked);
                         if m.info.role == Role::Router {
-                            me.news_from(to, idx).await;
+                            me.news_from(to, index).await;
                         }
                     }
                 });
@@ -124,9 +126,9 @@
     }
 
     /// A peer that has seen more tells it; an older state is never installed.
-    async fn news_from(&self, peer: std::net::SocketAddr, idx: Index) {
-        let have = self.ledger().idx;
-        if idx <= have {
+    async fn news_from(&self, peer: std::net::SocketAddr, index: Index) {
+        let have = self.ledger().index;
+        if index <= have {
             return;
         }
         if let Ok(Reply::News(n)) = self.lines.call("news", peer, Ask::News { have }).await {
@@ -143,7 +145,7 @@
             (self.cut_off(), "cut off"),
             (self.member.lags(), "lags behind the core"),
             (self.standing() == Some("document not readable"), "document not readable"),
-            (l.evacuated.contains(self.area()), "area evacuated"),
+            (l.evacuated.contains(self.zone()), "area evacuated"),
         ]
         .into_iter()
         .filter_map(|(no, why)| no.then_some(why))
@@ -152,7 +154,7 @@
         let revision = self.member.governs.load(Ordering::Acquire);
         common::http::json(
             code,
-            &serde_json::json!({"ready": why.is_empty(), "why": why, "revision": revision, "idx": l.idx}),
+            &serde_json::json!({"ready": why.is_empty(), "why": why, "revision": revision, "idx": l.index}),
         )
     }
 
@@ -163,7 +165,7 @@
             ("cut_off", i64::from(self.cut_off())),
             ("lags", i64::from(self.member.lags())),
             ("unreadable", i64::from(self.standing() == Some("document not readable"))),
-            ("index", l.idx.0 as i64),
+            ("index", l.index.0 as i64),
             ("revision", self.member.governs.load(Ordering::Acquire) as i64),
             ("open_jobs", self.busy.open() as i64),
             ("waitlist", lock(&self.waitlist).len() as i64),
--- a/crates/data-plane/src/edge.rs
+++ b/crates/data-plane/src/edge.rs
@@ -174,7 +174,7 @@
     /// Work that may not be read here: sent on, unread, to a router in a home (design 5.2).
     fn elsewhere(&self, p: &Plan, head: &Parts) -> Option<Res> {
         let own = self.own_region(&p.governing.table);
-        let away = self.ledger().evacuated.contains(self.area());
+        let away = self.ledger().evacuated.contains(self.zone());
         let at_home = own.as_ref().is_some_and(|o| p.homes.contains(o));
         if at_home && !away {
             return None;
--- a/crates/data-plane/src/heir.rs
+++ b/crates/data-plane/src/heir.rs
@@ -4,26 +4,26 @@
     router::Router,
     rpc::{Ask, Reply},
 };
-use common::{Area, Service};
+use common::{Service, Zone};
 use control_plane::duty;
 
 impl Router {
-    /// Whether no router of the area outlived the last figures: then the area was lost, and what is
+    /// Whether no router of the zone outlived the last figures: then the zone was lost, and what is
     /// there now is cold. Those that should have are asked, since a expire takes its time.
-    pub(crate) async fn lost(&self, service: &Service, area: &Area) -> bool {
+    pub(crate) async fn lost(&self, service: &Service, zone: &Zone) -> bool {
         let b = self.pressure.board();
-        let Some(s) = b.seen.get(&(service.clone(), area.clone())) else { return false };
+        let Some(s) = b.seen.get(&(service.clone(), zone.clone())) else { return false };
         if self.now().since(s.at) <= 2 * self.set.timing.check_ms {
             return false;
         }
-        let line = duty::line(&self.ledger(), "home", Some(area));
+        let line = duty::line(&self.ledger(), "home", Some(zone));
         let older = line.into_iter().filter(|m| m.epoch.0 <= s.fig.fence.0 && m.info.node != *self.node());
         let asks = older.map(|m| async move {
-            let ask = Ask::Hail { idx: self.ledger().idx };
+            let ask = Ask::Hail { index: self.ledger().index };
             let told = self.lines.call("hail", m.info.rail, ask).await;
-            matches!(told, Ok(Reply::Hailed { inc, .. }) if inc == m.info.inc)
+            matches!(told, Ok(Reply::Hailed { incarnation, .. }) if incarnation == m.info.incarnation)
         });
-        let mine = self.member.held().epoch.0 <= s.fig.fence.0 && self.area() == area;
+        let mine = self.member.held().epoch.0 <= s.fig.fence.0 && self.zone() == zone;
         !mine && !futures::future::join_all(asks).await.into_iter().any(|up| up)
     }
 }
--- a/crates/data-plane/src/hop.rs
+++ b/crates/data-plane/src/hop.rs
@@ -74,7 +74,7 @@
     if h.revision > g.revision {
         return Err("revision not here yet");
     }
-    if r.ledger().evacuated.contains(r.area()) {
+    if r.ledger().evacuated.contains(r.zone()) {
         return Err("evacuated");
     }
     let e = g.table.entries.iter().find(|e| e.name == h.entry).ok_or("no such entry")?;
@@ -110,6 +110,6 @@
 
 /// A job's name: unique over nodes, restarts and time.
 pub fn job_id(r: &Router, n: u64) -> JobId {
-    let inc = r.member.info.inc.0;
-    JobId::new(format!("{}-{:x}-{n:x}", r.node(), stable_hash(&[&inc.to_le_bytes()]) >> 32))
+    let incarnation = r.member.info.incarnation.0;
+    JobId::new(format!("{}-{:x}-{n:x}", r.node(), stable_hash(&[&incarnation.to_le_bytes()]) >> 32))
 }
--- a/crates/data-plane/src/lending.rs
+++ b/crates/data-plane/src/lending.rs
@@ -59,7 +59,7 @@
             .sum();
         let l = self.ledger();
         let askers =
-            l.routers().into_iter().filter(|m| g.table.region_of(&m.info.area) != Some(region)).count();
+            l.routers().into_iter().filter(|m| g.table.region_of(&m.info.zone) != Some(region)).count();
         let tun = &g.table.tuning;
         let mut lender = lock(&self.lender);
         if !lender.well(now, full_set) {
--- a/crates/data-plane/src/place.rs
+++ b/crates/data-plane/src/place.rs
@@ -153,10 +153,10 @@
         Ok(res)
     }
 
-    /// Two followers, in other areas where that can be had.
+    /// Two followers, in other zones where that can be had.
     fn tell_followers(self: &Arc<Self>, shard: u16, fence: common::Fence, owners: Vec<Member>, row: Copy) {
         let (far, near): (Vec<_>, Vec<_>) =
-            owners.into_iter().skip(1).partition(|m| m.info.area != *self.area());
+            owners.into_iter().skip(1).partition(|m| m.info.zone != *self.zone());
         for m in far.into_iter().chain(near).take(2) {
             let (me, rows) = (self.clone(), vec![row.clone()]);
             common::ground::spawn(async move {
--- a/crates/data-plane/src/pressure.rs
+++ b/crates/data-plane/src/pressure.rs
@@ -1,6 +1,6 @@
 //! Pressure (design 5.4): what each home node publishes, and how regions are folded from it.
 
-use common::{Area, Fence, NodeId, Region, ReplicaId, Service, Tick};
+use common::{Fence, NodeId, Region, ReplicaId, Service, Tick, Zone};
 use serde::{Deserialize, Serialize};
 use std::{
     collections::{BTreeMap, HashMap},
@@ -23,11 +23,12 @@
     pub allowance: Option<u32>,
 }
 
-/// All replicas of one service in one area, with the age of the figures when they were sent.
+/// All replicas of one service in one zone, with the age of the figures when they were sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
     pub service: Service,
-    pub area: Area,
+    #[serde(rename = "area")]
+    pub zone: Zone,
     pub fence: Fence,
     pub seq: u64,
     pub age_ms: u64,
@@ -87,7 +88,7 @@
 #[derive(Clone, Debug)]
 pub struct Candidate {
     pub gauge: Gauge,
-    pub area: Area,
+    pub zone: Zone,
     pub own: Arc<Own>,
     pub at: Tick,
     /// Number of the figures; the split of what is free turns with it.
@@ -112,7 +113,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Board {
-    pub seen: BTreeMap<(Service, Area), Seen>,
+    pub seen: BTreeMap<(Service, Zone), Seen>,
 }
 
 /// Figures of all homes, and the own open jobs beside them.
@@ -136,7 +137,7 @@
     /// Takes figures unless they are a past holder's, or older than those in hand.
     pub fn take(&self, fig: Figures, asked: Tick, now: Tick) -> bool {
         let _w = self.write.lock().unwrap_or_else(|e| e.into_inner());
-        let key = (fig.service.clone(), fig.area.clone());
+        let key = (fig.service.clone(), fig.zone.clone());
         let mut b = Board::clone(&self.board.load());
         let newer = b
             .seen
@@ -164,17 +165,17 @@
         svc: &Service,
         now: Tick,
         stale_ms: u64,
-        usable: &dyn Fn(&Gauge, &Area) -> bool,
+        usable: &dyn Fn(&Gauge, &Zone) -> bool,
     ) -> Vec<Candidate> {
         let b = self.board.load();
         b.seen
             .iter()
             .filter(|((s, _), seen)| s == svc && now.since(seen.at) <= stale_ms)
-            .flat_map(|((_, area), seen)| seen.fig.replicas.iter().map(move |g| (g, area, seen)))
-            .filter(|(g, area, _)| g.healthy && usable(g, area))
-            .map(|(g, area, seen)| Candidate {
+            .flat_map(|((_, zone), seen)| seen.fig.replicas.iter().map(move |g| (g, zone, seen)))
+            .filter(|(g, zone, _)| g.healthy && usable(g, zone))
+            .map(|(g, zone, seen)| Candidate {
                 gauge: g.clone(),
-                area: area.clone(),
+                zone: zone.clone(),
                 own: self.own(&g.id),
                 at: seen.at,
                 seq: seen.fig.seq,
@@ -187,11 +188,11 @@
 /// Folds replicas into regions: health, capacity and consumption for one service.
 pub fn regions(
     reps: &[Candidate],
-    region_of: &dyn Fn(&Area) -> Option<Region>,
+    region_of: &dyn Fn(&Zone) -> Option<Region>,
 ) -> BTreeMap<Region, RegionPressure> {
     let mut out: BTreeMap<Region, RegionPressure> = BTreeMap::new();
     for c in reps {
-        let Some(r) = region_of(&c.area) else { continue };
+        let Some(r) = region_of(&c.zone) else { continue };
         let p = out.entry(r).or_default();
         p.healthy = true;
         let cap = match c.gauge.allowance {
--- a/crates/data-plane/src/probe.rs
+++ b/crates/data-plane/src/probe.rs
@@ -1,4 +1,4 @@
-//! The home of a service in an area (design 5.4): probes its replicas and publishes figures;
+//! The home of a service in an zone (design 5.4): probes its replicas and publishes figures;
 //! the others subscribe.
 
 use crate::{
@@ -9,27 +9,27 @@
     rpc::{Ask, Reply},
     watched::{Checked, Report, Watched},
 };
-use common::{Area, Fence, NodeId, ReplicaId, Service, Tick, http::ask, log_event};
+use common::{Fence, NodeId, ReplicaId, Service, Tick, Zone, http::ask, log_event};
 use configuration::Table;
 use control_plane::{Member, Replica, duty};
 use hyper::Method;
 use std::{collections::BTreeMap, sync::Arc, sync::atomic::Ordering, time::Duration};
 use tokio::{sync::watch, task::JoinHandle};
 
-type Key = (Service, Area);
+type Key = (Service, Zone);
 
 impl Router {
-    /// The home: a router of the area; where it has none, one of its region.
-    pub fn home_of(&self, t: &Table, svc: &Service, area: &Area) -> Option<Member> {
+    /// The home: a router of the zone; where it has none, one of its region.
+    pub fn home_of(&self, t: &Table, svc: &Service, zone: &Zone) -> Option<Member> {
         let l = self.ledger();
-        let key = format!("home/{svc}/{area}");
-        duty::line(&l, &key, Some(area)).into_iter().next().or_else(|| {
-            let region = t.region_of(area);
-            duty::line(&l, &key, None).into_iter().find(|m| t.region_of(&m.info.area) == region)
+        let key = format!("home/{svc}/{zone}");
+        duty::line(&l, &key, Some(zone)).into_iter().next().or_else(|| {
+            let region = t.region_of(zone);
+            duty::line(&l, &key, None).into_iter().find(|m| t.region_of(&m.info.zone) == region)
         })
     }
 
-    /// Keeps one task for each service and area: the home probes, the others subscribe.
+    /// Keeps one task for each service and zone: the home probes, the others subscribe.
     pub async fn watch_all(self: Arc<Self>) {
         let mut tasks: BTreeMap<Key, (String, JoinHandle<()>)> = BTreeMap::new();
         let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.beat_ms()));
@@ -37,10 +37,10 @@
             wakeup.tick().await;
             let Some(g) = self.governing.load_full() else { continue };
             let mut wanted: Vec<(Key, Member)> = Vec::new();
-            for area in g.table.areas.keys() {
+            for zone in g.table.zones.keys() {
                 for svc in g.table.services.keys() {
-                    if let Some(m) = self.home_of(&g.table, svc, area) {
-                        wanted.push(((svc.clone(), area.clone()), m));
+                    if let Some(m) = self.home_of(&g.table, svc, zone) {
+                        wanted.push(((svc.clone(), zone.clone()), m));
                     }
                 }
             }
@@ -66,12 +66,12 @@
         }
     }
 
-    async fn subscribe(self: Arc<Self>, (service, area): Key, home: Member) {
-        self.ask_the_last(&service, &area).await;
+    async fn subscribe(self: Arc<Self>, (service, zone): Key, home: Member) {
+        self.ask_the_last(&service, &zone).await;
         let (mut seq, mut fence) = (0, Fence(0));
         let wait_ms = self.set.timing.check_ms * 2;
         loop {
-            let ask = Ask::Watch { service: service.clone(), area: area.clone(), seq, fence, wait_ms };
+            let ask = Ask::Watch { service: service.clone(), zone: zone.clone(), seq, fence, wait_ms };
             let ms = wait_ms + self.set.timing.rail_ms;
             let asked = self.now();
             match self.lines.call_within(ms, "watch", home.info.rail, ask).await {
@@ -84,12 +84,12 @@
         }
     }
 
-    async fn probe(self: Arc<Self>, (service, area): Key) {
+    async fn probe(self: Arc<Self>, (service, zone): Key) {
         let (tx, _) = watch::channel(None);
-        lock(&self.published).insert((service.clone(), area.clone()), tx.clone());
-        self.ask_the_last(&service, &area).await;
-        let lost = self.lost(&service, &area).await;
-        let mut watched = self.inherited(&service, &area, lost);
+        lock(&self.published).insert((service.clone(), zone.clone()), tx.clone());
+        self.ask_the_last(&service, &zone).await;
+        let lost = self.lost(&service, &zone).await;
+        let mut watched = self.inherited(&service, &zone, lost);
         let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.look_ms()));
         wakeup.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
         let (mut seq, mut full_at) = (0, Tick(0));
@@ -109,7 +109,7 @@
             let mine: Vec<(ReplicaId, Replica)> = l
                 .replicas
                 .iter()
-                .filter(|(_, r)| r.service == service && r.area == area)
+                .filter(|(_, r)| r.service == service && r.zone == zone)
                 .map(|(id, r)| (id.clone(), r.clone()))
                 .collect();
             watched.retain(|id, _| mine.iter().any(|(m, _)| m == id));
@@ -117,7 +117,7 @@
             let checks = mine.iter().map(|(_, r)| self.check(r));
             let found = futures::future::join_all(checks).await;
             let (now, tun) = (self.now(), &g.table.tuning);
-            let region = g.table.region_of(&area);
+            let region = g.table.region_of(&zone);
             let line: Vec<NodeId> = region.map(|r| routers_of(&l, &g.table, r)).unwrap_or_default();
             let mut replicas = Vec::new();
             for ((id, r), rep) in mine.into_iter().zip(found) {
@@ -141,10 +141,10 @@
                 });
             }
             seq += 1;
-            let (service, area) = (service.clone(), area.clone());
+            let (service, zone) = (service.clone(), zone.clone());
             let fig = Figures {
                 service,
-                area,
+                zone,
                 fence: Fence(l.epoch.0),
                 seq,
                 age_ms: 0,
@@ -159,13 +159,13 @@
 
     /// A router that has heard nothing yet asks others for the last figures: without them a new
     /// home would take every warm replica for cold, and first jobs would wait for the next check.
-    async fn ask_the_last(&self, service: &Service, area: &Area) {
-        if self.last_figures(service, area).is_some() {
+    async fn ask_the_last(&self, service: &Service, zone: &Zone) {
+        if self.last_figures(service, zone).is_some() {
             return;
         }
         let (others, asked) = (self.ledger(), self.now());
         let asks = others.routers().into_iter().filter(|m| m.info.node != *self.node()).map(|m| {
-            let ask = Ask::Last { service: service.clone(), area: area.clone() };
+            let ask = Ask::Last { service: service.clone(), zone: zone.clone() };
             Box::pin(async move {
                 match self.lines.call("last figures", m.info.rail, ask).await {
                     Ok(Reply::Figures(f)) => Ok(f),
@@ -183,7 +183,7 @@
     }
 
     /// A new home goes on from the figures of the last one: what was warm stays warm.
-    fn inherited(&self, service: &Service, area: &Area, lost: bool) -> BTreeMap<ReplicaId, Watched> {
+    fn inherited(&self, service: &Service, zone: &Zone, lost: bool) -> BTreeMap<ReplicaId, Watched> {
         let b = self.pressure.board();
         let from = |g: &Gauge| Watched {
             fails: 0,
@@ -195,7 +195,7 @@
             warm_since: None,
         };
         b.seen
-            .get(&(service.clone(), area.clone()))
+            .get(&(service.clone(), zone.clone()))
             .map(|s| s.fig.replicas.iter().map(|g| (g.id.clone(), from(g))).collect())
             .unwrap_or_default()
     }
--- a/crates/data-plane/src/replica.rs
+++ b/crates/data-plane/src/replica.rs
@@ -108,7 +108,7 @@
             }
             (Kind::Model, None) => all.sort_by(|a, b| ratio(a).total_cmp(&ratio(b))),
             (Kind::Application, _) => all.sort_by(|a, b| {
-                let far = |c: &Candidate| c.area != *self.area();
+                let far = |c: &Candidate| c.zone != *self.zone();
                 far(a).cmp(&far(b)).then(ratio(a).total_cmp(&ratio(b)))
             }),
         }
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -14,7 +14,7 @@
 };
 use arc_swap::ArcSwapOption;
 use common::{
-    Area, Clock, Fence, NodeId, Region, Revision, Service, Tick, http::Busy, journal::Journal, link::Lines,
+    Clock, Fence, NodeId, Region, Revision, Service, Tick, Zone, http::Busy, journal::Journal, link::Lines,
     log_event, settings::Settings,
 };
 use configuration::Table;
@@ -44,9 +44,9 @@
 }
 
 /// Figures of the homes that this node holds.
-pub type Published = BTreeMap<(Service, Area), watch::Sender<Option<Figures>>>;
+pub type Published = BTreeMap<(Service, Zone), watch::Sender<Option<Figures>>>;
 
-/// What this node publishes of an area, and when it was asked for it last.
+/// What this node publishes of an zone, and when it was asked for it last.
 pub struct Publication {
     pub tx: watch::Sender<Option<(Arc<Board>, Tick)>>,
     pub asked: Tick,
@@ -69,7 +69,7 @@
     /// Those that were heard and said that they take no new work.
     pub unfit: Mutex<HashSet<NodeId>>,
     pub published: Mutex<Published>,
-    pub boards: Mutex<BTreeMap<Area, Publication>>,
+    pub boards: Mutex<BTreeMap<Zone, Publication>>,
     pub reading: Mutex<Reading>,
     pub numbers: Numbers,
     pub journal: Journal<Event, Digest>,
@@ -137,8 +137,8 @@
         &self.member.info.node
     }
 
-    pub fn area(&self) -> &Area {
-        &self.member.info.area
+    pub fn zone(&self) -> &Zone {
+        &self.member.info.zone
     }
 
     /// Compiles the newest document as soon as it is there; an older one never comes back.
@@ -178,22 +178,22 @@
     /// Replicas of the own region that may be given something now.
     pub fn own_replicas(&self, t: &Table, svc: &Service) -> Vec<Candidate> {
         let own = self.own_region(t);
-        self.usable(svc).into_iter().filter(|c| t.region_of(&c.area) == own.as_ref()).collect()
+        self.usable(svc).into_iter().filter(|c| t.region_of(&c.zone) == own.as_ref()).collect()
     }
 
     pub fn own_region(&self, t: &Table) -> Option<Region> {
-        t.region_of(self.area()).cloned()
+        t.region_of(self.zone()).cloned()
     }
 
-    /// Replicas that may be given something now: listed, not draining, area not evacuated,
+    /// Replicas that may be given something now: listed, not draining, zone not evacuated,
     /// figures fresh and healthy.
     pub fn usable(&self, svc: &Service) -> Vec<Candidate> {
         let l = self.ledger();
-        self.pressure.replicas(svc, self.now(), self.set.timing.stale_ms(), &|g, area| {
+        self.pressure.replicas(svc, self.now(), self.set.timing.stale_ms(), &|g, zone| {
             if common::ground::broken("departed-still-used") {
                 return true;
             }
-            !l.evacuated.contains(area)
+            !l.evacuated.contains(zone)
                 && l.replicas.get(&g.id).is_some_and(|r| !r.draining && r.addr == g.addr && r.service == *svc)
         })
     }
@@ -222,10 +222,10 @@
 
     /// `asked` is when they were asked for: from then on they age.
     pub fn take_figures(&self, f: Figures, asked: Tick) {
-        let (svc, area) = (f.service.clone(), f.area.clone());
+        let (svc, zone) = (f.service.clone(), f.zone.clone());
         if self.pressure.take(f, asked, self.now())
             && let Some(g) = self.governing.load().as_ref()
-            && let Some(r) = g.table.region_of(&area)
+            && let Some(r) = g.table.region_of(&zone)
         {
             let o = self.pressure.own(&hop_id(r, &svc));
             o.counted.store(o.open.load(Ordering::Relaxed), Ordering::Relaxed);
@@ -234,9 +234,9 @@
     }
 }
 
-/// Whether a router stands in a region, in an area that is not evacuated.
+/// Whether a router stands in a region, in an zone that is not evacuated.
 pub fn stands_in(l: &Ledger, t: &Table, m: &Member, region: &Region) -> bool {
-    t.region_of(&m.info.area) == Some(region) && !l.evacuated.contains(&m.info.area)
+    t.region_of(&m.info.zone) == Some(region) && !l.evacuated.contains(&m.info.zone)
 }
 
 /// Under this name own hops to a region are counted.
--- a/crates/data-plane/src/rpc.rs
+++ b/crates/data-plane/src/rpc.rs
@@ -6,7 +6,7 @@
     serving::{board::Board, reading::Note},
     tab::{Copy, Settled, UserKey},
 };
-use common::{Area, Fence, Incarnation, Index, NodeId, Region, Service};
+use common::{Fence, Incarnation, Index, NodeId, Region, Service, Zone};
 use control_plane::news::News;
 use serde::{Deserialize, Serialize};
 
@@ -16,7 +16,8 @@
 pub enum Ask {
     /// A sign of life, with what this node has seen.
     Hail {
-        idx: Index,
+        #[serde(rename = "idx")]
+        index: Index,
     },
     News {
         have: Index,
@@ -42,15 +43,17 @@
     },
     Watch {
         service: Service,
-        area: Area,
+        #[serde(rename = "area")]
+        zone: Zone,
         seq: u64,
         fence: Fence,
         wait_ms: u64,
     },
-    /// What this node last heard of a service in an area, for a home that has just begun.
+    /// What this node last heard of a service in an zone, for a home that has just begun.
     Last {
         service: Service,
-        area: Area,
+        #[serde(rename = "area")]
+        zone: Zone,
     },
     Passes {
         region: Region,
@@ -64,9 +67,10 @@
     Note {
         note: Note,
     },
-    /// What this node publishes of an area's replicas; being asked makes it publish.
+    /// What this node publishes of an zone's replicas; being asked makes it publish.
     Board {
-        area: Area,
+        #[serde(rename = "area")]
+        zone: Zone,
         seq: u64,
         wait_ms: u64,
     },
@@ -76,8 +80,10 @@
 pub enum Reply {
     /// Alive, as this incarnation: another one at the same address is no sign of life of the first.
     Hailed {
-        idx: Index,
-        inc: Incarnation,
+        #[serde(rename = "idx")]
+        index: Index,
+        #[serde(rename = "inc")]
+        incarnation: Incarnation,
         /// Takes new work now.
         fit: bool,
     },
--- a/crates/data-plane/src/serving/board.rs
+++ b/crates/data-plane/src/serving/board.rs
@@ -1,11 +1,11 @@
-//! Figures of the replicas of one area, as its home publishes them (design 9.3). Pure data.
+//! Figures of the replicas of one zone, as its home publishes them (design 9.3). Pure data.
 
 use super::dialect::{EngineReport, Listed};
-use common::{Area, Fence, Service, Tick};
+use common::{Fence, Service, Tick, Zone};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// One replica of an area.
+/// One replica of an zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub id: common::ReplicaId,
@@ -22,10 +22,11 @@
     pub memory_total: u64,
 }
 
-/// All replicas of an area, numbered by their publisher.
+/// All replicas of an zone, numbered by their publisher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Board {
-    pub area: Area,
+    #[serde(rename = "area")]
+    pub zone: Zone,
     pub publisher: common::NodeId,
     pub fence: Fence,
     pub seq: u64,
--- a/crates/data-plane/src/serving/carry.rs
+++ b/crates/data-plane/src/serving/carry.rs
@@ -75,7 +75,7 @@
         let reading = lock(&self.router.reading);
         let mut wish = Wish {
             prompt: &p.prompt,
-            area: self.router.area(),
+            zone: self.router.zone(),
             region: &self.site.region,
             sticky: p.route.sticky,
             long: p.long,
--- a/crates/data-plane/src/serving/choose.rs
+++ b/crates/data-plane/src/serving/choose.rs
@@ -2,7 +2,7 @@
 //! as far as figures and own counts tell. Pure.
 
 use super::{dialect::Prompt, fleet::Candidate, reading::Reading};
-use common::{Area, Region, Tick, rank::stable_hash};
+use common::{Region, Tick, Zone, rank::stable_hash};
 
 /// Prompt tokens that a replica reads in a millisecond, where nothing else is known.
 pub const READS_PER_MS: f64 = 50.0;
@@ -24,7 +24,7 @@
 /// What the choice goes by, besides the candidates.
 pub struct Wish<'a> {
     pub prompt: &'a Prompt,
-    pub area: &'a Area,
+    pub zone: &'a Zone,
     pub region: &'a Region,
     pub sticky: bool,
     /// Reading its prompt holds up what runs beside it.
@@ -63,7 +63,7 @@
     let reading = w.reading.wait_ms(&c.id, w.now);
     let tokens = u64::from(w.prompt.tokens_in) + u64::from(w.prompt.tokens_out);
     let tight = c.memory_total > 0 && c.memory_used + tokens > c.memory_total;
-    let way = if c.area == *w.area {
+    let way = if c.zone == *w.zone {
         0.0
     } else if c.region == *w.region {
         3.0
--- a/crates/data-plane/src/serving/dialect.rs
+++ b/crates/data-plane/src/serving/dialect.rs
@@ -1,7 +1,7 @@
 //! What an adapter tells the data plane: the names that stand on the wire and the shapes behind
 //! them (design 9.1). Owns no state and decides nothing.
 
-use common::{Area, ReplicaId, Service};
+use common::{ReplicaId, Service, Zone};
 use hyper::{HeaderMap, header::HeaderName};
 use std::net::SocketAddr;
 
@@ -31,7 +31,7 @@
     pub id: ReplicaId,
     pub service: Service,
     pub addr: SocketAddr,
-    pub area: Area,
+    pub zone: Zone,
     pub slots: u32,
     pub draining: bool,
     pub cold_left_ms: u64,
@@ -78,15 +78,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lookup {
     pub region: String,
-    pub area: String,
+    pub zone: String,
 }
 
 pub trait Dialect: Send + Sync + 'static {
     fn names(&self) -> &Names;
     fn report(&self, body: &[u8]) -> Option<EngineReport>;
     fn listing(&self, body: &[u8]) -> Option<Listing>;
-    /// Path and query under which one page of an area's replicas is listed.
-    fn listing_path(&self, area: &Area, page: Option<&str>) -> String;
+    /// Path and query under which one page of an zone's replicas is listed.
+    fn listing_path(&self, zone: &Zone, page: Option<&str>) -> String;
     fn prompt(&self, head: &HeaderMap) -> Prompt;
     fn lookup(&self, query: &str) -> Lookup;
     /// The directory's answer, as JSON.
--- a/crates/data-plane/src/serving/directory.rs
+++ b/crates/data-plane/src/serving/directory.rs
@@ -4,13 +4,13 @@
 use super::state::Serving;
 use crate::router::lock;
 use common::{
-    Area, Region,
+    Region, Zone,
     http::{Body, BoxErr, json, text},
 };
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 use std::{net::SocketAddr, sync::Arc};
 
-/// Routers that an area needs before its clients are kept inside it.
+/// Routers that an zone needs before its clients are kept inside it.
 const ENOUGH: usize = 2;
 /// Most addresses in an answer.
 const MOST: usize = 64;
@@ -19,14 +19,14 @@
 #[derive(Clone, Debug)]
 pub struct Edge {
     pub addr: SocketAddr,
-    pub area: Area,
+    pub zone: Zone,
     pub region: Option<Region>,
 }
 
-/// Those of the asker's area, else of its region, else all: the first group that is large enough.
-pub fn nearest(all: &[Edge], area: &str, region: &str) -> Vec<SocketAddr> {
+/// Those of the asker's zone, else of its region, else all: the first group that is large enough.
+pub fn nearest(all: &[Edge], zone: &str, region: &str) -> Vec<SocketAddr> {
     let groups: [Vec<SocketAddr>; 3] = [
-        all.iter().filter(|e| e.area.as_str() == area).map(|e| e.addr).collect(),
+        all.iter().filter(|e| e.zone.as_str() == zone).map(|e| e.addr).collect(),
         all.iter()
             .filter(|e| e.region.as_ref().is_some_and(|r| r.as_str() == region))
             .map(|e| e.addr)
@@ -48,8 +48,8 @@
         let all = l.routers().into_iter().filter(|m| fit(&m.info.node));
         all.map(|m| Edge {
             addr: m.info.http,
-            area: m.info.area.clone(),
-            region: self.site.areas.get(&m.info.area).cloned(),
+            zone: m.info.zone.clone(),
+            region: self.site.zones.get(&m.info.zone).cloned(),
         })
         .collect()
     }
@@ -72,7 +72,7 @@
         }
         if path == names.lookup_path {
             let q = self.dialect.lookup(req.uri().query().unwrap_or(""));
-            let addrs = nearest(&self.edges(), &q.area, &q.region);
+            let addrs = nearest(&self.edges(), &q.zone, &q.region);
             if addrs.is_empty() {
                 return Ok(text(StatusCode::SERVICE_UNAVAILABLE, "no router is known to be fit\n"));
             }
--- a/crates/data-plane/src/serving/fleet.rs
+++ b/crates/data-plane/src/serving/fleet.rs
@@ -2,7 +2,7 @@
 //! itself. Read by read-copy-update on a request's way; knows no request.
 
 use super::{board::Board, cold::Bucket};
-use common::{Area, Region, ReplicaId, Service, Tick};
+use common::{Region, ReplicaId, Service, Tick, Zone};
 use std::{
     collections::{BTreeMap, HashMap},
     net::SocketAddr,
@@ -44,7 +44,7 @@
     pub id: ReplicaId,
     pub service: Service,
     pub addr: SocketAddr,
-    pub area: Area,
+    pub zone: Zone,
     pub region: Region,
     pub slots: u32,
     pub draining: bool,
@@ -81,7 +81,7 @@
     }
 }
 
-/// One area's figures as they came.
+/// One zone's figures as they came.
 #[derive(Clone, Debug)]
 pub struct Heard {
     pub board: Board,
@@ -99,7 +99,7 @@
 /// Owns what outlives single boards.
 #[derive(Default)]
 pub struct Folds {
-    pub heard: BTreeMap<Area, Heard>,
+    pub heard: BTreeMap<Zone, Heard>,
     owns: HashMap<ReplicaId, Arc<Own>>,
 }
 
@@ -108,19 +108,19 @@
     pub fn take(&mut self, board: Board, at: Tick) -> bool {
         let older = self
             .heard
-            .get(&board.area)
+            .get(&board.zone)
             .is_some_and(|h| h.at > at || (h.board.publisher == board.publisher && h.board.seq >= board.seq));
         if !older {
-            self.heard.insert(board.area.clone(), Heard { board, at });
+            self.heard.insert(board.zone.clone(), Heard { board, at });
         }
         !older
     }
 
     /// Folds all boards into what may be chosen. `valid_ms` is how long figures lend.
-    pub fn fleet(&mut self, areas: &BTreeMap<Area, Region>, routers: usize, valid_ms: u64) -> Fleet {
+    pub fn fleet(&mut self, zones: &BTreeMap<Zone, Region>, routers: usize, valid_ms: u64) -> Fleet {
         let mut out = Fleet::default();
-        for (area, h) in &self.heard {
-            let Some(region) = areas.get(area) else { continue };
+        for (zone, h) in &self.heard {
+            let Some(region) = zones.get(zone) else { continue };
             for r in &h.board.rows {
                 let own = self.owns.entry(r.id.clone()).or_default().clone();
                 let mine = own.open.load(Ordering::Relaxed).max(0);
@@ -129,7 +129,7 @@
                     id: r.id.clone(),
                     service: r.service.clone(),
                     addr: r.addr,
-                    area: area.clone(),
+                    zone: zone.clone(),
                     region: region.clone(),
                     slots: r.slots.max(1),
                     draining: r.draining,
--- a/crates/data-plane/src/serving/listing.rs
+++ b/crates/data-plane/src/serving/listing.rs
@@ -1,11 +1,11 @@
-//! The platform's list of replicas, as the home of an area reads it (design 9.3): page by page, within the
+//! The platform's list of replicas, as the home of an zone reads it (design 9.3): page by page, within the
 //! rate that all nodes share, and never in the way of the probes.
 
 use super::{
     dialect::{Listed, Listing},
     state::Serving,
 };
-use common::{Area, ReplicaId, Tick, fault::Fault, ground::spawn, http::ask, log_event};
+use common::{ReplicaId, Tick, Zone, fault::Fault, ground::spawn, http::ask, log_event};
 use hyper::{Method, StatusCode};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,7 +23,7 @@
 /// A reader that is refused for its rate pauses up to so many times as long: what leaves must still be seen in time.
 const MOST_BACKOFF: u64 = 4;
 
-/// A whole reading of an area's part of the list.
+/// A whole reading of an zone's part of the list.
 #[derive(Debug, Default)]
 pub struct ListRead {
     rows: BTreeMap<ReplicaId, Listed>,
@@ -32,9 +32,9 @@
 
 impl ListRead {
     /// Adds a page. A replica that moved between pages may stand on two: what says that it leaves counts.
-    pub fn add(&mut self, area: &Area, page: Vec<Listed>) {
+    pub fn add(&mut self, zone: &Zone, page: Vec<Listed>) {
         self.pages += 1;
-        for row in page.into_iter().filter(|r| r.area == *area) {
+        for row in page.into_iter().filter(|r| r.zone == *zone) {
             let leaving = |r: &Listed| r.draining || r.time_left_ms.is_some();
             if !self.rows.get(&row.id).is_some_and(leaving) {
                 self.rows.insert(row.id.clone(), row);
@@ -51,7 +51,7 @@
     Failed(Fault),
 }
 
-/// What is known of an area's list, and when it is read next. Pure.
+/// What is known of an zone's list, and when it is read next. Pure.
 #[derive(Debug, Default)]
 pub struct Known {
     rows: Option<BTreeMap<ReplicaId, Listed>>,
@@ -100,21 +100,21 @@
     }
 }
 
-/// Reads an area's list beside the home's other work.
+/// Reads an zone's list beside the home's other work.
 pub struct ListReader {
-    area: Area,
+    zone: Zone,
     known: Known,
     pending: Option<oneshot::Receiver<(Tick, Result<ListRead, ListError>)>>,
 }
 
 impl ListReader {
-    pub fn new(area: Area) -> Self {
-        Self { area, known: Known::default(), pending: None }
+    pub fn new(zone: Zone) -> Self {
+        Self { zone, known: Known::default(), pending: None }
     }
 
     /// Forgets the list: the home's duty has ended.
     pub fn reset(&mut self) {
-        *self = Self::new(self.area.clone());
+        *self = Self::new(self.zone.clone());
     }
 
     /// The newest list, for which a reading is waited for at most so long.
@@ -122,9 +122,9 @@
         let each_ms = serving.list_ms();
         if self.pending.is_none() && self.known.due(serving.now()) {
             let (tell, told) = oneshot::channel();
-            let (me, area) = (serving.clone(), self.area.clone());
+            let (me, zone) = (serving.clone(), self.zone.clone());
             spawn(async move {
-                let read = me.read_list(&area).await;
+                let read = me.read_list(&zone).await;
                 // Spans are counted from when the answer had come: it was made before that, so what is
                 // cold counts as cold no shorter than the list says.
                 let _ = tell.send((me.now(), read));
@@ -153,19 +153,19 @@
 }
 
 impl Serving {
-    /// Time between two calls for an area's list, so that all areas together stay far below the rate.
+    /// Time between two calls for an zone's list, so that all zones together stay far below the rate.
     fn list_ms(&self) -> u64 {
-        let areas = self.site.areas.len().max(1) as f64;
-        let least = RATE_HEADROOM * 1_000.0 * areas / self.site.list_per_s.max(0.1);
+        let zones = self.site.zones.len().max(1) as f64;
+        let least = RATE_HEADROOM * 1_000.0 * zones / self.site.list_per_s.max(0.1);
         self.look_ms().max(least as u64)
     }
 
-    /// The area's part of the list, all pages.
-    async fn read_list(&self, area: &Area) -> Result<ListRead, ListError> {
+    /// The zone's part of the list, all pages.
+    async fn read_list(&self, zone: &Zone) -> Result<ListRead, ListError> {
         let (mut read, mut page) = (ListRead::default(), None::<String>);
         while read.pages < MOST_PAGES {
-            let Listing { rows, next } = self.read_page(area, page.as_deref()).await?;
-            read.add(area, rows);
+            let Listing { rows, next } = self.read_page(zone, page.as_deref()).await?;
+            read.add(zone, rows);
             match next {
                 Some(token) => page = Some(token),
                 None => return Ok(read),
@@ -174,10 +174,10 @@
         Err(ListError::Failed(Fault::new("list replicas", self.site.list, "pages without an end")))
     }
 
-    async fn read_page(&self, area: &Area, page: Option<&str>) -> Result<Listing, ListError> {
+    async fn read_page(&self, zone: &Zone, page: Option<&str>) -> Result<Listing, ListError> {
         const STEP: &str = "list replicas";
         let (ip, to) = (self.router.set.rail.ip(), self.site.list);
-        let path = self.dialect.listing_path(area, page);
+        let path = self.dialect.listing_path(zone, page);
         let answer = ask(ip, to, Method::GET, &path, &[], "", PAGE_MS).await;
         let (code, _, body) = answer.map_err(ListError::Failed)?;
         match code {
--- a/crates/data-plane/src/serving/publication.rs
+++ b/crates/data-plane/src/serving/publication.rs
@@ -2,17 +2,17 @@
 
 use super::board::Board;
 use crate::router::{Publication, Router, lock};
-use common::{Area, Tick};
+use common::{Tick, Zone};
 use std::{sync::Arc, time::Duration};
 
 impl Router {
-    /// What this node publishes of an area, newer than `seq`; being asked makes it publish.
-    pub async fn tell_board(&self, area: Area, seq: u64, wait_ms: u64) -> Option<Board> {
+    /// What this node publishes of an zone, newer than `seq`; being asked makes it publish.
+    pub async fn tell_board(&self, zone: Zone, seq: u64, wait_ms: u64) -> Option<Board> {
         let came = self.now();
         let mut rx = {
             let mut g = lock(&self.boards);
             let p = g
-                .entry(area)
+                .entry(zone)
                 .or_insert_with(|| Publication { tx: tokio::sync::watch::channel(None).0, asked: came });
             p.asked = came;
             p.tx.subscribe()
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -10,7 +10,7 @@
 };
 use crate::router::{Router, lock};
 use arc_swap::{ArcSwap, ArcSwapOption};
-use common::{Area, NodeId, Region, Service, Tick, log_event};
+use common::{NodeId, Region, Service, Tick, Zone, log_event};
 use configuration::{Backend, Notation, RouteMap};
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct Site {
     pub region: Region,
-    pub areas: BTreeMap<Area, Region>,
+    pub zones: BTreeMap<Zone, Region>,
     pub readiness: Option<SocketAddr>,
     pub directory: Option<SocketAddr>,
     /// Where the platform lists replicas, and how many calls a second all nodes have there.
@@ -60,8 +60,8 @@
     pub mix: Mutex<Mix>,
     /// How long requests of a service take, as seen here lately.
     pub pace: Mutex<HashMap<Service, f64>>,
-    /// When the evacuation of an area ended last: its replicas may have turned cold.
-    pub returned: Mutex<HashMap<Area, Tick>>,
+    /// When the evacuation of an zone ended last: its replicas may have turned cold.
+    pub returned: Mutex<HashMap<Zone, Tick>>,
     /// Open requests from here at regions other than the own, by service.
     pub abroad: Mutex<HashMap<(Region, Service), i64>>,
 }
@@ -102,7 +102,7 @@
         loop {
             let l = self.router.ledger();
             for a in evacuated.difference(&l.evacuated) {
-                lock(&self.returned).insert(Area::clone(a), self.now());
+                lock(&self.returned).insert(Zone::clone(a), self.now());
             }
             evacuated = l.evacuated.clone();
             if let Some(text) = l.text.as_ref().filter(|_| l.revision > have) {
@@ -131,15 +131,15 @@
         l.routers().into_iter().map(|m| m.info.node.clone()).collect()
     }
 
-    /// Until when a replica counts as cold: by its figures, or since its area came back.
+    /// Until when a replica counts as cold: by its figures, or since its zone came back.
     pub fn cold(&self, c: &Candidate, b: &Backend, now: Tick) -> bool {
-        let back = lock(&self.returned).get(&c.area).is_some_and(|t| now.since(*t) < b.cold_for_ms);
+        let back = lock(&self.returned).get(&c.zone).is_some_and(|t| now.since(*t) < b.cold_for_ms);
         b.cold_per_s > 0.0 && (back || c.cold_until > now)
     }
 
-    /// Listed, not leaving, in an area that is not evacuated.
+    /// Listed, not leaving, in an zone that is not evacuated.
     pub fn usable(&self, c: &Candidate) -> bool {
-        !c.draining && !self.router.ledger().evacuated.contains(&c.area)
+        !c.draining && !self.router.ledger().evacuated.contains(&c.zone)
     }
 
     /// How long a request of this service occupies a replica.
--- a/crates/data-plane/src/serving/tell.rs
+++ b/crates/data-plane/src/serving/tell.rs
@@ -33,7 +33,7 @@
         let l = self.router.ledger();
         let few = l.members.len() <= TELL_ALL;
         let near = |m: &&control_plane::Member| {
-            let r = self.site.areas.get(&m.info.area);
+            let r = self.site.zones.get(&m.info.zone);
             let same = r == Some(&self.site.region) || r == Some(&c.region);
             (few || same) && m.info.node != *self.router.node()
         };
--- a/crates/data-plane/src/serving/watch.rs
+++ b/crates/data-plane/src/serving/watch.rs
@@ -1,4 +1,4 @@
-//! The homes of areas (design 9.3): one router reads an area's part of the platform's list and
+//! The homes of zones (design 9.3): one router reads an zone's part of the platform's list and
 //! probes its replicas; the others subscribe to what it publishes. A router that is asked takes the
 //! duty up, so that a lost home is replaced as soon as somebody misses it.
 
@@ -12,7 +12,7 @@
     router::lock,
     rpc::{Ask, Reply},
 };
-use common::{Area, Fence, NodeId, ReplicaId, Tick, fault::Fault, http::ask, log_event};
+use common::{Fence, NodeId, ReplicaId, Tick, Zone, fault::Fault, http::ask, log_event};
 use control_plane::{Member, duty};
 use hyper::Method;
 use std::{
@@ -27,25 +27,25 @@
 const LEND_SHARE: f64 = 0.8;
 
 impl Serving {
-    /// Time between two looks at an area's replicas.
+    /// Time between two looks at an zone's replicas.
     pub(super) fn look_ms(&self) -> u64 {
         self.router.set.timing.check_ms / 2
     }
 
-    /// Claimants to an area's duty: its own routers first, then the others.
-    fn line(&self, area: &Area) -> Vec<Member> {
+    /// Claimants to an zone's duty: its own routers first, then the others.
+    fn line(&self, zone: &Zone) -> Vec<Member> {
         let l = self.router.ledger();
-        let key = format!("board/{area}");
-        let near = duty::line(&l, &key, Some(area));
-        let far = duty::line(&l, &key, None).into_iter().filter(|m| m.info.area != *area);
+        let key = format!("board/{zone}");
+        let near = duty::line(&l, &key, Some(zone));
+        let far = duty::line(&l, &key, None).into_iter().filter(|m| m.info.zone != *zone);
         near.into_iter().chain(far).collect()
     }
 
-    /// Subscribes to each area's figures, and publishes those that are this node's to publish.
+    /// Subscribes to each zone's figures, and publishes those that are this node's to publish.
     pub fn watch_all(self: &Arc<Self>) {
-        for area in self.site.areas.keys() {
-            common::ground::spawn(self.clone().publish(area.clone()));
-            common::ground::spawn(self.clone().subscribe(area.clone()));
+        for zone in self.site.zones.keys() {
+            common::ground::spawn(self.clone().publish(zone.clone()));
+            common::ground::spawn(self.clone().subscribe(zone.clone()));
         }
     }
 
@@ -53,21 +53,21 @@
         let mut g = lock(&self.folds);
         if g.take(b, at) {
             let valid = self.router.set.timing.stale_ms();
-            let fleet = g.fleet(&self.site.areas, self.routers().len(), valid);
+            let fleet = g.fleet(&self.site.zones, self.routers().len(), valid);
             let listed = |id: &ReplicaId| fleet.by_service.values().flatten().any(|c| c.id == *id);
             lock(&self.router.reading).retain(&listed);
             self.fleet.store(Arc::new(fleet));
         }
     }
 
-    async fn subscribe(self: Arc<Self>, area: Area) {
+    async fn subscribe(self: Arc<Self>, zone: Zone) {
         let mut failed: HashMap<NodeId, Tick> = HashMap::new();
         let (mut publisher, mut seq) = (None::<NodeId>, 0);
         let pause = Duration::from_millis(self.router.set.timing.beat_ms());
         loop {
             let now = self.now();
             failed.retain(|_, t| now.since(*t) < self.router.set.timing.tenure_ms);
-            let first = self.line(&area).into_iter().find(|m| !failed.contains_key(&m.info.node));
+            let first = self.line(&zone).into_iter().find(|m| !failed.contains_key(&m.info.node));
             let Some(home) = first else {
                 tokio::time::sleep(pause).await;
                 continue;
@@ -78,9 +78,9 @@
             }
             let wait_ms = self.look_ms() * 2;
             let told = if node == *self.router.node() {
-                Ok(self.router.tell_board(area.clone(), seq, wait_ms).await)
+                Ok(self.router.tell_board(zone.clone(), seq, wait_ms).await)
             } else {
-                let q = Ask::Board { area: area.clone(), seq, wait_ms };
+                let q = Ask::Board { zone: zone.clone(), seq, wait_ms };
                 let ms = wait_ms + self.router.set.timing.rail_ms;
                 match self.router.lines.call_within(ms, "board", home.info.rail, q).await {
                     Ok(Reply::Board(b)) => Ok(b.map(|b| *b)),
@@ -103,17 +103,17 @@
         }
     }
 
-    async fn publish(self: Arc<Self>, area: Area) {
+    async fn publish(self: Arc<Self>, zone: Zone) {
         let mut wakeup = tokio::time::interval(Duration::from_millis(self.look_ms()));
         wakeup.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut watched: BTreeMap<ReplicaId, Watched> = BTreeMap::new();
-        let mut list = ListReader::new(area.clone());
+        let mut list = ListReader::new(zone.clone());
         let (mut seq, mut even) = (0u64, false);
         loop {
             wakeup.tick().await;
             let now = self.now();
             let wanted =
-                lock(&self.router.boards).get(&area).is_some_and(|p| now.since(p.asked) < 4 * self.look_ms());
+                lock(&self.router.boards).get(&zone).is_some_and(|p| now.since(p.asked) < 4 * self.look_ms());
             if !wanted {
                 list.reset();
                 continue;
@@ -139,16 +139,16 @@
             let fresh = Watched::default();
             let rows: Vec<_> =
                 rows.iter().map(|l| watched.get(&l.id).unwrap_or(&fresh).row(l, FAILS)).collect();
-            let region = self.site.areas.get(&area);
+            let region = self.site.zones.get(&zone);
             let askers = self
                 .router
                 .ledger()
                 .routers()
                 .into_iter()
-                .filter(|m| self.site.areas.get(&m.info.area) != region)
+                .filter(|m| self.site.zones.get(&m.info.zone) != region)
                 .count();
             let board = Board {
-                area: area.clone(),
+                zone: zone.clone(),
                 publisher: self.router.node().clone(),
                 fence: Fence(self.router.ledger().epoch.0),
                 seq,
@@ -157,7 +157,7 @@
                 lends: lends(&rows, LEND_SHARE, askers),
                 rows,
             };
-            if let Some(p) = lock(&self.router.boards).get(&area) {
+            if let Some(p) = lock(&self.router.boards).get(&zone) {
                 p.tx.send_replace(Some((Arc::new(board), asked)));
             }
         }
--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -64,7 +64,7 @@
         memory_total: 318_206,
     };
     Board {
-        area: "centro-1".into(),
+        zone: "centro-1".into(),
         publisher: NodeId::new("p1"),
         fence: Fence(4),
         seq: 17,
@@ -86,7 +86,7 @@
     };
     Figures {
         service: service(),
-        area: "centro-1".into(),
+        zone: "centro-1".into(),
         fence: Fence(4),
         seq: 17,
         age_ms: 120,
@@ -117,9 +117,9 @@
 
 #[test]
 fn compatibility_of_requests() {
-    let area = || "centro-1".into();
+    let zone = || "centro-1".into();
     let requests = [
-        ("heartbeat", Ask::Hail { idx: Index(4) }),
+        ("heartbeat", Ask::Hail { index: Index(4) }),
         ("updates", Ask::News { have: Index(4) }),
         (
             "place",
@@ -134,12 +134,12 @@
         ),
         ("replicate", Ask::Copy { fence: Fence(4), shard: 7, rows: rows() }),
         ("fetch", Ask::Fetch { shard: 7 }),
-        ("watch", Ask::Watch { service: service(), area: area(), seq: 3, fence: Fence(4), wait_ms: 500 }),
-        ("last", Ask::Last { service: service(), area: area() }),
+        ("watch", Ask::Watch { service: service(), zone: zone(), seq: 3, fence: Fence(4), wait_ms: 500 }),
+        ("last", Ask::Last { service: service(), zone: zone() }),
         ("lend", Ask::Passes { region: "norte".into(), service: service(), node: "p1".into() }),
         ("redeem", Ask::Redeem { spent: spent() }),
         ("prompt", Ask::Note { note: note() }),
-        ("load-report", Ask::Board { area: area(), seq: 3, wait_ms: 500 }),
+        ("load-report", Ask::Board { zone: zone(), seq: 3, wait_ms: 500 }),
     ];
     for (name, request) in requests {
         fixtures().assert_wire(&format!("request-{name}"), &request);
@@ -157,7 +157,7 @@
         life_ms: 1_000,
     };
     let replies = [
-        ("heartbeat", Reply::Hailed { idx: Index(4), inc: Incarnation(77), fit: true }),
+        ("heartbeat", Reply::Hailed { index: Index(4), incarnation: Incarnation(77), fit: true }),
         ("updates", Reply::News(News::Same)),
         ("placed-empty", Reply::Settled(Settled::Empty)),
         ("placed", Reply::Settled(Settled::Held { region: "norte".into(), ver: 3, won: true })),
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -104,7 +104,7 @@
 async fn a_cut_off_router_says_so() {
     let b = back(WHOLE).await;
     let (r, at) = router("verdict", std::slice::from_ref(&b)).await;
-    let stale = Ledger { idx: Index(r.ledger().idx.0 + 1), ..(*r.ledger()).clone() };
+    let stale = Ledger { index: Index(r.ledger().index.0 + 1), ..(*r.ledger()).clone() };
     let expired = Member::new(settings(), info("p1", "centro-1"), Clock::default());
     expired.install(News::Snapshot(Box::new(stale)), "test");
     expired.hold(Epoch(1), Tick(0));
--- a/crates/data-plane/tests/heir.rs
+++ b/crates/data-plane/tests/heir.rs
@@ -2,7 +2,7 @@
 
 mod kit;
 
-use common::{Area, Service};
+use common::{Service, Zone};
 use data_plane::{
     pressure::Figures,
     router::{Router, lock},
@@ -17,7 +17,7 @@
 /// The figures of its first check as home of the centre's replicas.
 async fn first_check(r: &Arc<Router>) -> Figures {
     tokio::spawn(r.clone().watch_all());
-    let key = (Service::new("verdict"), Area::new("centro-1"));
+    let key = (Service::new("verdict"), Zone::new("centro-1"));
     for _ in 0..500 {
         if let Some(f) = lock(&r.published).get(&key).and_then(|tx| tx.borrow().clone()) {
             return f;
@@ -27,8 +27,8 @@
     panic!("no figures were published");
 }
 
-/// Found by the world (seed 6): an area was lost, a router of another one became the home and was
-/// refused twice, then the area came back with a home of its own. That took the replicas for warm.
+/// Found by the world (seed 6): an zone was lost, a router of another one became the home and was
+/// refused twice, then the zone came back with a home of its own. That took the replicas for warm.
 #[tokio::test]
 async fn what_the_last_home_found_absent_is_cold_to_the_next() {
     let at = TcpListener::bind((IP, 0)).await.unwrap().local_addr().unwrap();
--- a/crates/data-plane/tests/kit/mod.rs
+++ b/crates/data-plane/tests/kit/mod.rs
@@ -51,7 +51,7 @@
     Settings {
         cluster: "bitacora".into(),
         node: "p1".into(),
-        area: "centro-1".into(),
+        zone: "centro-1".into(),
         rail: (IP, 1).into(),
         http: (IP, 1).into(),
         rail_advertise: None,
@@ -64,14 +64,14 @@
     }
 }
 
-pub fn info(node: &str, area: &str) -> NodeInfo {
+pub fn info(node: &str, zone: &str) -> NodeInfo {
     let addr = ([127, 0, 0, 9], 8080).into();
     NodeInfo {
         node: node.into(),
-        inc: Incarnation(1),
+        incarnation: Incarnation(1),
         role: Role::Router,
         lang: 1,
-        area: area.into(),
+        zone: zone.into(),
         rail: addr,
         http: addr,
     }
@@ -85,17 +85,17 @@
 pub async fn router_at(clock: Clock, service: &str, backs: &[Back]) -> (Arc<Router>, SocketAddr) {
     let member = Member::new(settings(), info("p1", "centro-1"), clock.clone());
     let mut l = Ledger::founded("bitacora", vec![]);
-    let mut add = |ch: Change| l.fold(l.idx.next(), &ch);
+    let mut add = |ch: Change| l.fold(l.index.next(), &ch);
     add(Change::Apply { op: "a".into(), base: Default::default(), text: DOC.into() });
     for (n, b) in backs.iter().enumerate() {
-        let what = ReplicaMove::List { service: service.into(), area: "centro-1".into(), addr: b.at };
+        let what = ReplicaMove::List { service: service.into(), zone: "centro-1".into(), addr: b.at };
         let id = format!("r{n}");
         add(Change::Replica { op: id.as_str().into(), id: id.as_str().into(), what });
     }
     add(Change::Join(info("p9", "norte-1")));
     add(Change::Join(info("p1", "centro-1")));
     let fence = Fence(l.epoch.0);
-    member.hold(Epoch(l.idx.0), clock.now());
+    member.hold(Epoch(l.index.0), clock.now());
     member.install(News::Snapshot(Box::new(l)), "test");
     let r = Router::new(settings(), member, clock);
     tokio::spawn(r.clone().govern());
@@ -137,8 +137,8 @@
         allowance: None,
     };
     let replicas = backs.iter().enumerate().map(gauge).collect();
-    let (service, area) = (service.into(), "centro-1".into());
-    Figures { service, area, fence, seq, age_ms: 0, waited_ms: 0, line: vec!["p1".into()], replicas }
+    let (service, zone) = (service.into(), "centro-1".into());
+    Figures { service, zone, fence, seq, age_ms: 0, waited_ms: 0, line: vec!["p1".into()], replicas }
 }
 
 pub fn hears_p9(r: &Router) {
--- a/crates/data-plane/tests/lag.rs
+++ b/crates/data-plane/tests/lag.rs
@@ -25,8 +25,8 @@
 fn evacuated(l: &Ledger) -> Ledger {
     let mut l = l.clone();
     l.fold(
-        l.idx.next(),
-        &Change::Evacuate { op: "e".into(), area: "norte-1".into(), on: true, seen: common::Index(u64::MAX) },
+        l.index.next(),
+        &Change::Evacuate { op: "e".into(), zone: "norte-1".into(), on: true, seen: common::Index(u64::MAX) },
     );
     l
 }
@@ -39,14 +39,14 @@
 async fn what_the_leader_spoke_of_must_come(#[case] ms: u64, #[case] comes: bool, #[case] serves: bool) {
     let b = back(WHOLE).await;
     let (r, at, hand) = one(&b).await;
-    r.member.told_of(r.ledger().idx.next(), r.now());
+    r.member.told_of(r.ledger().index.next(), r.now());
     hand.fetch_add(ms, Ordering::AcqRel);
     r.member.hold(r.member.held().epoch, r.now());
     if comes {
         r.member.install(News::Snapshot(Box::new(evacuated(&r.ledger()))), "test");
     }
     // Later words of the same place do not start the count anew.
-    r.member.told_of(r.ledger().idx.next(), r.now());
+    r.member.told_of(r.ledger().index.next(), r.now());
     let (job, ready, numbers) = asked(at).await;
     assert_eq!(job.contains("outcome: done"), serves, "{job}");
     assert_eq!(job.contains("lags behind the core"), !serves, "{job}");
@@ -59,7 +59,7 @@
 async fn an_outage_of_the_core_is_no_lag() {
     let b = back(WHOLE).await;
     let (r, _, hand) = one(&b).await;
-    r.member.told_of(r.ledger().idx.next(), r.now());
+    r.member.told_of(r.ledger().index.next(), r.now());
     hand.fetch_add(61_000, Ordering::AcqRel);
     kit::hears_p9(&r);
     assert_eq!(r.standing(), None);
@@ -71,7 +71,7 @@
     let (r, at, _hand) = one(&b).await;
     let mut l = (*r.ledger()).clone();
     let later = Change::Apply { op: "b".into(), base: Revision(1), text: "cluster = what".into() };
-    l.fold(l.idx.next(), &later);
+    l.fold(l.index.next(), &later);
     r.member.install(News::Snapshot(Box::new(l)), "test");
     while r.unreadable.load(Ordering::Acquire) == 0 {
         tokio::task::yield_now().await;
@@ -89,19 +89,19 @@
     let b = back(WHOLE).await;
     let (r, _, _hand) = one(&b).await;
     let mut l = (*r.ledger()).clone();
-    let list = |area: &str, service: &str| {
+    let list = |zone: &str, service: &str| {
         let what =
-            control_plane::ReplicaMove::List { service: service.into(), area: area.into(), addr: b.at };
+            control_plane::ReplicaMove::List { service: service.into(), zone: zone.into(), addr: b.at };
         Change::Replica {
-            op: format!("{area}{service}").as_str().into(),
-            id: format!("{area}{service}").as_str().into(),
+            op: format!("{zone}{service}").as_str().into(),
+            id: format!("{zone}{service}").as_str().into(),
             what,
         }
     };
-    for (area, service) in
+    for (zone, service) in
         [("centro-1", "contacts"), ("norte-1", "contacts"), ("norte-1", "verdict"), ("centro-1", "verdict")]
     {
-        l.fold(l.idx.next(), &list(area, service));
+        l.fold(l.index.next(), &list(zone, service));
     }
     assert_eq!(flaws("bitacora", DOC, &l), vec![]);
     l.members.get_mut(&"p9".into()).unwrap().info.lang = 0;
