--- a/crates/data-plane/tests/leap.rs
+++ b/crates/data-plane/tests/leap.rs
@@ -67,7 +67,7 @@
     let (r, _) = router_at(clock, "verdict", std::slice::from_ref(&b)).await;
     hand.fetch_add(3_600_000, Ordering::AcqRel);
     assert!(r.cut_off(), "neither a tenure nor a majority in hearing");
-    let ask = Ask::Hail { idx: r.ledger().idx };
+    let ask = Ask::Hail { index: r.ledger().index };
     r.clone().answer("p9".into(), ask).await;
     assert!(r.cut_off(), "a hail that waited in the socket says nothing of now");
     hears_p9(&r);
@@ -96,7 +96,7 @@
     let mut l = (*r.ledger()).clone();
     let at = lst.local_addr().unwrap();
     l.members.values_mut().for_each(|m| m.info.rail = at);
-    l.idx = l.idx.next();
+    l.index = l.index.next();
     r.member.install(News::Snapshot(Box::new(l)), "test");
     let (asked, asks) = (Arc::new(AtomicUsize::new(0)), hand.clone());
     let count = asked.clone();
@@ -106,7 +106,9 @@
         asks.fetch_add(if first { 3_600_000 } else { 0 }, Ordering::AcqRel);
         async move {
             match ask {
-                Ask::Hail { idx } => Reply::Hailed { idx, inc: common::Incarnation(1), fit: true },
+                Ask::Hail { index } => {
+                    Reply::Hailed { index, incarnation: common::Incarnation(1), fit: true }
+                }
                 _ => Reply::Done,
             }
         }
--- a/crates/data-plane/tests/modules/replica.rs
+++ b/crates/data-plane/tests/modules/replica.rs
@@ -16,7 +16,7 @@
         consumption,
         allowance,
     };
-    Candidate { gauge, area: "a".into(), own: Arc::default(), at: Tick(0), seq, line: Arc::new([]) }
+    Candidate { gauge, zone: "a".into(), own: Arc::default(), at: Tick(0), seq, line: Arc::new([]) }
 }
 
 /// How many jobs all routers together add on one and the same report.
--- a/crates/data-plane/tests/serving/board.rs
+++ b/crates/data-plane/tests/serving/board.rs
@@ -43,7 +43,7 @@
         id: "r1".into(),
         service: "chat".into(),
         addr: ([10, 0, 1, 1], 80).into(),
-        area: "n1".into(),
+        zone: "n1".into(),
         slots: 20,
         draining,
         cold_left_ms: 700,
--- a/crates/data-plane/tests/serving/carried.rs
+++ b/crates/data-plane/tests/serving/carried.rs
@@ -282,7 +282,7 @@
     });
 }
 
-/// Evacuated between two attempts: the other replica of that area is not asked any more.
+/// Evacuated between two attempts: the other replica of that zone is not asked any more.
 #[rstest]
 fn an_evacuation_counts_at_once(#[values(1, 2, 3)] seed: u64) {
     let rows = [("n1", vec![row(1, 0), row(2, 0)]), ("n2", vec![row(3, 19)])].into();
--- a/crates/data-plane/tests/serving/choose.rs
+++ b/crates/data-plane/tests/serving/choose.rs
@@ -27,7 +27,7 @@
     let one = |n: u32| {
         let w = Wish {
             prompt: a.prompt,
-            area: &"n1".into(),
+            zone: &"n1".into(),
             region: &"north".into(),
             sticky: true,
             long: a.long,
@@ -137,7 +137,7 @@
     let (p, reading) = (prompt(&[], 10), Reading::default());
     let w = Wish {
         prompt: &p,
-        area: &"n1".into(),
+        zone: &"n1".into(),
         region: &"north".into(),
         sticky: false,
         long: false,
--- a/crates/data-plane/tests/serving/fleet.rs
+++ b/crates/data-plane/tests/serving/fleet.rs
@@ -1,6 +1,6 @@
 //! Tests of `data_plane::serving::fleet`.
 
-use crate::kit::{areas, board, prompt, row};
+use crate::kit::{board, prompt, row, zones};
 use common::{Region, Service, Tick};
 use data_plane::serving::{
     choose::{READS_PER_MS, Wish, best},
@@ -49,9 +49,9 @@
 ) {
     let mut f = Folds::default();
     assert!(f.take(board("n1", 1, vec![row(0, 0)]), Tick(0)));
-    f.fleet(&areas(), routers, 1).of(&"chat".into())[0].own.open.store(then, Ordering::Relaxed);
+    f.fleet(&zones(), routers, 1).of(&"chat".into())[0].own.open.store(then, Ordering::Relaxed);
     assert!(f.take(board("n1", 2, vec![row(0, running)]), Tick(1)));
-    let fleet = f.fleet(&areas(), routers, 1);
+    let fleet = f.fleet(&zones(), routers, 1);
     let c = &fleet.of(&"chat".into())[0];
     c.own.open.store(now, Ordering::Relaxed);
     assert_eq!(c.load(), want);
@@ -67,7 +67,7 @@
         .map(|_| {
             let mut f = Folds::default();
             assert!(f.take(board("n1", 1, rows.clone()), Tick(0)));
-            f.fleet(&areas(), told, 1)
+            f.fleet(&zones(), told, 1)
         })
         .collect();
     let (reading, p) = (Reading::default(), prompt(&[], 200));
@@ -75,7 +75,7 @@
         for fleet in &fleets {
             let w = Wish {
                 prompt: &p,
-                area: &"n1".into(),
+                zone: &"n1".into(),
                 region: &"north".into(),
                 sticky: false,
                 long: false,
@@ -107,16 +107,16 @@
     assert!(over(&unknown) > 24, "a router that forgets the others must do worse: {unknown:?}");
 }
 
-/// Passes of a region add up over its areas, and count as long as the oldest of its figures.
+/// Passes of a region add up over its zones, and count as long as the oldest of its figures.
 #[test]
 fn lends_add_up_and_run_out() {
     let mut f = Folds::default();
-    for (area, n, at) in [("n1", 3, 100), ("n2", 4, 50), ("s1", 7, 70), ("elsewhere", 9, 1)] {
-        let mut b = board(area, 1, vec![]);
+    for (zone, n, at) in [("n1", 3, 100), ("n2", 4, 50), ("s1", 7, 70), ("elsewhere", 9, 1)] {
+        let mut b = board(zone, 1, vec![]);
         b.lends = [("chat".into(), n)].into();
         assert!(f.take(b, Tick(at)));
     }
-    let fleet = f.fleet(&areas(), 1, 3_000);
+    let fleet = f.fleet(&zones(), 1, 3_000);
     let at = |r: &str| fleet.lends[&(Region::new(r), Service::new("chat"))];
     assert_eq!(at("north"), (7, Tick(3_050)));
     assert_eq!(at("south"), (7, Tick(3_070)));
@@ -130,7 +130,7 @@
     assert!(f.take(board("n1", 1, vec![row(0, 3), gone]), Tick(0)));
     assert!(f.take(board("n2", 1, vec![row(1, 4)]), Tick(0)));
     assert!(f.take(board("s1", 1, vec![row(3, 19)]), Tick(0)));
-    let fleet = f.fleet(&areas(), 2, 1);
+    let fleet = f.fleet(&zones(), 2, 1);
     let cands = fleet.of(&"chat".into());
     cands.iter().find(|c| c.id == "r0".into()).unwrap().own.open.store(2, Ordering::Relaxed);
     let seen = fleet.regions(&"chat".into(), &|c| !c.draining);
@@ -149,7 +149,7 @@
     let mut f = Folds::default();
     let open = |f: &mut Folds, seq: u64, rows: Vec<_>| {
         assert!(f.take(board("n1", seq, rows), Tick(seq)));
-        let fleet = f.fleet(&areas(), 1, 1);
+        let fleet = f.fleet(&zones(), 1, 1);
         fleet.of(&"chat".into()).first().map(|c| c.own.clone())
     };
     open(&mut f, 1, vec![row(0, 0)]).unwrap().open.store(1, Ordering::Relaxed);
--- a/crates/data-plane/tests/serving/kit.rs
+++ b/crates/data-plane/tests/serving/kit.rs
@@ -1,6 +1,6 @@
 //! Boards, candidates and routes made by hand.
 
-use common::{Area, Fence, NodeId, Region, Tick};
+use common::{Fence, NodeId, Region, Tick, Zone};
 use configuration::{Route, RouteKind};
 use data_plane::serving::{
     Names, Prompt,
@@ -31,9 +31,9 @@
     }
 }
 
-pub fn board(area: &str, seq: u64, rows: Vec<Row>) -> Board {
+pub fn board(zone: &str, seq: u64, rows: Vec<Row>) -> Board {
     Board {
-        area: area.into(),
+        zone: zone.into(),
         publisher: "p0".into(),
         fence: Fence(1),
         seq,
@@ -44,16 +44,16 @@
     }
 }
 
-/// Two areas in the north, one in the south.
-pub fn areas() -> BTreeMap<Area, Region> {
+/// Two zones in the north, one in the south.
+pub fn zones() -> BTreeMap<Zone, Region> {
     [("n1", "north"), ("n2", "north"), ("s1", "south")].map(|(a, r)| (a.into(), r.into())).into()
 }
 
-/// Candidates of one area, as a router among so many sees them.
+/// Candidates of one zone, as a router among so many sees them.
 pub fn candidates(rows: Vec<Row>, routers: usize) -> Vec<Candidate> {
     let mut f = Folds::default();
     assert!(f.take(board("n1", 1, rows), Tick(0)));
-    f.fleet(&areas(), routers, 3_000).of(&"chat".into()).to_vec()
+    f.fleet(&zones(), routers, 3_000).of(&"chat".into()).to_vec()
 }
 
 pub fn prompt(parts: &[(u64, u32)], tokens_in: u32) -> Prompt {
--- a/crates/data-plane/tests/serving/listing.rs
+++ b/crates/data-plane/tests/serving/listing.rs
@@ -1,11 +1,11 @@
 //! The platform's list as a scripted server tells it, and what a router makes of it (design 9.3).
 
 use crate::{
-    kit::{areas, route, row},
+    kit::{route, row, zones},
     stage::{Cast, Stage, scene},
 };
 use common::{
-    Area,
+    Zone,
     ground::{World, bind, spawn_at},
     http::{self, text},
 };
@@ -41,8 +41,8 @@
     Some(out)
 }
 
-pub fn path(area: &Area, page: Option<&str>) -> String {
-    format!("/{area}/{}", page.unwrap_or("first"))
+pub fn path(zone: &Zone, page: Option<&str>) -> String {
+    format!("/{zone}/{}", page.unwrap_or("first"))
 }
 
 pub fn listed(id: &str, draining: bool) -> Listed {
@@ -51,7 +51,7 @@
         id: r.id,
         service: r.service,
         addr: r.addr,
-        area: "n1".into(),
+        zone: "n1".into(),
         slots: r.slots,
         draining,
         cold_left_ms: 0,
@@ -59,7 +59,7 @@
     }
 }
 
-/// What the list says of area `n1`, by page; other areas have none.
+/// What the list says of zone `n1`, by page; other zones have none.
 #[derive(Clone, Default)]
 struct Script {
     pages: BTreeMap<&'static str, (u16, &'static str)>,
@@ -232,7 +232,7 @@
         let before = list.calls.lock().expect("calls").len();
         sleep(Duration::from_secs(30)).await;
         let calls = list.calls.lock().expect("calls").len() - before;
-        assert!(calls <= 3 * 30 / areas().len(), "{calls} calls in 30 s of refusals");
+        assert!(calls <= 3 * 30 / zones().len(), "{calls} calls in 30 s of refusals");
         assert_eq!(ids(&stage), ["r1", "r2"]);
     });
 }
@@ -249,7 +249,7 @@
             sleep(Duration::from_millis(1)).await;
         }
         let said_ms = asked().expect("a call");
-        // Later calls fail, so that what is known is of the first one of each area.
+        // Later calls fail, so that what is known is of the first one of each zone.
         sleep(Duration::from_millis(slow_ms + 20)).await;
         list.says(&[("first", 500, "")]);
         heard().await;
--- a/crates/data-plane/tests/serving/listing_pages.rs
+++ b/crates/data-plane/tests/serving/listing_pages.rs
@@ -51,7 +51,7 @@
 fn what_leaves_by_one_page_leaves(#[case] first: bool, #[case] then: bool) {
     let (mut read, mut known) = (ListRead::default(), Known::default());
     read.add(&"n1".into(), vec![listed("r1", first)]);
-    read.add(&"n1".into(), vec![listed("r1", then), Listed { area: "n2".into(), ..listed("r2", false) }]);
+    read.add(&"n1".into(), vec![listed("r1", then), Listed { zone: "n2".into(), ..listed("r2", false) }]);
     known.read(read, Tick(0), EACH_MS);
     let rows = known.rows(Tick(0)).expect("a list");
     assert_eq!(rows, [listed("r1", true)]);
--- a/crates/data-plane/tests/serving/place.rs
+++ b/crates/data-plane/tests/serving/place.rs
@@ -36,9 +36,9 @@
     assert!((weight.unwrap_or(0.0) - want.unwrap_or(0.0)).abs() < 1e-9, "{weight:?}");
 }
 
-/// Routers as `area/region`, by number; an area needs two for its own clients.
+/// Routers as `zone/region`, by number; an zone needs two for its own clients.
 #[rstest]
-#[case::area(&["n1/north", "n1/north", "n2/north", "s1/south"], "n1", "north", &[0, 1])]
+#[case::zone(&["n1/north", "n1/north", "n2/north", "s1/south"], "n1", "north", &[0, 1])]
 #[case::region(&["n1/north", "n2/north", "s1/south"], "n1", "north", &[0, 1])]
 #[case::all(&["n1/north", "s1/south", "s2/south"], "n1", "north", &[0, 1, 2])]
 #[case::only_one(&["s1/south"], "n1", "north", &[0])]
@@ -48,22 +48,22 @@
 #[case::nobody(&[], "n1", "north", &[])]
 fn nearest_large_enough_group(
     #[case] all: &[&str],
-    #[case] area: &str,
+    #[case] zone: &str,
     #[case] region: &str,
     #[case] want: &[u16],
 ) {
     let edge = |(n, at): (usize, &&str)| {
-        let (area, region) = at.split_once('/').expect("area/region");
+        let (zone, region) = at.split_once('/').expect("area/region");
         let region = (!region.is_empty()).then(|| region.into());
-        Edge { addr: ([10, 0, 0, 1], n as u16).into(), area: area.into(), region }
+        Edge { addr: ([10, 0, 0, 1], n as u16).into(), zone: zone.into(), region }
     };
     let all: Vec<Edge> = all.iter().enumerate().map(edge).collect();
-    let got: Vec<u16> = nearest(&all, area, region).iter().map(|a| a.port()).collect();
+    let got: Vec<u16> = nearest(&all, zone, region).iter().map(|a| a.port()).collect();
     assert_eq!(got, want);
 }
 
 #[test]
 fn an_answer_has_a_bound() {
-    let edge = |n: u16| Edge { addr: ([10, 0, 0, 1], n).into(), area: "n1".into(), region: None };
+    let edge = |n: u16| Edge { addr: ([10, 0, 0, 1], n).into(), zone: "n1".into(), region: None };
     assert_eq!(nearest(&(0..200).map(edge).collect::<Vec<_>>(), "n1", "north").len(), 64);
 }
--- a/crates/data-plane/tests/serving/stage.rs
+++ b/crates/data-plane/tests/serving/stage.rs
@@ -2,11 +2,11 @@
 //! tells, in the order in which requests reach them, whichever replica that is.
 
 use crate::{
-    kit::{areas, board, names, prompt, row},
+    kit::{board, names, prompt, row, zones},
     listing,
 };
 use common::{
-    Area, Clock, Epoch, Incarnation, Region,
+    Clock, Epoch, Incarnation, Region, Zone,
     ground::{Listener, Stream, World, bind, dial, spawn, spawn_at},
     http::{self, Body, full},
     settings::{Settings, Timing},
@@ -118,14 +118,14 @@
     fn listing(&self, body: &[u8]) -> Option<Listing> {
         listing::read(body)
     }
-    fn listing_path(&self, area: &Area, page: Option<&str>) -> String {
-        listing::path(area, page)
+    fn listing_path(&self, zone: &Zone, page: Option<&str>) -> String {
+        listing::path(zone, page)
     }
     fn prompt(&self, _: &HeaderMap) -> Prompt {
         prompt(&[], 100)
     }
     fn lookup(&self, _: &str) -> Lookup {
-        Lookup { region: String::new(), area: String::new() }
+        Lookup { region: String::new(), zone: String::new() }
     }
     fn places(&self, _: &[SocketAddr], _: u64) -> String {
         String::new()
@@ -307,7 +307,7 @@
     ledger: Ledger,
 }
 
-/// Replicas by area; those of `gone` are listed and nobody listens there.
+/// Replicas by zone; those of `gone` are listed and nobody listens there.
 pub struct Cast {
     pub rows: BTreeMap<&'static str, Vec<Row>>,
     pub gone: Vec<usize>,
@@ -327,7 +327,7 @@
     Settings {
         cluster: "line".into(),
         node: "p1".into(),
-        area: "n1".into(),
+        zone: "n1".into(),
         rail: (ROUTER, 1).into(),
         http: (ROUTER, 80).into(),
         rail_advertise: None,
@@ -351,18 +351,18 @@
         let (set, clock) = (settings(), Clock::default());
         let info = NodeInfo::of(&set, Role::Router, Incarnation(1));
         let mut l = Ledger::founded("line", vec![]);
-        let mut add = |ch: Change| l.fold(l.idx.next(), &ch);
+        let mut add = |ch: Change| l.fold(l.index.next(), &ch);
         add(Change::Apply { op: "a".into(), base: Default::default(), text: "kept elsewhere".into() });
         add(Change::Join(info.clone()));
         if let Some(a) = cast.evacuated {
-            add(Change::Evacuate { op: "e".into(), area: a.into(), on: true, seen: common::Index(u64::MAX) });
+            add(Change::Evacuate { op: "e".into(), zone: a.into(), on: true, seen: common::Index(u64::MAX) });
         }
         let member = Member::new(set.clone(), info, clock.clone());
-        member.hold(Epoch(l.idx.0), clock.now());
+        member.hold(Epoch(l.index.0), clock.now());
         member.install(News::Snapshot(Box::new(l.clone())), "test");
         let site = Site {
             region: Region::new("north"),
-            areas: areas(),
+            zones: zones(),
             readiness: None,
             directory: None,
             list: (ROUTER, 9).into(),
@@ -392,7 +392,7 @@
         s.map.store(Some(Arc::new(RouteMap::new(1, routes, vec![backend], limits))));
         let script: Arc<Script> = Arc::default();
         lock(&script.acts).extend(acts);
-        let here = |area: &str, rows: &[Row]| board(area, 1, rows.to_vec());
+        let here = |zone: &str, rows: &[Row]| board(zone, 1, rows.to_vec());
         let boards: Vec<_> = cast.rows.iter().map(|(a, rows)| here(a, rows)).collect();
         for rows in cast.rows.into_values() {
             for (_, r) in rows.iter().enumerate().filter(|(n, _)| !cast.gone.contains(n)) {
@@ -403,7 +403,7 @@
         {
             let mut folds = lock(&s.folds);
             boards.into_iter().for_each(|b| assert!(folds.take(b, s.now())));
-            s.fleet.store(Arc::new(folds.fleet(&areas(), 1, 3_000)));
+            s.fleet.store(Arc::new(folds.fleet(&zones(), 1, 3_000)));
         }
         let share = Share { capacity: 64.0, per_ms: 0.0 };
         s.retries.earn(&"chat".into(), cast.tries / 0.8, share, s.now());
@@ -417,14 +417,14 @@
         Self { world, s, script, http, ledger: l }
     }
 
-    /// From now on an area is evacuated.
-    pub fn evacuate(&self, area: &str) {
+    /// From now on an zone is evacuated.
+    pub fn evacuate(&self, zone: &str) {
         let mut l = self.ledger.clone();
         l.fold(
-            l.idx.next(),
+            l.index.next(),
             &Change::Evacuate {
                 op: "later".into(),
-                area: area.into(),
+                zone: zone.into(),
                 on: true,
                 seen: common::Index(u64::MAX),
             },
--- a/crates/foldshunt-admin/src/main.rs
+++ b/crates/foldshunt-admin/src/main.rs
@@ -47,17 +47,17 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Evacuates an area: it gets nothing new until it is restored
+    /// Evacuates an zone: it gets nothing new until it is restored
     #[bpaf(command)]
     Evacuate {
         #[bpaf(positional("AREA"))]
-        area: String,
+        zone: String,
     },
     /// Takes an evacuation back
     #[bpaf(command)]
     Restore {
         #[bpaf(positional("AREA"))]
-        area: String,
+        zone: String,
     },
     /// Lists the replicas
     #[bpaf(command)]
@@ -70,7 +70,7 @@
         #[bpaf(positional("SERVICE"))]
         service: String,
         #[bpaf(positional("AREA"))]
-        area: String,
+        zone: String,
         #[bpaf(positional("IP:PORT"))]
         addr: SocketAddr,
     },
@@ -168,16 +168,16 @@
         Cmd::Op { id } => st.ask(Method::GET, &format!("/v1/ops/{id}"), &[], none).await?,
         Cmd::Apply { change, file } => st.change(Method::PUT, change, file).await?,
         Cmd::Patch { change, file } => st.change(Method::PATCH, change, file).await?,
-        Cmd::Evacuate { area } => {
-            let body = serde_json::json!({"area": area}).to_string();
+        Cmd::Evacuate { zone } => {
+            let body = serde_json::json!({"area": zone}).to_string();
             st.ask(Method::POST, "/v1/evacuations", &[], body.into()).await?
         }
-        Cmd::Restore { area } => {
-            st.ask(Method::DELETE, &format!("/v1/evacuations/{area}"), &[], none).await?
+        Cmd::Restore { zone } => {
+            st.ask(Method::DELETE, &format!("/v1/evacuations/{zone}"), &[], none).await?
         }
-        Cmd::List { id, service, area, addr } => {
+        Cmd::List { id, service, zone, addr } => {
             let body =
-                serde_json::json!({"id": id, "service": service, "area": area, "addr": addr}).to_string();
+                serde_json::json!({"id": id, "service": service, "area": zone, "addr": addr}).to_string();
             st.ask(Method::POST, "/v1/replicas", &[], body.into()).await?
         }
         Cmd::Drain { id } => st.ask(Method::POST, &format!("/v1/replicas/{id}/drain"), &[], none).await?,
--- a/crates/foldshunt-check/src/lib.rs
+++ b/crates/foldshunt-check/src/lib.rs
@@ -1,7 +1,7 @@
 //! Checks of a document against the fleet as it is (design 4.9): pure, over what a control node
 //! told of its state.
 
-use common::{Area, Region, Service};
+use common::{Region, Service, Zone};
 use configuration::{Table, check_fleet, compile};
 use control_plane::Replica;
 use serde::{Deserialize, Serialize};
@@ -20,7 +20,7 @@
     #[serde(default)]
     pub revision: u64,
     #[serde(default)]
-    pub evacuated: BTreeSet<Area>,
+    pub evacuated: BTreeSet<Zone>,
     #[serde(default)]
     pub members: Vec<MemberRow>,
     #[serde(default)]
@@ -32,7 +32,8 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct MemberRow {
     pub node: String,
-    pub area: Area,
+    #[serde(rename = "area")]
+    pub zone: Zone,
     pub role: String,
     #[serde(default)]
     pub lags: Option<bool>,
@@ -90,7 +91,7 @@
                 let msg = format!("the document is for cluster {:?}, this is {:?}", t.cluster, st.cluster);
                 out.push(found(Weight::Fault, "cluster", msg));
             }
-            let live: Vec<(Service, Area)> = live(st).map(|r| (r.service.clone(), r.area.clone())).collect();
+            let live: Vec<(Service, Zone)> = live(st).map(|r| (r.service.clone(), r.zone.clone())).collect();
             out.extend(flawed("homes", check_fleet(src, &t, &live)));
             out.extend(homeless(&t));
             out.extend(strays(&t, st));
@@ -103,9 +104,9 @@
     out
 }
 
-/// Replicas that can be given something: not draining, and not in an evacuated area.
+/// Replicas that can be given something: not draining, and not in an evacuated zone.
 fn live(st: &Status) -> impl Iterator<Item = &Replica> {
-    st.replicas.values().filter(|r| !r.draining && !st.evacuated.contains(&r.area))
+    st.replicas.values().filter(|r| !r.draining && !st.evacuated.contains(&r.zone))
 }
 
 /// Pairs of tenant and entry that can be served nowhere: told here, not first by a caller's 403.
@@ -124,9 +125,9 @@
 /// Replicas that the document has no place for.
 fn strays(t: &Table, st: &Status) -> Vec<Finding> {
     let odd =
-        st.replicas.iter().filter_map(|(id, r)| match (t.areas.get(&r.area), t.services.get(&r.service)) {
+        st.replicas.iter().filter_map(|(id, r)| match (t.zones.get(&r.zone), t.services.get(&r.service)) {
             (None, _) => {
-                Some(format!("replica {id} is in area {:?}, which the document does not have", r.area))
+                Some(format!("replica {id} is in area {:?}, which the document does not have", r.zone))
             }
             (_, None) => {
                 Some(format!("replica {id} is of service {:?}, which the document does not have", r.service))
@@ -136,19 +137,19 @@
     odd.map(|m| found(Weight::Warning, "stray replica", m)).collect()
 }
 
-/// What would be left of each entry's replicas after the loss of any one area.
+/// What would be left of each entry's replicas after the loss of any one zone.
 fn losses(t: &Table, st: &Status) -> Vec<Finding> {
     let mut out = Vec::new();
     for e in &t.entries {
         let homes = t.homes(e, None);
-        let count = |without: Option<&Area>| {
+        let count = |without: Option<&Zone>| {
             live(st)
-                .filter(|r| r.service == e.to && Some(&r.area) != without)
-                .filter(|r| t.region_of(&r.area).is_some_and(|x: &Region| homes.contains(x)))
+                .filter(|r| r.service == e.to && Some(&r.zone) != without)
+                .filter(|r| t.region_of(&r.zone).is_some_and(|x: &Region| homes.contains(x)))
                 .count()
         };
         let all = count(None);
-        for a in t.areas.keys().filter(|a| t.region_of(a).is_some_and(|r| homes.contains(r))) {
+        for a in t.zones.keys().filter(|a| t.region_of(a).is_some_and(|r| homes.contains(r))) {
             let left = count(Some(a));
             if all > 0 && left == 0 {
                 let msg = format!("entry '{}' has no replica left when area '{a}' is lost", e.name);
@@ -164,8 +165,8 @@
 }
 
 fn routers(t: &Table, st: &Status) -> Vec<Finding> {
-    let in_area = |a: &Area| st.members.iter().filter(|m| m.role == "Router" && m.area == *a).count();
-    t.areas
+    let in_area = |a: &Zone| st.members.iter().filter(|m| m.role == "Router" && m.zone == *a).count();
+    t.zones
         .keys()
         .filter(|a| in_area(a) == 0)
         .map(|a| found(Weight::Warning, "routers", format!("no router holds a tenure in area '{a}'")))
--- a/crates/foldshunt-check/tests/tap.rs
+++ b/crates/foldshunt-check/tests/tap.rs
@@ -8,19 +8,19 @@
 const DOC: &str = include_str!("../../../examples/bitacora.toml");
 
 fn status() -> Status {
-    let rep = |svc: &str, area: &str, n: u16| {
+    let rep = |svc: &str, zone: &str, n: u16| {
         let r = Replica {
             service: svc.into(),
-            area: area.into(),
+            zone: zone.into(),
             addr: ([127, 0, 0, 1], n).into(),
             draining: false,
         };
-        (format!("{svc}-{area}"), r)
+        (format!("{svc}-{zone}"), r)
     };
-    let areas = ["centro-1", "centro-2", "norte-1"];
+    let zones = ["centro-1", "centro-2", "norte-1"];
     let member = |n: usize, role: &str| MemberRow {
         node: format!("{role}{n}"),
-        area: areas[n].into(),
+        zone: zones[n].into(),
         role: role.into(),
         lags: Some(false),
         lang: configuration::LANG,
@@ -31,7 +31,7 @@
         revision: 4,
         evacuated: BTreeSet::new(),
         members: (0..3).flat_map(|n| [member(n, "Core"), member(n, "Router")]).collect(),
-        replicas: areas.iter().flat_map(|a| [rep("verdict", a, 1), rep("contacts", a, 2)]).collect(),
+        replicas: zones.iter().flat_map(|a| [rep("verdict", a, 1), rep("contacts", a, 2)]).collect(),
         voters: (0..3).map(|n| RosterRow { node: format!("Core{n}"), http: None }).collect(),
     }
 }
--- a/crates/simulator/src/acts.rs
+++ b/crates/simulator/src/acts.rs
@@ -84,11 +84,11 @@
     Ok(true)
 }
 
-/// What befalls replicas and areas, and what the platform does.
+/// What befalls replicas and zones, and what the platform does.
 async fn platform(f: &mut Fleet, x: &Fault) -> Result<bool> {
     let (whom, op) = (x.whom.as_str(), f.operator());
-    let area: Vec<String> = f.nodes.iter().filter(|n| n.area == whom).map(|n| n.name.clone()).collect();
-    let backs: Vec<Arc<StandIn>> = f.backs.iter().filter(|b| b.shape.area == whom).cloned().collect();
+    let zone: Vec<String> = f.nodes.iter().filter(|n| n.zone == whom).map(|n| n.name.clone()).collect();
+    let backs: Vec<Arc<StandIn>> = f.backs.iter().filter(|b| b.shape.zone == whom).cloned().collect();
     match x.what {
         What::Evacuate => return Ok(op.evacuate(whom, true).await),
         What::Restore => return Ok(op.evacuate(whom, false).await),
@@ -112,7 +112,7 @@
         What::Swap => {
             let new = f.another(whom).await?;
             let s = &new.shape;
-            let ok = op.list(&new.id, &s.service, &s.area, new.addr).await && op.drain(whom).await;
+            let ok = op.list(&new.id, &s.service, &s.zone, new.addr).await && op.drain(whom).await;
             sleep(Duration::from_secs(3)).await;
             return Ok(ok && op.remove(whom).await);
         }
@@ -121,13 +121,13 @@
         What::Sour => f.backs.iter().for_each(|b| b.set_sour(true)),
         What::Sweet => f.backs.iter().for_each(|b| b.set_sour(false)),
         What::KillArea => {
-            for n in &area {
+            for n in &zone {
                 f.node(n)?.kill().await?;
             }
             backs.iter().for_each(|b| b.crash());
         }
         What::StartArea => {
-            for n in &area {
+            for n in &zone {
                 f.start_node(n)?;
             }
             for b in &backs {
--- a/crates/simulator/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -37,7 +37,7 @@
     pub done_not_run: usize,
     /// Must be zero: runs begun at a drained or removed replica later than 4 s after that.
     pub late_at_departed: usize,
-    /// Must be zero: runs begun in an evacuated area later than 5 s after that.
+    /// Must be zero: runs begun in an evacuated zone later than 5 s after that.
     pub late_at_evacuated: usize,
     /// How long after a drain, removal or evacuation the last run began there.
     pub last_begun_after_ms: BTreeMap<String, u128>,
--- a/crates/simulator/src/chaos.rs
+++ b/crates/simulator/src/chaos.rs
@@ -1,5 +1,5 @@
 //! A plan of faults by seed (design 7.4): each is undone again, and no more than one disk or one
-//! area is lost at a time, which is what the brief asks to survive. Herds of processes, the whole
+//! zone is lost at a time, which is what the brief asks to survive. Herds of processes, the whole
 //! core among them, are killed and come back with their disks.
 
 use crate::{
@@ -18,7 +18,7 @@
     let mut t = 4.0;
     while t < secs - QUIET {
         let span: f64 = rng.random_range(2.0..7.0);
-        let area = dep.areas.choose(&mut rng).map(|a| a.0.to_string()).unwrap_or_default();
+        let zone = dep.zones.choose(&mut rng).map(|a| a.0.to_string()).unwrap_or_default();
         let core = format!("s{}", rng.random_range(1..=3));
         let router = format!("p{}", rng.random_range(1..=9));
         let rep = replica(dep, &mut rng);
@@ -43,7 +43,7 @@
             9 => both(What::Cut, What::Mend, router),
             10 => both(What::Cut, What::Mend, format!("{router}>")),
             11 => both(What::Cut, What::Mend, "core".into()),
-            12 => both(What::Cut, What::Mend, area),
+            12 => both(What::Cut, What::Mend, zone),
             13 => both(What::KillCore, What::StartCore, String::new()),
             14 => {
                 let herd = (1..=9).filter(|_| rng.random_bool(0.5)).map(|n| format!("p{n}"));
@@ -57,8 +57,8 @@
             16 if world => both(What::SlowDisk, What::WellDisk, core),
             17 if world => both(What::StallDisk, What::WellDisk, core),
             18 if world => both(What::FailDisk, What::WellDisk, core),
-            19 => both(What::Evacuate, What::Restore, area),
-            20 => both(What::EvacuateAndPatch, What::Restore, area),
+            19 => both(What::Evacuate, What::Restore, zone),
+            20 => both(What::EvacuateAndPatch, What::Restore, zone),
             21 if alive => both(What::Crash, What::Cold, rep),
             22 if alive => both(What::Mute, What::Unmute, rep),
             23 | 24 if alive => {
@@ -74,7 +74,7 @@
             25 => both(What::BrownOut, What::BrownOver, String::new()),
             26 => one(What::Race, String::new()),
             27 => one(What::Burst, String::new()),
-            28 => both(What::KillArea, What::StartArea, area),
+            28 => both(What::KillArea, What::StartArea, zone),
             _ => one(What::Apply, String::new()),
         };
         // What was replaced is out for good.
@@ -108,7 +108,7 @@
     let mut left = n;
     for (a, count) in per_area.iter().enumerate() {
         if left < *count {
-            return format!("{svc}-{}-{n}", dep.areas[a].0);
+            return format!("{svc}-{}-{n}", dep.zones[a].0);
         }
         left -= count;
     }
--- a/crates/simulator/src/checks.rs
+++ b/crates/simulator/src/checks.rs
@@ -133,7 +133,7 @@
             _ => continue,
         };
         let evacuated = span == EVACUATED;
-        let there = |b: &&Arc<StandIn>| if evacuated { b.shape.area == whom } else { b.id == whom };
+        let there = |b: &&Arc<StandIn>| if evacuated { b.shape.zone == whom } else { b.id == whom };
         let runs: Vec<Instant> = backs
             .iter()
             .filter(there)
@@ -157,10 +157,10 @@
     let whom = act.fault.whom.as_str();
     let whose = |b: &&Arc<StandIn>| match act.fault.what {
         What::Cold => b.id == whom,
-        What::StartArea => b.shape.area == whom,
+        What::StartArea => b.shape.zone == whom,
         _ => false,
     };
-    // An area that was lost with the home of its figures, and is back before three checks, was never
+    // An zone that was lost with the home of its figures, and is back before three checks, was never
     // seen to be gone.
     let lost =
         ride.acts.iter().filter(|x| x.fault.what == What::KillArea && x.fault.whom == whom && x.at < act.at);
@@ -172,7 +172,7 @@
     for b in backs.iter().filter(whose) {
         let gone = ride.acts.iter().filter(|x| x.at > act.at).find(|x| match x.fault.what {
             What::Crash | What::Mute | What::Lose | What::Take => x.fault.whom == b.id,
-            What::KillArea => x.fault.whom == b.shape.area,
+            What::KillArea => x.fault.whom == b.shape.zone,
             _ => false,
         });
         let mut most = vec![0usize; 15];
--- a/crates/simulator/src/deployment.rs
+++ b/crates/simulator/src/deployment.rs
@@ -27,9 +27,9 @@
 pub struct Deployment {
     pub name: &'static str,
     pub document: String,
-    /// Area and its region.
-    pub areas: [(&'static str, &'static str); 3],
-    /// Service, and replicas in each area.
+    /// Zone and its region.
+    pub zones: [(&'static str, &'static str); 3],
+    /// Service, and replicas in each zone.
     pub replicas: [(&'static str, [usize; 3]); 2],
     pub kinds: Vec<Kind>,
     /// Tenant, its share of jobs, its home.
@@ -66,7 +66,7 @@
         Firm::Bitacora => Deployment {
             name: "bitacora",
             document: include_str!("../../../examples/bitacora.toml").into(),
-            areas: [("centro-1", "centro"), ("centro-2", "centro"), ("norte-1", "norte")],
+            zones: [("centro-1", "centro"), ("centro-2", "centro"), ("norte-1", "norte")],
             replicas: [("verdict", [5, 5, 8]), ("contacts", [1, 1, 1])],
             kinds: vec![
                 kind("match-verdicts", "POST", "/v1/verdicts", 14.0),
@@ -84,7 +84,7 @@
             Deployment {
                 name: "rinaldi",
                 document: include_str!("../../../examples/rinaldi.toml").into(),
-                areas: [("baires-1", "buenos-aires"), ("baires-2", "buenos-aires"), ("cordoba-1", "cordoba")],
+                zones: [("baires-1", "buenos-aires"), ("baires-2", "buenos-aires"), ("cordoba-1", "cordoba")],
                 replicas: [("match", [3, 3, 5]), ("tickets", [1, 1, 1])],
                 kinds: vec![
                     Kind { user_field, ..kind("register-matches", "POST", "/v1/matches", 9.0) },
@@ -108,8 +108,8 @@
 }
 
 impl Deployment {
-    pub fn region_of(&self, area: &str) -> &'static str {
-        self.areas.iter().find(|a| a.0 == area).map(|a| a.1).unwrap_or("")
+    pub fn region_of(&self, zone: &str) -> &'static str {
+        self.zones.iter().find(|a| a.0 == zone).map(|a| a.1).unwrap_or("")
     }
     /// Changes one piece of the document, written as `FROM=>TO`.
     pub fn replace(&mut self, rule: &str) -> Result<(), String> {
@@ -122,7 +122,7 @@
     }
 
     pub fn regions(&self) -> Vec<&'static str> {
-        let mut v: Vec<_> = self.areas.iter().map(|a| a.1).collect();
+        let mut v: Vec<_> = self.zones.iter().map(|a| a.1).collect();
         v.dedup();
         v
     }
--- a/crates/simulator/src/drive.rs
+++ b/crates/simulator/src/drive.rs
@@ -102,7 +102,7 @@
 pub async fn ride(f: &mut Fleet, load: &Load, faults: &[Fault]) -> Result<Ride> {
     let dep = f.dep.clone();
     let routers: Vec<(SocketAddr, &'static str)> =
-        f.nodes.iter().filter(|n| !n.core).map(|n| (n.http(), dep.region_of(n.area))).collect();
+        f.nodes.iter().filter(|n| !n.core).map(|n| (n.http(), dep.region_of(n.zone))).collect();
     let (net, begin) = (f.net, Instant::now());
     // Traffic goes on while an operator waits or a process takes its time to stop.
     let (heard, acts) =
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -1,5 +1,5 @@
 //! Twelve nodes as real processes on 127.0.0.0/8 (design 7.2): three control nodes and nine
-//! routers over three areas, with stand-in back ends beside them.
+//! routers over three zones, with stand-in back ends beside them.
 
 use crate::{
     deployment::Deployment,
@@ -50,7 +50,7 @@
     async fn start_in(yard: Yard, dep: Deployment, dir: &Path, net: u8) -> Result<Fleet> {
         let relayed = matches!(yard, Yard::Programs(_));
         let mut nodes = Vec::new();
-        for (a, (area, _)) in dep.areas.iter().enumerate() {
+        for (a, (zone, _)) in dep.zones.iter().enumerate() {
             for n in 0..4u8 {
                 let core = n == 0;
                 let num = if core { a + 1 } else { a * 3 + n as usize };
@@ -60,7 +60,7 @@
                 nodes.push(Node {
                     dir: dir.join(&name),
                     name,
-                    area,
+                    zone,
                     core,
                     spare: false,
                     ip: own,
@@ -88,11 +88,11 @@
         for (svc, per_area) in &dep.replicas {
             for (a, count) in per_area.iter().enumerate() {
                 for _ in 0..*count {
-                    let (area, region) = dep.areas[a];
+                    let (zone, region) = dep.zones[a];
                     let model = *svc == dep.replicas[0].0;
                     let shape = Shape {
                         service: svc.to_string(),
-                        area: area.into(),
+                        zone: zone.into(),
                         region: region.into(),
                         slots: if model { 4 } else { 32 },
                         prefixes: 24,
@@ -102,7 +102,7 @@
                     };
                     let n = backs.len() as u8;
                     let addr = SocketAddr::new(ip(net, 100, n + 1), 9000);
-                    backs.push(StandIn::new(format!("{svc}-{area}-{n}"), addr, shape));
+                    backs.push(StandIn::new(format!("{svc}-{zone}-{n}"), addr, shape));
                 }
             }
         }
@@ -122,7 +122,7 @@
         let named = |n: &str| {
             self.nodes
                 .iter()
-                .filter(|x| x.name == n || x.area == n || (n == "core" && x.core))
+                .filter(|x| x.name == n || x.zone == n || (n == "core" && x.core))
                 .map(|x| x.ip)
                 .collect::<Vec<_>>()
         };
@@ -141,8 +141,8 @@
     pub fn scene(&self) -> Scene {
         let routers = self.nodes.iter().filter(|n| !n.core);
         Scene {
-            routers: routers.map(|n| (n.name.clone(), n.area, n.http())).collect(),
-            areas: self.dep.areas.to_vec(),
+            routers: routers.map(|n| (n.name.clone(), n.zone, n.http())).collect(),
+            zones: self.dep.zones.to_vec(),
             model: self.dep.replicas[0].0,
         }
     }
@@ -187,7 +187,7 @@
         for b in &self.backs {
             let mut listed = false;
             for _ in 0..60 {
-                listed = op.list(&b.id, &b.shape.service, &b.shape.area, b.addr).await;
+                listed = op.list(&b.id, &b.shape.service, &b.shape.zone, b.addr).await;
                 if listed {
                     break;
                 }
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -39,7 +39,7 @@
 
 pub struct Node {
     pub name: String,
-    pub area: &'static str,
+    pub zone: &'static str,
     pub core: bool,
     /// An empty machine that may take the place of another.
     pub spare: bool,
@@ -64,7 +64,7 @@
         Settings {
             cluster: self.cluster.into(),
             node: self.name.clone(),
-            area: self.area.into(),
+            zone: self.zone.into(),
             rail: SocketAddr::new(self.ip, RAIL),
             http: self.http(),
             rail_advertise: advertise(RAIL),
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -31,8 +31,8 @@
         None
     }
 
-    pub async fn list(&self, id: &str, service: &str, area: &str, addr: SocketAddr) -> bool {
-        let body = serde_json::json!({"id": id, "service": service, "area": area, "addr": addr}).to_string();
+    pub async fn list(&self, id: &str, service: &str, zone: &str, addr: SocketAddr) -> bool {
+        let body = serde_json::json!({"id": id, "service": service, "area": zone, "addr": addr}).to_string();
         matches!(self.ask(Method::POST, "/v1/replicas", &[], &body).await, Some((200, _)))
     }
 
@@ -84,9 +84,9 @@
         (code == 200).then(|| serde_json::from_slice(&b).ok()).flatten()
     }
 
-    pub async fn evacuate(&self, area: &str, on: bool) -> bool {
-        let body = serde_json::json!({"area": area}).to_string();
-        let path = format!("/v1/evacuations/{area}");
+    pub async fn evacuate(&self, zone: &str, on: bool) -> bool {
+        let body = serde_json::json!({"area": zone}).to_string();
+        let path = format!("/v1/evacuations/{zone}");
         let res = if on {
             self.ask(Method::POST, "/v1/evacuations", &[], &body).await
         } else {
--- a/crates/simulator/src/scale/hollow.rs
+++ b/crates/simulator/src/scale/hollow.rs
@@ -19,7 +19,7 @@
 
 pub struct Hollow {
     pub name: String,
-    pub area: &'static str,
+    pub zone: &'static str,
     pub host: Arc<Host>,
     pub router: Arc<Router>,
 }
@@ -36,7 +36,7 @@
             place_users(router, lay).await;
         });
         let router = told.await.wrap_err_with(|| format!("{} did not start", n.name))?;
-        Ok(Hollow { name: n.name.clone(), area: n.area, host, router })
+        Ok(Hollow { name: n.name.clone(), zone: n.zone, host, router })
     }
 }
 
--- a/crates/simulator/src/scale/layout.rs
+++ b/crates/simulator/src/scale/layout.rs
@@ -83,7 +83,7 @@
             Node {
                 dir: dir.join(&name),
                 name,
-                area: kept(self.zone(zone)),
+                zone: kept(self.zone(zone)),
                 core: n < VOTERS,
                 spare: false,
                 ip: self.ip(1, n),
@@ -103,7 +103,7 @@
             let (svc, zone) = (n % self.services, n / self.services % self.zones);
             let shape = Shape {
                 service: format!("m{svc}"),
-                area: self.zone(zone),
+                zone: self.zone(zone),
                 region: self.region(zone),
                 slots: 16,
                 prefixes: 24,
--- a/crates/simulator/src/scale/rows.rs
+++ b/crates/simulator/src/scale/rows.rs
@@ -81,7 +81,7 @@
     let Some(r) = nodes.first().map(|h| &h.router) else { return vec![] };
     let Some(g) = r.governing.load_full() else { return vec![] };
     let l = r.ledger();
-    let homes = g.table.areas.keys().flat_map(|a| g.table.services.keys().map(move |s| (a, s)));
+    let homes = g.table.zones.keys().flat_map(|a| g.table.services.keys().map(move |s| (a, s)));
     let homes: Vec<String> =
         homes.filter_map(|(a, s)| r.home_of(&g.table, s, a)).map(|m| m.info.node.to_string()).collect();
     let lenders: Vec<String> = g
--- a/crates/simulator/src/scale/run.rs
+++ b/crates/simulator/src/scale/run.rs
@@ -83,7 +83,7 @@
     for b in backs {
         let mut listed = false;
         for _ in 0..60 {
-            listed = op.list(&b.id, &b.shape.service, &b.shape.area, b.addr).await;
+            listed = op.list(&b.id, &b.shape.service, &b.shape.zone, b.addr).await;
             if listed {
                 break;
             }
@@ -218,19 +218,19 @@
 
     /// None where the core would lose its majority: then it is the core that is lost.
     async fn lose_one_of(&mut self, group: &dyn Fn(&str) -> String) -> Option<Span> {
-        let runs: Vec<&str> = self.voters.iter().filter(|n| n.runs()).map(|n| n.area).collect();
+        let runs: Vec<&str> = self.voters.iter().filter(|n| n.runs()).map(|n| n.zone).collect();
         let with = |name: &str| runs.iter().filter(|a| group(a) == name).count();
-        let all: BTreeSet<String> = self.hollow.iter().map(|h| group(h.area)).collect();
+        let all: BTreeSet<String> = self.hollow.iter().map(|h| group(h.zone)).collect();
         let whole = all.into_iter().filter(|g| runs.len() - with(g) > VOTERS / 2).min_by_key(|g| with(g))?;
         let (gone, left): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.hollow).into_iter().partition(|h| group(h.area) == whole);
+            std::mem::take(&mut self.hollow).into_iter().partition(|h| group(h.zone) == whole);
         self.hollow = left;
-        for n in self.voters.iter_mut().filter(|n| group(n.area) == whole) {
+        for n in self.voters.iter_mut().filter(|n| group(n.zone) == whole) {
             if let Some(Life::Hosted(h)) = n.life.take() {
                 h.darken(&n.disk).await;
             }
         }
-        self.backs.iter().filter(|b| group(&b.shape.area) == whole).for_each(|b| b.mute());
+        self.backs.iter().filter(|b| group(&b.shape.zone) == whole).for_each(|b| b.mute());
         Some(lost(&gone.iter().collect::<Vec<_>>(), &self.hollow).await)
     }
 }
--- a/crates/simulator/src/sim/acts.rs
+++ b/crates/simulator/src/sim/acts.rs
@@ -29,9 +29,12 @@
                     self.stats.readmitted += 1;
                     self.note(format!("{} readmitted as seat {}", h.node, h.number));
                 }
-                Change::Expire { node, inc, .. } => {
+                Change::Expire { node, incarnation, .. } => {
                     self.stats.expirations += 1;
-                    let r = self.routers.iter().find(|r| r.info.node == *node && r.info.inc == *inc);
+                    let r = self
+                        .routers
+                        .iter()
+                        .find(|r| r.info.node == *node && r.info.incarnation == *incarnation);
                     if let Some(r) = r.filter(|r| r.held.valid(r.clock.at(self.t))) {
                         return Err(format!("{} lapsed while it holds its tenure", r.info.node));
                     }
@@ -43,7 +46,7 @@
                 self.stats.back_ms = (self.t - calm).max(1);
             }
         }
-        if let Some(p) = self.waiting.remove(&(n, e.idx))
+        if let Some(p) = self.waiting.remove(&(n, e.index))
             && p.life == self.voters[p.voter].life
         {
             if p.change != e.change {
@@ -54,7 +57,7 @@
                 Verdict::Accepted { .. } => {
                     self.stats.told_accepted += 1;
                     if self.broken != Some(Broken::EarlyAccept) {
-                        self.book.told(&p.op, e.idx, &p.change)?;
+                        self.book.told(&p.op, e.index, &p.change)?;
                     }
                 }
                 Verdict::Conflict { .. } => {
@@ -101,7 +104,7 @@
         }
         let voter = self.rng.random_range(0..self.voters.len());
         if let Some(ms) = self.transit(self.voters.len() + r, voter) {
-            let have = self.routers[r].ledger.idx;
+            let have = self.routers[r].ledger.index;
             self.push(ms, What::AskNews { voter, router: r, have });
         }
         // A duty is acted on while the lease holds; the blow may land late.
@@ -125,7 +128,7 @@
         match s.leases.renew(&voter.ledger, &timing(), &info, now) {
             Ok(epoch) => {
                 if let Some(ms) = self.transit(n, self.voters.len() + r) {
-                    self.push(ms, What::Renewed { router: r, inc: info.inc.0, epoch, sent });
+                    self.push(ms, What::Renewed { router: r, incarnation: info.incarnation.0, epoch, sent });
                 }
                 Ok(())
             }
@@ -134,10 +137,10 @@
         }
     }
 
-    pub fn renewed(&mut self, r: usize, inc: u64, epoch: Epoch, sent: Tick) -> Result<(), String> {
+    pub fn renewed(&mut self, r: usize, incarnation: u64, epoch: Epoch, sent: Tick) -> Result<(), String> {
         let late = self.broken == Some(Broken::LateLease);
         let me = &mut self.routers[r];
-        if me.info.inc.0 == inc {
+        if me.info.incarnation.0 == incarnation {
             let now = me.clock.at(self.t);
             me.held.renewed(epoch, if late { now } else { sent }, &timing());
         }
@@ -165,7 +168,7 @@
 
     pub fn take_news(&mut self, r: usize, news: News) -> Result<(), String> {
         let me = &mut self.routers[r];
-        let had = (me.ledger.idx, me.ledger.revision);
+        let had = (me.ledger.index, me.ledger.revision);
         if let (Some(Broken::NewsGoesBack), News::Snapshot(f)) = (self.broken, &news) {
             me.ledger = (**f).clone();
         } else {
@@ -174,7 +177,7 @@
                 me.ledger = own;
             }
         }
-        let now: (Index, Revision) = (me.ledger.idx, me.ledger.revision);
+        let now: (Index, Revision) = (me.ledger.index, me.ledger.revision);
         if now.0 < had.0 || now.1 < had.1 {
             return Err(format!("{} went back from {had:?} to {now:?}", me.info.node));
         }
--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -202,14 +202,14 @@
                 Ok(())
             }
             Effect::Accepted { entry, .. } => {
-                if self.watched.is_some() && entry.idx > self.highest {
+                if self.watched.is_some() && entry.index > self.highest {
                     self.measured.needed += entry.weight();
                 }
-                self.highest = self.highest.max(entry.idx);
+                self.highest = self.highest.max(entry.index);
                 if let Change::Apply { .. } = entry.change {
-                    self.accepted.insert(entry.idx);
+                    self.accepted.insert(entry.index);
                 }
-                if self.waiting.is_some_and(|w| w <= entry.idx) {
+                if self.waiting.is_some_and(|w| w <= entry.index) {
                     self.waiting = None;
                 }
                 Ok(())
--- a/crates/simulator/src/sim/catch_up/member.rs
+++ b/crates/simulator/src/sim/catch_up/member.rs
@@ -23,9 +23,9 @@
 pub fn holder(n: usize, incarnation: u64) -> VoterInfo {
     VoterInfo {
         number: n as u8,
-        inc: Incarnation(incarnation),
+        incarnation: Incarnation(incarnation),
         node: format!("s{n}").as_str().into(),
-        area: format!("a{n}").as_str().into(),
+        zone: format!("a{n}").as_str().into(),
         rail: address(n),
         http: address(n),
     }
@@ -119,7 +119,7 @@
 
     /// Up to where its disk holds the log.
     pub fn durable(&self) -> Index {
-        self.kept.entries.last().map_or(self.kept.ledger.idx, |e| e.idx)
+        self.kept.entries.last().map_or(self.kept.ledger.index, |e| e.index)
     }
 
     /// Bytes of the log that it keeps in memory.
--- a/crates/simulator/src/sim/check.rs
+++ b/crates/simulator/src/sim/check.rs
@@ -25,19 +25,19 @@
 impl Book {
     /// All voters accept the same change, with the same verdict, at the same place.
     pub fn accepted(&mut self, e: &LogEntry, v: &Verdict) -> Result<bool, String> {
-        if let Some((ch, was)) = self.order.get(&e.idx) {
+        if let Some((ch, was)) = self.order.get(&e.index) {
             if ch != &e.change {
-                return Err(format!("two changes were accepted at {}: {ch:?} and {:?}", e.idx, e.change));
+                return Err(format!("two changes were accepted at {}: {ch:?} and {:?}", e.index, e.change));
             }
             return if was == v {
                 Ok(false)
             } else {
-                Err(format!("two verdicts at {}: {was:?} and {v:?}", e.idx))
+                Err(format!("two verdicts at {}: {was:?} and {v:?}", e.index))
             };
         }
         let due = self.order.keys().next_back().map(|i| i.next()).unwrap_or(Index(1));
-        if e.idx != due {
-            return Err(format!("{} was accepted before {due}", e.idx));
+        if e.index != due {
+            return Err(format!("{} was accepted before {due}", e.index));
         }
         if let (Change::Apply { op, text, .. }, Verdict::Accepted { revision }) = (&e.change, v) {
             let again = self.order.values().any(|(c, _)| c.op() == Some(op));
@@ -48,7 +48,7 @@
                 self.newest = (*revision, Some(text.clone()));
             }
         }
-        self.order.insert(e.idx, (e.change.clone(), v.clone()));
+        self.order.insert(e.index, (e.change.clone(), v.clone()));
         if let Some(op) = e.change.op().filter(|op| self.told_refused.contains_key(*op)) {
             return Err(format!("{op} was told as refused and was accepted into the order"));
         }
@@ -56,11 +56,11 @@
     }
 
     /// An operator was told that a change is in force.
-    pub fn told(&mut self, op: &OpId, idx: Index, ch: &Change) -> Result<(), String> {
-        self.told_accepted.insert(op.clone(), idx);
-        match self.order.get(&idx) {
+    pub fn told(&mut self, op: &OpId, index: Index, ch: &Change) -> Result<(), String> {
+        self.told_accepted.insert(op.clone(), index);
+        match self.order.get(&index) {
             Some((c, Verdict::Accepted { .. })) if c == ch => Ok(()),
-            other => Err(format!("{op} was told as accepted at {idx}, where the order has {other:?}")),
+            other => Err(format!("{op} was told as accepted at {index}, where the order has {other:?}")),
         }
     }
 
@@ -83,7 +83,7 @@
 /// What a voter says that it holds or has promised is on its disk at that moment (design 2.4).
 pub fn backed(msg: &Message, kept: Option<&DurableState>) -> Result<(), String> {
     let Some(kept) = kept.filter(|k| k.formed) else { return Ok(()) };
-    let last = kept.entries.last().map_or(kept.ledger.idx, |e| e.idx);
+    let last = kept.entries.last().map_or(kept.ledger.index, |e| e.index);
     let holds = |log_term, upto| kept.log_term == log_term && last >= upto;
     let so = match msg {
         Message::AppendReply { term, installed, last, .. } => {
--- a/crates/simulator/src/sim/data.rs
+++ b/crates/simulator/src/sim/data.rs
@@ -81,15 +81,15 @@
     Region::new(if n < ROUTERS / 2 { "busy" } else { "quiet" })
 }
 
-fn info(n: usize, inc: u64) -> NodeInfo {
+fn info(n: usize, incarnation: u64) -> NodeInfo {
     let addr = ([127, 0, 0, 1], 7000 + n as u16).into();
-    let (node, area) = (format!("p{n}").as_str().into(), region(n).as_str().into());
+    let (node, zone) = (format!("p{n}").as_str().into(), region(n).as_str().into());
     NodeInfo {
         node,
-        inc: common::Incarnation(inc),
+        incarnation: common::Incarnation(incarnation),
         role: Role::Router,
         lang: 1,
-        area,
+        zone,
         rail: addr,
         http: addr,
     }
@@ -103,7 +103,7 @@
     pub fn new(seed: u64, broken: Option<BrokenData>) -> Self {
         let mut truth = Ledger::founded("sim", vec![]);
         for n in 0..ROUTERS {
-            truth.fold(truth.idx.next(), &Change::Join(info(n, 1)));
+            truth.fold(truth.index.next(), &Change::Join(info(n, 1)));
         }
         let node = |n: usize| Node {
             info: info(n, 1),
@@ -210,10 +210,13 @@
         }
         let n = self.rng.random_range(0..ROUTERS);
         let old = self.nodes[n].info.clone();
-        let new = info(n, old.inc.0 + 1);
+        let new = info(n, old.incarnation.0 + 1);
         self.trace.push(format!("{} restart p{n}", self.t));
-        self.truth.fold(self.truth.idx.next(), &Change::Expire { node: old.node, inc: old.inc, left: true });
-        self.truth.fold(self.truth.idx.next(), &Change::Join(new.clone()));
+        self.truth.fold(
+            self.truth.index.next(),
+            &Change::Expire { node: old.node, incarnation: old.incarnation, left: true },
+        );
+        self.truth.fold(self.truth.index.next(), &Change::Join(new.clone()));
         let ledger = self.truth.clone();
         let (tab, lender, purse, owns) = Default::default();
         self.nodes[n] = Node { info: new, ledger: ledger.clone(), tab, lender, purse, owns };
@@ -225,7 +228,7 @@
     }
 
     fn news(&mut self, n: usize, l: Ledger) {
-        if l.idx > self.nodes[n].ledger.idx {
+        if l.index > self.nodes[n].ledger.index {
             self.nodes[n].ledger = l;
             self.gather(n);
         }
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -33,9 +33,9 @@
 
     pub fn start(&mut self, n: usize) {
         if self.voters[n].voter.is_none() && self.voters[n].there {
-            let inc = self.number();
+            let incarnation = self.number();
             let t = self.t;
-            self.voters[n].start(t, inc);
+            self.voters[n].start(t, incarnation);
             self.note(format!("s{n} starts"));
         }
     }
@@ -49,7 +49,10 @@
         let synced = |s: &SimVoter| s.disk.kept.as_ref().is_some_and(|k| k.formed);
         newest.iter().all(|h| {
             self.voters.iter().filter(|s| synced(s)).filter_map(|s| s.voter.as_ref()).any(|x| {
-                x.formed && x.me.inc == h.inc && !x.dead && x.voters().iter().all(|r| newest.contains(r))
+                x.formed
+                    && x.me.incarnation == h.incarnation
+                    && !x.dead
+                    && x.voters().iter().all(|r| newest.contains(r))
             })
         })
     }
@@ -188,9 +191,9 @@
             Undo::Cut(pairs) => self.cut.retain(|p| !pairs.contains(p)),
             Undo::Mood(n) => self.voters[n].disk.mood = Mood::Well,
             Undo::Router(r) => {
-                let inc = self.number();
+                let incarnation = self.number();
                 let clock = self.routers[r].clock;
-                self.routers[r] = super::nodes::SimRouter::new(r, inc, clock);
+                self.routers[r] = super::nodes::SimRouter::new(r, incarnation, clock);
             }
             Undo::Calm => {
                 self.note("calm".into());
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -77,9 +77,9 @@
     pub fn new(n: usize, core: usize, clock: SimClock) -> Self {
         let me = VoterInfo {
             number: u8::MAX,
-            inc: Incarnation(0),
+            incarnation: Incarnation(0),
             node: format!("s{n}").as_str().into(),
-            area: format!("a{}", n % 3).as_str().into(),
+            zone: format!("a{}", n % 3).as_str().into(),
             rail: addr(n),
             http: addr(n),
         };
@@ -100,7 +100,7 @@
 
     /// The holder that a blank disk begins.
     pub fn blank(&self, fresh_inc: u64) -> VoterInfo {
-        VoterInfo { inc: Incarnation(fresh_inc), number: u8::MAX, ..self.me.clone() }
+        VoterInfo { incarnation: Incarnation(fresh_inc), number: u8::MAX, ..self.me.clone() }
     }
 
     /// Starts from what the disk kept; a blank disk gets a new incarnation first.
@@ -111,7 +111,7 @@
         };
         self.disk.kept = Some(img.clone());
         let seeds = (0..3).map(addr).collect();
-        let me = VoterInfo { number: img.me.number, inc: img.me.inc, ..self.me.clone() };
+        let me = VoterInfo { number: img.me.number, incarnation: img.me.incarnation, ..self.me.clone() };
         let mut voter = Voter::new(me, "sim", seeds, timing(), Some(img), self.clock.at(t));
         voter.expects = self.core;
         // With more voters than seeds, only who starts with all others founds (design 2.5).
@@ -127,11 +127,12 @@
     /// For traces: what this voter holds and believes.
     pub fn shown(&self) -> String {
         let Some(s) = &self.voter else { return format!("{} is down", self.me.node) };
-        let voters: Vec<String> = s.voters().iter().map(|h| format!("{}/{}", h.node, h.inc)).collect();
+        let voters: Vec<String> =
+            s.voters().iter().map(|h| format!("{}/{}", h.node, h.incarnation)).collect();
         format!(
             "{}/{} seat {} formed {} dead {} out {} promised {} log view {} accepted {} last {} roster {voters:?} pending {} {:?}",
             self.me.node,
-            s.me.inc,
+            s.me.incarnation,
             s.me.number,
             s.formed,
             s.dead,
@@ -147,13 +148,13 @@
 }
 
 impl SimRouter {
-    pub fn new(n: usize, inc: u64, clock: SimClock) -> Self {
+    pub fn new(n: usize, incarnation: u64, clock: SimClock) -> Self {
         let info = NodeInfo {
             node: format!("p{n}").as_str().into(),
-            inc: Incarnation(inc),
+            incarnation: Incarnation(incarnation),
             role: Role::Router,
             lang: 1,
-            area: format!("a{}", n % 3).as_str().into(),
+            zone: format!("a{}", n % 3).as_str().into(),
             rail: addr(100 + n),
             http: addr(100 + n),
         };
--- a/crates/simulator/src/sim/operate.rs
+++ b/crates/simulator/src/sim/operate.rs
@@ -5,7 +5,7 @@
     nodes::ROOM,
     world::{Proposal, QUIET_AT, What, World},
 };
-use common::{Area, OpId};
+use common::{OpId, Zone};
 use control_plane::{
     Change,
     consensus::{Effect, Event},
@@ -24,13 +24,13 @@
         for _ in 0..=usize::from(twice) {
             let n = self.rng.random_range(0..self.voters.len());
             let Some(voter) = self.voters[n].voter.as_ref().filter(|s| s.formed) else { continue };
-            let (base, seen) = (voter.ledger.revision, voter.ledger.idx);
+            let (base, seen) = (voter.ledger.revision, voter.ledger.index);
             let op = OpId::new(format!("op{}", self.number()));
             let change = if self.rng.random_bool(0.7) {
                 Change::Apply { op: op.clone(), base, text: self.document(&op).into() }
             } else {
-                let area = Area::new(format!("a{}", self.rng.random_range(0..3)));
-                Change::Evacuate { op: op.clone(), area, on: self.rng.random_bool(0.5), seen }
+                let zone = Zone::new(format!("a{}", self.rng.random_range(0..3)));
+                Change::Evacuate { op: op.clone(), zone, on: self.rng.random_bool(0.5), seen }
             };
             self.propose(n, op, change)?;
         }
@@ -58,13 +58,13 @@
         let effects = voter.step(Event::Propose(change.clone()), now);
         for f in &effects {
             match f {
-                Effect::Logged { idx, .. } => {
+                Effect::Logged { index, .. } => {
                     let life = self.voters[at].life;
                     let p = Proposal { op: op.clone(), change: change.clone(), voter: at, life };
                     if self.broken == Some(Broken::EarlyAccept) {
-                        self.book.told_accepted.insert(op.clone(), *idx);
+                        self.book.told_accepted.insert(op.clone(), *index);
                     }
-                    self.waiting.insert((at, *idx), p);
+                    self.waiting.insert((at, *index), p);
                 }
                 Effect::NotLogged { .. } => {
                     self.stats.told_refused += 1;
--- a/crates/simulator/src/sim/reads.rs
+++ b/crates/simulator/src/sim/reads.rs
@@ -117,10 +117,10 @@
         let Some(voter) = self.voters[at].voter.as_mut() else { return Ok(()) };
         let effects = voter.step(Event::Propose(change), now);
         for f in &effects {
-            if let (Effect::Logged { idx, change }, Some(readers)) = (f, &mut self.readers)
+            if let (Effect::Logged { index, change }, Some(readers)) = (f, &mut self.readers)
                 && let Some(op) = change.op().cloned()
             {
-                readers.waiting.insert((at, *idx), Logged { op, life, change: change.clone() });
+                readers.waiting.insert((at, *index), Logged { op, life, change: change.clone() });
             }
         }
         effects.into_iter().try_for_each(|f| self.effect(at, f))
@@ -137,7 +137,7 @@
             }
             readers.in_force.entry(op.clone()).or_insert(*revision);
         }
-        let Some(logged) = readers.waiting.remove(&(n, e.idx)) else { return Ok(()) };
+        let Some(logged) = readers.waiting.remove(&(n, e.index)) else { return Ok(()) };
         let lost = readers.rng.random_bool(0.2);
         if lost || logged.life != life || logged.change != e.change {
             return Ok(());
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -37,7 +37,7 @@
     Synced { voter: usize, life: u64 },
     RouterWakeup(usize),
     Renew { voter: usize, router: usize, info: NodeInfo, sent: Tick },
-    Renewed { router: usize, inc: u64, epoch: Epoch, sent: Tick },
+    Renewed { router: usize, incarnation: u64, epoch: Epoch, sent: Tick },
     AskNews { voter: usize, router: usize, have: Index },
     News { router: usize, news: Box<News> },
     Act { fence: Fence, node: common::NodeId },
@@ -112,8 +112,8 @@
         };
         w.voters.iter_mut().for_each(|s| s.boundless = broken == Some(Broken::Boundless));
         for n in 0..core {
-            let inc = w.number();
-            w.voters[n].start(0, inc);
+            let incarnation = w.number();
+            w.voters[n].start(0, incarnation);
         }
         (0..=core).for_each(|n| w.push(n as u64, What::Wakeup(n)));
         (0..ROUTERS).for_each(|n| w.push(10 + n as u64, What::RouterWakeup(n)));
@@ -190,9 +190,9 @@
                 read.0, self.book.newest.0
             ));
         }
-        for (op, idx) in &self.book.told_accepted {
-            if !matches!(self.book.order.get(idx), Some((c, _)) if c.op() == Some(op)) {
-                return Err(format!("{op}, told as accepted at {idx}, is gone"));
+        for (op, index) in &self.book.told_accepted {
+            if !matches!(self.book.order.get(index), Some((c, _)) if c.op() == Some(op)) {
+                return Err(format!("{op}, told as accepted at {index}, is gone"));
             }
         }
         let behind = self.routers.iter().find(|r| r.ledger.revision != l.revision);
@@ -215,7 +215,9 @@
             What::Synced { voter, life } => self.synced(voter, life),
             What::RouterWakeup(n) => self.router_wakeup(n),
             What::Renew { voter, router, info, sent } => self.renew(voter, router, info, sent),
-            What::Renewed { router, inc, epoch, sent } => self.renewed(router, inc, epoch, sent),
+            What::Renewed { router, incarnation, epoch, sent } => {
+                self.renewed(router, incarnation, epoch, sent)
+            }
             What::AskNews { voter, router, have } => self.tell_news(voter, router, have),
             What::News { router, news } => self.take_news(router, *news),
             What::Act { fence, node } => self.act(fence, node),
--- a/crates/simulator/src/spare.rs
+++ b/crates/simulator/src/spare.rs
@@ -24,13 +24,13 @@
 }
 
 impl Fleet {
-    /// An empty machine in the same area, at a new address, for a voter that is gone.
+    /// An empty machine in the same zone, at a new address, for a voter that is gone.
     pub fn spare_for(&mut self, name: &str) -> Result<()> {
         let old = self.node(name)?;
         let n = Node {
             name: format!("{name}-new"),
             dir: old.dir.with_file_name(format!("{name}-new")),
-            area: old.area,
+            zone: old.zone,
             core: true,
             spare: true,
             ip: spare_ip(old.ip),
@@ -50,7 +50,7 @@
     pub async fn another(&mut self, id: &str) -> Result<Arc<StandIn>> {
         let (n, shape) = (self.backs.len() as u8, self.back(id)?.shape.clone());
         let addr = SocketAddr::new(ip(self.net, 100, n + 1), 9000);
-        let new = StandIn::new(format!("{}-{}-{n}", shape.service, shape.area), addr, shape);
+        let new = StandIn::new(format!("{}-{}-{n}", shape.service, shape.zone), addr, shape);
         new.start().await?;
         self.backs.push(new.clone());
         Ok(new)
--- a/crates/simulator/src/standin.rs
+++ b/crates/simulator/src/standin.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub service: String,
-    pub area: String,
+    pub zone: String,
     pub region: String,
     pub slots: usize,
     pub prefixes: usize,
--- a/crates/simulator/src/timeline.rs
+++ b/crates/simulator/src/timeline.rs
@@ -6,15 +6,15 @@
 
 /// The fleet as the audit must know it.
 pub struct Scene {
-    /// Name, area, and address of each router.
+    /// Name, zone, and address of each router.
     pub routers: Vec<(String, &'static str, SocketAddr)>,
-    pub areas: Vec<(&'static str, &'static str)>,
+    pub zones: Vec<(&'static str, &'static str)>,
     pub model: &'static str,
 }
 
 impl Scene {
-    pub fn region_of(&self, area: &str) -> &'static str {
-        self.areas.iter().find(|a| a.0 == area).map_or("", |a| a.1)
+    pub fn region_of(&self, zone: &str) -> &'static str {
+        self.zones.iter().find(|a| a.0 == zone).map_or("", |a| a.1)
     }
 }
 
@@ -38,7 +38,7 @@
                 scene.routers.iter().filter(inside).map(|r| r.0.clone()).collect()
             };
             let reps = || -> Vec<String> {
-                backs.iter().filter(|b| b.id == whom || b.shape.area == whom).map(|b| b.id.clone()).collect()
+                backs.iter().filter(|b| b.id == whom || b.shape.zone == whom).map(|b| b.id.clone()).collect()
             };
             let all = || -> Vec<String> { backs.iter().map(|b| b.id.clone()).collect() };
             match a.fault.what {
@@ -95,14 +95,14 @@
         homes: &[&str],
         at: Instant,
     ) -> bool {
-        let open = |area: &str| self.up(&area_of(area), at);
+        let open = |zone: &str| self.up(&area_of(zone), at);
         homes.iter().any(|h| {
             let router =
                 scene.routers.iter().any(|r| scene.region_of(r.1) == *h && open(r.1) && self.up(&r.0, at));
             let replica = backs.iter().any(|b| {
                 b.shape.service == service
                     && b.shape.region == *h
-                    && open(&b.shape.area)
+                    && open(&b.shape.zone)
                     && self.up(&b.id, at)
             });
             router && replica
--- a/crates/simulator/tests/modules/deployment.rs
+++ b/crates/simulator/tests/modules/deployment.rs
@@ -14,7 +14,7 @@
         let listed: Vec<_> = d
             .replicas
             .iter()
-            .flat_map(|(s, _)| d.areas.iter().map(|(a, _)| ((*s).into(), (*a).into())))
+            .flat_map(|(s, _)| d.zones.iter().map(|(a, _)| ((*s).into(), (*a).into())))
             .collect();
         assert_eq!(configuration::check_fleet(&d.document, &tab, &listed), vec![]);
         for k in &d.kinds {
