--- a/crates/common/src/clock.rs
+++ b/crates/common/src/clock.rs
@@ -60,7 +60,7 @@
 impl Clock {
     pub fn now(&self) -> Tick {
         let ms = match &self.0 {
-            Source::Boot => crate::ground::virtual_ms().unwrap_or_else(boot_ms),
+            Source::Boot => crate::runtime::virtual_ms().unwrap_or_else(boot_ms),
             Source::Hand(ms) => ms.load(Ordering::Acquire),
         };
         Tick(HEAD_START_MS + ms)
--- a/crates/common/src/connection/mod.rs
+++ b/crates/common/src/connection/mod.rs
@@ -6,8 +6,8 @@
 mod timing;
 
 use crate::{
-    ground::{Listener, Stream, spawn},
-    http::{Body, BoxErr, Busy, BusyGuard, text},
+    http::{Body, BoxErr, OpenCount, OpenGuard, text},
+    runtime::{Listener, Stream, spawn},
 };
 use futures::FutureExt;
 use hyper::{
@@ -56,7 +56,7 @@
 /// Serves under the default limits until `stop` turns true.
 pub async fn serve<F, Fut>(
     listener: impl Into<Listener>,
-    connections: Arc<Busy>,
+    connections: Arc<OpenCount>,
     stop: watch::Receiver<bool>,
     handler: F,
 ) where
@@ -70,7 +70,7 @@
 /// each open connection may bring what is on its way, before it is closed in good order.
 pub async fn serve_within<F, Fut>(
     listener: impl Into<Listener>,
-    connections: Arc<Busy>,
+    connections: Arc<OpenCount>,
     stop: watch::Receiver<bool>,
     limits: LimitsInForce,
     handler: F,
@@ -97,7 +97,7 @@
 
 async fn accept_all<F, Fut>(
     listener: Listener,
-    connections: Arc<Busy>,
+    connections: Arc<OpenCount>,
     mut stop: watch::Receiver<bool>,
     limits: LimitsInForce,
     handler: F,
@@ -127,7 +127,7 @@
 async fn serve_one<F, Fut>(
     io: Stream,
     peer: SocketAddr,
-    _guard: BusyGuard,
+    _guard: OpenGuard,
     mut stop: watch::Receiver<bool>,
     limits: LimitsInForce,
     handler: F,
--- a/crates/common/src/connection/timing.rs
+++ b/crates/common/src/connection/timing.rs
@@ -2,8 +2,8 @@
 
 use super::ConnectionLimits;
 use crate::{
-    ground::Stream,
     http::{Body, BoxErr},
+    runtime::Stream,
 };
 use bytes::Bytes;
 use hyper::body::{Frame, SizeHint};
@@ -27,7 +27,7 @@
     /// Some bytes of a head are here.
     Head,
     /// A request is being read, carried out or answered.
-    Busy,
+    OpenCount,
 }
 
 struct Standing {
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn request_begins(&self) {
-        self.standing().phase = Phase::Busy;
+        self.standing().phase = Phase::OpenCount;
     }
 
     pub(super) fn answer_begins(&self, idle_ms: u64) {
@@ -84,7 +84,7 @@
         let most_ms = match standing.phase {
             Phase::Idle => limits.idle_ms.max(standing.told_idle_ms),
             Phase::Head => limits.head_ms,
-            Phase::Busy => return None,
+            Phase::OpenCount => return None,
         };
         Some(standing.since + Duration::from_millis(most_ms))
     }
--- a/crates/common/src/http.rs
+++ b/crates/common/src/http.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     fault::{At, Fault, within},
-    ground::{Stream, dial, spawn},
+    runtime::{Stream, dial, spawn},
 };
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited, combinators::BoxBody};
@@ -49,21 +49,21 @@
 
 /// Counts open jobs, so that a drain knows when it is done.
 #[derive(Debug, Default)]
-pub struct Busy(AtomicUsize);
+pub struct OpenCount(AtomicUsize);
 
-pub struct BusyGuard(Arc<Busy>);
+pub struct OpenGuard(Arc<OpenCount>);
 
-impl Busy {
-    pub fn enter(self: &Arc<Self>) -> BusyGuard {
+impl OpenCount {
+    pub fn enter(self: &Arc<Self>) -> OpenGuard {
         self.0.fetch_add(1, Ordering::AcqRel);
-        BusyGuard(self.clone())
+        OpenGuard(self.clone())
     }
     pub fn open(&self) -> usize {
         self.0.load(Ordering::Acquire)
     }
 }
 
-impl Drop for BusyGuard {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.0.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/common/src/ids.rs
+++ b/crates/common/src/ids.rs
@@ -96,7 +96,7 @@
 }
 
 /// Checks a name as it may stand in settings and documents.
-pub fn good_name(s: &str) -> bool {
+pub fn is_valid_name(s: &str) -> bool {
     !s.is_empty()
         && s.len() <= 64
         && s.chars().all(|c| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.'))
--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -3,14 +3,14 @@
 pub mod clock;
 pub mod connection;
 pub mod fault;
-pub mod ground;
 pub mod http;
 pub mod ids;
 pub mod journal;
 pub mod link;
 pub mod logging;
-pub mod meter;
-pub mod rank;
+pub mod metrics;
+pub mod rendezvous;
+pub mod runtime;
 pub mod settings;
 pub mod wire;
 
--- a/crates/common/src/link.rs
+++ b/crates/common/src/link.rs
@@ -1,10 +1,10 @@
-//! Links between own processes: a hello, then tarpc over the musli codec (design 1.8).
+//! Links between own processes: a handshake, then tarpc over the musli codec (design 1.8).
 
 use crate::{
     fault::{At, Fault, within},
-    ground::{self, Listener, Stream, spawn},
     log_event,
-    wire::{Codec, PROTO, enc},
+    runtime::{self, Listener, Stream, spawn},
+    wire::{Codec, PROTOCOL_VERSION, encode},
 };
 use futures::{SinkExt, StreamExt};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
@@ -25,22 +25,23 @@
 
 /// First message on each connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Hello {
+pub struct Handshake {
     pub proto: u32,
     pub cluster: String,
     pub service: String,
     pub node: String,
 }
 
-/// Its answer: nothing, or the named reason for the bounce.
+/// Its answer: nothing, or the named reason for the reject.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Welcome {
-    pub bounced: Option<String>,
+pub struct HandshakeReply {
+    #[serde(rename = "bounced")]
+    pub rejected: Option<String>,
 }
 
 /// Who this process is on a link, and how long it waits there.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct LocalNode {
     pub cluster: String,
     pub node: String,
     pub ip: IpAddr,
@@ -53,7 +54,7 @@
 
 /// Bytes of a value on the wire, frame apart.
 fn length<T: Serialize>(v: &T) -> usize {
-    enc(v).map_or(0, |b| b.len())
+    encode(v).map_or(0, |b| b.len())
 }
 
 /// What a call outlives its own time-out by, at most, at the node that is asked.
@@ -66,18 +67,18 @@
 type Cached<Q, R> = Arc<Mutex<BTreeMap<SocketAddr, Channel<Q, R>>>>;
 
 /// Cached tarpc channels to the processes of one service.
-pub struct Lines<Q, R> {
-    me: Me,
+pub struct RpcClient<Q, R> {
+    me: LocalNode,
     service: &'static str,
     open: Cached<Q, R>,
 }
 
-impl<Q, R> Lines<Q, R>
+impl<Q, R> RpcClient<Q, R>
 where
     Q: RequestName + Serialize + Send + 'static,
     R: Serialize + DeserializeOwned + Send + 'static,
 {
-    pub fn new(me: Me, service: &'static str) -> Self {
+    pub fn new(me: LocalNode, service: &'static str) -> Self {
         Self { me, service, open: Cached::default() }
     }
 
@@ -87,7 +88,7 @@
     }
 
     pub async fn call_within(&self, ms: u64, step: &'static str, to: SocketAddr, q: Q) -> Result<R, Fault> {
-        let counted = ground::world().filter(|w| w.tally.on());
+        let counted = runtime::world().filter(|w| w.traffic.on());
         let asked = counted.as_ref().map_or(0, |_| length(&q));
         let was_open = self.lock().contains_key(&to);
         let mut ended = false;
@@ -99,7 +100,7 @@
         .await;
         if let Some(w) = counted {
             let ends = (self.me.ip, to.ip());
-            w.tally.call(ends, (self.service, step), asked, res.as_ref().ok().map(length));
+            w.traffic.call(ends, (self.service, step), asked, res.as_ref().ok().map(length));
         }
         // A connection that was opened for this call, and took its time, may serve the next one.
         if res.is_err() && (was_open || ended) {
@@ -140,19 +141,23 @@
     }
 }
 
-/// Opens a connection: a hello, its answer, then a channel for calls.
-async fn open<Q, R>(me: &Me, service: &'static str, to: SocketAddr) -> Result<Channel<Q, R>, Fault>
+/// Opens a connection: a handshake, its answer, then a channel for calls.
+async fn open<Q, R>(me: &LocalNode, service: &'static str, to: SocketAddr) -> Result<Channel<Q, R>, Fault>
 where
     Q: RequestName + Serialize + Send + 'static,
     R: Serialize + DeserializeOwned + Send + 'static,
 {
     let io = crate::http::connect(me.ip, to).await?;
-    let mut f = Framed::new(io, Codec::<Welcome, Hello>::hello());
-    let hello =
-        Hello { proto: PROTO, cluster: me.cluster.clone(), service: service.into(), node: me.node.clone() };
-    f.send(hello).await.at("hello", to)?;
+    let mut f = Framed::new(io, Codec::<HandshakeReply, Handshake>::handshake());
+    let handshake = Handshake {
+        proto: PROTOCOL_VERSION,
+        cluster: me.cluster.clone(),
+        service: service.into(),
+        node: me.node.clone(),
+    };
+    f.send(handshake).await.at("hello", to)?;
     let welcome = f.next().await.ok_or("closed during the hello").at("hello", to)?.at("hello", to)?;
-    if let Some(why) = welcome.bounced {
+    if let Some(why) = welcome.rejected {
         return Err(Fault::new("hello", to, why));
     }
     let new = client::new(client::Config::default(), recode(f, Codec::default()));
@@ -161,16 +166,20 @@
 }
 
 /// Answers calls of one service until the listener's task is dropped.
-pub async fn listen<Q, R, F, Fut>(lst: impl Into<Listener>, me: Me, service: &'static str, handler: F)
-where
+pub async fn listen<Q, R, F, Fut>(
+    listener: impl Into<Listener>,
+    me: LocalNode,
+    service: &'static str,
+    handler: F,
+) where
     Q: RequestName + Serialize + DeserializeOwned + Send + 'static,
     R: Serialize + Send + 'static,
     F: Fn(String, Q) -> Fut + Clone + Send + 'static,
     Fut: Future<Output = R> + Send + 'static,
 {
-    let lst = lst.into();
+    let listener = listener.into();
     loop {
-        let Ok((io, peer)) = lst.accept().await else {
+        let Ok((io, peer)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
@@ -186,7 +195,7 @@
 async fn answer<Q, R, F, Fut>(
     io: Stream,
     peer: SocketAddr,
-    me: Me,
+    me: LocalNode,
     service: &'static str,
     h: F,
 ) -> Result<(), Fault>
@@ -196,26 +205,29 @@
     F: Fn(String, Q) -> Fut + Clone + Send + 'static,
     Fut: Future<Output = R> + Send + 'static,
 {
-    let mut f = Framed::new(io, Codec::<Hello, Welcome>::hello());
-    let hello = within(me.wait_ms * 4, "hello", peer, async {
+    let mut f = Framed::new(io, Codec::<Handshake, HandshakeReply>::handshake());
+    let handshake = within(me.wait_ms * 4, "hello", peer, async {
         f.next().await.unwrap_or_else(|| Err(std::io::ErrorKind::UnexpectedEof.into())).at("hello", peer)
     })
     .await?;
-    let bounced = [
-        (hello.proto != PROTO, format!("protocol {} is not {PROTO}", hello.proto)),
-        (hello.cluster != me.cluster, format!("cluster {:?} is foreign", hello.cluster)),
-        (hello.service != service, format!("service {:?} is not here", hello.service)),
+    let rejected = [
+        (
+            handshake.proto != PROTOCOL_VERSION,
+            format!("protocol {} is not {PROTOCOL_VERSION}", handshake.proto),
+        ),
+        (handshake.cluster != me.cluster, format!("cluster {:?} is foreign", handshake.cluster)),
+        (handshake.service != service, format!("service {:?} is not here", handshake.service)),
     ]
     .into_iter()
     .find_map(|(no, why)| no.then_some(why));
-    f.send(Welcome { bounced: bounced.clone() }).await.at("hello", peer)?;
-    if let Some(why) = bounced {
+    f.send(HandshakeReply { rejected: rejected.clone() }).await.at("hello", peer)?;
+    if let Some(why) = rejected {
         return Err(Fault::new("hello", peer, why));
     }
     let mut jobs = Box::pin(BaseChannel::with_defaults(recode(f, Codec::default())).requests());
     while let Some(job) = jobs.next().await {
         let job = job.at("read message", peer)?;
-        let (h, node) = (h.clone(), hello.node.clone());
+        let (h, node) = (h.clone(), handshake.node.clone());
         spawn(job.execute(serve(move |_, q| {
             let fut = h(node, q);
             async move { Ok(fut.await) }
--- a/crates/common/src/meter.rs
+++ b/crates/common/src/metrics.rs
@@ -4,17 +4,17 @@
 
 /// All numbers of one process.
 #[derive(Clone, Debug)]
-pub struct Meter {
+pub struct Metrics {
     reg: Registry,
 }
 
-impl Default for Meter {
+impl Default for Metrics {
     fn default() -> Self {
         Self { reg: Registry::new() }
     }
 }
 
-impl Meter {
+impl Metrics {
     pub fn counter(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         let c = IntCounterVec::new(Opts::new(format!("foldshunt_{name}"), help), labels)
             .expect("a metric's name and labels are fixed in the code");
--- a/crates/common/src/ground/host.rs
+++ b/crates/common/src/runtime/host.rs
@@ -1,6 +1,6 @@
 //! A host of the world: its tasks stand still while it is frozen and end when it is killed.
 
-use super::{pipe::MemStream, world::lock};
+use super::{pipe::SimulatedStream, world::lock};
 use std::{
     cell::RefCell,
     net::IpAddr,
@@ -22,12 +22,12 @@
 #[derive(Default)]
 struct Inner {
     frozen: bool,
-    dark: bool,
+    powered_off: bool,
     parked: Vec<Waker>,
     tasks: Vec<AbortHandle>,
     swept: usize,
     /// Ends of connections that were open when the power went: the others do not know yet.
-    orphans: Vec<MemStream>,
+    orphans: Vec<SimulatedStream>,
 }
 
 pub struct Host {
@@ -45,8 +45,8 @@
         u64::from(u32::from(ip) % 9_973) * 1_000
     }
 
-    pub(super) fn is_dark(&self) -> bool {
-        lock(&self.inner).dark
+    pub(super) fn is_powered_off(&self) -> bool {
+        lock(&self.inner).powered_off
     }
 
     /// Runs a task on this host.
@@ -86,21 +86,21 @@
     }
 
     /// The power goes: nothing is closed, and nothing answers until it is back.
-    pub fn darken(&self) {
-        lock(&self.inner).dark = true;
+    pub fn power_off(&self) {
+        lock(&self.inner).powered_off = true;
         self.kill();
     }
 
-    pub(super) fn set_light(&self) {
+    pub(super) fn restore_power(&self) {
         let orphans = {
             let mut g = lock(&self.inner);
-            g.dark = false;
+            g.powered_off = false;
             std::mem::take(&mut g.orphans)
         };
         drop(orphans);
     }
 
-    pub(super) fn orphan(&self, s: MemStream) {
+    pub(super) fn orphan(&self, s: SimulatedStream) {
         lock(&self.inner).orphans.push(s);
     }
 }
--- a/crates/common/src/ground/mod.rs
+++ b/crates/common/src/runtime/mod.rs
@@ -5,13 +5,13 @@
 mod host;
 mod net;
 mod pipe;
-mod tally;
+mod traffic;
 mod world;
 
 pub use host::{Host, spawn, spawn_at};
 pub use net::{Listener, Stream, bind, dial};
-pub use tally::{Calls, Kind, Tally, Traffic};
-pub use world::{Weather, World};
+pub use traffic::{Calls, Kind, Traffic, TrafficCounter};
+pub use world::{LatencyModel, World};
 
 use rand::{Rng, distr::StandardUniform, distr::uniform::SampleRange, prelude::Distribution};
 use std::{cell::RefCell, sync::Arc};
@@ -46,7 +46,7 @@
     }
 }
 
-pub fn draw_in(r: impl SampleRange<usize>) -> usize {
+pub fn random_in(r: impl SampleRange<usize>) -> usize {
     match world() {
         Some(w) => w.chance().random_range(r),
         None => rand::random_range(r),
--- a/crates/common/src/ground/net.rs
+++ b/crates/common/src/runtime/net.rs
@@ -1,7 +1,7 @@
 //! The one seam to the network: the machine's TCP, or the world's.
 
 use super::{
-    pipe::{MemStream, pair},
+    pipe::{SimulatedStream, pair},
     world::{World, lock},
 };
 use std::{
@@ -23,21 +23,21 @@
 
 pub enum Stream {
     Tcp(TcpStream),
-    Mem(MemStream),
+    Mem(SimulatedStream),
 }
 
 pub enum Listener {
     Tcp(TcpListener),
-    Mem(MemListener),
+    Mem(SimulatedListener),
 }
 
-pub struct MemListener {
+pub struct SimulatedListener {
     world: Arc<World>,
     at: SocketAddr,
-    backlog: Mutex<mpsc::UnboundedReceiver<(MemStream, SocketAddr)>>,
+    backlog: Mutex<mpsc::UnboundedReceiver<(SimulatedStream, SocketAddr)>>,
 }
 
-impl Drop for MemListener {
+impl Drop for SimulatedListener {
     fn drop(&mut self) {
         lock(&self.world.listeners).remove(&self.at);
     }
@@ -77,13 +77,13 @@
     }
     all.insert(at, tx);
     drop(all);
-    Ok(Listener::Mem(MemListener { world, at, backlog: Mutex::new(rx) }))
+    Ok(Listener::Mem(SimulatedListener { world, at, backlog: Mutex::new(rx) }))
 }
 
 /// Opens a connection bound to the node's own address.
 pub async fn dial(ip: IpAddr, to: SocketAddr) -> io::Result<Stream> {
     if let Some(w) = super::world() {
-        return mem_dial(w, ip, to).await.map(Stream::Mem);
+        return simulated_dial(w, ip, to).await.map(Stream::Mem);
     }
     let sock = if to.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     if !ip.is_unspecified() && ip.is_ipv4() == to.is_ipv4() {
@@ -112,7 +112,7 @@
     sleep(w.travel()).await;
 }
 
-async fn mem_dial(w: Arc<World>, ip: IpAddr, to: SocketAddr) -> io::Result<MemStream> {
+async fn simulated_dial(w: Arc<World>, ip: IpAddr, to: SocketAddr) -> io::Result<SimulatedStream> {
     through(&w, ip, to.ip()).await;
     let backlog = lock(&w.listeners).get(&to).cloned();
     let from = SocketAddr::new(ip, 40_000);
--- a/crates/common/src/ground/pipe.rs
+++ b/crates/common/src/runtime/pipe.rs
@@ -51,7 +51,7 @@
     }
 }
 
-pub struct MemStream {
+pub struct SimulatedStream {
     world: Arc<World>,
     host: Arc<Host>,
     rx: Arc<Mutex<Pipe>>,
@@ -60,9 +60,9 @@
 }
 
 /// The two ends of a new connection.
-pub(super) fn pair(w: &Arc<World>, near: SocketAddr, far: SocketAddr) -> (MemStream, MemStream) {
+pub(super) fn pair(w: &Arc<World>, near: SocketAddr, far: SocketAddr) -> (SimulatedStream, SimulatedStream) {
     let (out, back) = (Pipe::new(near.ip(), far.ip()), Pipe::new(far.ip(), near.ip()));
-    let end = |ip: IpAddr, rx: &Arc<Mutex<Pipe>>, tx: &Arc<Mutex<Pipe>>| MemStream {
+    let end = |ip: IpAddr, rx: &Arc<Mutex<Pipe>>, tx: &Arc<Mutex<Pipe>>| SimulatedStream {
         world: w.clone(),
         host: w.host(ip),
         rx: rx.clone(),
@@ -72,7 +72,7 @@
     (end(near.ip(), &back, &out), end(far.ip(), &out, &back))
 }
 
-impl AsyncRead for MemStream {
+impl AsyncRead for SimulatedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -114,7 +114,7 @@
     }
 }
 
-impl AsyncWrite for MemStream {
+impl AsyncWrite for SimulatedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let travel = self.world.travel();
         let mut p = lock(&self.tx);
@@ -128,7 +128,7 @@
         let at = p.last.max(Instant::now() + travel);
         p.last = at;
         p.bytes += buf.len();
-        self.world.tally.bytes(p.from, p.to, buf.len());
+        self.world.traffic.bytes(p.from, p.to, buf.len());
         p.chunks.push_back((at, Bytes::copy_from_slice(buf)));
         p.reader.take().into_iter().for_each(Waker::wake);
         Poll::Ready(Ok(buf.len()))
@@ -144,7 +144,7 @@
     }
 }
 
-impl MemStream {
+impl SimulatedStream {
     fn end(&self, reset: bool) {
         let mut p = lock(&self.tx);
         let at = p.last;
@@ -153,12 +153,12 @@
     }
 }
 
-impl Drop for MemStream {
+impl Drop for SimulatedStream {
     fn drop(&mut self) {
-        if self.host.is_dark() {
+        if self.host.is_powered_off() {
             let due = Box::pin(sleep_until(Instant::now()));
             let (world, host) = (self.world.clone(), self.host.clone());
-            let left = MemStream { world, host, rx: self.rx.clone(), tx: self.tx.clone(), due };
+            let left = SimulatedStream { world, host, rx: self.rx.clone(), tx: self.tx.clone(), due };
             return self.host.orphan(left);
         }
         let unread = {
--- a/crates/common/src/ground/tally.rs
+++ b/crates/common/src/runtime/traffic.rs
@@ -27,9 +27,9 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Tally(Mutex<Option<Traffic>>);
+pub struct TrafficCounter(Mutex<Option<Traffic>>);
 
-impl Tally {
+impl TrafficCounter {
     pub fn begin(&self) {
         *lock(&self.0) = Some(Traffic::default());
     }
--- a/crates/common/src/ground/world.rs
+++ b/crates/common/src/runtime/world.rs
@@ -1,6 +1,6 @@
 //! A world in memory: who listens where, which links are cut, and the dice (design 7.2).
 
-use super::{host::Host, pipe::MemStream, tally::Tally};
+use super::{host::Host, pipe::SimulatedStream, traffic::TrafficCounter};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,18 +11,18 @@
 };
 use tokio::{sync::mpsc, time::Instant};
 
-pub(super) type Backlog = mpsc::UnboundedSender<(MemStream, SocketAddr)>;
+pub(super) type Backlog = mpsc::UnboundedSender<(SimulatedStream, SocketAddr)>;
 
 /// How long bytes travel, in microseconds, and how often much longer.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct LatencyModel {
     pub least_us: u64,
     pub most_us: u64,
     pub spike: f64,
     pub spike_us: u64,
 }
 
-impl Default for Weather {
+impl Default for LatencyModel {
     fn default() -> Self {
         Self { least_us: 100, most_us: 2_000, spike: 0.01, spike_us: 60_000 }
     }
@@ -36,9 +36,9 @@
     cuts: Mutex<BTreeSet<(IpAddr, IpAddr)>>,
     /// Wait for a link to be mended, or a host to come back.
     parked: Mutex<Vec<Waker>>,
-    weather: Mutex<Weather>,
+    latency: Mutex<LatencyModel>,
     pub broken: Option<String>,
-    pub tally: Tally,
+    pub traffic: TrafficCounter,
 }
 
 pub(super) fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -61,9 +61,9 @@
                 hosts: Mutex::default(),
                 cuts: Mutex::default(),
                 parked: Mutex::default(),
-                weather: Mutex::default(),
+                latency: Mutex::default(),
                 broken,
-                tally: Tally::default(),
+                traffic: TrafficCounter::default(),
             });
             super::put(Some(w.clone()));
             f(w).await
@@ -82,12 +82,12 @@
         lock(&self.chance)
     }
 
-    pub fn set_weather(&self, w: Weather) {
-        *lock(&self.weather) = w;
+    pub fn set_latency(&self, w: LatencyModel) {
+        *lock(&self.latency) = w;
     }
 
     pub(super) fn travel(&self) -> Duration {
-        let w = *lock(&self.weather);
+        let w = *lock(&self.latency);
         let mut c = self.chance();
         let us = if c.random_bool(w.spike) {
             c.random_range(w.most_us..=w.spike_us)
@@ -105,8 +105,8 @@
     /// Bytes do not flow this way: the link is cut, or one of the two is dark.
     pub(super) fn blocked(&self, from: IpAddr, to: IpAddr) -> bool {
         let hosts = lock(&self.hosts);
-        let dark = |ip: &IpAddr| hosts.get(ip).is_some_and(|h| h.is_dark());
-        lock(&self.cuts).contains(&(from, to)) || dark(&from) || dark(&to)
+        let powered_off = |ip: &IpAddr| hosts.get(ip).is_some_and(|h| h.is_powered_off());
+        lock(&self.cuts).contains(&(from, to)) || powered_off(&from) || powered_off(&to)
     }
 
     pub fn cut(&self, pairs: impl IntoIterator<Item = (IpAddr, IpAddr)>) {
@@ -131,8 +131,8 @@
     }
 
     /// The power comes back: whoever still waits for an answer from before learns that it is gone.
-    pub fn light(&self, ip: IpAddr) {
-        self.host(ip).set_light();
+    pub fn power_on(&self, ip: IpAddr) {
+        self.host(ip).restore_power();
         self.wake();
     }
 }
--- a/crates/common/src/settings.rs
+++ b/crates/common/src/settings.rs
@@ -1,8 +1,8 @@
 //! Node settings: a file, then the environment, then flags, read by figment (design 1.10).
 
 use crate::{
-    ground::{Listener, bind},
-    ids::good_name,
+    ids::is_valid_name,
+    runtime::{Listener, bind},
 };
 use eyre::{Result, WrapErr, bail, ensure, eyre};
 use figment::{
@@ -24,12 +24,14 @@
     #[serde(rename = "area")]
     pub zone: String,
     /// Where own processes reach this one.
-    pub rail: SocketAddr,
+    #[serde(rename = "rail")]
+    pub rpc_addr: SocketAddr,
     /// Where callers (router) or operators (control node) reach this one.
     pub http: SocketAddr,
     /// What others are told instead, where a relay stands in between.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub rail_advertise: Option<SocketAddr>,
+    #[serde(rename = "rail_advertise")]
+    pub rpc_advertise: Option<SocketAddr>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub http_advertise: Option<SocketAddr>,
     #[serde(default)]
@@ -58,54 +60,64 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
     /// Length of a lease.
-    pub tenure_ms: u64,
+    #[serde(rename = "tenure_ms")]
+    pub lease_ms: u64,
     /// Time between two checks of a replica.
-    pub check_ms: u64,
+    #[serde(rename = "check_ms")]
+    pub probe_interval_ms: u64,
     /// Failed checks in a row after which a replica counts as down.
-    pub check_fails: u32,
+    #[serde(rename = "check_fails")]
+    pub probe_failures: u32,
     /// Longest wait for an answer between own processes.
-    pub rail_ms: u64,
+    #[serde(rename = "rail_ms")]
+    pub rpc_timeout_ms: u64,
     /// Longest drain after SIGTERM.
     pub drain_ms: u64,
 }
 
 impl Default for Timing {
     fn default() -> Self {
-        Self { tenure_ms: 2_000, check_ms: 1_000, check_fails: 3, rail_ms: 500, drain_ms: 60_000 }
+        Self {
+            lease_ms: 2_000,
+            probe_interval_ms: 1_000,
+            probe_failures: 3,
+            rpc_timeout_ms: 500,
+            drain_ms: 60_000,
+        }
     }
 }
 
 impl Timing {
-    pub fn renew_ms(&self) -> u64 {
-        self.tenure_ms / 4
+    pub fn renew_interval_ms(&self) -> u64 {
+        self.lease_ms / 4
     }
     /// The core's heartbeat.
-    pub fn beat_ms(&self) -> u64 {
-        self.tenure_ms / 20
+    pub fn heartbeat_ms(&self) -> u64 {
+        self.lease_ms / 20
     }
     /// Silence of a leader after which a voter asks for a new view.
-    pub fn patience_ms(&self) -> u64 {
-        self.tenure_ms / 2
+    pub fn election_timeout_ms(&self) -> u64 {
+        self.lease_ms / 2
     }
     /// Added by the core before it takes a lease as expired.
-    pub fn margin_ms(&self) -> u64 {
-        self.tenure_ms / 8
+    pub fn lease_margin_ms(&self) -> u64 {
+        self.lease_ms / 8
     }
     /// Overdue sync after which a leader stops counting as one.
-    pub fn sync_ms(&self) -> u64 {
-        self.tenure_ms / 2
+    pub fn sync_timeout_ms(&self) -> u64 {
+        self.lease_ms / 2
     }
     /// Age at which figures no longer count.
-    pub fn stale_ms(&self) -> u64 {
-        self.check_ms * u64::from(self.check_fails)
+    pub fn report_max_age_ms(&self) -> u64 {
+        self.probe_interval_ms * u64::from(self.probe_failures)
     }
     /// Time between two looks at what presses.
-    pub fn look_ms(&self) -> u64 {
-        (self.check_ms / 4).max(10)
+    pub fn report_interval_ms(&self) -> u64 {
+        (self.probe_interval_ms / 4).max(10)
     }
     /// The small bound within which the placement table must answer.
-    pub fn table_ms(&self) -> u64 {
-        (self.rail_ms / 5).max(10)
+    pub fn placement_timeout_ms(&self) -> u64 {
+        (self.rpc_timeout_ms / 5).max(10)
     }
 }
 
@@ -132,7 +144,8 @@
     /// Address for other foldshunt processes
     #[bpaf(argument("IP:PORT"))]
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub rail: Option<SocketAddr>,
+    #[serde(rename = "rail")]
+    pub rpc_addr: Option<SocketAddr>,
     /// Address for HTTP
     #[bpaf(argument("IP:PORT"))]
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -173,7 +186,7 @@
 
     pub fn check(&self) -> Result<()> {
         for (f, v) in [("cluster", &self.cluster), ("node", &self.node), ("area", &self.zone)] {
-            ensure!(good_name(v), "{f}: {v:?}; allowed: 1 to 64 letters, digits, '-', '_' or '.'");
+            ensure!(is_valid_name(v), "{f}: {v:?}; allowed: 1 to 64 letters, digits, '-', '_' or '.'");
         }
         let distinct: std::collections::BTreeSet<_> = self.seeds.iter().collect();
         ensure!(
@@ -181,7 +194,7 @@
             "seeds: {:?}; allowed: one to {MOST_SEEDS} different addresses; three, for a core that bears a loss",
             self.seeds
         );
-        for (f, a) in [("rail", self.rail()), ("http", self.http_told())] {
+        for (f, a) in [("rail", self.rpc_addr()), ("http", self.advertised_http())] {
             ensure!(
                 !a.ip().is_unspecified() && a.port() != 0,
                 "{f}: {a}; allowed: an address that others can reach, or one set as {f}_advertise"
@@ -193,12 +206,12 @@
             self.log
         );
         let t = &self.timing;
-        let fails = u64::from(t.check_fails);
+        let fails = u64::from(t.probe_failures);
         for (f, v, lo, hi) in [
-            ("timing.tenure_ms", t.tenure_ms, 400, 60_000),
-            ("timing.check_ms", t.check_ms, 50, 60_000),
+            ("timing.tenure_ms", t.lease_ms, 400, 60_000),
+            ("timing.check_ms", t.probe_interval_ms, 50, 60_000),
             ("timing.check_fails", fails, 1, 100),
-            ("timing.rail_ms", t.rail_ms, 50, 10_000),
+            ("timing.rail_ms", t.rpc_timeout_ms, 50, 10_000),
             ("timing.drain_ms", t.drain_ms, 0, 3_600_000),
         ] {
             ensure!((lo..=hi).contains(&v), "{f}: {v}; allowed: {lo} to {hi}");
@@ -206,33 +219,33 @@
         Ok(())
     }
 
-    pub fn rail(&self) -> SocketAddr {
-        self.rail_advertise.unwrap_or(self.rail)
+    pub fn rpc_addr(&self) -> SocketAddr {
+        self.rpc_advertise.unwrap_or(self.rpc_addr)
     }
 
-    pub fn http_told(&self) -> SocketAddr {
+    pub fn advertised_http(&self) -> SocketAddr {
         self.http_advertise.unwrap_or(self.http)
     }
 
     /// Binds both addresses; a taken one is named.
     pub async fn bind(&self) -> Result<(Listener, Listener)> {
-        let rail = bind(self.rail).await.wrap_err_with(|| format!("rail: {}", self.rail))?;
+        let rpc_addr = bind(self.rpc_addr).await.wrap_err_with(|| format!("rail: {}", self.rpc_addr))?;
         let http = bind(self.http).await.wrap_err_with(|| format!("http: {}", self.http))?;
-        Ok((rail, http))
+        Ok((rpc_addr, http))
     }
 
-    pub fn me(&self) -> crate::link::Me {
-        crate::link::Me {
+    pub fn me(&self) -> crate::link::LocalNode {
+        crate::link::LocalNode {
             cluster: self.cluster.clone(),
             node: self.node.clone(),
-            ip: self.rail.ip(),
-            wait_ms: self.timing.rail_ms,
+            ip: self.rpc_addr.ip(),
+            wait_ms: self.timing.rpc_timeout_ms,
         }
     }
 }
 
 /// SIGTERM, or an interrupt from a terminal.
-pub fn told_to_stop() -> Result<impl Future<Output = ()>> {
+pub fn shutdown_signal() -> Result<impl Future<Output = ()>> {
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     Ok(async move {
         tokio::select! {
--- a/crates/common/tests/compatibility.rs
+++ b/crates/common/tests/compatibility.rs
@@ -1,18 +1,18 @@
 //! The first messages of a connection keep the form in which an earlier version sent them.
 
-use common::link::{Hello, Welcome};
+use common::link::{Handshake, HandshakeReply};
 use test_fixtures::Fixtures;
 
 #[test]
 fn compatibility_of_the_hello() {
     let fixtures = Fixtures::of_crate(env!("CARGO_MANIFEST_DIR"));
-    let hello = Hello {
-        proto: common::wire::PROTO,
+    let handshake = Handshake {
+        proto: common::wire::PROTOCOL_VERSION,
         cluster: "bitacora".into(),
         service: "signal".into(),
         node: "s1".into(),
     };
-    fixtures.assert_wire("hello", &hello);
-    fixtures.assert_wire("welcome", &Welcome { bounced: None });
-    fixtures.assert_wire("welcome-refused", &Welcome { bounced: Some("cluster".into()) });
+    fixtures.assert_wire("hello", &handshake);
+    fixtures.assert_wire("welcome", &HandshakeReply { rejected: None });
+    fixtures.assert_wire("welcome-refused", &HandshakeReply { rejected: Some("cluster".into()) });
 }
--- a/crates/common/tests/far.rs
+++ b/crates/common/tests/far.rs
@@ -2,8 +2,8 @@
 //! goes on behind a call that gave up waiting.
 
 use common::{
-    ground::{Weather, World, bind, spawn_at},
-    link::{Lines, Me, listen},
+    link::{LocalNode, RpcClient, listen},
+    runtime::{LatencyModel, World, bind, spawn_at},
 };
 use rstest::rstest;
 use serde::{Deserialize, Serialize};
@@ -22,20 +22,20 @@
     }
 }
 
-fn me(ip: IpAddr) -> Me {
-    Me { cluster: "c".into(), node: ip.to_string(), ip, wait_ms: WAIT_MS }
+fn me(ip: IpAddr) -> LocalNode {
+    LocalNode { cluster: "c".into(), node: ip.to_string(), ip, wait_ms: WAIT_MS }
 }
 
-/// Calls that are sent with each beat are answered within a second of the first, however long the line.
+/// Calls that are sent with each heartbeat are answered within a second of the first, however long the line.
 #[rstest]
 fn a_call_over_a_long_line_is_answered(#[values(1, 35, 80, 110, 150, 200)] one_way_ms: u64) {
     let answered_at = World::run(3, None, |world| async move {
         let way = one_way_ms * 1_000;
-        world.set_weather(Weather { least_us: way, most_us: way, spike: 0.0, spike_us: way });
+        world.set_latency(LatencyModel { least_us: way, most_us: way, spike: 0.0, spike_us: way });
         let (near, far): (IpAddr, IpAddr) = ("127.1.0.1".parse().unwrap(), "127.1.0.2".parse().unwrap());
         let listener = bind((far, 7_000).into()).await.unwrap();
         spawn_at(far, listen(listener, me(far), SERVICE, |_, Number(n)| async move { Number(n + 1) }));
-        let lines = Lines::<Number, Number>::new(me(near), SERVICE);
+        let lines = RpcClient::<Number, Number>::new(me(near), SERVICE);
         while world.ms() < 10_000 {
             if lines.call("number", (far, 7_000).into(), Number(1)).await.is_ok() {
                 return Some(world.ms());
--- a/crates/common/tests/junk.rs
+++ b/crates/common/tests/junk.rs
@@ -2,8 +2,8 @@
 //! messages that are cut short or too long close their own connection, and the next call is answered.
 
 use common::{
-    link::{Hello, Lines, Me, listen},
-    wire::{MAX_FRAME, MAX_HELLO, PROTO, enc},
+    link::{Handshake, LocalNode, RpcClient, listen},
+    wire::{MAX_FRAME, MAX_HANDSHAKE, PROTOCOL_VERSION, encode},
 };
 use rstest::rstest;
 use serde::{Deserialize, Serialize};
@@ -31,8 +31,8 @@
     }
 }
 
-fn me(cluster: &str) -> Me {
-    Me { cluster: cluster.into(), node: "n".into(), ip: IP, wait_ms: 60_000 }
+fn me(cluster: &str) -> LocalNode {
+    LocalNode { cluster: cluster.into(), node: "n".into(), ip: IP, wait_ms: 60_000 }
 }
 
 /// A service that answers with the next number, and how many it has answered.
@@ -53,13 +53,13 @@
     len.iter().chain(body).copied().collect()
 }
 
-fn hello(proto: u32, cluster: &str, service: &str) -> Vec<u8> {
-    let hello = Hello { proto, cluster: cluster.into(), service: service.into(), node: "x".into() };
-    framed(&enc(&hello).unwrap())
+fn handshake(proto: u32, cluster: &str, service: &str) -> Vec<u8> {
+    let handshake = Handshake { proto, cluster: cluster.into(), service: service.into(), node: "x".into() };
+    framed(&encode(&handshake).unwrap())
 }
 
 fn good_hello() -> Vec<u8> {
-    hello(PROTO, "c", SERVICE)
+    handshake(PROTOCOL_VERSION, "c", SERVICE)
 }
 
 fn after_hello(bytes: &[u8]) -> Vec<u8> {
@@ -72,12 +72,12 @@
 #[case::a_request_of_http(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n".to_vec())]
 #[case::zeros(vec![0; 5_000])]
 #[case::ones(vec![0xff; 5_000])]
-#[case::a_hello_too_long(((MAX_HELLO + 1) as u32).to_be_bytes().to_vec())]
+#[case::a_hello_too_long(((MAX_HANDSHAKE + 1) as u32).to_be_bytes().to_vec())]
 #[case::a_hello_of_junk(framed(&[0x5a; 300]))]
 #[case::a_hello_cut_short(good_hello()[..good_hello().len() - 3].to_vec())]
-#[case::of_another_cluster(hello(PROTO, "another", SERVICE))]
-#[case::of_another_protocol(hello(PROTO + 1, "c", SERVICE))]
-#[case::of_another_service(hello(PROTO, "c", "letters"))]
+#[case::of_another_cluster(handshake(PROTOCOL_VERSION, "another", SERVICE))]
+#[case::of_another_protocol(handshake(PROTOCOL_VERSION + 1, "c", SERVICE))]
+#[case::of_another_service(handshake(PROTOCOL_VERSION, "c", "letters"))]
 #[case::junk_behind_the_hello(after_hello(&framed(&[0x5a; 300])))]
 #[case::an_empty_message(after_hello(&framed(&[])))]
 #[case::a_message_too_long(after_hello(&((MAX_FRAME + 1) as u32).to_be_bytes()))]
@@ -86,7 +86,7 @@
 #[tokio::test]
 async fn junk_ends_its_own_connection_alone(#[case] bytes: Vec<u8>) {
     let (at, answered) = numbers().await;
-    let lines = Lines::<Number, Number>::new(me("c"), SERVICE);
+    let lines = RpcClient::<Number, Number>::new(me("c"), SERVICE);
     assert_eq!(lines.call("ask", at, Number(1)).await.unwrap().0, 2);
     for _ in 0..3 {
         let mut stranger = TcpStream::connect(at).await.unwrap();
@@ -98,7 +98,7 @@
     }
     assert_eq!(answered.load(Ordering::Acquire), 1, "nothing of it was taken for a call");
     assert_eq!(lines.call("ask", at, Number(2)).await.unwrap().0, 3, "an open connection goes on");
-    let fresh = Lines::<Number, Number>::new(me("c"), SERVICE);
+    let fresh = RpcClient::<Number, Number>::new(me("c"), SERVICE);
     assert_eq!(fresh.call("ask", at, Number(3)).await.unwrap().0, 4, "and new ones are taken");
 }
 
@@ -113,15 +113,15 @@
     let mut stranger = TcpStream::connect(at).await.unwrap();
     stranger.write_all(&bytes).await.unwrap();
     let mut told = Vec::new();
-    // Without an end this waits for the service's patience of four minutes.
+    // Without an end this waits for the service's election time-out of four minutes.
     let _ = stranger.read_to_end(&mut told).await;
 }
 
-/// Named at the caller too: the reason of the bounce.
+/// Named at the caller too: the reason of the reject.
 #[tokio::test]
 async fn another_cluster_is_named() {
     let (at, _) = numbers().await;
-    let err = Lines::<Number, Number>::new(me("another"), SERVICE).call("ask", at, Number(1)).await;
+    let err = RpcClient::<Number, Number>::new(me("another"), SERVICE).call("ask", at, Number(1)).await;
     let err = err.unwrap_err();
     assert!(err.step == "hello" && err.cause.contains("is foreign"), "{err}");
 }
--- a/crates/common/tests/modules/wire.rs
+++ b/crates/common/tests/modules/wire.rs
@@ -1,7 +1,7 @@
 //! Tests of `common::wire`.
 
 use bytes::BytesMut;
-use common::wire::{Codec, MAX_FRAME, MAX_HELLO, dec, enc};
+use common::wire::{Codec, MAX_FRAME, MAX_HANDSHAKE, decode, encode};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tokio_util::codec::Decoder;
@@ -17,14 +17,14 @@
 fn values_come_back_whole() {
     let named = Kind::Named { map: BTreeMap::from([("a".into(), vec![1, 2, 255])]), f: 0.95, big: u128::MAX };
     for k in [Kind::Unit, Kind::Pair(7, None), Kind::Pair(u64::MAX, Some("x".into())), named] {
-        assert_eq!(dec::<Kind>(&enc(&k).unwrap()).unwrap(), k);
+        assert_eq!(decode::<Kind>(&encode(&k).unwrap()).unwrap(), k);
     }
 }
 
 #[test]
 fn cut_or_oversized_input_is_an_error() {
-    let b = enc(&Kind::Pair(1, Some("long enough".into()))).unwrap();
-    assert!(dec::<Kind>(&b[..b.len() - 3]).is_err());
+    let b = encode(&Kind::Pair(1, Some("long enough".into()))).unwrap();
+    assert!(decode::<Kind>(&b[..b.len() - 3]).is_err());
     let mut c = Codec::<Kind, Kind>::default();
     let mut src = BytesMut::from(&(MAX_FRAME as u32 + 1).to_be_bytes()[..]);
     assert!(c.decode(&mut src).is_err());
@@ -34,7 +34,7 @@
 #[test]
 fn a_hello_is_short() {
     let declared = |bytes: usize| BytesMut::from(&(bytes as u32).to_be_bytes()[..]);
-    assert!(Codec::<Kind, Kind>::hello().decode(&mut declared(MAX_HELLO + 1)).is_err());
-    assert!(Codec::<Kind, Kind>::hello().decode(&mut declared(MAX_HELLO)).unwrap().is_none());
-    assert!(Codec::<Kind, Kind>::default().decode(&mut declared(MAX_HELLO + 1)).unwrap().is_none());
+    assert!(Codec::<Kind, Kind>::handshake().decode(&mut declared(MAX_HANDSHAKE + 1)).is_err());
+    assert!(Codec::<Kind, Kind>::handshake().decode(&mut declared(MAX_HANDSHAKE)).unwrap().is_none());
+    assert!(Codec::<Kind, Kind>::default().decode(&mut declared(MAX_HANDSHAKE + 1)).unwrap().is_none());
 }
--- a/crates/common/tests/settings.rs
+++ b/crates/common/tests/settings.rs
@@ -63,7 +63,7 @@
     std::fs::write(&path, GOOD).unwrap();
     let fl = Flags { config: Some(path), node: Some("n2".into()), ..Flags::default() };
     let s = Settings::read(&fl).unwrap();
-    assert_eq!((s.node.as_str(), s.zone.as_str(), s.timing.renew_ms()), ("n2", "a", 500));
+    assert_eq!((s.node.as_str(), s.zone.as_str(), s.timing.renew_interval_ms()), ("n2", "a", 500));
     let fl = Flags { config: Some("/nowhere/x.toml".into()), ..Flags::default() };
     assert!(Settings::read(&fl).unwrap_err().to_string().contains("config: \"/nowhere/x.toml\""));
 }
--- a/crates/common/tests/steps.rs
+++ b/crates/common/tests/steps.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use common::{
     http::{ask, ask_in_turn},
-    link::{Lines, Me},
+    link::{LocalNode, RpcClient},
 };
 use hyper::Method;
 use serde::{Deserialize, Serialize};
@@ -31,10 +31,10 @@
 
 /// Reads something, then says this and closes.
 async fn says(what: &'static str) -> SocketAddr {
-    let lst = TcpListener::bind((IP, 0)).await.unwrap();
-    let at = lst.local_addr().unwrap();
+    let listener = TcpListener::bind((IP, 0)).await.unwrap();
+    let at = listener.local_addr().unwrap();
     tokio::spawn(async move {
-        while let Ok((mut s, _)) = lst.accept().await {
+        while let Ok((mut s, _)) = listener.accept().await {
             let _ = s.read(&mut [0; 4096]).await;
             let _ = s.write_all(what.as_bytes()).await;
         }
@@ -46,8 +46,8 @@
 async fn a_refused_connection_says_so() {
     let e = ask(IP, gone().await, Method::GET, "/", &[], "", 5_000).await.unwrap_err();
     assert_eq!((e.step, e.refused), ("connect", true));
-    let me = Me { cluster: "c".into(), node: "n".into(), ip: IP, wait_ms: 5_000 };
-    let lines: Lines<Empty, Empty> = Lines::new(me, "s");
+    let me = LocalNode { cluster: "c".into(), node: "n".into(), ip: IP, wait_ms: 5_000 };
+    let lines: RpcClient<Empty, Empty> = RpcClient::new(me, "s");
     let e = lines.call("propose", gone().await, Empty).await.unwrap_err();
     assert_eq!((e.step, e.refused), ("connect", true));
     let e = ask(IP, says("nonsense\r\n").await, Method::GET, "/", &[], "", 5_000).await.unwrap_err();
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -6,7 +6,7 @@
     place::{Flaw, flaw, locate},
     table::{Entry, KeyPart, Kind, Policy, Table},
 };
-use common::{Region, Service, Tenant, Zone, good_name};
+use common::{Region, Service, Tenant, Zone, is_valid_name};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MAX_DEADLINE: f64 = 3.6e6;
@@ -37,7 +37,7 @@
         let mut seen = BTreeSet::new();
         for (n, name) in names.iter().enumerate() {
             let ix = n.to_string();
-            if !good_name(name) {
+            if !is_valid_name(name) {
                 self.add(&[list, &ix, "name"], format!("{list}: {name:?} is not a name"));
             }
             if !seen.insert(name) {
@@ -55,7 +55,7 @@
     w.names("areas", &list(&|n| doc.zones.get(n).map(|a| a.name.clone())));
     w.names("services", &list(&|n| doc.services.get(n).map(|a| a.name.clone())));
     w.names("tenants", &list(&|n| doc.tenants.get(n).map(|a| a.name.clone())));
-    for (n, a) in doc.zones.iter().enumerate().filter(|(_, a)| !good_name(&a.region)) {
+    for (n, a) in doc.zones.iter().enumerate().filter(|(_, a)| !is_valid_name(&a.region)) {
         w.add(&["areas", &n.to_string(), "region"], format!("areas: {:?} is not a name", a.region));
     }
     for (f, why) in doc.tuning.faults() {
--- a/crates/configuration/src/doc.rs
+++ b/crates/configuration/src/doc.rs
@@ -44,7 +44,7 @@
 pub struct Tenancy {
     /// Header that names the tenant.
     pub header: String,
-    /// Tenant of jobs that name none; empty bounces them where tenants are declared.
+    /// Tenant of jobs that name none; empty rejects them where tenants are declared.
     pub default: Option<String>,
 }
 
--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -7,8 +7,9 @@
 
 use crate::{MAX_DOC, change::ReplicaMove, core::Core, ledger::Ledger};
 use common::{
-    OpId, good_name,
+    OpId,
     http::{Body, BoxErr, json, read_body, text},
+    is_valid_name,
 };
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 use serde::Deserialize;
@@ -47,7 +48,7 @@
 /// Two operators in the same moment must never share a verdict: each call without a name of its own
 /// gets one that is drawn.
 pub fn drawn_op() -> String {
-    format!("drawn-{:032x}", common::ground::draw::<u128>())
+    format!("drawn-{:032x}", common::runtime::draw::<u128>())
 }
 
 /// One operator's call, with what its headers and query say.
@@ -71,7 +72,7 @@
         .min(60_000);
     let call = Call { core: &core, op: OpId::new(op), base: header("if-match"), wait_ms };
     let path: Vec<&str> = head.uri.path().trim_matches('/').split('/').collect();
-    if !good_name(call.op.as_str()) {
+    if !is_valid_name(call.op.as_str()) {
         return Ok(no(
             StatusCode::BAD_REQUEST,
             "foldshunt-op: allowed: 1 to 64 letters, digits, '-', '_' or '.'",
@@ -119,7 +120,7 @@
 
     fn metrics(&self) -> String {
         let v = self.core.status();
-        let m = common::meter::Meter::default();
+        let m = common::metrics::Metrics::default();
         let row = [
             ("view", "Number of the view that this seat has promised", v.term as i64),
             ("accepted_index", "Place of the newest accepted change", v.ledger.index.0 as i64),
@@ -144,7 +145,7 @@
             .values()
             .map(|m| {
                 let told = v.reports.get(&m.info.node);
-                j!({"node": m.info.node, "area": m.info.zone, "role": m.info.role, "lang": m.info.lang, "rail": m.info.rail,
+                j!({"node": m.info.node, "area": m.info.zone, "role": m.info.role, "lang": m.info.lang, "rail": m.info.rpc_addr,
                     "http": m.info.http, "epoch": m.epoch, "idx": told.map(|r| r.0), "revision": told.map(|r| r.1),
                     "lags": leads.then(|| told.is_none_or(|r| r.0 < index || r.1 < rev))})
             })
--- a/crates/control-plane/src/api/moves.rs
+++ b/crates/control-plane/src/api/moves.rs
@@ -5,14 +5,14 @@
     change::{Change, ReplicaMove, Verdict},
     rpc::Proposed,
 };
-use common::{Index, OpId, ReplicaId, Zone, good_name, http::json};
+use common::{Index, OpId, ReplicaId, Zone, http::json, is_valid_name};
 use hyper::StatusCode;
 use serde_json::json as j;
 use std::time::Duration;
 
 impl Call<'_> {
     pub(super) async fn propose(&self, ch: Change) -> Early<Res> {
-        let ms = self.core.set.timing.rail_ms * 4;
+        let ms = self.core.set.timing.rpc_timeout_ms * 4;
         Ok(match self.core.propose(ch, ms).await {
             Proposed::Settled { index, verdict: v @ Verdict::Accepted { .. } } if self.wait_ms > 0 => {
                 let lagging = self.governs(index).await;
@@ -55,7 +55,7 @@
                 StatusCode::PRECONDITION_FAILED,
                 &j!({"outcome": "refused", "op": op, "current": current, "error": "another change was accepted first"}),
             ),
-            Verdict::Bounced { reason } => {
+            Verdict::Rejected { reason } => {
                 json(StatusCode::NOT_FOUND, &j!({"outcome": "refused", "op": op, "error": reason}))
             }
         }
@@ -76,7 +76,7 @@
             if behind.is_empty() || self.core.clock.now() >= until {
                 return behind;
             }
-            tokio::time::sleep(Duration::from_millis(self.core.set.timing.beat_ms() / 2)).await;
+            tokio::time::sleep(Duration::from_millis(self.core.set.timing.heartbeat_ms() / 2)).await;
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     fn named(&self, field: &str, v: &str) -> Early<()> {
-        if good_name(v) {
+        if is_valid_name(v) {
             return Ok(());
         }
         let shown: String = v.chars().take(80).collect();
--- a/crates/control-plane/src/change.rs
+++ b/crates/control-plane/src/change.rs
@@ -20,7 +20,8 @@
     pub node: NodeId,
     #[serde(rename = "area")]
     pub zone: Zone,
-    pub rail: SocketAddr,
+    #[serde(rename = "rail")]
+    pub rpc_addr: SocketAddr,
     pub http: SocketAddr,
 }
 
@@ -56,7 +57,8 @@
     pub lang: u32,
     #[serde(rename = "area")]
     pub zone: Zone,
-    pub rail: SocketAddr,
+    #[serde(rename = "rail")]
+    pub rpc_addr: SocketAddr,
     pub http: SocketAddr,
 }
 
@@ -68,8 +70,8 @@
             role,
             lang: configuration::LANG,
             zone: set.zone.as_str().into(),
-            rail: set.rail(),
-            http: set.http_told(),
+            rpc_addr: set.rpc_addr(),
+            http: set.advertised_http(),
         }
     }
 }
@@ -133,7 +135,8 @@
     Conflict {
         current: Revision,
     },
-    Bounced {
+    #[serde(rename = "Bounced")]
+    Rejected {
         reason: String,
     },
 }
--- a/crates/control-plane/src/consensus/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -5,13 +5,13 @@
 impl Voter {
     /// Spread by voter, so that two candidates seldom meet.
     pub(super) fn patience(&self) -> u64 {
-        let p = self.t.patience_ms();
+        let p = self.t.election_timeout_ms();
         p + p * u64::from(self.me.number) / 4 + p * (self.promised.0 % 5) / 10
     }
 
     /// Whether a live leader was heard too lately for another to be wanted.
     fn content(&self, now: Tick) -> bool {
-        let p = self.t.patience_ms();
+        let p = self.t.election_timeout_ms();
         match &self.role {
             VoterRole::Follower { heard, .. } => now.since(*heard) < p,
             VoterRole::Leader { .. } => self.leads(now),
@@ -30,7 +30,7 @@
             effects.push(Effect::Removed);
             return;
         }
-        let p = self.t.patience_ms();
+        let p = self.t.election_timeout_ms();
         let ask = match &self.role {
             VoterRole::Leader { since, .. } => {
                 if self.overdue(now) || (now.since(*since) > 2 * p && now >= self.lead_until()) {
@@ -67,13 +67,13 @@
     pub(super) fn on_yield(&mut self, by: VoterId, term: Term, now: Tick) {
         let followed = matches!(&self.role, VoterRole::Follower { leader: Some(l), .. } if *l == by);
         if followed && term == self.promised {
-            let heard = now - 10 * self.t.patience_ms();
+            let heard = now - 10 * self.t.election_timeout_ms();
             self.role = VoterRole::Follower { leader: None, heard };
         }
     }
 
     pub(super) fn tell_others(&self, msg: Message, effects: &mut Vec<Effect>) {
-        effects.extend(self.others().into_iter().map(|h| Effect::Send { to: h.rail, msg: msg.clone() }));
+        effects.extend(self.others().into_iter().map(|h| Effect::Send { to: h.rpc_addr, msg: msg.clone() }));
     }
 
     pub(super) fn on_pre_vote(
@@ -89,7 +89,7 @@
             && self.knows(&by)
             && term > self.promised
             && !self.content(now)
-            && now.since(self.started) >= self.t.patience_ms();
+            && now.since(self.started) >= self.t.election_timeout_ms();
         if aye {
             effects.push(Effect::Send { to: from, msg: Message::PreVoteGranted { by: self.id(), term } });
         } else if self.formed && !self.knows(&by) {
@@ -124,7 +124,7 @@
         now: Tick,
         effects: &mut Vec<Effect>,
     ) {
-        let fresh = now.since(self.started) >= self.t.patience_ms();
+        let fresh = now.since(self.started) >= self.t.election_timeout_ms();
         if !self.formed
             || self.out
             || !self.knows(&by)
--- a/crates/control-plane/src/consensus/feed.rs
+++ b/crates/control-plane/src/consensus/feed.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Voter {
-    /// A beat to all: what is due to each, else a word that the leader is there.
+    /// A heartbeat to all: what is due to each, else a word that the leader is there.
     pub(super) fn feed_all(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         for h in self.fed() {
             let body = self.due_to(&h, now).unwrap_or(Body::Ping);
@@ -28,7 +28,7 @@
     }
 
     /// What a follower lacks, once. It is fed again only when the answer is overdue: a long entry on
-    /// a long link would be sent many times over, and hold up the beats (design 2.3).
+    /// a long link would be sent many times over, and hold up the heartbeats (design 2.3).
     fn due_to(&self, h: &VoterInfo, now: Tick) -> Option<Body> {
         let VoterRole::Leader { peers, .. } = &self.role else { return None };
         let p = peers.get(&h.number)?;
@@ -59,7 +59,7 @@
             stamp: now,
             body,
         };
-        effects.push(Effect::Send { to: h.rail, msg });
+        effects.push(Effect::Send { to: h.rpc_addr, msg });
         if let (VoterRole::Leader { peers, .. }, Some(upto)) = (&mut self.role, upto)
             && let Some(p) = peers.get_mut(&h.number)
         {
@@ -195,7 +195,7 @@
         peers.insert(by.number, new);
         self.advance(now, effects);
         self.admit_newcomer(now, effects);
-        // What is due goes on at once; the rest follows with the beat.
+        // What is due goes on at once; the rest follows with the heartbeat.
         let to: Vec<VoterInfo> = self.fed().into_iter().filter(|h| h.number == by.number).collect();
         self.feed_due(&to, now, effects);
     }
--- a/crates/control-plane/src/consensus/form.rs
+++ b/crates/control-plane/src/consensus/form.rs
@@ -17,18 +17,18 @@
     }
 
     pub(super) fn formation_timer(&mut self, now: Tick, effects: &mut Vec<Effect>) {
-        if now.since(self.last_beat) < self.t.beat_ms() {
+        if now.since(self.last_beat) < self.t.heartbeat_ms() {
             return;
         }
         self.last_beat = now;
         let msg =
             Message::Discover { holder: self.me.clone(), formed: false, voters: Vec::new(), index: Index(0) };
-        let own = self.me.rail;
+        let own = self.me.rpc_addr;
         for s in self.seeds.clone().into_iter().filter(|s| *s != own) {
             effects.push(Effect::Send { to: s, msg: msg.clone() });
         }
         // What was blank a while ago may hold a whole cluster by now.
-        let fresh = self.t.patience_ms() / 2;
+        let fresh = self.t.election_timeout_ms() / 2;
         self.discovered.retain(|_, c| now.since(c.1) <= fresh);
         if let Some(voters) = self.gathered_voters(now) {
             let ledger = Ledger { secret: self.secret, ..Ledger::founded(&self.cluster, voters) };
@@ -40,7 +40,7 @@
     /// The lowest seed founds, once it has seen that all seeds are blank; with them those that found
     /// the seeds, for which it waits no longer than two leases.
     fn gathered_voters(&mut self, now: Tick) -> Option<Vec<VoterInfo>> {
-        let own = self.me.rail;
+        let own = self.me.rpc_addr;
         let mut seeds = self.seeds.clone();
         seeds.sort();
         let all = seeds.iter().all(|s| *s == own || self.discovered.contains_key(s));
@@ -51,7 +51,7 @@
         let since = *self.gathered.get_or_insert(now);
         self.discovered.insert(own, (self.me.clone(), now));
         let wanted = self.expects.clamp(seeds.len(), MOST_VOTERS.max(seeds.len()));
-        if self.discovered.len() < wanted && now.since(since) < 2 * self.t.tenure_ms {
+        if self.discovered.len() < wanted && now.since(since) < 2 * self.t.lease_ms {
             return None;
         }
         let others =
@@ -65,9 +65,9 @@
 
     fn founding(&self, ledger: &Ledger) -> Vec<Effect> {
         let msg = Message::Bootstrap { ledger: ledger.clone() };
-        let own = self.me.rail;
-        let others = ledger.voters.iter().filter(|h| h.rail != own);
-        others.map(|h| Effect::Send { to: h.rail, msg: msg.clone() }).collect()
+        let own = self.me.rpc_addr;
+        let others = ledger.voters.iter().filter(|h| h.rpc_addr != own);
+        others.map(|h| Effect::Send { to: h.rpc_addr, msg: msg.clone() }).collect()
     }
 
     fn settle(&mut self, ledger: Ledger, now: Tick, then: Vec<Effect>, effects: &mut Vec<Effect>) {
@@ -107,10 +107,10 @@
         effects: &mut Vec<Effect>,
     ) {
         match (self.formed, formed) {
-            // A call lives no longer than `rail_ms`: what comes sooner than that after the start of this
+            // A call lives no longer than `rpc_timeout_ms`: what comes sooner than that after the start of this
             // process may have been said before it, by a machine that is blank no more.
-            (false, false) if now.since(self.started) > self.t.rail_ms => {
-                self.discovered.insert(holder.rail, (holder, now));
+            (false, false) if now.since(self.started) > self.t.rpc_timeout_ms => {
+                self.discovered.insert(holder.rpc_addr, (holder, now));
             }
             (false, false) => {}
             // A founder's word that was lost is said again to a blank voter of its voters.
@@ -127,11 +127,11 @@
             (true, false) => self.tell_voters(from, effects),
             (false, true) => {
                 let msg = Message::JoinRequest { holder: self.me.clone() };
-                self.discovered.remove(&holder.rail);
+                self.discovered.remove(&holder.rpc_addr);
                 self.foreign = !voters.iter().any(|h| h.incarnation == self.me.incarnation);
                 if !voters.iter().any(|h| h.incarnation == self.me.incarnation) {
                     for h in &voters {
-                        effects.push(Effect::Send { to: h.rail, msg: msg.clone() });
+                        effects.push(Effect::Send { to: h.rpc_addr, msg: msg.clone() });
                     }
                 }
             }
@@ -163,15 +163,15 @@
         if self.voters().iter().any(|h| h.incarnation == holder.incarnation) {
             return;
         }
-        let silent = self.t.tenure_ms + self.t.margin_ms();
+        let silent = self.t.lease_ms + self.t.lease_margin_ms();
         let expired = |h: &&VoterInfo| {
             let heard = peers.get(&h.number).map(|p| p.stamp).unwrap_or(*since);
             now.since(heard.max(*since)) > silent
         };
         let others = self.others();
-        let own = others.iter().find(|h| h.node == holder.node || h.rail == holder.rail);
+        let own = others.iter().find(|h| h.node == holder.node || h.rpc_addr == holder.rpc_addr);
         let found = own.or_else(|| others.iter().find(expired)).map(|h| h.number);
-        // It pleads with each beat. Counted from the first time, or over a long line no answer would
+        // It pleads with each heartbeat. Counted from the first time, or over a long line no answer would
         // ever be newer than the join_request.
         self.join_requests.retain(|_, p| now.since(p.1) <= silent);
         let at = self.join_requests.get(&holder.incarnation).map_or(now, |p| p.1);
--- a/crates/control-plane/src/consensus/lead.rs
+++ b/crates/control-plane/src/consensus/lead.rs
@@ -9,7 +9,7 @@
     Leading,
     /// Hears its leader.
     Following,
-    /// Heard neither a majority nor a leader for half of the patience.
+    /// Heard neither a majority nor a leader for half of the election time-out.
     Lost,
     /// Holds no voter, or none any more: it knows of the core what others tell it.
     Outside,
@@ -19,7 +19,7 @@
     /// Silence after which a voter takes itself for out of touch: several heartbeats, and sooner than
     /// a lease ends or another voter stands for election.
     pub fn silence_ms(&self) -> u64 {
-        self.t.patience_ms() / 2
+        self.t.election_timeout_ms() / 2
     }
 
     pub fn contact(&self, now: Tick) -> Contact {
@@ -54,7 +54,7 @@
         if self.alone() {
             return Tick(u64::MAX);
         }
-        self.majority_answered().map_or(Tick(0), |sent| sent + self.t.patience_ms() * 7 / 8)
+        self.majority_answered().map_or(Tick(0), |sent| sent + self.t.election_timeout_ms() * 7 / 8)
     }
 
     /// Send time of the newest feed that a majority of the voters answered, this leader included.
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -212,7 +212,7 @@
         }
         self.wake(now, effects);
         self.election_timer(now, effects);
-        if self.is_leader() && now.since(self.last_beat) >= self.t.beat_ms() {
+        if self.is_leader() && now.since(self.last_beat) >= self.t.heartbeat_ms() {
             self.last_beat = now;
             self.feed_all(now, effects);
         }
--- a/crates/control-plane/src/consensus/role.rs
+++ b/crates/control-plane/src/consensus/role.rs
@@ -33,7 +33,7 @@
 
     /// Its answer should have been here.
     pub(super) fn overdue(&self, t: &Timing, now: Tick) -> bool {
-        now.since(self.at) > 2 * t.beat_ms() + self.weight as u64 / BYTES_A_MS
+        now.since(self.at) > 2 * t.heartbeat_ms() + self.weight as u64 / BYTES_A_MS
     }
 
     pub(super) fn held_by(&self, p: &Progress) -> bool {
--- a/crates/control-plane/src/consensus/room.rs
+++ b/crates/control-plane/src/consensus/room.rs
@@ -133,7 +133,7 @@
     /// No less than its length on disk and on the wire.
     pub fn weight(&self) -> usize {
         let verdict = |v: &Verdict| match v {
-            Verdict::Bounced { reason } => reason.len() + 32,
+            Verdict::Rejected { reason } => reason.len() + 32,
             _ => 32,
         };
         let text = self.text.as_ref().map_or(0, Document::packed_len);
--- a/crates/control-plane/src/consensus/sync.rs
+++ b/crates/control-plane/src/consensus/sync.rs
@@ -84,6 +84,6 @@
 
     /// The own disk has not answered for too long (design 2.4).
     pub fn overdue(&self, now: Tick) -> bool {
-        self.unsynced.front().is_some_and(|u| now.since(u.1) > self.t.sync_ms())
+        self.unsynced.front().is_some_and(|u| now.since(u.1) > self.t.sync_timeout_ms())
     }
 }
--- a/crates/control-plane/src/core/folder.rs
+++ b/crates/control-plane/src/core/folder.rs
@@ -13,11 +13,11 @@
 pub fn blank(set: &Settings) -> VoterInfo {
     VoterInfo {
         number: u8::MAX,
-        incarnation: Incarnation(common::ground::draw::<u64>() >> 1),
+        incarnation: Incarnation(common::runtime::draw::<u64>() >> 1),
         node: set.node.as_str().into(),
         zone: set.zone.as_str().into(),
-        rail: set.rail(),
-        http: set.http_told(),
+        rpc_addr: set.rpc_addr(),
+        http: set.advertised_http(),
     }
 }
 
--- a/crates/control-plane/src/core/leader.rs
+++ b/crates/control-plane/src/core/leader.rs
@@ -29,7 +29,7 @@
 
 impl Trail {
     fn heard(&mut self, leader: Option<VoterInfo>) {
-        leader.into_iter().for_each(|h| self.due.push_front(h.rail));
+        leader.into_iter().for_each(|h| self.due.push_front(h.rpc_addr));
     }
 
     fn next(&mut self) -> Option<SocketAddr> {
@@ -60,8 +60,8 @@
     fn trail(&self, leader: Option<VoterInfo>) -> Trail {
         let now = self.clock.now();
         let g = self.lock();
-        let known = g.voter.ledger.voters.iter().map(|h| h.rail).chain(self.set.seeds.iter().copied());
-        let mut t = Trail { own: self.set.rail(), due: known.collect(), asked: Vec::new() };
+        let known = g.voter.ledger.voters.iter().map(|h| h.rpc_addr).chain(self.set.seeds.iter().copied());
+        let mut t = Trail { own: self.set.rpc_addr(), due: known.collect(), asked: Vec::new() };
         t.heard(leader);
         let fresh = g.answered.filter(|(_, at)| now.since(*at) < g.voter.silence_ms());
         fresh.into_iter().for_each(|(leader, _)| t.due.push_front(leader));
@@ -105,7 +105,7 @@
     /// The newest accepted state, from the leader under a confirmed view; else why not. A voter that is
     /// cut off says so at once; while a majority is between two leaders, the next one is waited for.
     pub async fn state(&self) -> Result<Ledger, String> {
-        let until = self.clock.now() + self.set.timing.patience_ms();
+        let until = self.clock.now() + self.set.timing.election_timeout_ms();
         loop {
             if let Ok(ledger) = self.state_here() {
                 return Ok(ledger);
@@ -119,7 +119,7 @@
                 Round::Leaderless if self.clock.now() >= until => {
                     return Err("no leader under a confirmed view; ask again".into());
                 }
-                Round::Leaderless => sleep(Duration::from_millis(self.set.timing.beat_ms() / 2)).await,
+                Round::Leaderless => sleep(Duration::from_millis(self.set.timing.heartbeat_ms() / 2)).await,
             }
         }
     }
@@ -129,7 +129,7 @@
     async fn ask_seats(&self) -> Round {
         let leader = self.state_here().err().flatten();
         let mut trail = self.trail(leader);
-        let most = Duration::from_millis(self.set.timing.rail_ms);
+        let most = Duration::from_millis(self.set.timing.rpc_timeout_ms);
         let began = Instant::now();
         let mut hedge = std::pin::pin!(sleep_until(began + most / HEDGE_PART));
         let mut asked: FuturesUnordered<BoxFuture<'_, Answer>> = FuturesUnordered::new();
--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -19,7 +19,7 @@
     ledger::Ledger,
     rpc::{Ask, Proposed, Reply},
 };
-use common::{Clock, Index, NodeId, Revision, Tick, link::Lines, log_event, settings::Settings};
+use common::{Clock, Index, NodeId, Revision, Tick, link::RpcClient, log_event, settings::Settings};
 use std::{
     collections::BTreeMap,
     net::SocketAddr,
@@ -28,7 +28,7 @@
 };
 use tokio::sync::{oneshot, watch};
 
-pub type SignalLines = Lines<Ask, Reply>;
+pub type SignalLines = RpcClient<Ask, Reply>;
 
 /// Messages of more than this go by a line of their own, and have a millisecond more for each part.
 const BULK: usize = 64 << 10;
@@ -53,7 +53,7 @@
     pub set: Settings,
     pub clock: Clock,
     pub lines: SignalLines,
-    /// For what is long: beats must not wait behind it on their connection (design 2.3).
+    /// For what is long: heartbeats must not wait behind it on their connection (design 2.3).
     bulk: SignalLines,
     inner: Mutex<Inner>,
     disk: Box<dyn Drive>,
@@ -110,7 +110,7 @@
             Some(img),
             clock.now(),
         );
-        voter.secret = common::ground::draw();
+        voter.secret = common::runtime::draw();
         voter.founds = set.founds;
         voter.expects = voters;
         voter.dead = waiting;
@@ -123,7 +123,7 @@
             in_touch: clock.now(),
             answered: None,
         };
-        let line = || Lines::new(set.me(), crate::rpc::SERVICE);
+        let line = || RpcClient::new(set.me(), crate::rpc::SERVICE);
         let (lines, bulk) = (line(), line());
         let core = Arc::new_cyclic(|me| Core {
             set,
@@ -135,9 +135,9 @@
             moved,
         });
         let c = core.clone();
-        common::ground::spawn(async move {
+        common::runtime::spawn(async move {
             let mut wakeup =
-                tokio::time::interval(Duration::from_millis((c.set.timing.beat_ms() / 2).max(5)));
+                tokio::time::interval(Duration::from_millis((c.set.timing.heartbeat_ms() / 2).max(5)));
             loop {
                 wakeup.tick().await;
                 c.step(Event::Timer);
@@ -160,7 +160,7 @@
 
     /// The line for a message of that weight, and how long it may take.
     fn line(&self, weight: usize) -> (&SignalLines, u64) {
-        let ms = self.set.timing.rail_ms;
+        let ms = self.set.timing.rpc_timeout_ms;
         if weight <= BULK { (&self.lines, ms) } else { (&self.bulk, 4 * ms + weight as u64 / BYTES_A_MS) }
     }
 
@@ -168,15 +168,15 @@
     pub async fn yield_lead(self: &Arc<Self>) {
         self.step(Event::StepDown);
         let t = &self.set.timing;
-        tokio::time::sleep(Duration::from_millis(t.beat_ms() * 3)).await;
+        tokio::time::sleep(Duration::from_millis(t.heartbeat_ms() * 3)).await;
     }
 
     fn carry_out(self: &Arc<Self>, g: &mut Inner, effects: Vec<Effect>) {
         for f in effects {
             match f {
                 Effect::Send { to, msg } => {
-                    let (c, from, weight) = (self.clone(), self.set.rail(), msg.weight());
-                    common::ground::spawn(async move {
+                    let (c, from, weight) = (self.clone(), self.set.rpc_addr(), msg.weight());
+                    common::runtime::spawn(async move {
                         let (line, ms) = c.line(weight);
                         let ask = Ask::Consensus { from, msg: Box::new(msg) };
                         let _ = line.call_within(ms, "seat", to, ask).await;
--- a/crates/control-plane/src/core/reach.rs
+++ b/crates/control-plane/src/core/reach.rs
@@ -33,7 +33,9 @@
                 Reach::Near
             }
             Contact::Outside => Reach::Unsure,
-            Contact::Lost if now.since(g.in_touch) < ELECTION_PATIENCES * self.set.timing.patience_ms() => {
+            Contact::Lost
+                if now.since(g.in_touch) < ELECTION_PATIENCES * self.set.timing.election_timeout_ms() =>
+            {
                 Reach::Unsure
             }
             Contact::Lost => Reach::CutOff,
@@ -43,7 +45,7 @@
     /// Why a change must not be logged now: routers that it would not reach may be serving on.
     pub(super) fn may_miss(&self, g: &Inner, ch: &Change) -> Option<String> {
         let now = self.clock.now();
-        if !ch.narrows() || !g.voter.current(now) || common::ground::broken("narrows-unheard") {
+        if !ch.narrows() || !g.voter.current(now) || common::runtime::broken("narrows-unheard") {
             return None;
         }
         let silent = g.leases.silent(&g.voter.ledger, &self.set.timing, now);
@@ -81,7 +83,7 @@
             if self.clock.now() >= until {
                 return false;
             }
-            tokio::time::sleep(Duration::from_millis(self.set.timing.beat_ms() / 4)).await;
+            tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms() / 4)).await;
         }
     }
 }
--- a/crates/control-plane/src/core/recorder.rs
+++ b/crates/control-plane/src/core/recorder.rs
@@ -54,7 +54,7 @@
 
 impl Retry {
     pub fn new(timing: &Timing) -> Self {
-        Self { first_ms: timing.beat_ms(), most_ms: timing.renew_ms(), failures: 0 }
+        Self { first_ms: timing.heartbeat_ms(), most_ms: timing.renew_interval_ms(), failures: 0 }
     }
 
     /// Before the next attempt.
--- a/crates/control-plane/src/core/serve.rs
+++ b/crates/control-plane/src/core/serve.rs
@@ -56,7 +56,7 @@
             g.leases.leave(&g.voter.ledger, &info)
         };
         if let Some(ch) = ch {
-            self.propose_here(ch, self.set.timing.rail_ms).await;
+            self.propose_here(ch, self.set.timing.rpc_timeout_ms).await;
         }
         Reply::Done
     }
@@ -90,7 +90,7 @@
     pub fn status(&self) -> Status {
         let now = self.clock.now();
         let g = self.lock();
-        let fresh = 2 * self.set.timing.tenure_ms;
+        let fresh = 2 * self.set.timing.lease_ms;
         Status {
             ledger: g.voter.ledger.clone(),
             me: g.voter.me.clone(),
@@ -110,7 +110,7 @@
     /// The state by which reads may go, where this voter leads (design 2.3).
     pub fn state_here(&self) -> Result<Ledger, Option<VoterInfo>> {
         let g = self.lock();
-        let leased = g.voter.current(self.clock.now()) || common::ground::broken("reads-without-lease");
+        let leased = g.voter.current(self.clock.now()) || common::runtime::broken("reads-without-lease");
         if leased { Ok(g.voter.ledger.clone()) } else { Err(g.voter.leader()) }
     }
 
@@ -130,7 +130,7 @@
             Ask::Leave { info } => self.leave(info).await,
             Ask::News { have, wait_ms } => self.news(have, wait_ms).await,
             Ask::Propose { change } => {
-                let ms = self.set.timing.rail_ms * 4;
+                let ms = self.set.timing.rpc_timeout_ms * 4;
                 Reply::Proposed(self.propose_here(change, ms).await)
             }
             Ask::State => match self.state_here() {
--- a/crates/control-plane/src/daemon.rs
+++ b/crates/control-plane/src/daemon.rs
@@ -8,9 +8,8 @@
     rpc,
 };
 use common::{
-    Clock,
-    ground::{Listener, spawn},
-    http, log_event,
+    Clock, http, log_event,
+    runtime::{Listener, spawn},
     settings::Settings,
 };
 use hyper::{Request, Response, body::Incoming};
@@ -26,7 +25,7 @@
 pub async fn run<F, Fut>(
     set: Settings,
     voters: usize,
-    (rail_lst, http_lst): (Listener, Listener),
+    (rpc_listener, http_listener): (Listener, Listener),
     (start, drive): (impl Into<Start>, MakeDrive),
     handler: F,
     stop: impl Future<Output = ()>,
@@ -46,11 +45,12 @@
         }
     });
     member.start();
-    spawn(rpc::listen(rail_lst, set.me(), core.clone()));
+    spawn(rpc::listen(rpc_listener, set.me(), core.clone()));
     let (tell, told) = watch::channel(false);
-    let (busy, c) = (Arc::new(http::Busy::default()), core.clone());
-    let serving = http::serve(http_lst, busy.clone(), told, move |peer, req| handler(c.clone(), peer, req));
-    log_event!(Info, "started", "rail" => set.rail, "http" => set.http);
+    let (open_count, c) = (Arc::new(http::OpenCount::default()), core.clone());
+    let serving =
+        http::serve(http_listener, open_count.clone(), told, move |peer, req| handler(c.clone(), peer, req));
+    log_event!(Info, "started", "rail" => set.rpc_addr, "http" => set.http);
     let serving = spawn(serving);
     stop.await;
     log_event!(Info, "stopping");
@@ -59,8 +59,8 @@
     // What waits to be accepted is taken, and answered, before the end.
     let _ = tell.send(true);
     let _ = serving.await;
-    let end = core.clock.now() + set.timing.rail_ms * 4;
-    while busy.open() > 0 && core.clock.now() < end {
+    let end = core.clock.now() + set.timing.rpc_timeout_ms * 4;
+    while open_count.open() > 0 && core.clock.now() < end {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/control-plane/src/desk.rs
+++ b/crates/control-plane/src/desk.rs
@@ -14,7 +14,7 @@
     operations::{Standing, standing},
     rpc::Proposed,
 };
-use common::{OpId, Revision, Zone, good_name};
+use common::{OpId, Revision, Zone, is_valid_name};
 use configuration::{Flaw, Notation};
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::{collections::BTreeSet, hash::Hasher, sync::Arc, time::Duration};
@@ -93,7 +93,7 @@
 
     /// Asks that nothing more go to an zone's replicas, or takes that back.
     pub async fn evacuate(&self, zone: &str, on: bool) -> Told {
-        if !good_name(zone) {
+        if !is_valid_name(zone) {
             return invalid("area: allowed: 1 to 64 letters, digits, '-', '_' or '.'");
         }
         let zone = Zone::new(zone);
@@ -145,7 +145,7 @@
             };
             match standing(&l, &op, expects, current) {
                 Standing::Decided(Verdict::Accepted { .. }) => self.confirm(op, until).await,
-                Standing::Decided(Verdict::Bounced { reason }) => invalid(reason),
+                Standing::Decided(Verdict::Rejected { reason }) => invalid(reason),
                 Standing::Decided(Verdict::Conflict { .. }) | Standing::Superseded => {
                     Told::Conflict { current: Some(current) }
                 }
@@ -207,7 +207,7 @@
                 let current = self.core.state().await.ok().and_then(|l| self.version(&l).ok());
                 Told::Conflict { current }
             }
-            Proposed::Settled { verdict: Verdict::Bounced { reason }, .. } => invalid(reason),
+            Proposed::Settled { verdict: Verdict::Rejected { reason }, .. } => invalid(reason),
             Proposed::NotLogged { why, .. } => Told::Unavailable(why),
             Proposed::Undetermined => Told::Undetermined,
         }
--- a/crates/control-plane/src/duty.rs
+++ b/crates/control-plane/src/duty.rs
@@ -1,7 +1,7 @@
 //! Duties cut by key over the live nodes, each under a fence (design 3.2).
 
 use crate::ledger::{Ledger, Member};
-use common::{Fence, Zone, rank::ranked};
+use common::{Fence, Zone, rendezvous::ranked};
 use std::collections::HashMap;
 
 /// The node that does a duty now, and the fence under which it does so.
--- a/crates/control-plane/src/lease.rs
+++ b/crates/control-plane/src/lease.rs
@@ -47,7 +47,8 @@
             _ => {
                 // The new lease counts from when it was asked for.
                 self.heard.insert(info.node.clone(), (info.incarnation.0, now));
-                let again = self.asked.get(&info.node).is_none_or(|at| now.since(*at) > t.renew_ms());
+                let again =
+                    self.asked.get(&info.node).is_none_or(|at| now.since(*at) > t.renew_interval_ms());
                 if again {
                     self.asked.insert(info.node.clone(), now);
                 }
@@ -56,10 +57,10 @@
         }
     }
 
-    /// Whether `new` stands where `old` stood, which has been silent for two beats.
+    /// Whether `new` stands where `old` stood, which has been silent for two heartbeats.
     fn outlived(&self, old: &NodeInfo, new: &NodeInfo, t: &Timing, now: Tick) -> bool {
         let heard = self.heard.get(&old.node).filter(|h| h.0 == old.incarnation.0);
-        old.rail == new.rail && heard.is_none_or(|h| now.since(h.1) > 2 * t.beat_ms())
+        old.rpc_addr == new.rpc_addr && heard.is_none_or(|h| now.since(h.1) > 2 * t.heartbeat_ms())
     }
 
     fn expired(&self, info: &NodeInfo, t: &Timing, now: Tick) -> bool {
@@ -69,7 +70,7 @@
             .filter(|h| h.0 == info.incarnation.0)
             .map(|h| h.1)
             .unwrap_or(self.since);
-        now.since(heard.max(self.since)) > t.tenure_ms + t.margin_ms()
+        now.since(heard.max(self.since)) > t.lease_ms + t.lease_margin_ms()
     }
 
     /// Members that have not renewed here for two renewals: they may not hear of what is logged now.
@@ -77,7 +78,7 @@
         let lately = |c: &NodeInfo| {
             self.heard
                 .get(&c.node)
-                .is_some_and(|h| h.0 == c.incarnation.0 && now.since(h.1) <= 2 * t.renew_ms())
+                .is_some_and(|h| h.0 == c.incarnation.0 && now.since(h.1) <= 2 * t.renew_interval_ms())
         };
         l.members.values().filter(|m| !lately(&m.info)).map(|m| m.info.node.clone()).collect()
     }
@@ -97,7 +98,7 @@
             l.members.values().map(|m| m.info.clone()).filter(|c| self.expired(c, t, now)).collect();
         gone.into_iter()
             .filter(|c| {
-                let again = self.asked.get(&c.node).is_none_or(|at| now.since(*at) > t.renew_ms());
+                let again = self.asked.get(&c.node).is_none_or(|at| now.since(*at) > t.renew_interval_ms());
                 if again {
                     self.asked.insert(c.node.clone(), now);
                 }
@@ -118,7 +119,7 @@
 impl HeldLease {
     pub fn renewed(&mut self, epoch: Epoch, sent: Tick, t: &Timing) {
         self.epoch = epoch;
-        self.until = self.until.max(sent + t.tenure_ms);
+        self.until = self.until.max(sent + t.lease_ms);
     }
     pub fn valid(&self, now: Tick) -> bool {
         now < self.until
--- a/crates/control-plane/src/ledger.rs
+++ b/crates/control-plane/src/ledger.rs
@@ -68,7 +68,7 @@
 
     fn record(&mut self, op: &OpId, ch: &Change, v: &Verdict) {
         let made_a_revision = matches!((ch, v), (Change::Apply { .. }, Verdict::Accepted { .. }));
-        if made_a_revision && !common::ground::broken("verdicts-by-count") {
+        if made_a_revision && !common::runtime::broken("verdicts-by-count") {
             return self.accepted.record(op);
         }
         self.ops.push_back((op.clone(), v.clone()));
@@ -107,7 +107,7 @@
             }
             Change::Down { node, .. } => {
                 if !self.lost.iter().any(|x| x.node == *node) {
-                    return Verdict::Bounced { reason: format!("'{node}' is not among the lost") };
+                    return Verdict::Rejected { reason: format!("'{node}' is not among the lost") };
                 }
                 self.lost.retain(|x| x.node != *node);
             }
@@ -124,7 +124,7 @@
             return Verdict::Accepted { revision: self.revision };
         }
         let overtaken = self.evacuation_changes.get(zone).is_some_and(|at| *at > seen);
-        if overtaken && !common::ground::broken("late-evacuations") {
+        if overtaken && !common::runtime::broken("late-evacuations") {
             return Verdict::Conflict { current: self.revision };
         }
         if on {
@@ -149,7 +149,7 @@
                 self.replicas.remove(id);
             }
             (_, None) => {
-                return Verdict::Bounced { reason: format!("no replica '{id}' is listed") };
+                return Verdict::Rejected { reason: format!("no replica '{id}' is listed") };
             }
         }
         Verdict::Accepted { revision: self.revision }
--- a/crates/control-plane/src/member.rs
+++ b/crates/control-plane/src/member.rs
@@ -63,23 +63,23 @@
 
     pub fn start(self: &Arc<Self>) {
         let me = self.clone();
-        common::ground::spawn(async move {
-            // Without a lease it asks with each beat: a joining is accepted within one or two.
+        common::runtime::spawn(async move {
+            // Without a lease it asks with each heartbeat: a joining is accepted within one or two.
             let mut moved = me.moved.subscribe();
             while !me.leaving.load(Ordering::Acquire) {
                 moved.borrow_and_update();
                 me.renew().await;
                 let t = &me.set.timing;
-                let ms = if me.has_lease() { t.renew_ms() } else { t.beat_ms() };
+                let ms = if me.has_lease() { t.renew_interval_ms() } else { t.heartbeat_ms() };
                 // What is new here is said at once: an operator may wait for it.
                 let _ = tokio::time::timeout(Duration::from_millis(ms), moved.changed()).await;
             }
         });
         let me = self.clone();
-        common::ground::spawn(async move {
+        common::runtime::spawn(async move {
             loop {
                 if !me.follow().await {
-                    tokio::time::sleep(Duration::from_millis(me.set.timing.beat_ms())).await;
+                    tokio::time::sleep(Duration::from_millis(me.set.timing.heartbeat_ms())).await;
                 }
             }
         });
@@ -122,7 +122,7 @@
     /// go on by what it holds (design 3.6).
     pub fn lags(&self) -> bool {
         let g = self.told.lock().unwrap_or_else(|e| e.into_inner());
-        let late = |t: &(Index, Tick)| self.clock.now().since(t.1) > self.set.timing.patience_ms();
+        let late = |t: &(Index, Tick)| self.clock.now().since(t.1) > self.set.timing.election_timeout_ms();
         self.has_lease() && g.front().is_some_and(late)
     }
 
@@ -130,7 +130,7 @@
     pub fn voters(&self) -> Vec<(SocketAddr, bool)> {
         let l = self.ledger.load();
         let mut v: Vec<(SocketAddr, bool)> =
-            l.voters.iter().map(|h: &VoterInfo| (h.rail, h.zone == self.info.zone)).collect();
+            l.voters.iter().map(|h: &VoterInfo| (h.rpc_addr, h.zone == self.info.zone)).collect();
         for s in &self.set.seeds {
             if !v.iter().any(|(a, _)| a == s) {
                 v.push((*s, false));
@@ -164,8 +164,8 @@
                     return self.set_hint(Some(to));
                 }
                 Ok(Reply::NotYet) => return self.set_hint(Some(to)),
-                Ok(Reply::Elsewhere { leader: Some(h) }) if !tries[..n].contains(&h.rail) => {
-                    tries.insert(n, h.rail);
+                Ok(Reply::Elsewhere { leader: Some(h) }) if !tries[..n].contains(&h.rpc_addr) => {
+                    tries.insert(n, h.rpc_addr);
                 }
                 Ok(_) => {}
                 Err(e) => log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause),
@@ -178,7 +178,7 @@
     pub async fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
         // A renewal that is on its way must not arrive after the leave and join anew.
-        tokio::time::sleep(Duration::from_millis(self.set.timing.beat_ms())).await;
+        tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await;
         let tries = self.hint().into_iter().chain(self.voters().into_iter().map(|s| s.0));
         for to in tries {
             let ask = Ask::Leave { info: self.info.clone() };
@@ -197,12 +197,12 @@
         if let Some(h) = self.hint().filter(|_| behind) {
             voters.sort_by_key(|(a, _)| *a != h);
         }
-        let wait_ms = self.set.timing.renew_ms();
+        let wait_ms = self.set.timing.renew_interval_ms();
         for (to, _) in voters {
             let gap = self.gap.swap(false, Ordering::AcqRel);
             let have = if gap { Index(0) } else { self.ledger.load().index };
             let ask = Ask::News { have, wait_ms };
-            match self.lines.call_within(wait_ms + self.set.timing.rail_ms, "news", to, ask).await {
+            match self.lines.call_within(wait_ms + self.set.timing.rpc_timeout_ms, "news", to, ask).await {
                 Ok(Reply::News(n)) => {
                     // A voter that lags says nothing new; another may know more.
                     if matches!(n, News::Same) && self.behind(to).await {
@@ -242,7 +242,7 @@
                 self.gap.store(true, Ordering::Release);
                 log_event!(Warn, "news", "peer" => from, "cause" => "gap; taking a frame");
             }
-            Taken::Bounced(why) => log_event!(Warn, "news", "peer" => from, "cause" => why),
+            Taken::Rejected(why) => log_event!(Warn, "news", "peer" => from, "cause" => why),
             Taken::Nothing => {}
         }
         taken
--- a/crates/control-plane/src/news.rs
+++ b/crates/control-plane/src/news.rs
@@ -39,15 +39,15 @@
     /// Changes are missing in between: ask again for a snapshot.
     Gap,
     /// Another cluster's, or an older state than was seen.
-    Bounced(&'static str),
+    Rejected(&'static str),
 }
 
 /// Brings a follower's copy forward; never back.
 pub fn take(own: &mut Ledger, cluster: &str, news: News) -> Taken {
     match news {
         News::Same => Taken::Nothing,
-        News::Snapshot(f) if f.cluster != cluster => Taken::Bounced("foreign cluster"),
-        News::Snapshot(f) if f.index < own.index => Taken::Bounced("older than what was seen"),
+        News::Snapshot(f) if f.cluster != cluster => Taken::Rejected("foreign cluster"),
+        News::Snapshot(f) if f.index < own.index => Taken::Rejected("older than what was seen"),
         News::Snapshot(f) => {
             let newer = f.index > own.index || own.cluster.is_empty();
             *own = *f;
--- a/crates/control-plane/src/rpc.rs
+++ b/crates/control-plane/src/rpc.rs
@@ -97,9 +97,9 @@
 
 /// Answers all of it at a control node.
 pub async fn listen(
-    lst: common::ground::Listener,
-    me: common::link::Me,
+    listener: common::runtime::Listener,
+    me: common::link::LocalNode,
     core: std::sync::Arc<crate::core::Core>,
 ) {
-    common::link::listen(lst, me, SERVICE, move |_node, ask| core.clone().answer(ask)).await
+    common::link::listen(listener, me, SERVICE, move |_node, ask| core.clone().answer(ask)).await
 }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -68,7 +68,7 @@
         return Ok(Some(Err(Bad::Broken)));
     };
     let Some(body) = body(&f, HEAD as u64, len, crc)? else { return Ok(Some(Err(Bad::Broken))) };
-    Ok(Some(wire::dec::<DurableState>(&body).map(|i| (seq, i)).map_err(|_| Bad::OtherForm)))
+    Ok(Some(wire::decode::<DurableState>(&body).map(|i| (seq, i)).map_err(|_| Bad::OtherForm)))
 }
 
 impl FileStore {
@@ -146,7 +146,7 @@
 
     fn image(&mut self, img: &DurableState) -> io::Result<()> {
         let seq = self.seq + 1;
-        let body = wire::enc(img)?;
+        let body = wire::encode(img)?;
         if body.len() as u64 + HEAD as u64 > SLOT_LEN {
             return Err(err(format!("a frame of {} bytes does not fit into a slot", body.len())));
         }
@@ -165,7 +165,7 @@
     }
 
     fn record(&mut self, rec: &Record) -> io::Result<()> {
-        let body = wire::enc(rec)?;
+        let body = wire::encode(rec)?;
         let end = self.pos + (HEAD + body.len()) as u64;
         if end > LOG_LEN {
             return Err(err("the short log is full"));
--- a/crates/control-plane/src/store/replay.rs
+++ b/crates/control-plane/src/store/replay.rs
@@ -19,7 +19,7 @@
         return Ok(None);
     }
     let Some(body) = body(log, at + HEAD as u64, len, crc)? else { return Ok(None) };
-    Ok(Some((at + HEAD as u64 + len, wire::dec::<Record>(&body).map_err(|_| Bad::OtherForm))))
+    Ok(Some((at + HEAD as u64 + len, wire::decode::<Record>(&body).map_err(|_| Bad::OtherForm))))
 }
 
 /// Brings an image forward by the log that follows it.
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -6,7 +6,7 @@
 
 use common::{
     Clock,
-    ground::{Host, World, bind, spawn, spawn_at},
+    runtime::{Host, World, bind, spawn, spawn_at},
     settings::{Settings, Timing},
 };
 use configuration::{Flaw, Notation, RequestLimits, RouteMap};
@@ -27,9 +27,9 @@
 use tokio::time::sleep;
 
 /// A document is its version's number on a line of its own, then whatever follows.
-pub struct Lines;
+pub struct RpcClient;
 
-impl Notation for Lines {
+impl Notation for RpcClient {
     fn read(&self, text: &str) -> Result<RouteMap, Vec<Flaw>> {
         let first = text.lines().next().unwrap_or_default();
         let flaw = |_| vec![Flaw { line: 1, column: 1, message: "no version".into() }];
@@ -83,9 +83,9 @@
         cluster: "c".into(),
         node: format!("s{n}"),
         zone: format!("a{n}"),
-        rail: SocketAddr::new(ip(n), 7100),
+        rpc_addr: SocketAddr::new(ip(n), 7100),
         http: SocketAddr::new(ip(n), 8080),
-        rail_advertise: None,
+        rpc_advertise: None,
         http_advertise: None,
         seeds: (0..of.min(3)).map(|n| SocketAddr::new(ip(n), 7100)).collect(),
         founds,
@@ -96,9 +96,9 @@
 }
 
 async fn stand(set: Settings, voters: usize, host: Arc<Host>, waits: bool) -> Stand {
-    let ip = set.rail.ip();
+    let ip = set.rpc_addr.ip();
     let make: MakeDrive = Box::new(move |core| Box::new(MemDrive { core, ip }));
-    let rail_lst = bind(set.rail).await.unwrap();
+    let rpc_listener = bind(set.rpc_addr).await.unwrap();
     let start = match waits {
         true => Start::Waiting(Box::new(blank(&set))),
         false => Start::from(Voter::blank_image(&blank(&set))),
@@ -106,9 +106,9 @@
     let core = Core::start(set.clone(), voters, start, make);
     let info = NodeInfo::of(&set, Role::Core, core.status().me.incarnation);
     Member::new(set.clone(), info, Clock::default()).start();
-    spawn(rpc::listen(rail_lst, set.me(), core.clone()));
+    spawn(rpc::listen(rpc_listener, set.me(), core.clone()));
     let zones = ["a0", "far"].map(Into::into).into_iter().collect();
-    let desk = Arc::new(Desk::new(core.clone(), Arc::new(Lines), zones));
+    let desk = Arc::new(Desk::new(core.clone(), Arc::new(RpcClient), zones));
     Stand { core, desk, host, ip }
 }
 
--- a/crates/control-plane/tests/compatibility/samples.rs
+++ b/crates/control-plane/tests/compatibility/samples.rs
@@ -23,7 +23,7 @@
         incarnation: Incarnation(10 + u64::from(n)),
         node: NodeId::new(format!("s{n}")),
         zone: "centro-1".into(),
-        rail: address(n),
+        rpc_addr: address(n),
         http: SocketAddr::from(([10, 0, 0, n], 8080)),
     }
 }
@@ -39,7 +39,7 @@
         role,
         lang: 3,
         zone: Zone::new("norte-1"),
-        rail: address(9),
+        rpc_addr: address(9),
         http: SocketAddr::from(([10, 0, 0, 9], 8080)),
     }
 }
@@ -77,7 +77,7 @@
     vec![
         ("accepted", Verdict::Accepted { revision: Revision(8) }),
         ("conflict", Verdict::Conflict { current: Revision(9) }),
-        ("bounced", Verdict::Bounced { reason: "no replica 'r-9' is listed".into() }),
+        ("bounced", Verdict::Rejected { reason: "no replica 'r-9' is listed".into() }),
     ]
 }
 
--- a/crates/control-plane/tests/consensus.rs
+++ b/crates/control-plane/tests/consensus.rs
@@ -19,7 +19,7 @@
         incarnation: Incarnation(incarnation),
         node: format!("s{n}").as_str().into(),
         zone: "a".into(),
-        rail: addr(n),
+        rpc_addr: addr(n),
         http: addr(n),
     }
 }
@@ -127,7 +127,7 @@
     s.step(held(1, Term(8), 0, now, true), now);
     assert!(s.leads(now));
     s.step(Event::Propose(evac("a")), now);
-    let late = now + Timing::default().sync_ms() + 1;
+    let late = now + Timing::default().sync_timeout_ms() + 1;
     s.step(held(1, Term(8), 0, late, true), late);
     assert!(!s.leads(late), "its own disk has not answered");
     s.step(Event::Timer, late);
@@ -261,7 +261,7 @@
 /// Found by the model test: a machine was wiped right after it founded a core and committed a change
 /// with a second one, while the third was still blank. What the second had said before it was formed
 /// came late, and the wiped machine founded a second core over it. A call lives no longer than
-/// `rail_ms`, so what comes later than that in a process's life was said during this life.
+/// `rpc_timeout_ms`, so what comes later than that in a process's life was said during this life.
 #[test]
 fn what_was_said_before_a_process_started_founds_nothing() {
     let discovered = |n: u8| {
@@ -274,7 +274,7 @@
     s.step(discovered(2), start + 1);
     s.step(Event::Timer, start + 100);
     assert!(!s.formed, "it may be old");
-    let later = start + Timing::default().rail_ms + 1;
+    let later = start + Timing::default().rpc_timeout_ms + 1;
     s.step(Event::Timer, later);
     assert!(!s.formed, "nothing was said since");
     s.step(discovered(1), later);
--- a/crates/control-plane/tests/damage.rs
+++ b/crates/control-plane/tests/damage.rs
@@ -29,7 +29,7 @@
         incarnation: Incarnation(5),
         node: "s1".into(),
         zone: "a".into(),
-        rail: address,
+        rpc_addr: address,
         http: address,
     };
     DurableState { formed: true, ledger: Ledger::founded("c", vec![me.clone()]), ..Voter::blank_image(&me) }
--- a/crates/control-plane/tests/desk.rs
+++ b/crates/control-plane/tests/desk.rs
@@ -1,6 +1,6 @@
 //! Conformance of the operator's desk with design 4.9, and of small cores with design 2.2.
 
-use common::ground::World;
+use common::runtime::World;
 use control_plane::{
     desk::{MAX_DOC, Told},
     ledger::OPS_KEPT,
--- a/crates/control-plane/tests/disk_faults.rs
+++ b/crates/control-plane/tests/disk_faults.rs
@@ -29,9 +29,9 @@
         cluster: "c".into(),
         node: "s1".into(),
         zone: "a".into(),
-        rail: addr(7000),
+        rpc_addr: addr(7000),
         http: addr(8000),
-        rail_advertise: None,
+        rpc_advertise: None,
         http_advertise: None,
         seeds: vec![addr(7000)],
         founds: true,
@@ -48,7 +48,7 @@
         incarnation: Incarnation(5),
         node: "s1".into(),
         zone: "a".into(),
-        rail: set.rail,
+        rpc_addr: set.rpc_addr,
         http: set.http,
     };
     DurableState { formed: true, ledger: Ledger::founded("c", vec![me.clone()]), ..Voter::blank_image(&me) }
@@ -286,6 +286,6 @@
     let mut waits = vec![retry.wait()];
     let told = (0..1_000).filter(|_| retry.failed()).count();
     waits.push(retry.wait());
-    assert_eq!(waits, [timing.beat_ms(), timing.renew_ms()].map(Duration::from_millis));
+    assert_eq!(waits, [timing.heartbeat_ms(), timing.renew_interval_ms()].map(Duration::from_millis));
     assert_eq!(told, 10);
 }
--- a/crates/control-plane/tests/document.rs
+++ b/crates/control-plane/tests/document.rs
@@ -9,7 +9,7 @@
 use noise::noise;
 
 fn back(d: &Document) -> Document {
-    wire::dec(&wire::enc(d).unwrap()).unwrap()
+    wire::decode(&wire::encode(d).unwrap()).unwrap()
 }
 
 #[rstest]
@@ -21,11 +21,11 @@
 #[case::half_and_half(&(noise(4, 70_000) + &"y".repeat(70_000)))]
 fn texts_come_back_as_they_were(#[case] text: &str) {
     let d = Document::from(text);
-    let told = wire::enc(&d).unwrap();
+    let told = wire::encode(&d).unwrap();
     assert!(told.len() <= d.packed_len() + 16 && d.packed_len() <= text.len());
     let b = back(&d);
     assert_eq!((&*b, b.packed_len()), (text, d.packed_len()));
-    assert_eq!(wire::enc(&b).unwrap(), told, "what is passed on is what was taken");
+    assert_eq!(wire::encode(&b).unwrap(), told, "what is passed on is what was taken");
     assert_eq!(b, d);
 }
 
@@ -72,12 +72,12 @@
 #[case::no_text(5, &[0xff], "utf-8")]
 fn what_is_broken_is_an_error(#[case] at: usize, #[case] bytes: &[u8], #[case] why: &str) {
     let d = Document::from("z".repeat(600));
-    let mut told = wire::enc(&d).unwrap();
+    let mut told = wire::encode(&d).unwrap();
     // The packed bytes stand at the end: the text's length, then one block.
     let packed = told.len() - d.packed_len();
     assert_eq!(told[packed..packed + 4], [0x58, 2, 0, 0]);
     told[packed + at..][..bytes.len()].copy_from_slice(bytes);
-    let e = wire::dec::<Document>(&told).unwrap_err().to_string();
+    let e = wire::decode::<Document>(&told).unwrap_err().to_string();
     assert!(e.contains(why), "{e}");
-    assert!(wire::dec::<Document>(&told[..told.len() - 1]).is_err());
+    assert!(wire::decode::<Document>(&told[..told.len() - 1]).is_err());
 }
--- a/crates/control-plane/tests/drawn.rs
+++ b/crates/control-plane/tests/drawn.rs
@@ -10,9 +10,9 @@
         cluster: "c".into(),
         node: "s1".into(),
         zone: "a".into(),
-        rail: at,
+        rpc_addr: at,
         http: at,
-        rail_advertise: None,
+        rpc_advertise: None,
         http_advertise: None,
         seeds: vec![],
         founds: true,
@@ -34,5 +34,5 @@
 fn no_two_operations_share_a_name() {
     let all: BTreeSet<_> = (0..1_000).map(|_| drawn_op()).collect();
     assert_eq!(all.len(), 1_000);
-    assert!(all.iter().all(|o| common::good_name(o)));
+    assert!(all.iter().all(|o| common::is_valid_name(o)));
 }
--- a/crates/control-plane/tests/feed.rs
+++ b/crates/control-plane/tests/feed.rs
@@ -1,5 +1,5 @@
 //! What a leader feeds, and when it feeds it again (design 2.3): long entries on long links go once,
-//! and beats go meanwhile.
+//! and heartbeats go meanwhile.
 
 use common::Index;
 use std::collections::VecDeque;
@@ -38,7 +38,7 @@
     r.well();
 }
 
-/// What was lost is fed again, once its answer is overdue and not with every beat.
+/// What was lost is fed again, once its answer is overdue and not with every heartbeat.
 #[test]
 fn a_lost_entry_is_fed_again_when_its_answer_is_overdue() {
     let dir = tempfile::tempdir().unwrap();
--- a/crates/control-plane/tests/larger.rs
+++ b/crates/control-plane/tests/larger.rs
@@ -20,7 +20,7 @@
         incarnation: Incarnation(incarnation),
         node: node.as_str().into(),
         zone: "a".into(),
-        rail: addr(n),
+        rpc_addr: addr(n),
         http: addr(n),
     }
 }
--- a/crates/control-plane/tests/malformed.rs
+++ b/crates/control-plane/tests/malformed.rs
@@ -4,7 +4,7 @@
 use common::{
     Incarnation, Index, Term, Tick,
     settings::Timing,
-    wire::{dec, enc},
+    wire::{decode, encode},
 };
 use control_plane::{
     Change, Ledger,
@@ -28,7 +28,7 @@
         incarnation: Incarnation(10 + u64::from(n)),
         node: format!("s{n}").as_str().into(),
         zone: "a".into(),
-        rail: address(n),
+        rpc_addr: address(n),
         http: address(n),
     }
 }
@@ -320,9 +320,9 @@
     let mut rng = SmallRng::seed_from_u64(7);
     let mut read = 0;
     for msg in &whole {
-        let bytes = enc(msg).unwrap();
+        let bytes = encode(msg).unwrap();
         for cut in 0..bytes.len() {
-            assert!(dec::<Message>(&bytes[..cut]).is_err(), "cut off at {cut}: {msg:?}");
+            assert!(decode::<Message>(&bytes[..cut]).is_err(), "cut off at {cut}: {msg:?}");
         }
         for _ in 0..4_000 {
             let mut bytes = bytes.clone();
@@ -330,7 +330,7 @@
                 let at = rng.random_range(0..bytes.len());
                 bytes[at] = rng.random();
             }
-            let Ok(msg) = dec::<Message>(&bytes) else { continue };
+            let Ok(msg) = decode::<Message>(&bytes) else { continue };
             read += 1;
             for at in [blank, formed, candidate, leader] {
                 let mut s = at();
--- a/crates/control-plane/tests/model/main.rs
+++ b/crates/control-plane/tests/model/main.rs
@@ -32,7 +32,7 @@
 const STATES_OF_A_WHOLE_SEARCH: usize = 120_000;
 /// Deviations of the scheduled searches that are cut off in CI.
 const DEVIATIONS: u8 = 2;
-/// Length of a scheduled run, in times of a follower's patience.
+/// Length of a scheduled run, in times of a follower's election time-out.
 const HORIZON: u64 = 3;
 /// One in so many states is run on undisturbed.
 const SAMPLE: u128 = 997;
@@ -71,7 +71,7 @@
     visit: impl FnMut(&World),
 ) -> Result<Report, Counterexample> {
     let mut start = start_of(scenario, variant)?;
-    let horizon = start.now + HORIZON * start.timing().patience_ms();
+    let horizon = start.now + HORIZON * start.timing().election_timeout_ms();
     let gone = (0..world::VOTERS).find(|machine| start.voter(*machine).is_none());
     start.schedule = Some(Schedule::new(deviations, horizon, gone));
     start.budget = Budget {
--- a/crates/control-plane/tests/model/scenario.rs
+++ b/crates/control-plane/tests/model/scenario.rs
@@ -41,7 +41,7 @@
     ReplacedVoterStands,
     /// The wiped voter is a voter again; the next loss comes right then.
     SecondLoss,
-    /// A follower heard no leader for longer than its patience and stands, while the others go on.
+    /// A follower heard no leader for longer than its election time-out and stands, while the others go on.
     FollowerOutOfTouch,
     /// The votes for a new leader are given; what the old leader sent before is still in flight.
     OldTermMessages,
@@ -83,10 +83,10 @@
     }
 
     fn prepare(self, world: &mut World) -> Result<(), Broken> {
-        let patience = Timing::default().patience_ms();
+        let patience = Timing::default().election_timeout_ms();
         if self == Self::Founding {
             // Sooner than this nothing that is heard counts.
-            world.now = world.now + Timing::default().rail_ms + 1;
+            world.now = world.now + Timing::default().rpc_timeout_ms + 1;
             return Ok(());
         }
         if self == Self::FirstElection {
@@ -140,7 +140,7 @@
                 world.quiet_until_join_of_spare(follower)?;
                 if self == Self::ReplacedVoterReturns {
                     world.restart(follower);
-                    world.now = world.now + Timing::default().beat_ms();
+                    world.now = world.now + Timing::default().heartbeat_ms();
                     *world = world.after(Action::Wakeup { machine: leader, slow: false })?;
                     world.deliver_first(follower, |m| matches!(m, Message::Append { .. }))?;
                 }
@@ -265,7 +265,7 @@
     /// The spare's join request is in flight once its leader takes the silent voter as lost.
     fn quiet_until_join_of_spare(&mut self, silent: usize) -> Result<(), Broken> {
         let timing = Timing::default();
-        let lost_after = timing.tenure_ms + timing.margin_ms();
+        let lost_after = timing.lease_ms + timing.lease_margin_ms();
         self.quiet_to(&[silent], |w| {
             let Some(at) = w.leader() else { return false };
             let asks =
--- a/crates/control-plane/tests/model/schedule.rs
+++ b/crates/control-plane/tests/model/schedule.rs
@@ -190,7 +190,7 @@
             }
             Action::GoOn => {
                 schedule.woken = 0;
-                let step = self.now + BEATS_A_STEP * self.timing().beat_ms();
+                let step = self.now + BEATS_A_STEP * self.timing().heartbeat_ms();
                 self.now = self.next_deadline().map_or(step, |deadline| deadline.min(step));
             }
             _ => {}
--- a/crates/control-plane/tests/model/world.rs
+++ b/crates/control-plane/tests/model/world.rs
@@ -38,7 +38,7 @@
         incarnation: Incarnation(incarnation),
         node: format!("n{machine}").as_str().into(),
         zone: "a".into(),
-        rail: address(machine),
+        rpc_addr: address(machine),
         http: address(machine),
     }
 }
@@ -424,7 +424,7 @@
     /// The next moment at which some voter may decide otherwise than now.
     pub fn next_deadline(&self) -> Option<Tick> {
         let timing = self.timing();
-        let patience = timing.patience_ms();
+        let patience = timing.election_timeout_ms();
         let mut times = Vec::new();
         for machine in self.machines.iter().map(|machine| &machine.value) {
             let Some(voter) = machine.process.as_ref().filter(|voter| voter.formed && !voter.out) else {
@@ -505,7 +505,7 @@
             }
             Action::Beat => {
                 self.budget.beats -= 1;
-                self.now = self.now + self.timing().beat_ms();
+                self.now = self.now + self.timing().heartbeat_ms();
                 Ok(())
             }
             _ => Ok(()),
@@ -559,7 +559,7 @@
     pub fn restart(&mut self, machine: usize) {
         let mut started = self.now;
         if self.variant == Some(Variant::VotesRightAfterRestart) {
-            started = started - self.timing().patience_ms();
+            started = started - self.timing().election_timeout_ms();
         }
         let mut image = self.machine(machine).disk.synced.clone();
         if self.variant == Some(Variant::ForgetsPromise) {
--- a/crates/control-plane/tests/modules/lease.rs
+++ b/crates/control-plane/tests/modules/lease.rs
@@ -15,7 +15,7 @@
         role: Role::Router,
         lang: 1,
         zone: "a".into(),
-        rail: addr,
+        rpc_addr: addr,
         http: addr,
     };
     let mut l = Ledger::founded("c", vec![]);
@@ -23,7 +23,7 @@
     let t = Timing::default();
     let mut ten = Leases::taken_over(Tick(0));
     assert_eq!(ten.renew(&l, &t, &info, Tick(100)), Ok(Epoch(1)));
-    let late = Tick(101 + t.tenure_ms + t.margin_ms());
+    let late = Tick(101 + t.lease_ms + t.lease_margin_ms());
     assert_eq!(ten.wakeup(&l, &t, late).len(), 1);
     assert_eq!(ten.renew(&l, &t, &info, late + 1), Err(None));
     l.fold(Index(2), &Change::Expire { node: "n".into(), incarnation, left: false });
--- a/crates/control-plane/tests/modules/ledger.rs
+++ b/crates/control-plane/tests/modules/ledger.rs
@@ -30,7 +30,7 @@
         role: control_plane::change::Role::Router,
         lang: 1,
         zone: "a".into(),
-        rail: addr,
+        rpc_addr: addr,
         http: addr,
     };
     let list = ReplicaMove::List { service: "s".into(), zone: "a".into(), addr };
@@ -49,7 +49,7 @@
         l.fold(Index(n as u64 + 1), ch);
     }
     assert_eq!((l.ops.len(), l.accepted.len()), (4, 1));
-    assert_eq!(wire::dec::<Ledger>(&wire::enc(&l).unwrap()).unwrap(), l);
+    assert_eq!(wire::decode::<Ledger>(&wire::encode(&l).unwrap()).unwrap(), l);
 }
 
 /// An evacuation that is late on its way does not undo what was decided after it; one that changes
--- a/crates/control-plane/tests/modules/mass.rs
+++ b/crates/control-plane/tests/modules/mass.rs
@@ -16,7 +16,7 @@
         role: Role::Router,
         lang: 1,
         zone: "a".into(),
-        rail: addr,
+        rpc_addr: addr,
         http: addr,
     };
     let mut l = Ledger::founded("c", vec![]);
--- a/crates/control-plane/tests/modules/news.rs
+++ b/crates/control-plane/tests/modules/news.rs
@@ -23,9 +23,9 @@
     assert_eq!(take(&mut own, "c", News::Changes(vec![evac(1), evac(2)])), Taken::Newer);
     assert_eq!(take(&mut own, "c", News::Changes(vec![evac(4)])), Taken::Gap);
     let old = News::Snapshot(Box::new(Ledger::founded("c", vec![])));
-    assert_eq!(take(&mut own, "c", old), Taken::Bounced("older than what was seen"));
+    assert_eq!(take(&mut own, "c", old), Taken::Rejected("older than what was seen"));
     let foreign = Ledger { index: Index(9), ..Ledger::founded("d", vec![]) };
     let foreign = News::Snapshot(Box::new(foreign));
-    assert_eq!(take(&mut own, "c", foreign), Taken::Bounced("foreign cluster"));
+    assert_eq!(take(&mut own, "c", foreign), Taken::Rejected("foreign cluster"));
     assert_eq!((own.index, own.evacuated.len()), (Index(2), 2));
 }
--- a/crates/control-plane/tests/operator/cut_off.rs
+++ b/crates/control-plane/tests/operator/cut_off.rs
@@ -1,7 +1,7 @@
 //! A control node that is cut off from the others while an operator asks it (design 2.3, 4.9).
 
 use crate::cluster::{Cluster, Stand};
-use common::ground::World;
+use common::runtime::World;
 use control_plane::desk::Told;
 use rstest::rstest;
 use std::time::Duration;
--- a/crates/control-plane/tests/operator/orders.rs
+++ b/crates/control-plane/tests/operator/orders.rs
@@ -1,7 +1,7 @@
 //! Orders that are sent again (design 4.9): an accepted one is accepted again, wherever and whenever.
 
 use crate::cluster::{Cluster, Stand};
-use common::{Index, OpId, Revision, ground::World, wire};
+use common::{Index, OpId, Revision, runtime::World, wire};
 use control_plane::{
     Change, Ledger, Verdict,
     desk::Told,
@@ -127,15 +127,15 @@
 #[test]
 fn operations_stay_small_in_a_snapshot() {
     let mut l = Ledger::founded("c", vec![]);
-    let empty = wire::enc(&l).unwrap().len();
+    let empty = wire::encode(&l).unwrap().len();
     for n in 0..2 * ACCEPTED_KEPT as u64 {
         l.fold(Index(n + 1), &apply(n));
     }
-    let encoded = wire::enc(&l).unwrap();
+    let encoded = wire::encode(&l).unwrap();
     assert!(encoded.len() - empty <= ACCEPTED_KEPT * OPERATION_BYTES, "{} bytes", encoded.len());
     assert!(encoded.len() <= l.weight());
     assert_eq!(l.ops.len(), 0, "accepted documents push no other verdict out");
-    assert_eq!(wire::dec::<Ledger>(&encoded).unwrap(), l);
+    assert_eq!(wire::decode::<Ledger>(&encoded).unwrap(), l);
     println!("{} operations: {} bytes", l.accepted.len(), encoded.len() - empty);
 }
 
--- a/crates/control-plane/tests/outlived.rs
+++ b/crates/control-plane/tests/outlived.rs
@@ -5,9 +5,9 @@
 use rstest::rstest;
 
 fn info(incarnation: u64, port: u16) -> NodeInfo {
-    let rail = ([127, 0, 0, 1], port).into();
+    let rpc_addr = ([127, 0, 0, 1], port).into();
     let (node, incarnation) = (NodeId::new("n"), Incarnation(incarnation));
-    NodeInfo { node, incarnation, role: Role::Router, lang: 1, zone: "a".into(), rail, http: rail }
+    NodeInfo { node, incarnation, role: Role::Router, lang: 1, zone: "a".into(), rpc_addr, http: rpc_addr }
 }
 
 /// Found on the users' platform: after a loss of all processes each router waited for its former
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -64,7 +64,7 @@
     let (by, term) = (r.voters[lead].id(), r.voters[lead].promised);
     let feed = Message::Append { by, to: at as u8, term, accepted: Index(1), stamp: r.now, body: Body::Ping };
     let from = rig::addr(lead);
-    let late = r.now + 20 * Timing::default().patience_ms();
+    let late = r.now + 20 * Timing::default().election_timeout_ms();
     let events = [
         stop(&r.voters[at], by),
         Event::Msg(from, feed),
@@ -91,7 +91,7 @@
     let mut r = settled(dir.path());
     let lead = r.leader();
     let at = (lead + 1) % 3;
-    let late = r.now + 2 * Timing::default().patience_ms();
+    let late = r.now + 2 * Timing::default().election_timeout_ms();
     let (by, promised) = (r.voters[lead].id(), r.voters[at].promised);
     let image = r.held(at);
     let event = stop(&r.voters[at], by);
@@ -105,7 +105,7 @@
     assert_eq!(r.voters[at].promised, promised, "it believes its disk");
     assert!(sent(&r.voters[at].step(Event::Synced(token), late)).is_empty());
     // Its next write is told of by a token of its own.
-    let later = late + Timing::default().patience_ms();
+    let later = late + Timing::default().election_timeout_ms();
     let event = stop(&r.voters[at], by);
     let effects = r.voters[at].step(event, later);
     let next =
@@ -123,12 +123,12 @@
     let at = (lead + 1) % 3;
     let by = r.voters[lead].id();
     let image = r.held(at);
-    let now = r.now + 5 * Timing::default().patience_ms();
+    let now = r.now + 5 * Timing::default().election_timeout_ms();
     r.voters[at].step(Event::SyncFailed, now);
     r.voters[at].step(Event::Recovered(Box::new(image)), now);
     let event = stop(&r.voters[at], by);
     assert!(r.voters[at].step(event, now).is_empty());
-    let wait = Timing::default().patience_ms();
+    let wait = Timing::default().election_timeout_ms();
     let event = stop(&r.voters[at], by);
     assert!(r.voters[at].step(event, now + wait - 1).is_empty());
     let event = stop(&r.voters[at], by);
@@ -195,7 +195,7 @@
     let mut r = settled(dir.path());
     let lead = r.leader();
     let at = (lead + 1) % 3;
-    let late = r.now + 2 * Timing::default().patience_ms();
+    let late = r.now + 2 * Timing::default().election_timeout_ms();
     let (by, term) = (r.voters[lead].id(), r.voters[lead].promised);
     let event = stop(&r.voters[at], by);
     let effects = r.voters[at].step(event, late);
--- a/crates/control-plane/tests/refusing.rs
+++ b/crates/control-plane/tests/refusing.rs
@@ -1,6 +1,6 @@
 //! Daemons whose disk refuses, on hosts of a world in memory (design 2.4): what they answer meanwhile.
 
-use common::ground::World;
+use common::runtime::World;
 use control_plane::{
     consensus::{Event, Voter},
     desk::Told,
--- a/crates/control-plane/tests/rig/mod.rs
+++ b/crates/control-plane/tests/rig/mod.rs
@@ -37,7 +37,7 @@
     refusing: [bool; 3],
     widest: usize,
     pub logged: usize,
-    pub bounced: usize,
+    pub rejected: usize,
     /// Feeds: to whom, when, and what they weigh.
     pub fed: Vec<(usize, Tick, usize)>,
 }
@@ -48,7 +48,7 @@
         incarnation: Incarnation(10 + n as u64),
         node: format!("s{n}").as_str().into(),
         zone: "a".into(),
-        rail: addr(n),
+        rpc_addr: addr(n),
         http: addr(n),
     };
     let (mut voters, mut disks) = (vec![], vec![]);
@@ -61,7 +61,7 @@
         voters.push(Voter::new(holder(n), "c", seeds, Timing::default(), Some(img), Tick(10_000)));
     }
     let (mail, dead) = Default::default();
-    let (widest, logged, bounced) = (0, 0, 0);
+    let (widest, logged, rejected) = (0, 0, 0);
     let fed = vec![];
     let dir = dir.to_path_buf();
     Rig {
@@ -77,7 +77,7 @@
         refusing: [false; 3],
         widest,
         logged,
-        bounced,
+        rejected,
         fed,
     }
 }
@@ -88,7 +88,7 @@
         while let Some(f) = due.pop_front() {
             match f {
                 Effect::Send { to, msg } => {
-                    let len = wire::enc(&msg).unwrap().len();
+                    let len = wire::encode(&msg).unwrap().len();
                     self.widest = self.widest.max(len);
                     if let Message::Append { to, body, .. } = &msg {
                         self.fed.push((usize::from(*to), self.now, body.weight()));
@@ -111,7 +111,7 @@
                     }
                 },
                 Effect::Logged { .. } => self.logged += 1,
-                Effect::NotLogged { .. } => self.bounced += 1,
+                Effect::NotLogged { .. } => self.rejected += 1,
                 _ => {}
             }
         }
--- a/crates/control-plane/tests/size.rs
+++ b/crates/control-plane/tests/size.rs
@@ -41,10 +41,10 @@
     let s = &r.voters[at];
     assert_eq!(s.ledger.revision, Revision(count), "each was accepted");
     for have in [1, s.ledger.index.0 / 2, s.ledger.index.0 - 1] {
-        let told = wire::enc(&news::since(Index(have), &s.ledger, &s.log, s.base, s.room)).unwrap();
+        let told = wire::encode(&news::since(Index(have), &s.ledger, &s.log, s.base, s.room)).unwrap();
         assert!(told.len() < wire::MAX_FRAME, "news of {} bytes after {have}", told.len());
     }
-    let kept: usize = s.log.iter().map(|e| wire::enc(e).unwrap().len()).sum();
+    let kept: usize = s.log.iter().map(|e| wire::encode(e).unwrap().len()).sum();
     assert!(kept <= 3 * DOC, "{kept} bytes of entries are kept in memory");
 }
 
@@ -64,7 +64,7 @@
     r.cut = None;
     r.run(5_000);
     r.well();
-    assert!(r.logged >= 3 && r.bounced >= 1, "{} logged, {} not", r.logged, r.bounced);
+    assert!(r.logged >= 3 && r.rejected >= 1, "{} logged, {} not", r.logged, r.rejected);
 }
 
 /// A new leader with long tails to take over, and a voter that comes back to them.
@@ -115,14 +115,14 @@
     r.apply(0, DOC);
     r.run(500);
     let at = r.leader();
-    let before = r.bounced;
+    let before = r.rejected;
     for n in 0..3 {
         let long = format!("{n}{}", "r".repeat(50_000));
         r.step(at, Event::Propose(named(&format!("x{n}"), &long, ReplicaMove::Drain)));
     }
-    assert_eq!(r.bounced, before + 3, "such names are not logged");
+    assert_eq!(r.rejected, before + 3, "such names are not logged");
     let mut n = 0;
-    while r.bounced == before + 3 && n < 20_000 {
+    while r.rejected == before + 3 && n < 20_000 {
         n += 1;
         let id = format!("{n:0>60}");
         r.step(at, Event::Propose(named(&format!("l{n:0>60}"), &id, list())));
@@ -132,9 +132,9 @@
     }
     assert!((1_000..20_000).contains(&n), "{n} replicas fill a slot");
     r.run(3_000);
-    let (at, bounced) = (r.leader(), r.bounced);
+    let (at, rejected) = (r.leader(), r.rejected);
     r.step(at, Event::Propose(named("gone", &format!("{:0>60}", 1), ReplicaMove::Remove)));
-    assert_eq!(r.bounced, bounced);
+    assert_eq!(r.rejected, rejected);
     r.run(3_000);
     r.well();
     // What is on disk is read back whole.
@@ -151,7 +151,7 @@
         role: Role::Router,
         lang: u32::MAX,
         zone: "a".repeat(64).as_str().into(),
-        rail: "[2001:db8::1:2:3:4]:65535".parse().unwrap(),
+        rpc_addr: "[2001:db8::1:2:3:4]:65535".parse().unwrap(),
         http: "[2001:db8::1:2:3:4]:65535".parse().unwrap(),
     };
     let holder = VoterInfo {
@@ -159,7 +159,7 @@
         incarnation: info.incarnation,
         node: info.node.clone(),
         zone: info.zone.clone(),
-        rail: info.rail,
+        rpc_addr: info.rpc_addr,
         http: info.http,
     };
     let op = || "o".repeat(64).as_str().into();
@@ -180,11 +180,11 @@
     let mut told = vec![];
     for (n, change) in all.into_iter().enumerate() {
         let e = LogEntry { index: Index(u64::MAX - 100 + n as u64), change };
-        assert!(wire::enc(&e).unwrap().len() <= e.weight(), "{e:?}");
+        assert!(wire::encode(&e).unwrap().len() <= e.weight(), "{e:?}");
         l.fold(e.index, &e.change);
-        assert!(wire::enc(&l).unwrap().len() <= l.weight(), "{l:?}");
+        assert!(wire::encode(&l).unwrap().len() <= l.weight(), "{l:?}");
         told.push(e);
     }
     let rec = Record::Install { term: Term(u64::MAX), cut: Index(u64::MAX), entries: told };
-    assert!(wire::enc(&rec).unwrap().len() + 32 <= rec.weight());
+    assert!(wire::encode(&rec).unwrap().len() + 32 <= rec.weight());
 }
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -18,7 +18,7 @@
         incarnation: Incarnation(5),
         node: "s1".into(),
         zone: "a".into(),
-        rail: addr,
+        rpc_addr: addr,
         http: addr,
     };
     DurableState { formed: true, ledger: Ledger::founded("c", vec![me.clone()]), ..Voter::blank_image(&me) }
--- a/crates/control-plane/tests/wake.rs
+++ b/crates/control-plane/tests/wake.rs
@@ -8,7 +8,7 @@
 use tempfile::tempdir;
 
 /// Found on the users' platform (inc-4141): after the loss of all processes each voter waited out the
-/// patience of leaders that were gone. They need not, once each other says that it does not lead.
+/// election time-out of leaders that were gone. They need not, once each other says that it does not lead.
 #[rstest]
 fn all_that_wake_together_lead_within_their_patience(#[values(None, Some(0), Some(2))] blank: Option<usize>) {
     let dir = tempdir().unwrap();
@@ -17,7 +17,7 @@
     r.apply(1, 200);
     r.run(500);
     (0..3).for_each(|n| r.restart(n, (blank == Some(n)).then_some(99)));
-    r.run(Timing::default().patience_ms() - 200);
+    r.run(Timing::default().election_timeout_ms() - 200);
     assert!(r.leads().is_some());
     r.run(8_000);
     r.well();
@@ -32,7 +32,7 @@
     let lead = r.leader();
     r.cut = Some(lead);
     (0..3).filter(|n| *n != lead).for_each(|n| r.restart(n, None));
-    r.run(Timing::default().patience_ms() - 200);
+    r.run(Timing::default().election_timeout_ms() - 200);
     assert!((0..3).filter(|n| *n != lead).all(|n| !r.voters[n].is_leader()));
     r.run(8_000);
     assert!((0..3).any(|n| n != lead && r.voters[n].is_leader()));
--- a/crates/data-plane/src/answer.rs
+++ b/crates/data-plane/src/answer.rs
@@ -47,16 +47,16 @@
             Ask::Watch { service, zone, seq, fence, wait_ms } => {
                 match self.tell_figures(service, zone, seq, fence, wait_ms).await {
                     Some(f) => Reply::Figures(f),
-                    None => Reply::Bounced("not the home".into()),
+                    None => Reply::Rejected("not the home".into()),
                 }
             }
             Ask::Last { service, zone } => match self.last_figures(&service, &zone) {
                 Some(f) => Reply::Figures(f),
-                None => Reply::Bounced("nothing heard".into()),
+                None => Reply::Rejected("nothing heard".into()),
             },
             Ask::Passes { region, service, node } => match self.grant(&region, &service, &node) {
                 Ok(p) => Reply::Pass(p),
-                Err(why) => Reply::Bounced(why.into()),
+                Err(why) => Reply::Rejected(why.into()),
             },
             Ask::Note { note } => {
                 self.heard_of(&note);
@@ -73,9 +73,9 @@
     }
 
     fn no(&self, step: &'static str, peer: &str, why: String) -> Reply {
-        self.numbers.bounce(why.split(':').next().unwrap_or("bounced"));
+        self.numbers.reject(why.split(':').next().unwrap_or("bounced"));
         log_event!(Info, step, "peer" => peer, "cause" => why);
-        Reply::Bounced(why)
+        Reply::Rejected(why)
     }
 
     /// Figures with their age, as long as they still count.
@@ -83,7 +83,11 @@
         let b = self.pressure.board();
         let s = b.seen.get(&(svc.clone(), zone.clone()))?;
         let age_ms = self.now().since(s.at);
-        (age_ms <= self.set.timing.stale_ms()).then(|| Figures { age_ms, waited_ms: 0, ..s.fig.clone() })
+        (age_ms <= self.set.timing.report_max_age_ms()).then(|| Figures {
+            age_ms,
+            waited_ms: 0,
+            ..s.fig.clone()
+        })
     }
 
     async fn tell_figures(
@@ -108,28 +112,31 @@
     }
 
     /// Starts all standing work of a router.
-    pub fn start(self: &Arc<Self>, set: &Settings, rail: common::ground::Listener) {
+    pub fn start(self: &Arc<Self>, set: &Settings, rpc_addr: common::runtime::Listener) {
         self.member.start();
-        common::ground::spawn(self.clone().govern());
-        common::ground::spawn(self.clone().hail());
-        common::ground::spawn(self.clone().watch_all());
-        common::ground::spawn(self.clone().lend());
-        common::ground::spawn(self.clone().fill_purse());
-        self.start_listening(set, rail);
+        common::runtime::spawn(self.clone().govern());
+        common::runtime::spawn(self.clone().hail());
+        common::runtime::spawn(self.clone().watch_all());
+        common::runtime::spawn(self.clone().lend());
+        common::runtime::spawn(self.clone().fill_purse());
+        self.start_listening(set, rpc_addr);
     }
 
     /// Starts the standing work of a router that serves by routes.
-    pub fn start_serving(self: &Arc<Self>, set: &Settings, rail: common::ground::Listener) {
+    pub fn start_serving(self: &Arc<Self>, set: &Settings, rpc_addr: common::runtime::Listener) {
         self.member.start();
-        common::ground::spawn(self.clone().hail());
-        self.start_listening(set, rail);
+        common::runtime::spawn(self.clone().hail());
+        self.start_listening(set, rpc_addr);
     }
 
-    fn start_listening(self: &Arc<Self>, set: &Settings, rail: common::ground::Listener) {
-        common::ground::spawn(self.clone().gather());
+    fn start_listening(self: &Arc<Self>, set: &Settings, rpc_addr: common::runtime::Listener) {
+        common::runtime::spawn(self.clone().gather());
         let me = self.clone();
-        common::ground::spawn(common::link::listen(rail, set.me(), crate::rpc::SERVICE, move |node, ask| {
-            me.clone().answer(node, ask)
-        }));
+        common::runtime::spawn(common::link::listen(
+            rpc_addr,
+            set.me(),
+            crate::rpc::SERVICE,
+            move |node, ask| me.clone().answer(node, ask),
+        ));
     }
 }
--- a/crates/data-plane/src/away.rs
+++ b/crates/data-plane/src/away.rs
@@ -9,7 +9,7 @@
 };
 use common::{
     Fault, Region, Step,
-    http::{Body, BusyGuard},
+    http::{Body, OpenGuard},
 };
 use control_plane::Member;
 use hyper::Response;
@@ -33,7 +33,7 @@
         p: &Plan,
         sent: &Sent,
         past: &mut Past,
-        open: &Arc<BusyGuard>,
+        open: &Arc<OpenGuard>,
         region: Region,
         stored: bool,
     ) -> Next {
@@ -104,7 +104,7 @@
             "bounced" => {
                 let why = said("foldshunt-reason");
                 if hop::passes_soon(&why) {
-                    tokio::time::sleep(Duration::from_millis(self.set.timing.beat_ms())).await;
+                    tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await;
                 } else {
                     past.avoid.insert(region);
                 }
--- a/crates/data-plane/src/carry.rs
+++ b/crates/data-plane/src/carry.rs
@@ -2,14 +2,14 @@
 
 use crate::{
     again::{After, may_go_again},
-    edge::{bounced, unknown},
+    edge::{rejected, unknown},
     go::{Outcome, Sent, Way, go},
     plan::Plan,
     router::{Router, lock},
 };
 use common::{
     Fault, Region, ReplicaId, Tick,
-    http::{Body, BusyGuard},
+    http::{Body, OpenGuard},
     log_event,
 };
 use configuration::Kind;
@@ -31,7 +31,7 @@
     pub avoid: BTreeSet<Region>,
     pub tried: Vec<ReplicaId>,
     pub routers: Vec<String>,
-    /// An earlier go that may have run: from then on the job is never called bounced.
+    /// An earlier go that may have run: from then on the job is never called rejected.
     pub maybe: Option<Fault>,
     pub wait_until: Option<Tick>,
 }
@@ -48,7 +48,7 @@
 }
 
 impl Router {
-    pub async fn carry(self: &Arc<Self>, p: &Plan, sent: &Sent, open: BusyGuard) -> Response<Body> {
+    pub async fn carry(self: &Arc<Self>, p: &Plan, sent: &Sent, open: OpenGuard) -> Response<Body> {
         let share = p.governing.table.tuning.extra_goes;
         if !p.inner {
             self.budget.earn(share);
@@ -83,8 +83,8 @@
                 Next::MayHaveRun(e) => {
                     let again = self.again(p, &past, After::MayHaveRun);
                     log_event!(Warn, e.step, "peer" => e.peer, "cause" => e.cause, "job" => p.job, "again" => again);
-                    if !again && common::ground::broken("unknown-called-bounced") {
-                        return bounced(self, p, "go failed", 1);
+                    if !again && common::runtime::broken("unknown-called-bounced") {
+                        return rejected(self, p, "go failed", 1);
                     }
                     if !again {
                         return unknown(self, p, &e, self.now() >= p.deadline);
@@ -104,7 +104,7 @@
     /// No more listed there, draining, or in an zone that was evacuated since it was picked.
     fn departed(&self, id: &ReplicaId, addr: SocketAddr) -> bool {
         let l = self.ledger();
-        if common::ground::broken("departed-still-used") {
+        if common::runtime::broken("departed-still-used") {
             return false;
         }
         l.replicas.get(id).is_none_or(|r| r.draining || r.addr != addr || l.evacuated.contains(&r.zone))
@@ -116,7 +116,7 @@
         to: SocketAddr,
         barred: &'a (dyn Fn() -> Option<&'static str> + Send + Sync),
     ) -> Way<'a> {
-        let (ip, connect_ms) = (self.set.rail.ip(), self.set.timing.rail_ms);
+        let (ip, connect_ms) = (self.set.rpc_addr.ip(), self.set.timing.rpc_timeout_ms);
         Way { ip, to, connect_ms, left_ms: p.deadline.since(self.now()), barred }
     }
 
@@ -126,7 +126,7 @@
             && self.budget.spend()
     }
 
-    async fn one_go(self: &Arc<Self>, p: &Plan, sent: &Sent, past: &mut Past, open: &Arc<BusyGuard>) -> Next {
+    async fn one_go(self: &Arc<Self>, p: &Plan, sent: &Sent, past: &mut Past, open: &Arc<OpenGuard>) -> Next {
         let own = self.own_region(&p.governing.table);
         let target = if p.inner {
             own.clone().map(|region| (region, true))
@@ -158,14 +158,14 @@
                     let open =
                         |r: &Region| !avoid.contains(r) && lock(&self.purse).has(r, &p.entry.to, self.now());
                     let c = crate::choose::candidates(&seen, &p.homes, t.policy(&p.entry), &open);
-                    crate::choose::draw(&c, common::ground::draw())
+                    crate::choose::draw(&c, common::runtime::draw())
                 })
                 .map(|r| (r, false))
             }
         }
     }
 
-    async fn local(self: &Arc<Self>, p: &Plan, sent: &Sent, past: &mut Past, open: &Arc<BusyGuard>) -> Next {
+    async fn local(self: &Arc<Self>, p: &Plan, sent: &Sent, past: &mut Past, open: &Arc<OpenGuard>) -> Next {
         let t = &p.governing.table;
         let picked = match self.pick(t, &p.entry.to, p.entry.kind, p.key, &past.tried) {
             Ok(x) => x,
@@ -188,7 +188,7 @@
                 Next::Answer(self.done(p, r))
             }
             Outcome::NotRun(e) => {
-                let until = self.now() + self.set.timing.check_ms;
+                let until = self.now() + self.set.timing.probe_interval_ms;
                 own.shun.store(until.0, Ordering::Relaxed);
                 if e.refused {
                     own.refused_at.store(self.now().0, Ordering::Relaxed);
@@ -199,10 +199,10 @@
         }
     }
 
-    /// The final answer, at once: bounced only where no go of the job can have run.
+    /// The final answer, at once: rejected only where no go of the job can have run.
     fn given_up(&self, p: &Plan, past: &Past, why: &'static str, secs: u64) -> Response<Body> {
-        match past.maybe.as_ref().filter(|_| !common::ground::broken("unknown-called-bounced")) {
-            None => bounced(self, p, why, secs),
+        match past.maybe.as_ref().filter(|_| !common::runtime::broken("unknown-called-bounced")) {
+            None => rejected(self, p, why, secs),
             Some(e) => unknown(self, p, e, false),
         }
     }
@@ -217,14 +217,14 @@
     /// would not help.
     async fn wait_for_room(&self, p: &Plan, past: &mut Past) -> Result<(), &'static str> {
         let now = self.now();
-        let until = *past
-            .wait_until
-            .get_or_insert(now + (p.deadline.since(now) / WAIT_RATIO).min(2 * self.set.timing.check_ms));
+        let until = *past.wait_until.get_or_insert(
+            now + (p.deadline.since(now) / WAIT_RATIO).min(2 * self.set.timing.probe_interval_ms),
+        );
         let bound = p.governing.table.tuning.waitlist;
         let joined = lock(&self.waitlist).join(until, bound, now);
         let (at, rx) = joined.map_err(|b| match b {
-            crate::waitlist::Bounce::Full => "waitlist full",
-            crate::waitlist::Bounce::Late => "waitlist too long",
+            crate::waitlist::Rejection::Full => "waitlist full",
+            crate::waitlist::Rejection::Late => "waitlist too long",
         })?;
         let got = tokio::time::timeout(Duration::from_millis(until.since(now)), rx).await;
         lock(&self.waitlist).leave(&at);
--- a/crates/data-plane/src/choose.rs
+++ b/crates/data-plane/src/choose.rs
@@ -1,7 +1,7 @@
 //! The source's rule (design 5.1): tests for reuse, and the weighted draw.
 
 use crate::pressure::RegionPressure;
-use common::{Region, rank};
+use common::{Region, rendezvous};
 use configuration::Policy;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,14 +33,14 @@
 }
 
 pub fn draw(cands: &[(Region, f64)], unit: f64) -> Option<Region> {
-    rank::pick_weighted(cands, unit)
+    rendezvous::pick_weighted(cands, unit)
 }
 
 /// The same weights, but drawn by the user key: routers that cannot reach the table agree
 /// without talking, and a change of weights moves few users (weighted rendezvous).
 pub fn draw_by_key(cands: &[(Region, f64)], key: u64) -> Option<Region> {
     let score = |r: &Region, w: f64| {
-        let u = rank::seeded_unit(&[&key.to_le_bytes(), r.as_str().as_bytes()]).max(f64::MIN_POSITIVE);
+        let u = rendezvous::seeded_unit(&[&key.to_le_bytes(), r.as_str().as_bytes()]).max(f64::MIN_POSITIVE);
         -w / u.ln()
     };
     cands.iter().max_by(|a, b| score(&a.0, a.1).total_cmp(&score(&b.0, b.1))).map(|(r, _)| r.clone())
--- a/crates/data-plane/src/cut.rs
+++ b/crates/data-plane/src/cut.rs
@@ -15,10 +15,10 @@
     /// Answered, within a lease's length, a hail from here.
     pub fn hears(&self, n: &NodeId) -> bool {
         let now = self.now();
-        lock(&self.heard).get(n).is_some_and(|t| now.since(*t) <= self.set.timing.tenure_ms)
+        lock(&self.heard).get(n).is_some_and(|t| now.since(*t) <= self.set.timing.lease_ms)
     }
 
-    /// Without a lease, and without a majority of the last known members: new work is bounced.
+    /// Without a lease, and without a majority of the last known members: new work is rejected.
     /// With that majority it is the core that is out, and traffic goes on.
     pub fn cut_off(&self) -> bool {
         if !self.member.caught_up() {
@@ -48,20 +48,20 @@
     }
 
     pub async fn hail(self: Arc<Self>) {
-        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.renew_ms()));
+        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.renew_interval_ms()));
         wakeup.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             wakeup.tick().await;
             let l = self.ledger();
             self.note_standing();
-            let turns = if common::ground::broken("hails-squared") { l.members.len() / 4 } else { 1 };
+            let turns = if common::runtime::broken("hails-squared") { l.members.len() / 4 } else { 1 };
             let others = l.members.values().filter(|m| m.info.node != *self.node());
             for m in others.flat_map(|m| std::iter::repeat_n(m, turns)) {
                 let (me, m, index) = (self.clone(), m.clone(), l.index);
                 // Counted from here: an answer may lie in a socket for as long as this node is frozen.
                 let asked = me.now();
-                common::ground::spawn(async move {
-                    let to = m.info.rail;
+                common::runtime::spawn(async move {
+                    let to = m.info.rpc_addr;
                     let index = match m.info.role {
                         Role::Router => match me.lines.call("hail", to, Ask::Hail { index }).await {
                             Ok(Reply::Hailed { index, incarnation, fit })
@@ -98,7 +98,7 @@
                     }
                 });
             }
-            let (purged, now) = (self.set.timing.tenure_ms * 10, self.now());
+            let (purged, now) = (self.set.timing.lease_ms * 10, self.now());
             lock(&self.heard).retain(|_, t| now.since(*t) < purged);
             lock(&self.tab).sweep(now);
         }
@@ -106,7 +106,7 @@
 
     fn hear(&self, n: NodeId, asked: common::Tick) {
         let mut heard = lock(&self.heard);
-        if common::ground::broken("hears-by-pair") {
+        if common::runtime::broken("hears-by-pair") {
             let by = |m: &NodeId| NodeId::new(format!("{n}/{m}"));
             heard.extend(self.ledger().members.keys().map(|m| (by(m), asked)));
         }
@@ -167,13 +167,13 @@
             ("unreadable", i64::from(self.standing() == Some("document not readable"))),
             ("index", l.index.0 as i64),
             ("revision", self.member.governs.load(Ordering::Acquire) as i64),
-            ("open_jobs", self.busy.open() as i64),
+            ("open_jobs", self.open_count.open() as i64),
             ("waitlist", lock(&self.waitlist).len() as i64),
             ("table_rows", lock(&self.tab).len() as i64),
         ]);
         for (k, v) in vals {
             self.numbers.state.with_label_values(&[k]).set(v);
         }
-        self.numbers.meter.text()
+        self.numbers.metrics.text()
     }
 }
--- a/crates/data-plane/src/daemon.rs
+++ b/crates/data-plane/src/daemon.rs
@@ -3,9 +3,8 @@
 
 use crate::router::Router;
 use common::{
-    Clock, Incarnation,
-    ground::{Listener, draw, spawn},
-    http, log_event,
+    Clock, Incarnation, http, log_event,
+    runtime::{Listener, draw, spawn},
     settings::Settings,
 };
 use control_plane::{Role, change::NodeInfo, member::Member};
@@ -15,30 +14,30 @@
 };
 use tokio::sync::watch;
 
-pub async fn run(set: Settings, (rail, callers): (Listener, Listener), stop: impl Future<Output = ()>) {
+pub async fn run(set: Settings, (rpc_addr, callers): (Listener, Listener), stop: impl Future<Output = ()>) {
     let info = NodeInfo::of(&set, Role::Router, Incarnation(draw::<u64>() >> 1));
     let clock = Clock::default();
     let member = Member::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock.clone());
-    router.start(&set, rail);
+    router.start(&set, rpc_addr);
     let (tell, told) = watch::channel(false);
-    let (conns, r) = (Arc::new(http::Busy::default()), router.clone());
+    let (conns, r) = (Arc::new(http::OpenCount::default()), router.clone());
     let serving =
         spawn(http::serve(callers, conns.clone(), told, move |peer, req| r.clone().handle(peer, req)));
-    log_event!(Info, "started", "rail" => set.rail, "http" => set.http);
+    log_event!(Info, "started", "rail" => set.rpc_addr, "http" => set.http);
     stop.await;
     // Not ready first, and duties given back, so that callers and the other routers go
     // elsewhere; then no more is accepted; what was read is finished (design 6.5).
-    log_event!(Info, "draining", "open" => router.busy.open());
+    log_event!(Info, "draining", "open" => router.open_count.open());
     router.draining.store(true, Ordering::Release);
     member.leave().await;
-    tokio::time::sleep(Duration::from_millis(set.timing.renew_ms())).await;
+    tokio::time::sleep(Duration::from_millis(set.timing.renew_interval_ms())).await;
     let _ = tell.send(true);
     let _ = serving.await;
-    let drain_ms = if common::ground::broken("no-drain") { 0 } else { set.timing.drain_ms };
+    let drain_ms = if common::runtime::broken("no-drain") { 0 } else { set.timing.drain_ms };
     let end = clock.now() + drain_ms;
-    while (router.busy.open() > 0 || conns.open() > 0) && clock.now() < end {
+    while (router.open_count.open() > 0 || conns.open() > 0) && clock.now() < end {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    log_event!(Info, "stopped", "open" => router.busy.open());
+    log_event!(Info, "stopped", "open" => router.open_count.open());
 }
--- a/crates/data-plane/src/digest.rs
+++ b/crates/data-plane/src/digest.rs
@@ -14,8 +14,12 @@
     Governs(Revision),
     Member(Epoch),
     CutOff(bool),
-    Health { replica: ReplicaId, healthy: bool },
-    Bounced(String),
+    Health {
+        replica: ReplicaId,
+        healthy: bool,
+    },
+    #[serde(rename = "bounced")]
+    Rejected(String),
     Unknown(String),
 }
 
@@ -32,7 +36,8 @@
     pub cut_off: bool,
     /// Replicas that this node, as their home, found unwell.
     pub unwell: BTreeSet<ReplicaId>,
-    pub bounced: BTreeMap<String, u64>,
+    #[serde(rename = "bounced")]
+    pub rejected: BTreeMap<String, u64>,
     pub unknown: BTreeMap<String, u64>,
     pub last: Tick,
 }
@@ -47,7 +52,7 @@
             Happened::CutOff(c) => self.cut_off = *c,
             Happened::Health { replica, healthy: true } => drop(self.unwell.take(replica)),
             Happened::Health { replica, healthy: false } => drop(self.unwell.replace(replica.clone())),
-            Happened::Bounced(why) => *self.bounced.entry(why.clone()).or_default() += 1,
+            Happened::Rejected(why) => *self.rejected.entry(why.clone()).or_default() += 1,
             Happened::Unknown(step) => *self.unknown.entry(step.clone()).or_default() += 1,
         }
     }
--- a/crates/data-plane/src/edge.rs
+++ b/crates/data-plane/src/edge.rs
@@ -1,4 +1,4 @@
-//! The callers' side (design 6.4): from the head to the answer, bounced at once where it must be.
+//! The callers' side (design 6.4): from the head to the answer, rejected at once where it must be.
 
 use crate::{
     digest::Happened,
@@ -8,7 +8,7 @@
 };
 use common::{
     Fault, JobId,
-    http::{Body, BoxErr, BusyGuard, json, read_body, text},
+    http::{Body, BoxErr, OpenGuard, json, read_body, text},
     log_event,
 };
 use control_plane::Member;
@@ -37,13 +37,13 @@
 }
 
 /// Not run, and never will be: said at once, with when to come back.
-pub fn bounced_as(r: &Router, job: &JobId, code: StatusCode, reason: &str, retry_s: u64) -> Res {
-    r.numbers.bounce(reason);
-    r.happened(Happened::Bounced(reason.into()));
+pub fn rejected_as(r: &Router, job: &JobId, code: StatusCode, reason: &str, retry_s: u64) -> Res {
+    r.numbers.reject(reason);
+    r.happened(Happened::Rejected(reason.into()));
     let mut res =
         json(code, &j!({"outcome": "bounced", "reason": reason, "job": job, "retry_after_s": retry_s}));
     if retry_s > 0
-        && !common::ground::broken("no-retry-after")
+        && !common::runtime::broken("no-retry-after")
         && let Ok(v) = retry_s.to_string().parse()
     {
         res.headers_mut().insert("retry-after", v);
@@ -51,12 +51,12 @@
     marked(res, job, "bounced", reason)
 }
 
-pub fn bounced(r: &Router, p: &Plan, reason: &str, retry_s: u64) -> Res {
+pub fn rejected(r: &Router, p: &Plan, reason: &str, retry_s: u64) -> Res {
     r.numbers.jobs.with_label_values(&[&p.entry.name, "bounced"]).inc();
-    bounced_as(r, &p.job, StatusCode::SERVICE_UNAVAILABLE, reason, retry_s)
+    rejected_as(r, &p.job, StatusCode::SERVICE_UNAVAILABLE, reason, retry_s)
 }
 
-/// It may have run: never called bounced.
+/// It may have run: never called rejected.
 pub fn unknown(r: &Router, p: &Plan, e: &Fault, late: bool) -> Res {
     r.numbers.jobs.with_label_values(&[&p.entry.name, "unknown"]).inc();
     r.happened(Happened::Unknown(e.step.into()));
@@ -83,13 +83,13 @@
             "/metrics" => return Ok(text(StatusCode::OK, self.metrics())),
             _ => {}
         }
-        let open = self.busy.enter();
+        let open = self.open_count.enter();
         let n = self.serial.fetch_add(1, Ordering::Relaxed);
         let job = hop::job_id(&self, n);
         self.await_joining().await;
         let Some(g) = self.governing.load_full() else {
             let why = "no configuration";
-            return Ok(close(bounced_as(&self, &job, StatusCode::SERVICE_UNAVAILABLE, why, 2)));
+            return Ok(close(rejected_as(&self, &job, StatusCode::SERVICE_UNAVAILABLE, why, 2)));
         };
         let revision = g.revision;
         let mut res = self.job(g, job, head, body, open).await;
@@ -106,9 +106,9 @@
         job: JobId,
         head: Parts,
         body: Incoming,
-        open: BusyGuard,
+        open: OpenGuard,
     ) -> Res {
-        let no = |code, why, s| close(bounced_as(self, &job, code, why, s));
+        let no = |code, why, s| close(rejected_as(self, &job, code, why, s));
         if let Some(why) = self.standing() {
             return no(StatusCode::SERVICE_UNAVAILABLE, why, if why == "joining" { 1 } else { 3 });
         }
@@ -146,13 +146,13 @@
         if self.draining.load(Ordering::Acquire) { close(res) } else { res }
     }
 
-    /// A node that has just started joins within a few beats: its first jobs wait for that, for
-    /// as long as a voter's patience at most.
+    /// A node that has just started joins within a few heartbeats: its first jobs wait for that, for
+    /// as long as a voter's election time-out at most.
     async fn await_joining(&self) {
-        let until = self.now() + self.set.timing.patience_ms();
+        let until = self.now() + self.set.timing.election_timeout_ms();
         let ready = || self.member.caught_up() && self.governing.load().is_some();
         while !ready() && self.now() < until && !self.draining.load(Ordering::Acquire) {
-            tokio::time::sleep(Duration::from_millis(self.set.timing.beat_ms() / 2)).await;
+            tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms() / 2)).await;
         }
     }
 
@@ -187,13 +187,13 @@
         Some(match peer {
             Some(m) => {
                 let path = head.uri.path_and_query().map(|x| x.as_str()).unwrap_or("/");
-                let mut r = bounced_as(self, &p.job, StatusCode::TEMPORARY_REDIRECT, reason, 0);
+                let mut r = rejected_as(self, &p.job, StatusCode::TEMPORARY_REDIRECT, reason, 0);
                 if let Ok(v) = format!("http://{}{path}", m.info.http).parse() {
                     r.headers_mut().insert("location", v);
                 }
                 r
             }
-            None => bounced_as(self, &p.job, StatusCode::SERVICE_UNAVAILABLE, reason, 5),
+            None => rejected_as(self, &p.job, StatusCode::SERVICE_UNAVAILABLE, reason, 5),
         })
     }
 
@@ -210,7 +210,7 @@
             .filter(|m| self.starting() || self.hears(&m.info.node))
             .cloned()
             .collect();
-        (!all.is_empty()).then(|| all[common::ground::draw_in(0..all.len())].clone())
+        (!all.is_empty()).then(|| all[common::runtime::random_in(0..all.len())].clone())
     }
 }
 
--- a/crates/data-plane/src/heir.rs
+++ b/crates/data-plane/src/heir.rs
@@ -13,14 +13,14 @@
     pub(crate) async fn lost(&self, service: &Service, zone: &Zone) -> bool {
         let b = self.pressure.board();
         let Some(s) = b.seen.get(&(service.clone(), zone.clone())) else { return false };
-        if self.now().since(s.at) <= 2 * self.set.timing.check_ms {
+        if self.now().since(s.at) <= 2 * self.set.timing.probe_interval_ms {
             return false;
         }
         let line = duty::line(&self.ledger(), "home", Some(zone));
         let older = line.into_iter().filter(|m| m.epoch.0 <= s.fig.fence.0 && m.info.node != *self.node());
         let asks = older.map(|m| async move {
             let ask = Ask::Hail { index: self.ledger().index };
-            let told = self.lines.call("hail", m.info.rail, ask).await;
+            let told = self.lines.call("hail", m.info.rpc_addr, ask).await;
             matches!(told, Ok(Reply::Hailed { incarnation, .. }) if incarnation == m.info.incarnation)
         });
         let mine = self.member.held().epoch.0 <= s.fig.fence.0 && self.zone() == zone;
--- a/crates/data-plane/src/hop.rs
+++ b/crates/data-plane/src/hop.rs
@@ -6,7 +6,7 @@
     router::{Router, lock},
     tab::UserKey,
 };
-use common::{Epoch, JobId, NodeId, Region, Revision, Service, Tenant, rank::stable_hash, wire};
+use common::{Epoch, JobId, NodeId, Region, Revision, Service, Tenant, rendezvous::stable_hash, wire};
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::hash::Hasher;
@@ -50,7 +50,7 @@
 }
 
 pub fn sign(secret: u128, h: &Hop) -> std::io::Result<String> {
-    let b = wire::enc(h)?;
+    let b = wire::encode(h)?;
     Ok(format!("{}.{:032x}", hex(&b), mac(secret, &b)))
 }
 
@@ -58,10 +58,10 @@
     let (body, sig) = s.split_once('.')?;
     let b = unhex(body)?;
     let told = u128::from_str_radix(sig, 16).ok()?;
-    (told == mac(secret, &b)).then(|| wire::dec(&b).ok()).flatten()
+    (told == mac(secret, &b)).then(|| wire::decode(&b).ok()).flatten()
 }
 
-/// Why a hop is bounced; the names stand in metrics and in `foldshunt-reason`.
+/// Why a hop is rejected; the names stand in metrics and in `foldshunt-reason`.
 pub async fn check(r: &Router, h: &Hop) -> Result<(), &'static str> {
     let g = r.governing.load_full().ok_or("no configuration")?;
     let own = r.own_region(&g.table).ok_or("area unknown")?;
--- a/crates/data-plane/src/lending.rs
+++ b/crates/data-plane/src/lending.rs
@@ -24,7 +24,7 @@
 
     /// Watches the own region while this node lends for it.
     pub async fn lend(self: Arc<Self>) {
-        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.look_ms()));
+        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.report_interval_ms()));
         loop {
             wakeup.tick().await;
             let Some(g) = self.governing.load_full() else { continue };
@@ -48,7 +48,7 @@
             return Err("not the lender");
         }
         let now = self.now();
-        let full_set = self.set.timing.stale_ms();
+        let full_set = self.set.timing.report_max_age_ms();
         let over = g.table.policies.iter().map(|p| p.overload).fold(1.0, f64::min);
         // A cold replica lends nothing.
         let room: f64 = self
@@ -80,9 +80,9 @@
             self.redeem_here(s)
         } else {
             let ask = Ask::Redeem { spent: s.clone() };
-            match self.lines.call("redeem", lender.info.rail, ask).await {
+            match self.lines.call("redeem", lender.info.rpc_addr, ask).await {
                 Ok(Reply::Done) => Ok(()),
-                Ok(Reply::Bounced(_)) => Err("pass not good"),
+                Ok(Reply::Rejected(_)) => Err("pass not good"),
                 _ => Err("lender unreachable"),
             }
         };
@@ -100,7 +100,7 @@
     pub async fn fill_purse(self: Arc<Self>) {
         loop {
             let Some(g) = self.governing.load_full() else {
-                tokio::time::sleep(Duration::from_millis(self.set.timing.beat_ms())).await;
+                tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await;
                 continue;
             };
             let own = self.own_region(&g.table);
@@ -108,8 +108,8 @@
                 let Some(lender) = self.lender_of(&g.table, &region) else { continue };
                 for svc in g.table.services.keys() {
                     let (me, region, svc) = (self.clone(), region.clone(), svc.clone());
-                    let to = lender.info.rail;
-                    common::ground::spawn(async move {
+                    let to = lender.info.rpc_addr;
+                    common::runtime::spawn(async move {
                         let asked = me.now();
                         let ask = Ask::Passes {
                             region: region.clone(),
--- a/crates/data-plane/src/place.rs
+++ b/crates/data-plane/src/place.rs
@@ -37,7 +37,7 @@
         let count = |how: &str| self.numbers.placements.with_label_values(&[how]).inc();
         let Some(key) = p.key else {
             count("no key");
-            return draw(&cands, common::ground::draw()).map(|region| Placed { region, stored: false });
+            return draw(&cands, common::runtime::draw()).map(|region| Placed { region, stored: false });
         };
         let good = |r: &Region| p.homes.contains(r) && !avoid.contains(r) && passes(seen.get(r), pol);
         let mut stale = None;
@@ -48,11 +48,18 @@
             }
             stale = Some(c.ver);
         }
-        let pick = draw(&cands, common::ground::draw());
+        let pick = draw(&cands, common::runtime::draw());
         for _ in 0..2 {
             let asked = self.now();
             match self
-                .settle(key, &p.entry.to, stale, pick.clone(), pol.ttl_ms, self.set.timing.table_ms())
+                .settle(
+                    key,
+                    &p.entry.to,
+                    stale,
+                    pick.clone(),
+                    pol.ttl_ms,
+                    self.set.timing.placement_timeout_ms(),
+                )
                 .await
             {
                 Some(Settled::Held { region, ver, won }) => {
@@ -119,7 +126,7 @@
             return self.settle_here(fence, key, service, stale, pick, ttl_ms).ok();
         }
         let ask = Ask::Settle { fence, key, service: service.clone(), stale, pick, ttl_ms };
-        match self.lines.call_within(wait_ms, "settle", owner.info.rail, ask).await {
+        match self.lines.call_within(wait_ms, "settle", owner.info.rpc_addr, ask).await {
             Ok(Reply::Settled(s)) => Some(s),
             _ => None,
         }
@@ -159,9 +166,9 @@
             owners.into_iter().skip(1).partition(|m| m.info.zone != *self.zone());
         for m in far.into_iter().chain(near).take(2) {
             let (me, rows) = (self.clone(), vec![row.clone()]);
-            common::ground::spawn(async move {
+            common::runtime::spawn(async move {
                 let ask = Ask::Copy { fence, shard, rows };
-                let _ = me.lines.call("copy", m.info.rail, ask).await;
+                let _ = me.lines.call("copy", m.info.rpc_addr, ask).await;
             });
         }
     }
@@ -179,8 +186,8 @@
                     continue;
                 }
                 for m in owners.into_iter().skip(1).take(3) {
-                    let (me, to) = (self.clone(), m.info.rail);
-                    common::ground::spawn(async move {
+                    let (me, to) = (self.clone(), m.info.rpc_addr);
+                    common::runtime::spawn(async move {
                         if let Ok(Reply::Rows(rows)) = me.lines.call("fetch", to, Ask::Fetch { shard }).await
                         {
                             me.take_copies(rows);
--- a/crates/data-plane/src/pressure.rs
+++ b/crates/data-plane/src/pressure.rs
@@ -164,13 +164,13 @@
         &self,
         svc: &Service,
         now: Tick,
-        stale_ms: u64,
+        report_max_age_ms: u64,
         usable: &dyn Fn(&Gauge, &Zone) -> bool,
     ) -> Vec<Candidate> {
         let b = self.board.load();
         b.seen
             .iter()
-            .filter(|((s, _), seen)| s == svc && now.since(seen.at) <= stale_ms)
+            .filter(|((s, _), seen)| s == svc && now.since(seen.at) <= report_max_age_ms)
             .flat_map(|((_, zone), seen)| seen.fig.replicas.iter().map(move |g| (g, zone, seen)))
             .filter(|(g, zone, _)| g.healthy && usable(g, zone))
             .map(|(g, zone, seen)| Candidate {
--- a/crates/data-plane/src/probe.rs
+++ b/crates/data-plane/src/probe.rs
@@ -32,7 +32,7 @@
     /// Keeps one task for each service and zone: the home probes, the others subscribe.
     pub async fn watch_all(self: Arc<Self>) {
         let mut tasks: BTreeMap<Key, (String, JoinHandle<()>)> = BTreeMap::new();
-        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.beat_ms()));
+        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.heartbeat_ms()));
         loop {
             wakeup.tick().await;
             let Some(g) = self.governing.load_full() else { continue };
@@ -56,9 +56,9 @@
                 tasks.entry(k.clone()).or_insert_with(|| {
                     let (me, holder) = (self.clone(), m.info.node.to_string());
                     let task = if m.info.node == *self.node() {
-                        common::ground::spawn(me.probe(k))
+                        common::runtime::spawn(me.probe(k))
                     } else {
-                        common::ground::spawn(me.subscribe(k, m))
+                        common::runtime::spawn(me.subscribe(k, m))
                     };
                     (holder, task)
                 });
@@ -69,17 +69,17 @@
     async fn subscribe(self: Arc<Self>, (service, zone): Key, home: Member) {
         self.ask_the_last(&service, &zone).await;
         let (mut seq, mut fence) = (0, Fence(0));
-        let wait_ms = self.set.timing.check_ms * 2;
+        let wait_ms = self.set.timing.probe_interval_ms * 2;
         loop {
             let ask = Ask::Watch { service: service.clone(), zone: zone.clone(), seq, fence, wait_ms };
-            let ms = wait_ms + self.set.timing.rail_ms;
+            let ms = wait_ms + self.set.timing.rpc_timeout_ms;
             let asked = self.now();
-            match self.lines.call_within(ms, "watch", home.info.rail, ask).await {
+            match self.lines.call_within(ms, "watch", home.info.rpc_addr, ask).await {
                 Ok(Reply::Figures(f)) => {
                     (seq, fence) = (f.seq, f.fence);
                     self.take_figures(f, asked);
                 }
-                _ => tokio::time::sleep(Duration::from_millis(self.set.timing.beat_ms())).await,
+                _ => tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await,
             }
         }
     }
@@ -90,13 +90,14 @@
         self.ask_the_last(&service, &zone).await;
         let lost = self.lost(&service, &zone).await;
         let mut watched = self.inherited(&service, &zone, lost);
-        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.look_ms()));
+        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.report_interval_ms()));
         wakeup.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
         let (mut seq, mut full_at) = (0, Tick(0));
         loop {
             wakeup.tick().await;
             // Between two full checks only where it presses: figures age fast there.
-            let full = self.now().since(full_at) + self.set.timing.look_ms() / 2 >= self.set.timing.check_ms;
+            let full = self.now().since(full_at) + self.set.timing.report_interval_ms() / 2
+                >= self.set.timing.probe_interval_ms;
             let presses = watched.values().any(|w: &Watched| w.healthy && w.consumption * 2.0 > w.capacity);
             if !full && !presses {
                 continue;
@@ -124,7 +125,7 @@
                 let w = watched.entry(id.clone()).or_default();
                 let was = w.healthy;
                 if full || rep != Checked::Silent {
-                    w.check(rep, self.set.timing.check_fails, f64::from(tun.slots), now);
+                    w.check(rep, self.set.timing.probe_failures, f64::from(tun.slots), now);
                 }
                 if was != w.healthy {
                     log_event!(Info, "replica health", "peer" => r.addr, "replica" => id, "healthy" => w.healthy);
@@ -167,7 +168,7 @@
         let asks = others.routers().into_iter().filter(|m| m.info.node != *self.node()).map(|m| {
             let ask = Ask::Last { service: service.clone(), zone: zone.clone() };
             Box::pin(async move {
-                match self.lines.call("last figures", m.info.rail, ask).await {
+                match self.lines.call("last figures", m.info.rpc_addr, ask).await {
                     Ok(Reply::Figures(f)) => Ok(f),
                     _ => Err(()),
                 }
@@ -201,7 +202,7 @@
     }
 
     async fn check(&self, r: &Replica) -> Checked {
-        let (ip, ms) = (self.set.rail.ip(), (self.set.timing.check_ms * 3 / 4).max(50));
+        let (ip, ms) = (self.set.rpc_addr.ip(), (self.set.timing.probe_interval_ms * 3 / 4).max(50));
         let res = ask(ip, r.addr, Method::GET, "/foldshunt/report", &[], "", ms).await;
         let res = match res {
             Ok(r) => r,
--- a/crates/data-plane/src/replica.rs
+++ b/crates/data-plane/src/replica.rs
@@ -5,7 +5,7 @@
     router::{Router, stands_in},
     tab::UserKey,
 };
-use common::{NodeId, Region, Service, rank::stable_hash};
+use common::{NodeId, Region, Service, rendezvous::stable_hash};
 use configuration::{Kind, Table};
 use control_plane::Ledger;
 use std::{
@@ -33,7 +33,7 @@
 
 /// This router's part of `whole` places at a replica, cut over the region's routers by rank.
 fn share(line: &[NodeId], me: &str, key: &str, whole: u32) -> i64 {
-    let ranked = common::rank::ranked(key, line, |n| n.as_str());
+    let ranked = common::rendezvous::ranked(key, line, |n| n.as_str());
     let n = ranked.len().max(1) as u32;
     let place = ranked.iter().position(|m| m.as_str() == me).unwrap_or(usize::MAX);
     i64::from(whole / n) + i64::from((place as u64) < u64::from(whole % n))
@@ -97,8 +97,9 @@
         match (kind, key) {
             // The same user's prefixes stay on the same replicas, best the same one.
             (Kind::Model, Some(k)) => {
-                let rank = |c: &Candidate| stable_hash(&[&k.0.to_le_bytes(), c.gauge.id.as_str().as_bytes()]);
-                all.sort_by_key(|c| std::cmp::Reverse(rank(c)));
+                let rendezvous =
+                    |c: &Candidate| stable_hash(&[&k.0.to_le_bytes(), c.gauge.id.as_str().as_bytes()]);
+                all.sort_by_key(|c| std::cmp::Reverse(rendezvous(c)));
                 let whole: f64 = all.iter().map(|c| c.gauge.capacity).sum();
                 let used: f64 = all.iter().map(|c| c.consumption()).sum();
                 // Under pressure a cold run elsewhere costs more than a short wait.
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -14,8 +14,8 @@
 };
 use arc_swap::ArcSwapOption;
 use common::{
-    Clock, Fence, NodeId, Region, Revision, Service, Tick, Zone, http::Busy, journal::Journal, link::Lines,
-    log_event, settings::Settings,
+    Clock, Fence, NodeId, Region, Revision, Service, Tick, Zone, http::OpenCount, journal::Journal,
+    link::RpcClient, log_event, settings::Settings,
 };
 use configuration::Table;
 use control_plane::{Ledger, Member, member};
@@ -56,7 +56,7 @@
     pub set: Settings,
     pub clock: Clock,
     pub member: Arc<member::Member>,
-    pub lines: Lines<Ask, Reply>,
+    pub lines: RpcClient<Ask, Reply>,
     pub governing: ArcSwapOption<Governing>,
     pub pressure: Pressure,
     pub tab: Mutex<Tab>,
@@ -74,7 +74,7 @@
     pub numbers: Numbers,
     pub journal: Journal<Event, Digest>,
     pub draining: AtomicBool,
-    pub busy: Arc<Busy>,
+    pub open_count: Arc<OpenCount>,
     pub serial: AtomicU64,
     /// Number of the last hop sent, and what was taken of those of others.
     pub hops: AtomicU64,
@@ -92,7 +92,7 @@
 impl Router {
     pub fn new(set: Settings, member: Arc<member::Member>, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
-            lines: Lines::new(set.me(), crate::rpc::SERVICE),
+            lines: RpcClient::new(set.me(), crate::rpc::SERVICE),
             set,
             clock,
             member,
@@ -112,7 +112,7 @@
             numbers: Numbers::default(),
             journal: Journal::new(Digest::default(), KEEP),
             draining: AtomicBool::new(false),
-            busy: Arc::default(),
+            open_count: Arc::default(),
             serial: AtomicU64::new(0),
             hops: AtomicU64::new(0),
             replay: Mutex::default(),
@@ -189,8 +189,8 @@
     /// figures fresh and healthy.
     pub fn usable(&self, svc: &Service) -> Vec<Candidate> {
         let l = self.ledger();
-        self.pressure.replicas(svc, self.now(), self.set.timing.stale_ms(), &|g, zone| {
-            if common::ground::broken("departed-still-used") {
+        self.pressure.replicas(svc, self.now(), self.set.timing.report_max_age_ms(), &|g, zone| {
+            if common::runtime::broken("departed-still-used") {
                 return true;
             }
             !l.evacuated.contains(zone)
@@ -210,10 +210,10 @@
         out
     }
 
-    /// Too young to have heard of all replicas: jobs wait a little instead of being bounced.
+    /// Too young to have heard of all replicas: jobs wait a little instead of being rejected.
     pub fn starting(&self) -> bool {
         let since = Tick(self.since.load(Ordering::Acquire));
-        self.now().since(since) <= self.set.timing.stale_ms()
+        self.now().since(since) <= self.set.timing.report_max_age_ms()
     }
 
     pub fn free(&self) {
--- a/crates/data-plane/src/rpc.rs
+++ b/crates/data-plane/src/rpc.rs
@@ -95,7 +95,8 @@
     Board(Option<Box<Board>>),
     Done,
     /// Not done, for a named reason.
-    Bounced(String),
+    #[serde(rename = "Bounced")]
+    Rejected(String),
 }
 
 impl tarpc::RequestName for Ask {
--- a/crates/data-plane/src/serving/attempt.rs
+++ b/crates/data-plane/src/serving/attempt.rs
@@ -60,7 +60,7 @@
 impl Serving {
     /// How long a connection may take to open: no replica within reach needs as long.
     fn connect_ms(&self) -> u64 {
-        self.router.set.timing.rail_ms
+        self.router.set.timing.rpc_timeout_ms
     }
 
     fn request(
@@ -92,7 +92,7 @@
 
     async fn fresh(&self, p: &Plan, c: &Candidate) -> Result<Ready, Fault> {
         let ms = self.connect_ms().min(p.left_ms(self.now()).max(1));
-        Fresh::open(self.router.set.rail.ip(), c.addr, ms).await.map(Ready::Fresh)
+        Fresh::open(self.router.set.rpc_addr.ip(), c.addr, ms).await.map(Ready::Fresh)
     }
 
     /// One attempt; `after` names the event after which a stream is to go on. An idle connection is
--- a/crates/data-plane/src/serving/carry.rs
+++ b/crates/data-plane/src/serving/carry.rs
@@ -16,7 +16,7 @@
 use crate::router::lock;
 use common::{
     Fault, ReplicaId, Service,
-    http::{Body, BusyGuard, full, json},
+    http::{Body, OpenGuard, full, json},
     log_event,
 };
 use configuration::RouteKind;
@@ -86,7 +86,7 @@
             reads_per_ms: READS_PER_MS,
             now,
             hold_ms: self.hold_ms(&p.service),
-            unit: common::ground::draw(),
+            unit: common::runtime::draw(),
         };
         let fit = |c: &&Candidate| choose::fits(c, &p.prompt) && warm(c) && conns(c);
         let home = |c: &Candidate| p.route.homes.is_empty() || p.route.homes.contains(&c.region);
@@ -149,12 +149,12 @@
     /// A request came: it adds its part to the budget of further tries.
     fn earn_further_tries(&self, svc: &Service) {
         let (b, routers) = (&self.site.bounds, self.routers());
-        let rank = retries::rank(svc, self.router.node(), &routers);
-        let share = Share::of(b.extra_tries, b.retry_window_ms, rank, routers.len());
+        let rendezvous = retries::rendezvous(svc, self.router.node(), &routers);
+        let share = Share::of(b.extra_tries, b.retry_window_ms, rendezvous, routers.len());
         self.retries.earn(svc, b.retry_ratio, share, self.now());
     }
 
-    pub async fn carry(self: &Arc<Self>, p: Arc<Plan>, busy: Arc<BusyGuard>) -> Response<Body> {
+    pub async fn carry(self: &Arc<Self>, p: Arc<Plan>, open_count: Arc<OpenGuard>) -> Response<Body> {
         self.earn_further_tries(&p.service);
         let mut past = Past::of(&p);
         loop {
@@ -167,7 +167,7 @@
                 Outcome::Answer(answer) => {
                     if p.route.kind == RouteKind::Streaming && answer.head.status.is_success() {
                         past.ended(self, &p, AttemptEnd::MayHaveRun);
-                        return events::relay(self, p, past, open, busy, answer);
+                        return events::relay(self, p, past, open, open_count, answer);
                     }
                     if let Some(r) = self.whole(&p, &mut past, &c, answer).await {
                         return r;
@@ -175,12 +175,12 @@
                 }
                 Outcome::NotSent(e) => {
                     past.failed(self, &p, AttemptEnd::NotSent, e);
-                    c.own.shun_until(self.now() + self.router.set.timing.check_ms);
+                    c.own.shun_until(self.now() + self.router.set.timing.probe_interval_ms);
                 }
                 Outcome::Declined(e) => past.failed(self, &p, AttemptEnd::Declined, e),
                 Outcome::MayHaveRun(e) => {
                     past.failed(self, &p, AttemptEnd::MayHaveRun, e);
-                    c.own.shun_until(self.now() + self.router.set.timing.check_ms / 4);
+                    c.own.shun_until(self.now() + self.router.set.timing.probe_interval_ms / 4);
                 }
             }
         }
@@ -230,7 +230,7 @@
     }
 
     pub fn refused(&self, code: StatusCode, why: &'static str, back_ms: Option<u64>) -> Response<Body> {
-        self.router.numbers.bounce(why);
+        self.router.numbers.reject(why);
         let mut r = json(code, &serde_json::json!({"error": why}));
         if let Some(v) = back_ms.and_then(|ms| format!("{:.3}", ms as f64 / 1000.0).parse().ok()) {
             r.headers_mut().insert("retry-after", v);
--- a/crates/data-plane/src/serving/choose.rs
+++ b/crates/data-plane/src/serving/choose.rs
@@ -2,7 +2,7 @@
 //! as far as figures and own counts tell. Pure.
 
 use super::{dialect::Prompt, fleet::Candidate, reading::Reading};
-use common::{Region, Tick, Zone, rank::stable_hash};
+use common::{Region, Tick, Zone, rendezvous::stable_hash};
 
 /// Prompt tokens that a replica reads in a millisecond, where nothing else is known.
 pub const READS_PER_MS: f64 = 50.0;
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -7,9 +7,8 @@
 };
 use crate::router::Router;
 use common::{
-    Clock, Incarnation,
-    ground::{Listener, bind, draw, spawn},
-    http, log_event,
+    Clock, Incarnation, http, log_event,
+    runtime::{Listener, bind, draw, spawn},
     settings::Settings,
 };
 use configuration::Notation;
@@ -29,7 +28,7 @@
 
 pub async fn run(
     set: Settings,
-    (rail, clients): (Listener, Listener),
+    (rpc_addr, clients): (Listener, Listener),
     parts: Parts,
     stop: impl Future<Output = ()>,
 ) -> eyre::Result<()> {
@@ -42,17 +41,19 @@
     let grace_ms = site.bounds.grace_ms;
     let keep_ms = site.bounds.keep_ms;
     let s = Serving::new(router.clone(), dialect, notation, site);
-    router.start_serving(&set, rail);
+    router.start_serving(&set, rpc_addr);
     spawn(s.clone().govern());
     s.watch_all();
     let (tell, told) = watch::channel(false);
     let (end, ended) = watch::channel(false);
     for at in extra {
-        let lst = bind(at).await?;
+        let listener = bind(at).await?;
         let me = s.clone();
-        spawn(http::serve(lst, Arc::default(), ended.clone(), move |peer, req| me.clone().asked(peer, req)));
+        spawn(http::serve(listener, Arc::default(), ended.clone(), move |peer, req| {
+            me.clone().asked(peer, req)
+        }));
     }
-    let conns = Arc::new(http::Busy::default());
+    let conns = Arc::new(http::OpenCount::default());
     let serving = spawn(s.clone().listen(clients, conns.clone(), told));
     let me = s.clone();
     spawn(async move {
@@ -61,23 +62,23 @@
             me.pool.sweep(me.now());
         }
     });
-    log_event!(Info, "started", "rail" => set.rail, "http" => set.http);
+    log_event!(Info, "started", "rail" => set.rpc_addr, "http" => set.http);
     stop.await;
     // Not ready and out of the directories first; clients that hold an older answer are served
     // until it has run out; what was read is finished (design 9.7).
-    log_event!(Info, "draining", "open" => router.busy.open());
+    log_event!(Info, "draining", "open" => router.open_count.open());
     let began = clock.now();
     router.draining.store(true, Ordering::Release);
     member.leave().await;
-    let linger = (keep_ms * 3 + set.timing.renew_ms()).min(grace_ms / 2);
+    let linger = (keep_ms * 3 + set.timing.renew_interval_ms()).min(grace_ms / 2);
     tokio::time::sleep(Duration::from_millis(linger.saturating_sub(clock.now().since(began)))).await;
     let _ = tell.send(true);
     let _ = serving.await;
     let until = began + grace_ms * 15 / 16;
-    while (router.busy.open() > 0 || conns.open() > 0) && clock.now() < until {
+    while (router.open_count.open() > 0 || conns.open() > 0) && clock.now() < until {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let _ = end.send(true);
-    log_event!(Info, "stopped", "open" => router.busy.open());
+    log_event!(Info, "stopped", "open" => router.open_count.open());
     Ok(())
 }
--- a/crates/data-plane/src/serving/events.rs
+++ b/crates/data-plane/src/serving/events.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use common::{
     Fault, Tick,
-    http::{Body, BoxErr, BusyGuard},
+    http::{Body, BoxErr, OpenGuard},
     log_event,
 };
 use http_body_util::{BodyExt, StreamBody};
@@ -43,13 +43,13 @@
     p: Arc<Plan>,
     past: Past,
     open: Open,
-    busy: Arc<BusyGuard>,
+    open_count: Arc<OpenGuard>,
     Answer { head, body }: Answer,
 ) -> Response<Body> {
     let (out, mut rx) = mpsc::channel(4);
     let s = s.clone();
-    common::ground::spawn(async move {
-        let _busy = busy;
+    common::runtime::spawn(async move {
+        let _busy = open_count;
         run(s, p, past, (open, body), out).await;
     });
     let stream = futures::stream::poll_fn(move |cx| rx.poll_recv(cx));
@@ -214,7 +214,7 @@
             }
             Outcome::NotSent(e) => {
                 past.failed(s, p, AttemptEnd::NotSent, e);
-                c.own.shun_until(s.now() + s.router.set.timing.check_ms);
+                c.own.shun_until(s.now() + s.router.set.timing.probe_interval_ms);
             }
             Outcome::Declined(e) => past.failed(s, p, AttemptEnd::Declined, e),
             Outcome::MayHaveRun(e) => past.failed(s, p, AttemptEnd::MayHaveRun, e),
--- a/crates/data-plane/src/serving/front.rs
+++ b/crates/data-plane/src/serving/front.rs
@@ -8,9 +8,9 @@
 };
 use crate::{go::strip, router::lock};
 use common::{
-    ground::Listener,
-    http::{Body, BoxErr, Busy, ConnectionLimits, LimitsInForce, read_body, serve_within},
+    http::{Body, BoxErr, ConnectionLimits, LimitsInForce, OpenCount, read_body, serve_within},
     log_event,
+    runtime::Listener,
 };
 use configuration::Route;
 use hyper::{Request, Response, StatusCode, body::Incoming};
@@ -33,13 +33,13 @@
 
 impl Serving {
     pub async fn serve(self: Arc<Self>, peer: SocketAddr, req: Request<Incoming>) -> Result<Res, BoxErr> {
-        let busy = Arc::new(self.router.busy.enter());
+        let open_count = Arc::new(self.router.open_count.enter());
         let draining = || self.router.draining.load(Ordering::Acquire);
         let names = self.dialect.names();
         let id = req.headers().get(&names.request_id).cloned();
         let plan = self.plan(req, peer).await;
         let mut res = match plan {
-            Ok(p) => self.carry(Arc::new(p), busy).await,
+            Ok(p) => self.carry(Arc::new(p), open_count).await,
             Err(r) => *r,
         };
         if let Some(v) = id {
@@ -62,7 +62,7 @@
     pub async fn listen(
         self: Arc<Self>,
         clients: Listener,
-        connections: Arc<Busy>,
+        connections: Arc<OpenCount>,
         stop: watch::Receiver<bool>,
     ) {
         let me = self.clone();
@@ -71,19 +71,19 @@
         serve_within(clients, connections, stop, limits, handler).await;
     }
 
-    /// A node that has just started learns within a few beats what is in force. A first try waits a
-    /// quarter of a voter's patience for that: it is told when to come back. A later one, of which the
+    /// A node that has just started learns within a few heartbeats what is in force. A first try waits a
+    /// quarter of a voter's election time-out for that: it is told when to come back. A later one, of which the
     /// client has spent some of the route's time, has no other: it waits for a lease, or half of
     /// what it has left.
     async fn await_fit(&self, head: &hyper::http::request::Parts, left: u64) -> Option<&'static str> {
         let (began, t) = (self.now(), &self.router.set.timing);
         while let Some(why) = self.unfit().filter(|w| *w != "draining") {
             let later = self.route(head).is_some_and(|r| left > 0 && left + SPENT_MS < r.hold_ms);
-            let most = if later { t.tenure_ms.min(left / 2) } else { t.patience_ms() / 4 };
+            let most = if later { t.lease_ms.min(left / 2) } else { t.election_timeout_ms() / 4 };
             if self.now().since(began) >= most {
                 return Some(why);
             }
-            tokio::time::sleep(Duration::from_millis(t.beat_ms() / 4)).await;
+            tokio::time::sleep(Duration::from_millis(t.heartbeat_ms() / 4)).await;
         }
         None
     }
@@ -109,7 +109,7 @@
         let Some(route) = self.route(&head) else {
             return no(StatusCode::NOT_FOUND, "no route", None);
         };
-        let service = route.service(common::ground::draw()).cloned();
+        let service = route.service(common::runtime::draw()).cloned();
         let Some((service, backend)) = service.and_then(|s| map.backends.get(&s).cloned().map(|b| (s, b)))
         else {
             return no(StatusCode::NOT_FOUND, "the route has no service", None);
--- a/crates/data-plane/src/serving/listing.rs
+++ b/crates/data-plane/src/serving/listing.rs
@@ -5,7 +5,7 @@
     dialect::{Listed, Listing},
     state::Serving,
 };
-use common::{ReplicaId, Tick, Zone, fault::Fault, ground::spawn, http::ask, log_event};
+use common::{ReplicaId, Tick, Zone, fault::Fault, http::ask, log_event, runtime::spawn};
 use hyper::{Method, StatusCode};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -157,7 +157,7 @@
     fn list_ms(&self) -> u64 {
         let zones = self.site.zones.len().max(1) as f64;
         let least = RATE_HEADROOM * 1_000.0 * zones / self.site.list_per_s.max(0.1);
-        self.look_ms().max(least as u64)
+        self.report_interval_ms().max(least as u64)
     }
 
     /// The zone's part of the list, all pages.
@@ -176,7 +176,7 @@
 
     async fn read_page(&self, zone: &Zone, page: Option<&str>) -> Result<Listing, ListError> {
         const STEP: &str = "list replicas";
-        let (ip, to) = (self.router.set.rail.ip(), self.site.list);
+        let (ip, to) = (self.router.set.rpc_addr.ip(), self.site.list);
         let path = self.dialect.listing_path(zone, page);
         let answer = ask(ip, to, Method::GET, &path, &[], "", PAGE_MS).await;
         let (code, _, body) = answer.map_err(ListError::Failed)?;
--- a/crates/data-plane/src/serving/outgoing.rs
+++ b/crates/data-plane/src/serving/outgoing.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use common::{
-    ground::Stream,
     http::{Body, BoxErr},
+    runtime::Stream,
 };
 use http_body_util::BodyExt;
 use hyper::body::{Body as HttpBody, Frame, SizeHint};
--- a/crates/data-plane/src/serving/place.rs
+++ b/crates/data-plane/src/serving/place.rs
@@ -62,7 +62,7 @@
         let cands = if own.is_empty() { cands } else { own };
         let first = match p.key {
             Some(key) => self.placed(key, p, &seen, &cands),
-            None => draw(&cands, common::ground::draw()),
+            None => draw(&cands, common::runtime::draw()),
         };
         let mut rest: Vec<Region> =
             seen.keys().filter(|r| Some(*r) != first.as_ref() && open(r)).cloned().collect();
@@ -89,11 +89,11 @@
             let stale = known.filter(|c| c.until > now && !good(&c.region)).map(|c| c.ver);
             self.remember(key, p, Cached { region: pick.clone(), ver: 0, heard: now, until: now + TTL_MS });
             let (me, svc, pick) = (self.clone(), p.service.clone(), pick.clone());
-            common::ground::spawn(async move {
+            common::runtime::spawn(async move {
                 let asked = me.now();
                 let told = me
                     .router
-                    .settle(key, &svc, stale, Some(pick), TTL_MS, me.router.set.timing.rail_ms)
+                    .settle(key, &svc, stale, Some(pick), TTL_MS, me.router.set.timing.rpc_timeout_ms)
                     .await;
                 if let Some(Settled::Held { region, ver, .. }) = told {
                     let c = Cached { region, ver, heard: asked, until: asked + TTL_MS };
--- a/crates/data-plane/src/serving/plan.rs
+++ b/crates/data-plane/src/serving/plan.rs
@@ -6,7 +6,7 @@
 };
 use crate::tab::UserKey;
 use bytes::Bytes;
-use common::{Region, Service, Tick, rank::stable_hash};
+use common::{Region, Service, Tick, rendezvous::stable_hash};
 use configuration::{Backend, Route};
 use hyper::{HeaderMap, Method, Uri};
 use std::sync::Arc;
--- a/crates/data-plane/src/serving/publication.rs
+++ b/crates/data-plane/src/serving/publication.rs
@@ -24,7 +24,7 @@
         let (b, at) = rx.borrow().clone()?;
         let now = self.now();
         let (age_ms, waited_ms) = (now.since(at), now.since(came));
-        (age_ms <= self.set.timing.stale_ms() && b.seq != seq).then(|| Board {
+        (age_ms <= self.set.timing.report_max_age_ms() && b.seq != seq).then(|| Board {
             age_ms,
             waited_ms,
             ..Board::clone(&b)
--- a/crates/data-plane/src/serving/reading.rs
+++ b/crates/data-plane/src/serving/reading.rs
@@ -2,7 +2,7 @@
 //! a region tell each other when they send one. Pure.
 
 use super::dialect::Prompt;
-use common::{ReplicaId, Tick, rank::stable_hash};
+use common::{ReplicaId, Tick, rendezvous::stable_hash};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
--- a/crates/data-plane/src/serving/tell.rs
+++ b/crates/data-plane/src/serving/tell.rs
@@ -38,8 +38,8 @@
             (few || same) && m.info.node != *self.router.node()
         };
         for m in l.routers().into_iter().filter(near) {
-            let (me, to, note) = (self.router.clone(), m.info.rail, note.clone());
-            common::ground::spawn(async move {
+            let (me, to, note) = (self.router.clone(), m.info.rpc_addr, note.clone());
+            common::runtime::spawn(async move {
                 let _ = me.lines.call("note", to, Ask::Note { note }).await;
             });
         }
--- a/crates/data-plane/src/serving/watch.rs
+++ b/crates/data-plane/src/serving/watch.rs
@@ -28,8 +28,8 @@
 
 impl Serving {
     /// Time between two looks at an zone's replicas.
-    pub(super) fn look_ms(&self) -> u64 {
-        self.router.set.timing.check_ms / 2
+    pub(super) fn report_interval_ms(&self) -> u64 {
+        self.router.set.timing.probe_interval_ms / 2
     }
 
     /// Claimants to an zone's duty: its own routers first, then the others.
@@ -44,15 +44,15 @@
     /// Subscribes to each zone's figures, and publishes those that are this node's to publish.
     pub fn watch_all(self: &Arc<Self>) {
         for zone in self.site.zones.keys() {
-            common::ground::spawn(self.clone().publish(zone.clone()));
-            common::ground::spawn(self.clone().subscribe(zone.clone()));
+            common::runtime::spawn(self.clone().publish(zone.clone()));
+            common::runtime::spawn(self.clone().subscribe(zone.clone()));
         }
     }
 
     fn take_board(&self, b: Board, at: Tick) {
         let mut g = lock(&self.folds);
         if g.take(b, at) {
-            let valid = self.router.set.timing.stale_ms();
+            let valid = self.router.set.timing.report_max_age_ms();
             let fleet = g.fleet(&self.site.zones, self.routers().len(), valid);
             let listed = |id: &ReplicaId| fleet.by_service.values().flatten().any(|c| c.id == *id);
             lock(&self.router.reading).retain(&listed);
@@ -63,10 +63,10 @@
     async fn subscribe(self: Arc<Self>, zone: Zone) {
         let mut failed: HashMap<NodeId, Tick> = HashMap::new();
         let (mut publisher, mut seq) = (None::<NodeId>, 0);
-        let pause = Duration::from_millis(self.router.set.timing.beat_ms());
+        let pause = Duration::from_millis(self.router.set.timing.heartbeat_ms());
         loop {
             let now = self.now();
-            failed.retain(|_, t| now.since(*t) < self.router.set.timing.tenure_ms);
+            failed.retain(|_, t| now.since(*t) < self.router.set.timing.lease_ms);
             let first = self.line(&zone).into_iter().find(|m| !failed.contains_key(&m.info.node));
             let Some(home) = first else {
                 tokio::time::sleep(pause).await;
@@ -76,15 +76,15 @@
             if publisher.as_ref() != Some(&node) {
                 (publisher, seq) = (Some(node.clone()), 0);
             }
-            let wait_ms = self.look_ms() * 2;
+            let wait_ms = self.report_interval_ms() * 2;
             let told = if node == *self.router.node() {
                 Ok(self.router.tell_board(zone.clone(), seq, wait_ms).await)
             } else {
                 let q = Ask::Board { zone: zone.clone(), seq, wait_ms };
-                let ms = wait_ms + self.router.set.timing.rail_ms;
-                match self.router.lines.call_within(ms, "board", home.info.rail, q).await {
+                let ms = wait_ms + self.router.set.timing.rpc_timeout_ms;
+                match self.router.lines.call_within(ms, "board", home.info.rpc_addr, q).await {
                     Ok(Reply::Board(b)) => Ok(b.map(|b| *b)),
-                    Ok(_) => Err(Fault::new("board", home.info.rail, "another answer")),
+                    Ok(_) => Err(Fault::new("board", home.info.rpc_addr, "another answer")),
                     Err(e) => Err(e),
                 }
             };
@@ -104,7 +104,7 @@
     }
 
     async fn publish(self: Arc<Self>, zone: Zone) {
-        let mut wakeup = tokio::time::interval(Duration::from_millis(self.look_ms()));
+        let mut wakeup = tokio::time::interval(Duration::from_millis(self.report_interval_ms()));
         wakeup.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let mut watched: BTreeMap<ReplicaId, Watched> = BTreeMap::new();
         let mut list = ListReader::new(zone.clone());
@@ -112,13 +112,14 @@
         loop {
             wakeup.tick().await;
             let now = self.now();
-            let wanted =
-                lock(&self.router.boards).get(&zone).is_some_and(|p| now.since(p.asked) < 4 * self.look_ms());
+            let wanted = lock(&self.router.boards)
+                .get(&zone)
+                .is_some_and(|p| now.since(p.asked) < 4 * self.report_interval_ms());
             if !wanted {
                 list.reset();
                 continue;
             }
-            let Some(rows) = list.refreshed(&self, self.look_ms() / 2).await else {
+            let Some(rows) = list.refreshed(&self, self.report_interval_ms() / 2).await else {
                 continue;
             };
             even = !even;
@@ -171,8 +172,8 @@
             Some(b) if !engine => b.health_path.as_str(),
             _ => self.dialect.names().report_path,
         };
-        let ms = self.look_ms().min(400);
-        match ask(self.router.set.rail.ip(), l.addr, Method::GET, path, &[], "", ms).await {
+        let ms = self.report_interval_ms().min(400);
+        match ask(self.router.set.rpc_addr.ip(), l.addr, Method::GET, path, &[], "", ms).await {
             Ok((code, head, body)) if code.is_success() => {
                 let names = self.dialect.names();
                 let told = if engine { self.dialect.report(&body) } else { load_of(&head, &names.load) };
--- a/crates/data-plane/src/tab.rs
+++ b/crates/data-plane/src/tab.rs
@@ -1,7 +1,7 @@
 //! One node's part of the placement table (design 5.3): no input or output. The owner of a
-//! shard settles misses; followers keep copies; lower fences bounce.
+//! shard settles misses; followers keep copies; lower fences reject.
 
-use common::{Fence, Region, Service, Tick, rank::stable_hash};
+use common::{Fence, Region, Service, Tick, rendezvous::stable_hash};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
--- a/crates/data-plane/src/waitlist.rs
+++ b/crates/data-plane/src/waitlist.rs
@@ -15,7 +15,7 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum Bounce {
+pub enum Rejection {
     Full,
     /// Too many stand before it for its deadline.
     Late,
@@ -28,13 +28,13 @@
         deadline: Tick,
         bound: usize,
         now: Tick,
-    ) -> Result<((Tick, u64), oneshot::Receiver<()>), Bounce> {
+    ) -> Result<((Tick, u64), oneshot::Receiver<()>), Rejection> {
         if self.rows.len() >= bound {
-            return Err(Bounce::Full);
+            return Err(Rejection::Full);
         }
         let before = self.rows.range(..(deadline, u64::MAX)).count() as f64;
         if (before + 1.0) * self.gap_ms > deadline.since(now) as f64 {
-            return Err(Bounce::Late);
+            return Err(Rejection::Late);
         }
         let (tx, rx) = oneshot::channel();
         self.serial += 1;
--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -166,7 +166,7 @@
         ("pass", Reply::Pass(Some(pass))),
         ("load-report", Reply::Board(Some(Box::new(board())))),
         ("done", Reply::Done),
-        ("rejected", Reply::Bounced("stale fence".into())),
+        ("rejected", Reply::Rejected("stale fence".into())),
     ];
     for (name, reply) in replies {
         fixtures().assert_wire(&format!("reply-{name}"), &reply);
@@ -189,7 +189,7 @@
         Happened::Member(Epoch(4)),
         Happened::CutOff(true),
         Happened::Health { replica: ReplicaId::new("r-1"), healthy: false },
-        Happened::Bounced("late".into()),
+        Happened::Rejected("late".into()),
         Happened::Unknown("answer".into()),
     ];
     let events: Vec<Event> = happened.into_iter().map(|what| Event { at: Tick(5), what }).collect();
@@ -199,7 +199,7 @@
         epoch: Epoch(4),
         cut_off: true,
         unwell: BTreeSet::from([ReplicaId::new("r-1")]),
-        bounced: BTreeMap::from([("late".into(), 2)]),
+        rejected: BTreeMap::from([("late".into(), 2)]),
         unknown: BTreeMap::from([("answer".into(), 1)]),
         last: Tick(5),
     };
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -99,7 +99,7 @@
     assert!(got.contains("content-length: 9") && got.ends_with("\r\n\r\ndo"), "{got}");
 }
 
-/// Design 3.5: without a lease and without the others in hearing, new work is bounced at once.
+/// Design 3.5: without a lease and without the others in hearing, new work is rejected at once.
 #[tokio::test]
 async fn a_cut_off_router_says_so() {
     let b = back(WHOLE).await;
--- a/crates/data-plane/tests/goes.rs
+++ b/crates/data-plane/tests/goes.rs
@@ -33,13 +33,13 @@
 }
 
 async fn upstream(u: Upstream) -> SocketAddr {
-    let lst = TcpListener::bind((IP, 0)).await.unwrap();
-    let at = lst.local_addr().unwrap();
+    let listener = TcpListener::bind((IP, 0)).await.unwrap();
+    let at = listener.local_addr().unwrap();
     tokio::spawn(async move {
         if matches!(u, Upstream::Gone) {
             return;
         }
-        let (mut s, _) = lst.accept().await.unwrap();
+        let (mut s, _) = listener.accept().await.unwrap();
         match u {
             Upstream::Says(what) => {
                 read_job(&mut s).await;
@@ -130,10 +130,10 @@
 /// What came to light while the connection was being made still counts: not a byte is sent.
 #[tokio::test]
 async fn the_last_look_comes_before_the_first_byte() {
-    let lst = TcpListener::bind((IP, 0)).await.unwrap();
-    let at = lst.local_addr().unwrap();
+    let listener = TcpListener::bind((IP, 0)).await.unwrap();
+    let at = listener.local_addr().unwrap();
     let heard = tokio::spawn(async move {
-        let (mut s, _) = lst.accept().await.unwrap();
+        let (mut s, _) = listener.accept().await.unwrap();
         let mut got = Vec::new();
         let _ = s.read_to_end(&mut got).await;
         got.len()
--- a/crates/data-plane/tests/kit/mod.rs
+++ b/crates/data-plane/tests/kit/mod.rs
@@ -33,11 +33,11 @@
 }
 
 pub async fn back(says: &'static str) -> Back {
-    let lst = TcpListener::bind((IP, 0)).await.unwrap();
-    let (at, runs) = (lst.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
+    let listener = TcpListener::bind((IP, 0)).await.unwrap();
+    let (at, runs) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
     let count = runs.clone();
     tokio::spawn(async move {
-        while let Ok((mut s, _)) = lst.accept().await {
+        while let Ok((mut s, _)) = listener.accept().await {
             let mut buf = vec![0u8; 65536];
             let _ = s.read(&mut buf).await;
             count.fetch_add(1, Ordering::AcqRel);
@@ -52,14 +52,14 @@
         cluster: "bitacora".into(),
         node: "p1".into(),
         zone: "centro-1".into(),
-        rail: (IP, 1).into(),
+        rpc_addr: (IP, 1).into(),
         http: (IP, 1).into(),
-        rail_advertise: None,
+        rpc_advertise: None,
         http_advertise: None,
         seeds: vec![],
         founds: true,
         data: None,
-        timing: Timing { tenure_ms: 60_000, check_ms: 60_000, ..Timing::default() },
+        timing: Timing { lease_ms: 60_000, probe_interval_ms: 60_000, ..Timing::default() },
         log: "error".into(),
     }
 }
@@ -72,7 +72,7 @@
         role: Role::Router,
         lang: 1,
         zone: zone.into(),
-        rail: addr,
+        rpc_addr: addr,
         http: addr,
     }
 }
@@ -104,12 +104,12 @@
     }
     r.take_figures(figures(service, backs, fence, 1, 0.0), r.now());
     r.since.store(Tick(1).0, Ordering::Release);
-    let lst = TcpListener::bind((IP, 0)).await.unwrap();
-    let at = lst.local_addr().unwrap();
+    let listener = TcpListener::bind((IP, 0)).await.unwrap();
+    let at = listener.local_addr().unwrap();
     // Never told to stop: the sender is left alone.
     let (h, (tx, rx)) = (r.clone(), watch::channel(false));
     std::mem::forget(tx);
-    tokio::spawn(http::serve(lst, Arc::default(), rx, move |p, q| h.clone().handle(p, q)));
+    tokio::spawn(http::serve(listener, Arc::default(), rx, move |p, q| h.clone().handle(p, q)));
     (r, at)
 }
 
--- a/crates/data-plane/tests/leap.rs
+++ b/crates/data-plane/tests/leap.rs
@@ -92,27 +92,32 @@
     let b = back(WHOLE).await;
     let (clock, hand) = Clock::hand();
     let (r, _) = router_at(clock, "verdict", std::slice::from_ref(&b)).await;
-    let lst = TcpListener::bind((kit::IP, 0)).await.unwrap();
+    let listener = TcpListener::bind((kit::IP, 0)).await.unwrap();
     let mut l = (*r.ledger()).clone();
-    let at = lst.local_addr().unwrap();
-    l.members.values_mut().for_each(|m| m.info.rail = at);
+    let at = listener.local_addr().unwrap();
+    l.members.values_mut().for_each(|m| m.info.rpc_addr = at);
     l.index = l.index.next();
     r.member.install(News::Snapshot(Box::new(l)), "test");
     let (asked, asks) = (Arc::new(AtomicUsize::new(0)), hand.clone());
     let count = asked.clone();
-    tokio::spawn(common::link::listen(lst, kit::settings().me(), data_plane::rpc::SERVICE, move |_, ask| {
-        // The answer is on its way when this node freezes for an hour.
-        let first = count.fetch_add(1, Ordering::AcqRel) == 0;
-        asks.fetch_add(if first { 3_600_000 } else { 0 }, Ordering::AcqRel);
-        async move {
-            match ask {
-                Ask::Hail { index } => {
-                    Reply::Hailed { index, incarnation: common::Incarnation(1), fit: true }
+    tokio::spawn(common::link::listen(
+        listener,
+        kit::settings().me(),
+        data_plane::rpc::SERVICE,
+        move |_, ask| {
+            // The answer is on its way when this node freezes for an hour.
+            let first = count.fetch_add(1, Ordering::AcqRel) == 0;
+            asks.fetch_add(if first { 3_600_000 } else { 0 }, Ordering::AcqRel);
+            async move {
+                match ask {
+                    Ask::Hail { index } => {
+                        Reply::Hailed { index, incarnation: common::Incarnation(1), fit: true }
+                    }
+                    _ => Reply::Done,
                 }
-                _ => Reply::Done,
             }
-        }
-    }));
+        },
+    ));
     let hails = tokio::spawn(r.clone().hail());
     while data_plane::router::lock(&r.heard).is_empty() {
         tokio::task::yield_now().await;
--- a/crates/data-plane/tests/modules/digest.rs
+++ b/crates/data-plane/tests/modules/digest.rs
@@ -11,14 +11,14 @@
         Happened::Governs(Revision(3)),
         Happened::Governs(Revision(2)),
         sick(false),
-        Happened::Bounced("no room".into()),
-        Happened::Bounced("no room".into()),
+        Happened::Rejected("no room".into()),
+        Happened::Rejected("no room".into()),
     ];
     for (n, what) in all.into_iter().enumerate() {
         j.append(Event { at: Tick(n as u64), what });
     }
     let d = j.view();
-    assert_eq!((d.revision, d.bounced["no room"], d.last), (Revision(3), 2, Tick(4)));
+    assert_eq!((d.revision, d.rejected["no room"], d.last), (Revision(3), 2, Tick(4)));
     assert!(d.unwell.contains(&ReplicaId::new("r1")));
     j.append(Event { at: Tick(9), what: sick(true) });
     assert!(j.view().unwell.is_empty());
--- a/crates/data-plane/tests/modules/lend.rs
+++ b/crates/data-plane/tests/modules/lend.rs
@@ -14,7 +14,7 @@
 }
 
 /// Design 5.5: never more than the room in total; used, expired, replaced and old passes
-/// bounce by name; a region that was unwell lends nothing until a full set of checks.
+/// reject by name; a region that was unwell lends nothing until a full set of checks.
 #[test]
 fn passes_from_grant_to_bounce() {
     let (r, s) = (Region::new("r"), Service::new("s"));
--- a/crates/data-plane/tests/modules/replay.rs
+++ b/crates/data-plane/tests/modules/replay.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// A membership that ended never comes back: its hops bounce, and its window is not kept.
+/// A membership that ended never comes back: its hops reject, and its window is not kept.
 #[test]
 fn memory_is_bounded_by_the_members() {
     let mut g = ReplayGuard::default();
--- a/crates/data-plane/tests/replay.rs
+++ b/crates/data-plane/tests/replay.rs
@@ -1,5 +1,5 @@
 //! A signed hop runs once (design 5.6): what is captured on the inner network and sent again, here or
-//! at another router, is bounced.
+//! at another router, is rejected.
 
 mod kit;
 
