--- a/crates/data-plane/tests/serving/connection.rs
+++ b/crates/data-plane/tests/serving/connection.rs
@@ -3,8 +3,8 @@
 
 use common::{
     Clock, Tick,
-    ground::{Stream, World, bind, spawn},
     http::{Body, full},
+    runtime::{Stream, World, bind, spawn},
 };
 use data_plane::serving::connection::{Answer, Fresh, Ready};
 use futures::stream;
@@ -37,9 +37,9 @@
     f: impl FnOnce(Stream) -> F + Send + 'static,
 ) -> Ready {
     let at: SocketAddr = (PEER, 80).into();
-    let lst = bind(at).await.expect("the peer's address");
+    let listener = bind(at).await.expect("the peer's address");
     spawn(async move {
-        let (io, _) = lst.accept().await.expect("a connection");
+        let (io, _) = listener.accept().await.expect("a connection");
         f(io).await;
     });
     Ready::Fresh(Fresh::open(IpAddr::from(HERE), at, 1_000).await.expect("a connection"))
--- a/crates/data-plane/tests/serving/exchange.rs
+++ b/crates/data-plane/tests/serving/exchange.rs
@@ -3,7 +3,7 @@
 //! that do their worst. The bound: three requests, `tries` up to three, one connection kept at a time,
 //! every answer head of the list below.
 
-use common::ground::World;
+use common::runtime::World;
 use data_plane::serving::{
     exchange::{AnswerHead, AnswerId, Asked, AttemptEnd, LastWord, Permit, Tries, Verdict, judge},
     reuse::{BodyEnd, ExchangeEnd, KeepAlive, clean_end, may_reuse},
--- a/crates/data-plane/tests/serving/limits.rs
+++ b/crates/data-plane/tests/serving/limits.rs
@@ -4,7 +4,7 @@
     kit::route,
     stage::{Cast, Stage, scene},
 };
-use common::{ground::Stream, http::full};
+use common::{http::full, runtime::Stream};
 use configuration::{RequestLimits, Route, RouteKind};
 use rstest::rstest;
 use std::time::Duration;
@@ -129,7 +129,7 @@
 
         let s = open().await;
         let (mut reader, mut writer) = tokio::io::split(s);
-        common::ground::spawn(async move {
+        common::runtime::spawn(async move {
             let _ = writer.write_all(first.as_bytes()).await;
             while writer.write_all(b"x").await.is_ok() {
                 sleep(Duration::from_millis(100)).await;
--- a/crates/data-plane/tests/serving/listing.rs
+++ b/crates/data-plane/tests/serving/listing.rs
@@ -6,8 +6,8 @@
 };
 use common::{
     Zone,
-    ground::{World, bind, spawn_at},
     http::{self, text},
+    runtime::{World, bind, spawn_at},
 };
 use configuration::RouteKind;
 use data_plane::serving::{Listed, Listing};
@@ -109,8 +109,8 @@
     scene(1, Cast::default(), vec![route("read", RouteKind::ReadOnly)], &[], |stage| async move {
         let (end, ended) = watch::channel(false);
         let (me, at) = (list.clone(), SocketAddr::from(LIST));
-        let lst = bind(at).await.expect("the list's address");
-        let world: Arc<World> = common::ground::world().expect("a world");
+        let listener = bind(at).await.expect("the list's address");
+        let world: Arc<World> = common::runtime::world().expect("a world");
         spawn_at(at.ip(), async move {
             let handler = move |_, req: hyper::Request<hyper::body::Incoming>| {
                 let (ms, code, page) = me.answer(req.uri().path(), world.ms());
@@ -119,7 +119,7 @@
                     Ok(text(StatusCode::from_u16(code).expect("a status"), page))
                 }
             };
-            http::serve(lst, Arc::default(), ended, handler).await;
+            http::serve(listener, Arc::default(), ended, handler).await;
             drop(end);
         });
         stage.watch();
--- a/crates/data-plane/tests/serving/stage.rs
+++ b/crates/data-plane/tests/serving/stage.rs
@@ -7,8 +7,8 @@
 };
 use common::{
     Clock, Epoch, Incarnation, Region, Zone,
-    ground::{Listener, Stream, World, bind, dial, spawn, spawn_at},
     http::{self, Body, full},
+    runtime::{Listener, Stream, World, bind, dial, spawn, spawn_at},
     settings::{Settings, Timing},
 };
 use configuration::{Backend, Notation, RequestLimits, Route, RouteMap, place::Flaw};
@@ -263,8 +263,8 @@
     s.write_all(b"0\r\n\r\n").await.ok()
 }
 
-async fn replica(lst: Listener, me: String, script: Arc<Script>) {
-    while let Ok((mut s, _)) = lst.accept().await {
+async fn replica(listener: Listener, me: String, script: Arc<Script>) {
+    while let Ok((mut s, _)) = listener.accept().await {
         let (me, script) = (me.clone(), script.clone());
         let connection = script.connections.fetch_add(1, Ordering::Relaxed);
         spawn(async move {
@@ -328,14 +328,14 @@
         cluster: "line".into(),
         node: "p1".into(),
         zone: "n1".into(),
-        rail: (ROUTER, 1).into(),
+        rpc_addr: (ROUTER, 1).into(),
         http: (ROUTER, 80).into(),
-        rail_advertise: None,
+        rpc_advertise: None,
         http_advertise: None,
         seeds: vec![],
         founds: true,
         data: None,
-        timing: Timing { tenure_ms: 600_000, ..Timing::default() },
+        timing: Timing { lease_ms: 600_000, ..Timing::default() },
         log: "error".into(),
     }
 }
@@ -396,8 +396,8 @@
         let boards: Vec<_> = cast.rows.iter().map(|(a, rows)| here(a, rows)).collect();
         for rows in cast.rows.into_values() {
             for (_, r) in rows.iter().enumerate().filter(|(n, _)| !cast.gone.contains(n)) {
-                let lst = bind(r.addr).await.expect("a replica's own address");
-                spawn_at(r.addr.ip(), replica(lst, r.id.to_string(), script.clone()));
+                let listener = bind(r.addr).await.expect("a replica's own address");
+                spawn_at(r.addr.ip(), replica(listener, r.id.to_string(), script.clone()));
             }
         }
         {
@@ -408,10 +408,10 @@
         let share = Share { capacity: 64.0, per_ms: 0.0 };
         s.retries.earn(&"chat".into(), cast.tries / 0.8, share, s.now());
         let http: SocketAddr = (ROUTER, 80).into();
-        let (me, lst) = (s.clone(), bind(http).await.expect("the router's address"));
+        let (me, listener) = (s.clone(), bind(http).await.expect("the router's address"));
         let (end, ended) = watch::channel(false);
         spawn(async move {
-            me.listen(lst, Arc::default(), ended).await;
+            me.listen(listener, Arc::default(), ended).await;
             drop(end);
         });
         Self { world, s, script, http, ledger: l }
@@ -566,7 +566,7 @@
         let fleet = self.s.fleet.load();
         let open: i64 = fleet.by_service.values().flatten().map(|c| c.own.open.load(Ordering::Relaxed)).sum();
         let abroad: i64 = lock(&self.s.abroad).values().sum();
-        assert_eq!((open, abroad, self.s.router.busy.open()), (0, 0, 0), "all was given back");
+        assert_eq!((open, abroad, self.s.router.open_count.open()), (0, 0, 0), "all was given back");
     }
 }
 
--- a/crates/foldshunt-control/src/main.rs
+++ b/crates/foldshunt-control/src/main.rs
@@ -3,7 +3,7 @@
 use bpaf::Bpaf;
 use common::{
     logging,
-    settings::{Flags, Settings, flags, told_to_stop},
+    settings::{Flags, Settings, flags, shutdown_signal},
 };
 use control_plane::{api, core::files, daemon};
 use eyre::Result;
@@ -26,6 +26,6 @@
     logging::start(&set.node, &set.log);
     let bound = set.bind().await?;
     let folder = files(&set)?;
-    daemon::run(set, 0, bound, folder, api::handle, told_to_stop()?).await;
+    daemon::run(set, 0, bound, folder, api::handle, shutdown_signal()?).await;
     Ok(())
 }
--- a/crates/foldshunt-router/src/main.rs
+++ b/crates/foldshunt-router/src/main.rs
@@ -3,7 +3,7 @@
 use bpaf::Bpaf;
 use common::{
     logging,
-    settings::{Flags, Settings, flags, told_to_stop},
+    settings::{Flags, Settings, flags, shutdown_signal},
 };
 use eyre::Result;
 
@@ -24,6 +24,6 @@
     let set = Settings::read(&opts().run().flags)?;
     logging::start(&set.node, &set.log);
     let bound = set.bind().await?;
-    data_plane::daemon::run(set, bound, told_to_stop()?).await;
+    data_plane::daemon::run(set, bound, shutdown_signal()?).await;
     Ok(())
 }
--- a/crates/simulator/src/acts.rs
+++ b/crates/simulator/src/acts.rs
@@ -58,7 +58,7 @@
         }
         What::Freeze => f.node(whom)?.freeze()?,
         What::Thaw => f.node(whom)?.thaw()?,
-        What::Dark => f.node(whom)?.darken().await?,
+        What::Dark => f.node(whom)?.power_off().await?,
         What::Cut => f.cut(whom),
         What::Mend => f.mend(whom),
         What::KillCore => {
@@ -72,7 +72,7 @@
             }
         }
         What::Replace => {
-            f.node(whom)?.darken().await?;
+            f.node(whom)?.power_off().await?;
             f.spare_for(whom)?;
         }
         What::SlowDisk => f.node(whom)?.mood(Mood::Slow)?,
--- a/crates/simulator/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -16,7 +16,8 @@
     pub model: String,
     pub jobs: usize,
     pub done: usize,
-    pub bounced: usize,
+    #[serde(rename = "bounced")]
+    pub rejected: usize,
     pub unknown: usize,
     pub broken: usize,
     pub not_asked: usize,
@@ -27,7 +28,7 @@
     pub redirected: usize,
     /// Must be zero: jobs that may not be repeated and ran twice.
     pub doubled: usize,
-    /// Must be zero: told as bounced, and ran.
+    /// Must be zero: told as rejected, and ran.
     pub bounced_yet_run: usize,
     /// Must be zero: ran outside the homes.
     pub misrouted: usize,
@@ -43,7 +44,7 @@
     pub last_begun_after_ms: BTreeMap<String, u128>,
     /// Must be zero: 503 without when to come back.
     pub bounced_without_retry_after: usize,
-    /// Must be zero: bounced later than at once, with no router frozen or cut off meanwhile.
+    /// Must be zero: rejected later than at once, with no router frozen or cut off meanwhile.
     pub bounced_late: usize,
     pub slowest_bounce_ms: u128,
     /// Must be zero: answered by an older document three seconds after a newer was accepted.
@@ -142,8 +143,8 @@
             a.done_not_run += 1;
         }
         Told::Done => a.done += 1,
-        Told::Bounced(why) => {
-            a.bounced += 1;
+        Told::Rejected(why) => {
+            a.rejected += 1;
             *a.bounce_reasons.entry(why.clone()).or_default() += 1;
             a.slowest_bounce_ms = a.slowest_bounce_ms.max(h.took.as_millis());
             if !runs.is_empty() {
--- a/crates/simulator/src/caller.rs
+++ b/crates/simulator/src/caller.rs
@@ -29,7 +29,7 @@
 pub enum Told {
     /// A whole answer, line by line this job's own.
     Done,
-    Bounced(String),
+    Rejected(String),
     Unknown(String),
     /// The connection broke before a final answer: known to the caller as such.
     Broken(String),
@@ -141,7 +141,7 @@
                 Told::Garbled(String::from_utf8_lossy(&body).chars().take(120).collect())
             }
         }
-        ("bounced", _) => Told::Bounced(reason),
+        ("bounced", _) => Told::Rejected(reason),
         ("unknown", _) => Told::Unknown(reason),
         _ => Told::Other(code),
     }
--- a/crates/simulator/src/checks.rs
+++ b/crates/simulator/src/checks.rs
@@ -19,7 +19,7 @@
 pub const DEPARTED: Duration = Duration::from_secs(4);
 pub const EVACUATED: Duration = Duration::from_secs(5);
 pub const EXTRA: f64 = 0.2;
-/// A bounce may follow a wait for room of two checks, three connects and a node's joining.
+/// A reject may follow a wait for room of two checks, three connects and a node's joining.
 pub const AT_ONCE: Duration = Duration::from_secs(5);
 /// Three checks and the expire of a home.
 const UNSEEN: Duration = Duration::from_millis(3_500);
@@ -29,7 +29,7 @@
 pub fn checks(a: &mut Audit, ride: &Ride, scene: &Scene, backs: &[Arc<StandIn>]) {
     let t = Timeline::of(&ride.acts, scene, backs);
     documents(a, ride);
-    bounces(a, ride, scene, &t);
+    rejections(a, ride, scene, &t);
     gaps(a, ride, scene, backs, &t);
     departures(a, ride, backs);
     ride.acts.iter().for_each(|x| cold(a, ride, x, backs));
@@ -71,8 +71,8 @@
 }
 
 /// Told at once, with when to come back; what a frozen or cut-off router holds up is no fault of its own.
-fn bounces(a: &mut Audit, ride: &Ride, scene: &Scene, t: &Timeline) {
-    for h in ride.heard.iter().filter(|h| matches!(h.told, Told::Bounced(_))) {
+fn rejections(a: &mut Audit, ride: &Ride, scene: &Scene, t: &Timeline) {
+    for h in ride.heard.iter().filter(|h| matches!(h.told, Told::Rejected(_))) {
         if h.code == 503 && h.retry_after.is_none() {
             a.bounced_without_retry_after += 1;
         }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -10,7 +10,7 @@
     standin::{Shape, StandIn},
     timeline::Scene,
 };
-use common::{ground::World, http::ask};
+use common::{http::ask, runtime::World};
 use control_plane::consensus::Room;
 use eyre::{Result, eyre};
 use hyper::Method;
@@ -176,7 +176,7 @@
     pub fn start_node(&mut self, name: &str) -> Result<()> {
         let yard = self.yard.clone();
         if let Yard::World(w) = &yard {
-            w.light(self.node(name)?.ip);
+            w.power_on(self.node(name)?.ip);
         }
         self.node(name)?.start(&yard)
     }
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -5,7 +5,7 @@
     node::Node,
     sim::disk::{Mood, SimDisk},
 };
-use common::ground::{Host, World, bind, spawn_at};
+use common::runtime::{Host, World, bind, spawn_at};
 use control_plane::{
     consensus::{DurableState, Event, Record, Voter},
     core::{Core, Drive, Retry, blank},
@@ -36,7 +36,7 @@
         let (ip, world) = (n.ip, w.clone());
         let told = async move { drop(told.await) };
         let task = w.host(n.ip).spawn(async move {
-            let bound = match (bind(set.rail).await, bind(set.http).await) {
+            let bound = match (bind(set.rpc_addr).await, bind(set.http).await) {
                 (Ok(r), Ok(h)) => (r, h),
                 _ => return,
             };
@@ -69,8 +69,8 @@
         sleep(Duration::from_millis(1)).await;
     }
 
-    pub async fn darken(self, disk: &Mutex<SimDisk>) {
-        self.host.darken();
+    pub async fn power_off(self, disk: &Mutex<SimDisk>) {
+        self.host.power_off();
         self.crash(disk);
         sleep(Duration::from_millis(1)).await;
     }
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -34,7 +34,7 @@
 pub enum Yard {
     /// As processes, from the programs in this folder.
     Programs(PathBuf),
-    World(Arc<common::ground::World>),
+    World(Arc<common::runtime::World>),
 }
 
 pub struct Node {
@@ -65,9 +65,9 @@
             cluster: self.cluster.into(),
             node: self.name.clone(),
             zone: self.zone.into(),
-            rail: SocketAddr::new(self.ip, RAIL),
+            rpc_addr: SocketAddr::new(self.ip, RAIL),
             http: self.http(),
-            rail_advertise: advertise(RAIL),
+            rpc_advertise: advertise(RAIL),
             http_advertise: advertise(HTTP),
             seeds: self.seeds.clone(),
             founds: true,
@@ -152,10 +152,10 @@
     }
 
     /// The machine loses its power; a real process can only be killed.
-    pub async fn darken(&mut self) -> Result<()> {
+    pub async fn power_off(&mut self) -> Result<()> {
         match self.life.take() {
             Some(Life::Hosted(h)) => {
-                h.darken(&self.disk).await;
+                h.power_off(&self.disk).await;
                 Ok(())
             }
             life => {
--- a/crates/simulator/src/relay.rs
+++ b/crates/simulator/src/relay.rs
@@ -32,11 +32,11 @@
 impl Relays {
     /// Relays everything that reaches `at` to `to`.
     pub async fn put(&self, at: SocketAddr, to: SocketAddr) -> std::io::Result<()> {
-        let lst = TcpListener::bind(at).await?;
+        let listener = TcpListener::bind(at).await?;
         let cuts = self.cuts.clone();
         tokio::spawn(async move {
             loop {
-                let Ok((io, from)) = lst.accept().await else { continue };
+                let Ok((io, from)) = listener.accept().await else { continue };
                 let cuts = cuts.clone();
                 tokio::spawn(async move {
                     let there = (from.ip(), to.ip());
--- a/crates/simulator/src/scale/hollow.rs
+++ b/crates/simulator/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use common::{
     Clock, Incarnation, JobId,
-    ground::{Host, World, bind, draw, draw_in},
+    runtime::{Host, World, bind, draw, random_in},
     settings::Settings,
 };
 use control_plane::{Role, change::NodeInfo, member::Member};
@@ -30,8 +30,8 @@
         let (set, lay) = (n.settings(), *lay);
         let host = w.host(n.ip);
         host.spawn(async move {
-            let Ok(rail) = bind(set.rail).await else { return };
-            let router = stand(set, rail);
+            let Ok(rpc_addr) = bind(set.rpc_addr).await else { return };
+            let router = stand(set, rpc_addr);
             let _ = tell.send(router.clone());
             place_users(router, lay).await;
         });
@@ -41,12 +41,12 @@
 }
 
 /// As `data_plane::daemon::run` does it, up to the listener for callers.
-fn stand(set: Settings, rail: common::ground::Listener) -> Arc<Router> {
+fn stand(set: Settings, rpc_addr: common::runtime::Listener) -> Arc<Router> {
     let info = NodeInfo::of(&set, Role::Router, Incarnation(draw::<u64>() >> 1));
     let clock = Clock::default();
     let member = Member::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member, clock);
-    router.start(&set, rail);
+    router.start(&set, rpc_addr);
     router
 }
 
@@ -61,14 +61,14 @@
         let gap = -(1.0 - draw::<f64>()).ln() / rate;
         tokio::time::sleep(Duration::from_secs_f64(gap)).await;
         let Some(governing) = r.governing.load_full() else { continue };
-        let n = draw_in(0..governing.table.entries.len());
+        let n = random_in(0..governing.table.entries.len());
         let entry = governing.table.entries[n].clone();
-        let key = Some(UserKey::of("t0", "header", &draw_in(0..users).to_le_bytes()));
+        let key = Some(UserKey::of("t0", "header", &random_in(0..users).to_le_bytes()));
         let homes = governing.table.homes(&entry, None);
         let (job, deadline) = (JobId::new("scale"), r.now() + entry.deadline_ms);
         let plan = Plan { job, governing, entry, tenant: None, homes, key, deadline, inner: false };
         let me = r.clone();
-        common::ground::spawn(async move {
+        common::runtime::spawn(async move {
             let _ = me.place(&plan, &BTreeSet::new()).await;
         });
     }
--- a/crates/simulator/src/scale/real.rs
+++ b/crates/simulator/src/scale/real.rs
@@ -38,7 +38,7 @@
     let yard = Yard::Programs(bin.parent().map(Path::to_path_buf).unwrap_or_default());
     let mut fleet = lay.fleet(dir);
     let backs = lay.backs();
-    let stopped = common::settings::told_to_stop()?;
+    let stopped = common::settings::shutdown_signal()?;
     let res = tokio::select! {
         r = stand(p, lay, &yard, &mut fleet, &backs) => r,
         _ = stopped => Err(eyre!("told to stop")),
--- a/crates/simulator/src/scale/rows.rs
+++ b/crates/simulator/src/scale/rows.rs
@@ -2,8 +2,8 @@
 
 use super::hollow::Hollow;
 use common::{
-    ground::{Calls, Kind, Traffic},
-    wire::enc,
+    runtime::{Calls, Kind, Traffic},
+    wire::encode,
 };
 use serde::Serialize;
 use std::{collections::BTreeMap, net::IpAddr};
@@ -135,11 +135,11 @@
         let r = &h.router;
         let l = r.ledger();
         let size = |b: std::io::Result<Vec<u8>>| b.map_or(0, |b| b.len()) as f64 * part;
-        s.ledger += size(enc(&*l));
+        s.ledger += size(encode(&*l));
         s.document += l.text.as_ref().map_or(0, |t| t.len()) as f64 * part;
-        s.figures += r.pressure.board().seen.values().map(|x| size(enc(&x.fig))).sum::<f64>();
+        s.figures += r.pressure.board().seen.values().map(|x| size(encode(&x.fig))).sum::<f64>();
         let heard: Vec<_> = data_plane::router::lock(&r.heard).iter().map(|(n, t)| (n.clone(), *t)).collect();
-        s.signs_of_life += size(enc(&heard));
+        s.signs_of_life += size(encode(&heard));
         let (rows, cached) =
             (data_plane::router::lock(&r.tab).len(), data_plane::router::lock(&r.cache).len());
         s.placement_rows += rows as f64 * part;
--- a/crates/simulator/src/scale/run.rs
+++ b/crates/simulator/src/scale/run.rs
@@ -13,7 +13,7 @@
     operator::Operator,
     standin::StandIn,
 };
-use common::ground::World;
+use common::runtime::World;
 use eyre::{Result, ensure, eyre};
 use serde::Serialize;
 use std::{
@@ -115,12 +115,12 @@
         for (n, r) in routers.iter().enumerate() {
             let newest = n + 1 == routers.len();
             if newest {
-                w.tally.begin();
+                w.traffic.begin();
             }
             hollow.push(Hollow::start(&w, r, &lay).await?);
             sleep(if newest { JOINING } else { GAP }).await;
             if newest {
-                opening = role("router that starts", &[r.ip], &w.tally.end(), JOINING.as_secs_f64());
+                opening = role("router that starts", &[r.ip], &w.traffic.end(), JOINING.as_secs_f64());
             }
         }
         let whole = |h: &Hollow| {
@@ -138,9 +138,9 @@
         at.ok_or_else(|| eyre!("no leader"))
     }
 
-    fn roles(&self, leader: IpAddr, t: &common::ground::Traffic, secs: f64) -> Vec<RoleRow> {
+    fn roles(&self, leader: IpAddr, t: &common::runtime::Traffic, secs: f64) -> Vec<RoleRow> {
         let followers: Vec<IpAddr> = self.voters.iter().map(|n| n.ip).filter(|ip| *ip != leader).collect();
-        let routers: Vec<IpAddr> = self.hollow.iter().map(|h| h.router.set.rail.ip()).collect();
+        let routers: Vec<IpAddr> = self.hollow.iter().map(|h| h.router.set.rpc_addr.ip()).collect();
         vec![
             role("core leader", &[leader], t, secs),
             role("core follower", &followers, t, secs),
@@ -149,34 +149,34 @@
     }
 
     async fn measure(mut self, p: &ScalePlan, before: u64) -> Result<SizeRow> {
-        let w = common::ground::world().ok_or_else(|| eyre!("no world"))?;
+        let w = common::runtime::world().ok_or_else(|| eyre!("no world"))?;
         let (lay, span) = (self.lay, Duration::from_secs_f64(p.seconds));
         // Figures, passes and placements are there after a full set of checks.
         sleep(Duration::from_secs(5)).await;
         let leader = self.leader().await?;
         // Long polls that are open when a span begins count too.
-        w.tally.begin();
+        w.traffic.begin();
         sleep(Duration::from_secs(3)).await;
         let cpu = usage::thread_ms();
-        w.tally.begin();
+        w.traffic.begin();
         sleep(span).await;
-        let calm = w.tally.end();
+        let calm = w.traffic.end();
         let cpu = usage::thread_ms() - cpu;
         let roles = self.roles(leader, &calm, p.seconds);
-        w.tally.begin();
+        w.traffic.begin();
         sleep(Duration::from_secs(3)).await;
-        w.tally.begin();
+        w.traffic.begin();
         let gap = Duration::from_secs_f64(3_600.0 / p.changes);
         let (governs, made) = changes(&self.op, &lay, &self.hollow, gap, span).await;
-        let busy = self.roles(leader, &w.tally.end(), p.seconds);
+        let open_count = self.roles(leader, &w.traffic.end(), p.seconds);
         let a_change = |n: usize| {
             let more = |r: &RoleRow| r.sent + r.received;
-            (more(&busy[n]) - more(&roles[n])) * p.seconds / made.max(1) as f64
+            (more(&open_count[n]) - more(&roles[n])) * p.seconds / made.max(1) as f64
         };
         let resident = usage::resident(std::process::id()).unwrap_or(0).saturating_sub(before);
         let slot = {
             let d = self.voters[0].disk.lock().unwrap_or_else(|e| e.into_inner());
-            d.kept.as_ref().and_then(|i| common::wire::enc(i).ok()).map_or(0, |b| b.len()) as f64
+            d.kept.as_ref().and_then(|i| common::wire::encode(i).ok()).map_or(0, |b| b.len()) as f64
         };
         let mut row = SizeRow {
             origin: "hollow",
@@ -227,7 +227,7 @@
         self.hollow = left;
         for n in self.voters.iter_mut().filter(|n| group(n.zone) == whole) {
             if let Some(Life::Hosted(h)) = n.life.take() {
-                h.darken(&n.disk).await;
+                h.power_off(&n.disk).await;
             }
         }
         self.backs.iter().filter(|b| group(&b.shape.zone) == whole).for_each(|b| b.mute());
--- a/crates/simulator/src/scale/times.rs
+++ b/crates/simulator/src/scale/times.rs
@@ -83,7 +83,7 @@
 /// The machines named lose their power: when the others know of all of them.
 pub async fn lost(gone: &[&Hollow], left: &[Hollow]) -> Span {
     let at = Instant::now();
-    gone.iter().for_each(|h| h.host.darken());
+    gone.iter().for_each(|h| h.host.power_off());
     let names: Vec<common::NodeId> = gone.iter().map(|h| h.name.as_str().into()).collect();
     let (ms, never) = until(left, at, |h| {
         let l = h.router.member.ledger.load();
--- a/crates/simulator/src/sim/acts.rs
+++ b/crates/simulator/src/sim/acts.rs
@@ -64,7 +64,7 @@
                     self.stats.told_conflict += 1;
                     self.book.told_refused.insert(p.op, ());
                 }
-                Verdict::Bounced { .. } => self.stats.told_refused += 1,
+                Verdict::Rejected { .. } => self.stats.told_refused += 1,
             }
         }
         Ok(())
@@ -90,7 +90,7 @@
         }
         let now = self.routers[r].clock.at(t);
         if t >= self.routers[r].next_renew {
-            self.routers[r].next_renew = t + timing().renew_ms();
+            self.routers[r].next_renew = t + timing().renew_interval_ms();
             let voter = self.routers[r].hint % self.voters.len();
             self.routers[r].hint = self.rng.random_range(0..self.voters.len());
             let info = self.routers[r].info.clone();
--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -77,7 +77,7 @@
         };
         for n in 0..VOTERS {
             cluster.members[n].start(Tick(CLOCK));
-            let first = cluster.rng.random_range(0..timing().beat_ms());
+            let first = cluster.rng.random_range(0..timing().heartbeat_ms());
             cluster.push(first, ClusterEvent::Wakeup(n));
         }
         cluster
@@ -165,7 +165,7 @@
     fn one(&mut self, event: ClusterEvent) -> Result<(), String> {
         match event {
             ClusterEvent::Wakeup(n) => {
-                self.push(self.t + timing().beat_ms() / 2, ClusterEvent::Wakeup(n));
+                self.push(self.t + timing().heartbeat_ms() / 2, ClusterEvent::Wakeup(n));
                 if self.broken == Some(BrokenCatchUp::FedAnew) {
                     self.forget_feeds(n);
                 }
--- a/crates/simulator/src/sim/catch_up/line.rs
+++ b/crates/simulator/src/sim/catch_up/line.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Line {
     /// Until when short and long messages occupy their connections.
-    busy: [f64; 2],
+    open_count: [f64; 2],
     /// When the last of each arrives.
     arrives: [f64; 2],
 }
@@ -31,10 +31,10 @@
         let kind = usize::from(bytes > BULK);
         let bytes_a_ms = speed.mbit_s as f64 * 125.0;
         let delay = speed.delay_ms as f64 * rng.random_range(1.0 - JITTER..1.0 + JITTER);
-        let starts = self.busy[kind].max(now as f64);
-        self.busy[kind] = starts + bytes as f64 / bytes_a_ms;
+        let starts = self.open_count[kind].max(now as f64);
+        self.open_count[kind] = starts + bytes as f64 / bytes_a_ms;
         let slow_start = 2.0 * delay * f64::from(round_trips(bytes));
-        let arrives = (self.busy[kind] + delay + slow_start).max(self.arrives[kind]);
+        let arrives = (self.open_count[kind] + delay + slow_start).max(self.arrives[kind]);
         self.arrives[kind] = arrives;
         arrives.ceil() as u64
     }
--- a/crates/simulator/src/sim/catch_up/member.rs
+++ b/crates/simulator/src/sim/catch_up/member.rs
@@ -26,7 +26,7 @@
         incarnation: Incarnation(incarnation),
         node: format!("s{n}").as_str().into(),
         zone: format!("a{n}").as_str().into(),
-        rail: address(n),
+        rpc_addr: address(n),
         http: address(n),
     }
 }
--- a/crates/simulator/src/sim/catch_up/mod.rs
+++ b/crates/simulator/src/sim/catch_up/mod.rs
@@ -29,7 +29,7 @@
 
 /// The bounds of the small deployments: their lease is two fifths of `config-apply-ms`.
 pub fn timing() -> Timing {
-    Timing { tenure_ms: 1_200, ..Timing::default() }
+    Timing { lease_ms: 1_200, ..Timing::default() }
 }
 
 /// How the member was away.
@@ -71,7 +71,7 @@
 pub enum BrokenCatchUp {
     /// Accepted entries are trimmed by their count alone.
     NeverTrimmed,
-    /// A leader forgets what it has on its way to a follower, and feeds it anew with each beat.
+    /// A leader forgets what it has on its way to a follower, and feeds it anew with each heartbeat.
     FedAnew,
     /// A member says that it holds the whole log before its disk does.
     CountsEarly,
--- a/crates/simulator/src/sim/data.rs
+++ b/crates/simulator/src/sim/data.rs
@@ -90,7 +90,7 @@
         role: Role::Router,
         lang: 1,
         zone,
-        rail: addr,
+        rpc_addr: addr,
         http: addr,
     }
 }
--- a/crates/simulator/src/sim/disk.rs
+++ b/crates/simulator/src/sim/disk.rs
@@ -40,7 +40,7 @@
             }
             r => {
                 fits("a record", r, self.room.log.saturating_sub(self.used))?;
-                self.used += common::wire::enc(r).map_or(0, |b| b.len() + 32);
+                self.used += common::wire::encode(r).map_or(0, |b| b.len() + 32);
             }
         }
         self.pending.push_back((tok, rec));
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -65,7 +65,7 @@
 
 /// Whether what is written or sent really fits (design 2.8).
 pub fn fits(what: &str, v: &impl serde::Serialize, most: usize) -> Result<(), String> {
-    let len = common::wire::enc(v).map_err(|e| e.to_string())?.len() + 32;
+    let len = common::wire::encode(v).map_err(|e| e.to_string())?.len() + 32;
     if len <= most { Ok(()) } else { Err(format!("{what} of {len} bytes does not fit into {most}")) }
 }
 
@@ -80,7 +80,7 @@
             incarnation: Incarnation(0),
             node: format!("s{n}").as_str().into(),
             zone: format!("a{}", n % 3).as_str().into(),
-            rail: addr(n),
+            rpc_addr: addr(n),
             http: addr(n),
         };
         Self {
@@ -115,7 +115,7 @@
         let mut voter = Voter::new(me, "sim", seeds, timing(), Some(img), self.clock.at(t));
         voter.expects = self.core;
         // With more voters than seeds, only who starts with all others founds (design 2.5).
-        voter.founds = self.core == 3 || (self.there && !self.lost && self.me.rail != addr(self.core));
+        voter.founds = self.core == 3 || (self.there && !self.lost && self.me.rpc_addr != addr(self.core));
         voter.room = if self.boundless { Room { log: usize::MAX / 64 } } else { ROOM };
         self.voter = Some(voter);
         self.leases = Leases::default();
@@ -155,7 +155,7 @@
             role: Role::Router,
             lang: 1,
             zone: format!("a{}", n % 3).as_str().into(),
-            rail: addr(100 + n),
+            rpc_addr: addr(100 + n),
             http: addr(100 + n),
         };
         Self {
--- a/crates/simulator/src/sim/operate.rs
+++ b/crates/simulator/src/sim/operate.rs
@@ -47,8 +47,11 @@
     }
 
     fn propose(&mut self, n: usize, op: OpId, change: Change) -> Result<(), String> {
-        let lead =
-            self.voters[n].voter.as_ref().and_then(|s| s.leader()).map(|h| usize::from(h.rail.port() - 7000));
+        let lead = self.voters[n]
+            .voter
+            .as_ref()
+            .and_then(|s| s.leader())
+            .map(|h| usize::from(h.rpc_addr.port() - 7000));
         let at = lead.unwrap_or(n);
         if self.voters[at].frozen_until > self.t || self.cut.contains(&(n, at)) {
             return Ok(());
--- a/crates/simulator/src/sim/reads.rs
+++ b/crates/simulator/src/sim/reads.rs
@@ -175,7 +175,7 @@
         if self.broken == Some(Broken::ReadsWithoutLease) {
             return Some((at, own.ledger.clone()));
         }
-        let lead = own.leader().map_or(at, |h| usize::from(h.rail.port() - 7000));
+        let lead = own.leader().map_or(at, |h| usize::from(h.rpc_addr.port() - 7000));
         let linked = !self.cut.contains(&(at, lead)) && !self.cut.contains(&(lead, at));
         let voter = self.voters.get(lead)?.voter.as_ref().filter(|_| linked && awake(lead))?;
         let current = voter.current(self.voters[lead].clock.at(self.t));
--- a/crates/simulator/src/standin.rs
+++ b/crates/simulator/src/standin.rs
@@ -4,8 +4,8 @@
 use crate::sync_body::sync_body;
 use bytes::Bytes;
 use common::{
-    ground::{bind, spawn, spawn_at},
     http::{Body, BoxErr, json, text},
+    runtime::{bind, spawn, spawn_at},
 };
 use futures::StreamExt;
 use http_body_util::{BodyExt, StreamBody};
@@ -117,12 +117,12 @@
 
     /// Comes up, with an empty cache: a cold start.
     pub async fn start(self: &Arc<Self>) -> std::io::Result<()> {
-        let lst = bind(self.addr).await?;
+        let listener = bind(self.addr).await?;
         self.lock().cache.clear();
         let me = self.clone();
         let task = spawn_at(self.addr.ip(), async move {
             loop {
-                let Ok((io, _)) = lst.accept().await else { continue };
+                let Ok((io, _)) = listener.accept().await else { continue };
                 let me2 = me.clone();
                 let conn = spawn(async move {
                     let svc = hyper::service::service_fn(|r| me2.clone().serve(r));
@@ -152,17 +152,17 @@
 
     /// Goes dark: nothing is closed, nothing answers. A stand-in beside real processes can only crash.
     pub fn mute(&self) {
-        match common::ground::world() {
-            Some(w) => w.host(self.addr.ip()).darken(),
+        match common::runtime::world() {
+            Some(w) => w.host(self.addr.ip()).power_off(),
             None => self.crash(),
         }
     }
 
     pub async fn unmute(self: &Arc<Self>) -> std::io::Result<()> {
-        if let Some(w) = common::ground::world() {
+        if let Some(w) = common::runtime::world() {
             self.crash();
             tokio::time::sleep(Duration::from_millis(1)).await;
-            w.light(self.addr.ip());
+            w.power_on(self.addr.ip());
         }
         self.start().await
     }
@@ -187,7 +187,7 @@
         if self.lock().sour {
             return Ok(text(StatusCode::SERVICE_UNAVAILABLE, "not now\n"));
         }
-        let prefix = common::rank::stable_hash(&[bytes.get(..bytes.len().min(4096)).unwrap_or(&[])]);
+        let prefix = common::rendezvous::stable_hash(&[bytes.get(..bytes.len().min(4096)).unwrap_or(&[])]);
         let (warm, open) = {
             let mut g = self.lock();
             g.open += 1;
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -9,7 +9,7 @@
     fleet::Fleet,
     run::run,
 };
-use common::ground::World;
+use common::runtime::World;
 use eyre::{Result, bail};
 use std::{
     str::FromStr,
@@ -143,7 +143,7 @@
         all.len(),
         sum(&|a| a.jobs),
         sum(&|a| a.done),
-        sum(&|a| a.bounced),
+        sum(&|a| a.rejected),
         sum(&|a| a.unknown),
         sum(&|a| a.broken),
         sum(&|a| a.not_asked),
--- a/crates/simulator/tests/catch_up.rs
+++ b/crates/simulator/tests/catch_up.rs
@@ -86,7 +86,7 @@
     assert!(by.iter().any(|words| caught.contains(words)), "{caught}");
 }
 
-/// Fed anew with each beat, a member takes many times what it needs, or never catches up at all.
+/// Fed anew with each heartbeat, a member takes many times what it needs, or never catches up at all.
 #[rstest]
 fn a_snapshot_fed_anew_on_each_beat_is_caught(
     #[values(Absence::Restart, Absence::Wipe, Absence::Lag)] absence: Absence,
--- a/crates/simulator/tests/scale.rs
+++ b/crates/simulator/tests/scale.rs
@@ -109,6 +109,6 @@
         ver: u64::MAX >> 16,
         ttl_ms: 900_000,
     };
-    let len = common::wire::enc(&row).unwrap().len();
+    let len = common::wire::encode(&row).unwrap().len();
     assert_eq!(len, rows::A_ROW);
 }
--- a/crates/test-fixtures/src/lib.rs
+++ b/crates/test-fixtures/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A fixture is a file under a crate's `tests/fixtures/`. Tests compare what the current code writes with
 //! the bytes of the file, and read the file back. The files were written by an earlier version; they change
-//! only together with `common::wire::PROTO` or with the format number of the store.
+//! only together with `common::wire::PROTOCOL_VERSION` or with the format number of the store.
 //!
 //! `FOLDSHUNT_WRITE_FIXTURES=1 cargo test --workspace compatibility` writes the files that are missing. It
 //! never overwrites one.
@@ -52,9 +52,9 @@
     /// a value with the same encoding.
     pub fn assert_wire<T: Serialize + DeserializeOwned>(&self, name: &str, value: &T) {
         let file = format!("{name}.bin");
-        self.assert_bytes(&file, &wire::enc(value).expect("a value that can be encoded"));
-        let read: T = wire::dec(&self.read(&file)).unwrap_or_else(|e| panic!("{name}: {e}"));
-        let again = wire::enc(&read).expect("a value that can be encoded");
+        self.assert_bytes(&file, &wire::encode(value).expect("a value that can be encoded"));
+        let read: T = wire::decode(&self.read(&file)).unwrap_or_else(|e| panic!("{name}: {e}"));
+        let again = wire::encode(&read).expect("a value that can be encoded");
         assert!(again == self.read(&file), "{name}: changed by reading and writing it");
     }
 
