--- a/crates/common/src/ids.rs
+++ b/crates/common/src/ids.rs
@@ -89,8 +89,8 @@
     Revision,
     /// Number of a membership; rises with each join and expire (design 3.1).
     Epoch,
-    /// Guards a duty: the higher one wins at each receiver (design 3.2).
-    Fence,
+    /// Guards a singleton role: the higher one wins at each receiver (design 3.2).
+    FencingToken,
     /// Drawn anew for each data folder and each start of a router.
     Incarnation,
 }
--- a/crates/common/src/settings.rs
+++ b/crates/common/src/settings.rs
@@ -38,7 +38,8 @@
     pub seeds: Vec<SocketAddr>,
     /// Whether a blank core process may found a cluster with the other seeds.
     #[serde(default = "yes")]
-    pub founds: bool,
+    #[serde(rename = "founds")]
+    pub may_bootstrap: bool,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data: Option<PathBuf>,
     #[serde(default)]
--- a/crates/control-plane/src/api/document.rs
+++ b/crates/control-plane/src/api/document.rs
@@ -3,8 +3,8 @@
 use super::{Call, Early, Res, early, no};
 use crate::{
     Document, MAX_DOC,
-    change::{Change, Verdict},
-    ledger::Ledger,
+    change::{ApplyOutcome, Change},
+    cluster_state::ClusterState,
     patch::{self, Patch},
 };
 use common::{
@@ -58,14 +58,14 @@
             ));
         }
         let l = self.state().await?;
-        if l.verdict(&self.op).is_none() {
+        if l.outcome(&self.op).is_none() {
             self.check(src, &l)?;
         }
         self.propose(Change::Apply { op: self.op.clone(), base, text }).await
     }
 
     /// All flaws at once; nothing was logged, so nothing can take effect (design 4.2).
-    fn check(&self, src: &str, l: &Ledger) -> Early<()> {
+    fn check(&self, src: &str, l: &ClusterState) -> Early<()> {
         let flaws = flaws(&self.core.set.cluster, src, l);
         if flaws.is_empty() {
             return Ok(());
@@ -80,11 +80,11 @@
             Err(e) => return early(no(StatusCode::BAD_REQUEST, format!("body: {e}"))),
         };
         let l = self.state().await?;
-        if let Some(v) = l.verdict(&self.op) {
+        if let Some(v) = l.outcome(&self.op) {
             return Ok(self.told(&v));
         }
         if base != l.revision {
-            return Ok(self.told(&Verdict::Conflict { current: l.revision }));
+            return Ok(self.told(&ApplyOutcome::Conflict { current: l.revision }));
         }
         let src = match patch::apply(l.text.as_deref().unwrap_or(""), &p) {
             Ok(s) => s,
@@ -95,7 +95,7 @@
 }
 
 /// Why a document is not to be logged, seen from the state as it is.
-pub fn flaws(cluster: &str, src: &str, l: &Ledger) -> Vec<configuration::Flaw> {
+pub fn flaws(cluster: &str, src: &str, l: &ClusterState) -> Vec<configuration::Flaw> {
     let listed: Vec<(Service, Zone)> =
         l.replicas.values().filter(|r| !r.draining).map(|r| (r.service.clone(), r.zone.clone())).collect();
     match configuration::compile(src) {
--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -5,7 +5,7 @@
 
 pub use document::flaws;
 
-use crate::{MAX_DOC, change::ReplicaMove, core::Core, ledger::Ledger};
+use crate::{MAX_DOC, change::ReplicaMove, cluster_state::ClusterState, core::Core};
 use common::{
     OpId,
     http::{Body, BoxErr, json, read_body, text},
@@ -45,7 +45,7 @@
     zone: String,
 }
 
-/// Two operators in the same moment must never share a verdict: each call without a name of its own
+/// Two operators in the same moment must never share a outcome: each call without a name of its own
 /// gets one that is drawn.
 pub fn drawn_op() -> String {
     format!("drawn-{:032x}", common::runtime::draw::<u128>())
@@ -115,7 +115,7 @@
         let v = self.core.status();
         let ok = v.voting && v.leader.is_some();
         let code = if ok { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        json(code, &j!({"formed": v.formed, "voting": v.voting, "leader": v.leader.map(|l| l.node)}))
+        json(code, &j!({"formed": v.initialized, "voting": v.voting, "leader": v.leader.map(|l| l.node)}))
     }
 
     fn metrics(&self) -> String {
@@ -123,10 +123,10 @@
         let m = common::metrics::Metrics::default();
         let row = [
             ("view", "Number of the view that this seat has promised", v.term as i64),
-            ("accepted_index", "Place of the newest accepted change", v.ledger.index.0 as i64),
-            ("revision", "Newest accepted document", v.ledger.revision.0 as i64),
+            ("accepted_index", "Place of the newest accepted change", v.cluster_state.index.0 as i64),
+            ("revision", "Newest accepted document", v.cluster_state.revision.0 as i64),
             ("voting", "1 while this seat votes", i64::from(v.voting)),
-            ("members", "Nodes that hold a tenure", v.ledger.members.len() as i64),
+            ("members", "Nodes that hold a tenure", v.cluster_state.members.len() as i64),
         ];
         for (name, help, val) in row {
             m.gauge(name, help, &[]).with_label_values::<&str>(&[]).set(val);
@@ -136,26 +136,26 @@
 
     fn status(&self) -> Value {
         let v = self.core.status();
-        let (index, rev) = (v.ledger.index, v.ledger.revision);
+        let (index, rev) = (v.cluster_state.index, v.cluster_state.revision);
         // Renewals go to the leader: only it knows what governs where.
-        let leads = v.leader.as_ref().is_some_and(|l| l.node == v.me.node);
+        let has_leadership = v.leader.as_ref().is_some_and(|l| l.node == v.me.node);
         let members: Vec<Value> = v
-            .ledger
+            .cluster_state
             .members
             .values()
             .map(|m| {
                 let told = v.reports.get(&m.info.node);
                 j!({"node": m.info.node, "area": m.info.zone, "role": m.info.role, "lang": m.info.lang, "rail": m.info.rpc_addr,
                     "http": m.info.http, "epoch": m.epoch, "idx": told.map(|r| r.0), "revision": told.map(|r| r.1),
-                    "lags": leads.then(|| told.is_none_or(|r| r.0 < index || r.1 < rev))})
+                    "lags": has_leadership.then(|| told.is_none_or(|r| r.0 < index || r.1 < rev))})
             })
             .collect();
         j!({"cluster": self.core.set.cluster, "seat": v.me, "view": v.term, "leader": v.leader.map(|l| l.node),
-            "formed": v.formed, "voting": v.voting, "idx": index, "revision": rev, "evacuated": v.ledger.evacuated,
-            "roster": v.ledger.voters, "lost": v.ledger.lost, "members": members, "replicas": v.ledger.replicas})
+            "formed": v.initialized, "voting": v.voting, "idx": index, "revision": rev, "evacuated": v.cluster_state.evacuated,
+            "roster": v.cluster_state.voters, "lost": v.cluster_state.lost, "members": members, "replicas": v.cluster_state.replicas})
     }
 
-    async fn state(&self) -> Early<Ledger> {
+    async fn state(&self) -> Early<ClusterState> {
         self.core.state().await.or_else(|why| early(no(StatusCode::SERVICE_UNAVAILABLE, why)))
     }
 }
--- a/crates/control-plane/src/api/moves.rs
+++ b/crates/control-plane/src/api/moves.rs
@@ -2,8 +2,8 @@
 
 use super::{Call, Early, ReplicaBody, Res, early, no};
 use crate::{
-    change::{Change, ReplicaMove, Verdict},
-    rpc::Proposed,
+    change::{ApplyOutcome, Change, ReplicaMove},
+    rpc::ProposalOutcome,
 };
 use common::{Index, OpId, ReplicaId, Zone, http::json, is_valid_name};
 use hyper::StatusCode;
@@ -14,18 +14,20 @@
     pub(super) async fn propose(&self, ch: Change) -> Early<Res> {
         let ms = self.core.set.timing.rpc_timeout_ms * 4;
         Ok(match self.core.propose(ch, ms).await {
-            Proposed::Settled { index, verdict: v @ Verdict::Accepted { .. } } if self.wait_ms > 0 => {
+            ProposalOutcome::Committed { index, outcome: v @ ApplyOutcome::Accepted { .. } }
+                if self.wait_ms > 0 =>
+            {
                 let lagging = self.governs(index).await;
                 let mut r = self.told_with(&v, Some(lagging));
                 *r.status_mut() = StatusCode::OK;
                 r
             }
-            Proposed::Settled { verdict, .. } => self.told(&verdict),
-            Proposed::Undetermined => json(
+            ProposalOutcome::Committed { outcome, .. } => self.told(&outcome),
+            ProposalOutcome::Undetermined => json(
                 StatusCode::GATEWAY_TIMEOUT,
                 &j!({"outcome": "undetermined", "op": self.op, "ask": format!("/v1/ops/{}", self.op)}),
             ),
-            Proposed::NotLogged { why, .. } => {
+            ProposalOutcome::NotLogged { why, .. } => {
                 let mut r = json(
                     StatusCode::SERVICE_UNAVAILABLE,
                     &j!({"outcome": "refused", "op": self.op, "error": format!("{why}; nothing was logged")}),
@@ -36,14 +38,14 @@
         })
     }
 
-    pub(super) fn told(&self, v: &Verdict) -> Res {
+    pub(super) fn told(&self, v: &ApplyOutcome) -> Res {
         self.told_with(v, None)
     }
 
-    fn told_with(&self, v: &Verdict, lagging: Option<Vec<String>>) -> Res {
+    fn told_with(&self, v: &ApplyOutcome, lagging: Option<Vec<String>>) -> Res {
         let op = &self.op;
         match v {
-            Verdict::Accepted { revision } => {
+            ApplyOutcome::Accepted { revision } => {
                 let mut body = j!({"outcome": "accepted", "revision": revision, "op": op});
                 if let Some(l) = lagging {
                     body["governs"] = l.is_empty().into();
@@ -51,11 +53,11 @@
                 }
                 json(StatusCode::OK, &body)
             }
-            Verdict::Conflict { current } => json(
+            ApplyOutcome::Conflict { current } => json(
                 StatusCode::PRECONDITION_FAILED,
                 &j!({"outcome": "refused", "op": op, "current": current, "error": "another change was accepted first"}),
             ),
-            Verdict::Rejected { reason } => {
+            ApplyOutcome::Rejected { reason } => {
                 json(StatusCode::NOT_FOUND, &j!({"outcome": "refused", "op": op, "error": reason}))
             }
         }
@@ -69,10 +71,11 @@
                 Ok(_) => self.core.status(),
                 Err(_) => return vec!["unknown: asked at a seat that does not lead; see status".into()],
             };
-            let lags =
-                |n: &common::NodeId| v.reports.get(n).is_none_or(|r| r.0 < index || r.1 < v.ledger.revision);
+            let lags = |n: &common::NodeId| {
+                v.reports.get(n).is_none_or(|r| r.0 < index || r.1 < v.cluster_state.revision)
+            };
             let behind: Vec<String> =
-                v.ledger.members.keys().filter(|n| lags(n)).map(|n| n.to_string()).collect();
+                v.cluster_state.members.keys().filter(|n| lags(n)).map(|n| n.to_string()).collect();
             if behind.is_empty() || self.core.clock.now() >= until {
                 return behind;
             }
@@ -132,7 +135,7 @@
     /// What became of an operation; where nothing is known yet, that is said and no more.
     pub(super) async fn asked(&self, op: &OpId) -> Early<Res> {
         let l = self.state().await?;
-        Ok(match l.verdict(op) {
+        Ok(match l.outcome(op) {
             Some(v) => {
                 let mut r = Call { op: op.clone(), base: None, ..*self }.told(&v);
                 *r.status_mut() = StatusCode::OK;
--- a/crates/control-plane/src/change.rs
+++ b/crates/control-plane/src/change.rs
@@ -127,7 +127,7 @@
 
 /// What became of a change once it had its place in the order (design 4.6).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum ApplyOutcome {
     Accepted {
         revision: Revision,
     },
--- a/crates/control-plane/src/consensus/sync.rs
+++ b/crates/control-plane/src/consensus/durability.rs
@@ -4,79 +4,85 @@
 
 impl Voter {
     /// Hands a record to the disk; `then` is held until it is synced (design 2.4).
-    pub(super) fn persist(&mut self, rec: Record, now: Tick, then: Vec<Effect>, effects: &mut Vec<Effect>) {
-        self.tok += 1;
-        self.log_recs += 1;
-        self.log_bytes += rec.weight();
-        if matches!(rec, Record::DurableState(_)) {
-            self.log_recs = 0;
+    pub(super) fn persist(
+        &mut self,
+        record: Record,
+        now: Tick,
+        then: Vec<Effect>,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.token += 1;
+        self.log_records += 1;
+        self.log_bytes += record.weight();
+        if matches!(record, Record::DurableState(_)) {
+            self.log_records = 0;
             self.log_bytes = 0;
         }
-        self.unsynced.push_back((self.tok, now, self.last(), then));
-        effects.push(Effect::Persist { tok: self.tok, rec });
-        if self.log_bytes > self.room.slot_after() || self.log_recs > SLOT_RECS {
+        self.unsynced.push_back((self.token, now, self.last(), then));
+        effects.push(Effect::Persist { token: self.token, record });
+        if self.log_bytes > self.room.slot_after() || self.log_records > SLOT_RECS {
             self.slot(now, Vec::new(), effects);
         }
     }
 
     /// Writes the whole state into the other slot and starts a new short log.
     pub(super) fn slot(&mut self, now: Tick, then: Vec<Effect>, effects: &mut Vec<Effect>) {
-        let img = DurableState {
+        let image = DurableState {
             me: self.me.clone(),
-            formed: self.formed,
-            promised: self.promised,
+            initialized: self.initialized,
+            current_term: self.current_term,
             log_term: self.log_term,
-            ledger: self.ledger.clone(),
+            cluster_state: self.cluster_state.clone(),
             entries: self.log.iter().filter(|e| e.index > self.accepted()).cloned().collect(),
         };
-        self.persist(Record::DurableState(Box::new(img)), now, then, effects);
+        self.persist(Record::DurableState(Box::new(image)), now, then, effects);
     }
 
-    pub(super) fn on_synced(&mut self, tok: u64, now: Tick, effects: &mut Vec<Effect>) {
-        while self.unsynced.front().is_some_and(|u| u.0 <= tok) {
+    pub(super) fn handle_synced(&mut self, token: u64, now: Tick, effects: &mut Vec<Effect>) {
+        while self.unsynced.front().is_some_and(|u| u.0 <= token) {
             let Some((_, _, last, then)) = self.unsynced.pop_front() else { return };
-            self.synced = last.min(self.last());
+            self.durable_index = last.min(self.last());
             effects.extend(then);
         }
-        if let (true, VoterRole::Candidate { term, .. }) = (self.alone(), &self.role) {
-            let (term, tail) = (*term, self.tail_after(self.accepted()));
-            self.on_stopped(self.id(), term, tail, now, effects);
+        if let (true, VoterRole::Candidate { term, .. }) = (self.is_sole_voter(), &self.role) {
+            let (term, tail) = (*term, self.log_tail_after(self.accepted()));
+            self.handle_vote(self.id(), term, tail, now, effects);
         }
         if self.is_leader() {
-            self.advance(now, effects);
+            self.advance_commit_index(now, effects);
         }
     }
 
     /// A write was refused: the voter steps aside, and nothing that waited for the disk is ever said.
     /// What it has accepted stays, since a majority holds that; the rest may be ahead of its disk.
-    pub(super) fn on_sync_failed(&mut self, now: Tick, effects: &mut Vec<Effect>) {
-        if self.dead {
+    pub(super) fn handle_sync_failed(&mut self, now: Tick, effects: &mut Vec<Effect>) {
+        if self.disk_failed {
             return;
         }
         // The others need not wait out the silence of a leader that has stepped down.
-        self.on_stopping(now, effects);
-        self.dead = true;
-        self.role = VoterRole::Follower { leader: None, heard: now };
+        self.step_down(now, effects);
+        self.disk_failed = true;
+        self.role = VoterRole::Follower { leader: None, last_contact: now };
         self.unsynced.clear();
         effects.push(Effect::Interrupted);
     }
 
     /// The disk works again: the voter starts anew from what it holds, as a new process would. It keeps
     /// what its process was told, and counts its writes on, so that no late word of an earlier one counts.
-    pub(super) fn on_recovered(&mut self, image: DurableState, now: Tick, effects: &mut Vec<Effect>) {
-        if !self.dead {
+    pub(super) fn handle_recovered(&mut self, image: DurableState, now: Tick, effects: &mut Vec<Effect>) {
+        if !self.disk_failed {
             return;
         }
         // One that has lost its folder knows that there is a cluster, and must not found another.
-        let lost = self.formed && image.me.incarnation != self.me.incarnation;
+        let lost = self.initialized && image.me.incarnation != self.me.incarnation;
         let me = self.me.clone();
         let fresh = Voter::new(me, &self.cluster, self.seeds.clone(), self.t.clone(), Some(image), now);
         *self = Voter {
-            founds: self.founds && !lost,
-            expects: self.expects,
+            may_bootstrap: self.may_bootstrap && !lost,
+            expected_voters: self.expected_voters,
             secret: self.secret,
             room: self.room,
-            tok: self.tok,
+            token: self.token,
             ..fresh
         };
         effects.push(Effect::Interrupted);
--- a/crates/control-plane/src/consensus/msg.rs
+++ b/crates/control-plane/src/consensus/message.rs
@@ -1,9 +1,9 @@
 //! Messages, events and effects of a voter (design 2.3).
 
-use super::Refusal;
+use super::InvalidMessage;
 use crate::{
-    change::{Change, Verdict, VoterInfo},
-    ledger::Ledger,
+    change::{ApplyOutcome, Change, VoterInfo},
+    cluster_state::ClusterState,
 };
 use common::{Incarnation, Index, Term, Tick};
 use serde::{Deserialize, Serialize};
@@ -31,7 +31,7 @@
     /// Up to here all is known to be accepted.
     pub accepted: Index,
     /// Given where the log no longer reaches back to the candidate's accepted place.
-    pub snapshot: Option<Ledger>,
+    pub snapshot: Option<ClusterState>,
     pub entries: Vec<LogEntry>,
 }
 
@@ -41,7 +41,7 @@
     /// Trim to `cut`, or take the snapshot, then hold these entries in the new term.
     Install {
         cut: Index,
-        snapshot: Option<Ledger>,
+        snapshot: Option<ClusterState>,
         entries: Vec<LogEntry>,
     },
     Append {
@@ -54,13 +54,15 @@
 pub enum Message {
     Discover {
         holder: VoterInfo,
-        formed: bool,
+        #[serde(rename = "formed")]
+        initialized: bool,
         voters: Vec<VoterInfo>,
         #[serde(rename = "idx")]
         index: Index,
     },
     Bootstrap {
-        ledger: Ledger,
+        #[serde(rename = "ledger")]
+        cluster_state: ClusterState,
     },
     /// A blank voter asks to be readmitted.
     JoinRequest {
@@ -98,7 +100,8 @@
         to: u8,
         term: Term,
         accepted: Index,
-        stamp: Tick,
+        #[serde(rename = "stamp")]
+        sent_at: Tick,
         body: Body,
     },
     AppendReply {
@@ -107,7 +110,8 @@
         installed: bool,
         last: Index,
         accepted: Index,
-        stamp: Tick,
+        #[serde(rename = "stamp")]
+        sent_at: Tick,
     },
 }
 
@@ -122,15 +126,15 @@
     }
 }
 
-fn state(snapshot: &Option<Ledger>, entries: &[LogEntry]) -> usize {
-    snapshot.as_ref().map_or(0, Ledger::weight) + entries.iter().map(LogEntry::weight).sum::<usize>()
+fn state(snapshot: &Option<ClusterState>, entries: &[LogEntry]) -> usize {
+    snapshot.as_ref().map_or(0, ClusterState::weight) + entries.iter().map(LogEntry::weight).sum::<usize>()
 }
 
 impl Message {
     /// Bytes of state that it carries, at most.
     pub fn weight(&self) -> usize {
         match self {
-            Message::Bootstrap { ledger } => ledger.weight(),
+            Message::Bootstrap { cluster_state } => cluster_state.weight(),
             Message::Vote { tail, .. } => state(&tail.snapshot, &tail.entries),
             Message::Append { body, .. } => body.weight(),
             _ => 0,
@@ -142,10 +146,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DurableState {
     pub me: VoterInfo,
-    pub formed: bool,
-    pub promised: Term,
+    #[serde(rename = "formed")]
+    pub initialized: bool,
+    #[serde(rename = "promised")]
+    pub current_term: Term,
     pub log_term: Term,
-    pub ledger: Ledger,
+    #[serde(rename = "ledger")]
+    pub cluster_state: ClusterState,
     pub entries: Vec<LogEntry>,
 }
 
@@ -200,8 +207,8 @@
         msg: Message,
     },
     Persist {
-        tok: u64,
-        rec: Record,
+        token: u64,
+        record: Record,
     },
     /// Logged by this leader at this place, to be accepted or lost.
     Logged {
@@ -213,13 +220,13 @@
         change: Change,
         why: &'static str,
     },
-    Accepted {
+    Committed {
         entry: LogEntry,
-        verdict: Verdict,
+        outcome: ApplyOutcome,
     },
     /// The whole state was replaced by a snapshot.
     SnapshotInstalled,
-    /// The disk failed, or works again: what waits here for a verdict is not told one by one.
+    /// The disk failed, or works again: what waits here for a outcome is not told one by one.
     Interrupted,
     BecameLeader {
         term: Term,
@@ -228,6 +235,6 @@
     /// A message that no voter of this cluster sends; nothing of it was taken in.
     Refused {
         from: SocketAddr,
-        why: Refusal,
+        why: InvalidMessage,
     },
 }
--- a/crates/control-plane/src/consensus/role.rs
+++ b/crates/control-plane/src/consensus/role.rs
@@ -10,16 +10,16 @@
     pub last: Index,
     pub accepted: Index,
     /// Send time, on our clock, of the newest feed that it answered.
-    pub stamp: Tick,
+    pub sent_at: Tick,
     /// What it was fed and has not said that it holds.
-    pub carried: Option<InFlight>,
+    pub in_flight: Option<InFlight>,
 }
 
 /// A feed with entries or a snapshot, on its way.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlight {
     at: Tick,
-    upto: Index,
+    last_sent: Index,
     weight: usize,
 }
 
@@ -27,8 +27,8 @@
 const BYTES_A_MS: u64 = 1_024;
 
 impl InFlight {
-    pub(super) fn new(at: Tick, upto: Index, weight: usize) -> Self {
-        Self { at, upto, weight }
+    pub(super) fn new(at: Tick, last_sent: Index, weight: usize) -> Self {
+        Self { at, last_sent, weight }
     }
 
     /// Its answer should have been here.
@@ -37,7 +37,7 @@
     }
 
     pub(super) fn held_by(&self, p: &Progress) -> bool {
-        p.installed && p.last >= self.upto
+        p.installed && p.last >= self.last_sent
     }
 }
 
@@ -48,7 +48,7 @@
     pub to: u8,
     pub term: Term,
     pub accepted: Index,
-    pub stamp: Tick,
+    pub sent_at: Tick,
     pub body: Body,
 }
 
@@ -56,11 +56,11 @@
 pub enum VoterRole {
     Follower {
         leader: Option<VoterId>,
-        heard: Tick,
+        last_contact: Tick,
     },
     PreCandidate {
         term: Term,
-        ayes: Vec<u8>,
+        granted: Vec<u8>,
         since: Tick,
     },
     Candidate {
@@ -68,10 +68,10 @@
         got: BTreeMap<Incarnation, LogTail>,
         since: Tick,
     },
-    /// Speaks for the whole order only once all up to `floor` is accepted in its own term.
+    /// Speaks for the whole order only once all up to `term_start` is accepted in its own term.
     Leader {
         peers: BTreeMap<u8, Progress>,
         since: Tick,
-        floor: Index,
+        term_start: Index,
     },
 }
--- a/crates/control-plane/src/consensus/room.rs
+++ b/crates/control-plane/src/consensus/size_limits.rs
@@ -3,9 +3,9 @@
 
 use super::{LogEntry, Voter};
 use crate::{
-    change::{Change, ReplicaMove, Verdict, VoterInfo},
+    change::{ApplyOutcome, Change, ReplicaMove, VoterInfo},
+    cluster_state::ClusterState,
     document::Document,
-    ledger::Ledger,
 };
 use common::Index;
 
@@ -13,17 +13,17 @@
 const NAME: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct SizeLimits {
     pub log: usize,
 }
 
-impl Default for Room {
+impl Default for SizeLimits {
     fn default() -> Self {
         Self { log: crate::store::LOG_LEN as usize }
     }
 }
 
-impl Room {
+impl SizeLimits {
     /// The longest document, packed.
     pub fn doc(&self) -> usize {
         self.log / 2
@@ -68,7 +68,7 @@
         }
     }
 
-    /// What folding it may add to the state beyond the entry itself: its verdict.
+    /// What folding it may add to the state beyond the entry itself: its outcome.
     fn growth(&self) -> usize {
         match self {
             Change::Apply { op, .. } => op.as_str().len() + 128,
@@ -129,11 +129,11 @@
     .collect()
 }
 
-impl Ledger {
+impl ClusterState {
     /// No less than its length on disk and on the wire.
     pub fn weight(&self) -> usize {
-        let verdict = |v: &Verdict| match v {
-            Verdict::Rejected { reason } => reason.len() + 32,
+        let outcome = |v: &ApplyOutcome| match v {
+            ApplyOutcome::Rejected { reason } => reason.len() + 32,
             _ => 32,
         };
         let text = self.text.as_ref().map_or(0, Document::packed_len);
@@ -151,7 +151,8 @@
             .map(|m| 2 * m.info.node.as_str().len() + m.info.zone.as_str().len() + 160)
             .sum();
         let voters: usize = self.voters.iter().map(holder).sum();
-        let ops: usize = self.ops.iter().map(|(o, v)| o.as_str().len() + verdict(v) + 16).sum();
+        let recent_operations: usize =
+            self.recent_operations.iter().map(|(o, v)| o.as_str().len() + outcome(v) + 16).sum();
         let lost: usize = self.lost.iter().map(|x| x.node.as_str().len() + 16).sum();
         256 + lost
             + self.cluster.len()
@@ -160,7 +161,7 @@
             + replicas
             + members
             + voters
-            + ops
+            + recent_operations
             + self.accepted.weight()
     }
 }
@@ -171,7 +172,7 @@
     }
 
     /// Why a change can't be logged now, in whatever order the rest of the log is accepted.
-    pub(super) fn no_room(&self, ch: &Change) -> Option<&'static str> {
+    pub(super) fn exceeds_limits(&self, ch: &Change) -> Option<&'static str> {
         let text = match ch {
             Change::Apply { text, .. } => text.packed_len(),
             _ => 0,
@@ -179,7 +180,7 @@
         let pending = self.weight_after(self.accepted()) + ch.weight() + 16;
         let growth: usize =
             self.log.iter().filter(|e| e.index > self.accepted()).map(|e| e.change.growth()).sum();
-        let whole = self.ledger.weight() + pending + growth + ch.growth();
+        let whole = self.cluster_state.weight() + pending + growth + ch.growth();
         [
             (!ch.names_fit(), "a name of more than 64 bytes"),
             (text > self.room.doc(), "the document is too long"),
--- a/crates/control-plane/src/consensus/wake.rs
+++ b/crates/control-plane/src/consensus/startup.rs
@@ -8,33 +8,41 @@
     /// Asks with each heartbeat, for as long as it would wait.
     pub(super) fn wake(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         let waits = now.since(self.started) < self.t.election_timeout_ms();
-        if waits && !self.is_leader() && now.since(self.last_beat) >= self.t.heartbeat_ms() {
-            self.last_beat = now;
-            self.tell_others(Message::LeaderQuery(self.life), effects);
+        if waits && !self.is_leader() && now.since(self.last_heartbeat) >= self.t.heartbeat_ms() {
+            self.last_heartbeat = now;
+            self.broadcast(Message::LeaderQuery(self.process_started), effects);
         }
     }
 
-    pub(super) fn on_asks(&self, from: SocketAddr, life: Tick, effects: &mut Vec<Effect>) {
+    pub(super) fn handle_leader_query(
+        &self,
+        from: SocketAddr,
+        process_started: Tick,
+        effects: &mut Vec<Effect>,
+    ) {
         if !self.is_leader() {
-            effects.push(Effect::Send { to: from, msg: Message::NotLeading(life) });
+            effects.push(Effect::Send { to: from, msg: Message::NotLeading(process_started) });
         }
     }
 
     /// Only an answer to this life's question counts.
-    pub(super) fn on_rests(&mut self, from: SocketAddr, life: Tick, now: Tick) {
-        if life != self.life || !self.formed || now.since(self.started) >= self.t.election_timeout_ms() {
+    pub(super) fn handle_not_leading(&mut self, from: SocketAddr, process_started: Tick, now: Tick) {
+        if process_started != self.process_started
+            || !self.initialized
+            || now.since(self.started) >= self.t.election_timeout_ms()
+        {
             return;
         }
-        self.resting.insert(from);
-        if !self.others().iter().all(|h| self.resting.contains(&h.rpc_addr)) {
+        self.not_leading.insert(from);
+        if !self.other_voters().iter().all(|h| self.not_leading.contains(&h.rpc_addr)) {
             return;
         }
         self.started = now - self.t.election_timeout_ms();
         // Spread by voter, so that of several that wake together one stands first.
         let turn = 2 * self.t.heartbeat_ms() * u64::from(self.me.number);
-        let heard = (now + turn) - self.patience();
-        if let VoterRole::Follower { leader: None, heard: was } = &mut self.role {
-            *was = (*was).min(heard);
+        let last_contact = (now + turn) - self.election_timeout();
+        if let VoterRole::Follower { leader: None, last_contact: was } = &mut self.role {
+            *was = (*was).min(last_contact);
         }
     }
 }
--- a/crates/control-plane/src/core/reach.rs
+++ b/crates/control-plane/src/core/connectivity.rs
@@ -2,7 +2,7 @@
 //! did (design 3.7).
 
 use super::{Core, Inner};
-use crate::{change::Change, consensus::Contact, mass::stale_majority};
+use crate::{change::Change, consensus::Contact, partition_risk::stale_majority};
 use common::{Index, NodeId, Tick};
 use std::{sync::Arc, time::Duration};
 
@@ -12,9 +12,9 @@
 
 /// Whether asking the other voters is worth while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reach {
+pub(super) enum Connectivity {
     /// In touch with the leader, or with a majority as the leader.
-    Near,
+    InTouch,
     /// Out of touch for a while only: there may be a new leader, or none yet.
     Unsure,
     /// Out of touch for longer than an election takes.
@@ -24,32 +24,32 @@
 impl Core {
     /// How this voter stands to a majority now; asked with each wakeup, so that the time of the last
     /// contact is known.
-    pub(super) fn reach(&self) -> Reach {
+    pub(super) fn connectivity(&self) -> Connectivity {
         let now = self.clock.now();
         let mut g = self.lock();
         match g.voter.contact(now) {
             Contact::Leading | Contact::Following => {
                 g.in_touch = now;
-                Reach::Near
+                Connectivity::InTouch
             }
-            Contact::Outside => Reach::Unsure,
-            Contact::Lost
+            Contact::Outside => Connectivity::Unsure,
+            Contact::Isolated
                 if now.since(g.in_touch) < ELECTION_PATIENCES * self.set.timing.election_timeout_ms() =>
             {
-                Reach::Unsure
+                Connectivity::Unsure
             }
-            Contact::Lost => Reach::CutOff,
+            Contact::Isolated => Connectivity::CutOff,
         }
     }
 
     /// Why a change must not be logged now: routers that it would not reach may be serving on.
     pub(super) fn may_miss(&self, g: &Inner, ch: &Change) -> Option<String> {
         let now = self.clock.now();
-        if !ch.narrows() || !g.voter.current(now) || common::runtime::broken("narrows-unheard") {
+        if !ch.narrows() || !g.voter.can_serve_reads(now) || common::runtime::broken("narrows-unheard") {
             return None;
         }
-        let silent = g.leases.silent(&g.voter.ledger, &self.set.timing, now);
-        stale_majority(&g.voter.ledger, &silent).map(|v| {
+        let silent = g.leases.silent(&g.voter.cluster_state, &self.set.timing, now);
+        stale_majority(&g.voter.cluster_state, &silent).map(|v| {
             let names: Vec<&str> = v.iter().map(|n| n.as_str()).collect();
             format!(
                 "out of reach, and together enough to be serving on by older news: {}; mend their links, or say of each that is down: members/NAME/down",
@@ -59,7 +59,7 @@
     }
 
     pub(super) fn members(g: &Inner) -> Vec<NodeId> {
-        g.voter.ledger.members.keys().cloned().collect()
+        g.voter.cluster_state.members.keys().cloned().collect()
     }
 
     /// Waits until most of those that were members when a change was logged say that they hold it:
@@ -69,10 +69,10 @@
         loop {
             {
                 let g = self.lock();
-                if g.voter.dead {
+                if g.voter.disk_failed {
                     return false;
                 }
-                let l = &g.voter.ledger;
+                let l = &g.voter.cluster_state;
                 let there = |n: &&NodeId| l.members.contains_key(*n) || l.lost.iter().any(|x| x.node == **n);
                 let all: Vec<&NodeId> = of.iter().filter(there).collect();
                 let held = all.iter().filter(|n| g.reports.get(**n).is_some_and(|r| r.0 >= index)).count();
--- a/crates/control-plane/src/core/drive.rs
+++ b/crates/control-plane/src/core/drive.rs
@@ -1,6 +1,6 @@
 //! What carries a voter's records to its disk, off the threads that serve (design 2.4, 2.7).
 
-use super::{Core, DataFolder, Recorder, Retry, Start, folder::blank};
+use super::{Core, DataFolder, Recorder, RecoveryBackoff, Start, folder::blank};
 use crate::{
     consensus::{Event, Record},
     disk::OpenError,
@@ -10,8 +10,8 @@
 
 /// Takes records in order, and tells the core of each once it is synced; or that one failed, and then
 /// what the disk holds once it works again.
-pub trait Drive: Send + Sync {
-    fn write(&self, tok: u64, rec: Record);
+pub trait LogWriter: Send + Sync {
+    fn write(&self, token: u64, record: Record);
 }
 
 struct Write {
@@ -19,9 +19,9 @@
     record: Record,
 }
 
-struct FileDrive(mpsc::Sender<Write>);
+struct ThreadedLogWriter(mpsc::Sender<Write>);
 
-impl Drive for FileDrive {
+impl LogWriter for ThreadedLogWriter {
     fn write(&self, token: u64, record: Record) {
         let _ = self.0.send(Write { token, record });
     }
@@ -70,7 +70,7 @@
     /// folder is opened anew as often as it takes.
     fn recover(&mut self) -> Result<(), CoreGone> {
         while self.queue.try_recv().is_ok() {}
-        let mut retry = Retry::new(&self.core()?.set.timing);
+        let mut retry = RecoveryBackoff::new(&self.core()?.set.timing);
         loop {
             std::thread::sleep(retry.wait());
             let core = self.core()?;
@@ -88,22 +88,22 @@
     }
 }
 
-fn spawn_writer(core: Weak<Core>, recorder: Recorder) -> Box<dyn Drive> {
+fn spawn_writer(core: Weak<Core>, recorder: Recorder) -> Box<dyn LogWriter> {
     let (sender, queue) = mpsc::channel();
     let runtime = tokio::runtime::Handle::current();
     let writer = Writer { core, recorder, queue, runtime };
     std::thread::spawn(move || {
         let _ = writer.run();
     });
-    Box::new(FileDrive(sender))
+    Box::new(ThreadedLogWriter(sender))
 }
 
 /// Makes a drive for a core that is about to start.
-pub type MakeDrive = Box<dyn FnOnce(Weak<Core>) -> Box<dyn Drive> + Send>;
+pub type LogWriterFactory = Box<dyn FnOnce(Weak<Core>) -> Box<dyn LogWriter> + Send>;
 
 /// What the data folder holds, and a drive that writes to it. Where the disk refuses, the core starts
 /// all the same and waits for it; a folder that is another's ends the start.
-pub fn files(set: &Settings) -> eyre::Result<(Start, MakeDrive)> {
+pub fn files(set: &Settings) -> eyre::Result<(Start, LogWriterFactory)> {
     let mut recorder = Recorder::new(Box::new(DataFolder::new(set)?));
     let start = match recorder.recover() {
         Ok(image) => Start::from(image),
--- a/crates/control-plane/src/core/folder.rs
+++ b/crates/control-plane/src/core/folder.rs
@@ -3,7 +3,7 @@
 use crate::{
     change::VoterInfo,
     consensus::{DurableState, Voter},
-    disk::{Folder, Found, OpenError, Opened},
+    disk::{LoadResult, OpenError, Opened, StateStorage},
     store::{FileStore, Medium, System},
 };
 use common::{Incarnation, log_event, settings::Settings};
@@ -46,15 +46,15 @@
 
     /// What is whole there; a damaged folder is moved aside, never written over (design 2.6).
     fn read(&self) -> Result<DurableState, OpenError> {
-        let fresh = Voter::blank_image(&blank(&self.settings));
+        let fresh = Voter::blank_state(&blank(&self.settings));
         match FileStore::load(&self.path).map_err(refused("read"))? {
-            Found::Nothing => Ok(fresh),
-            Found::DurableState(image) => self.own(*image),
-            Found::OtherForm => Err(self.not_ours(
+            LoadResult::Nothing => Ok(fresh),
+            LoadResult::DurableState(image) => self.own(*image),
+            LoadResult::IncompatibleFormat => Err(self.not_ours(
                 "was written in another form".into(),
                 "a folder of this version, or a blank one".into(),
             )),
-            Found::Damaged(why) => {
+            LoadResult::Corrupt(why) => {
                 self.move_aside(&why).map_err(refused("move aside"))?;
                 Ok(fresh)
             }
@@ -68,8 +68,8 @@
     /// An image of this node, under the addresses that it has now.
     fn own(&self, image: DurableState) -> Result<DurableState, OpenError> {
         let set = &self.settings;
-        if image.formed && image.ledger.cluster != set.cluster {
-            let what = format!("belongs to cluster {:?}", image.ledger.cluster);
+        if image.initialized && image.cluster_state.cluster != set.cluster {
+            let what = format!("belongs to cluster {:?}", image.cluster_state.cluster);
             return Err(self.not_ours(what, format!("one of {:?}", set.cluster)));
         }
         if image.me.node.as_str() != set.node {
@@ -87,7 +87,7 @@
     }
 }
 
-impl Folder for DataFolder {
+impl StateStorage for DataFolder {
     fn open(&mut self) -> Result<Opened, OpenError> {
         let image = self.read()?;
         let disk = FileStore::open_on(&self.path, &image, self.medium.clone()).map_err(refused("write"))?;
--- a/crates/control-plane/src/core/leader.rs
+++ b/crates/control-plane/src/core/leader.rs
@@ -1,11 +1,11 @@
 //! What is asked of the leader, wherever it is (design 2.3, 4.6).
 
-use super::{Core, OUT_OF_TOUCH, reach::Reach};
+use super::{Core, OUT_OF_TOUCH, connectivity::Connectivity};
 use crate::{
     change::{Change, VoterInfo},
+    cluster_state::ClusterState,
     consensus::Contact,
-    ledger::Ledger,
-    rpc::{Ask, Proposed, Reply},
+    rpc::{ControlRequest, ControlResponse, ProposalOutcome},
 };
 use common::fault::Fault;
 use futures::{StreamExt, future::BoxFuture, stream::FuturesUnordered};
@@ -21,14 +21,14 @@
 const ENOUGH_PART: u32 = 2;
 
 /// Where the leader may be: what was heard of it first, then each voter that is known.
-struct Trail {
+struct LeaderSearch {
     own: SocketAddr,
     due: VecDeque<SocketAddr>,
     asked: Vec<SocketAddr>,
 }
 
-impl Trail {
-    fn heard(&mut self, leader: Option<VoterInfo>) {
+impl LeaderSearch {
+    fn last_contact(&mut self, leader: Option<VoterInfo>) {
         leader.into_iter().for_each(|h| self.due.push_front(h.rpc_addr));
     }
 
@@ -44,33 +44,34 @@
 }
 
 /// What came of asking the voters once for the newest state.
-enum Round {
-    Found(Box<Ledger>),
+enum QueryResult {
+    LoadResult(Box<ClusterState>),
     /// A majority answered, and none of them leads.
     Leaderless,
     /// No majority answered.
     Unanswered(String),
 }
 
-type Answer = (SocketAddr, Result<Reply, Fault>);
+type Answer = (SocketAddr, Result<ControlResponse, Fault>);
 
 impl Core {
     /// A blank voter, or one that was replaced, knows no leader: the others may. Who answered as the
     /// leader a moment ago is asked first.
-    fn trail(&self, leader: Option<VoterInfo>) -> Trail {
+    fn leader_search(&self, leader: Option<VoterInfo>) -> LeaderSearch {
         let now = self.clock.now();
         let g = self.lock();
-        let known = g.voter.ledger.voters.iter().map(|h| h.rpc_addr).chain(self.set.seeds.iter().copied());
-        let mut t = Trail { own: self.set.rpc_addr(), due: known.collect(), asked: Vec::new() };
-        t.heard(leader);
-        let fresh = g.answered.filter(|(_, at)| now.since(*at) < g.voter.silence_ms());
+        let known =
+            g.voter.cluster_state.voters.iter().map(|h| h.rpc_addr).chain(self.set.seeds.iter().copied());
+        let mut t = LeaderSearch { own: self.set.rpc_addr(), due: known.collect(), asked: Vec::new() };
+        t.last_contact(leader);
+        let fresh = g.answered.filter(|(_, at)| now.since(*at) < g.voter.silence_timeout_ms());
         fresh.into_iter().for_each(|(leader, _)| t.due.push_front(leader));
         t
     }
 
     /// Voters that must be in touch with each other to accept anything, as far as this one knows.
     fn majority(&self) -> usize {
-        let voters = self.lock().voter.ledger.voters.len();
+        let voters = self.lock().voter.cluster_state.voters.len();
         let voters = if voters == 0 { self.set.seeds.len() } else { voters };
         voters / 2 + 1
     }
@@ -78,63 +79,65 @@
     /// Proposes at the leader. Only where nothing was sent, or the leader said that it logged
     /// nothing, is the change known not to take effect. Voters are asked one after the other, the next
     /// one only once it is known that nothing was logged.
-    pub async fn propose(self: &Arc<Self>, change: Change, ms: u64) -> Proposed {
-        let (mut trail, mut why) = match self.propose_here(change.clone(), ms).await {
-            Proposed::NotLogged { leader, why } => (self.trail(leader), why),
+    pub async fn propose(self: &Arc<Self>, change: Change, ms: u64) -> ProposalOutcome {
+        let (mut leader_search, mut why) = match self.propose_here(change.clone(), ms).await {
+            ProposalOutcome::NotLogged { leader, why } => (self.leader_search(leader), why),
             done => return done,
         };
-        if self.reach() == Reach::CutOff {
-            return Proposed::NotLogged { leader: None, why: OUT_OF_TOUCH.into() };
+        if self.connectivity() == Connectivity::CutOff {
+            return ProposalOutcome::NotLogged { leader: None, why: OUT_OF_TOUCH.into() };
         }
-        while let Some(to) = trail.next() {
-            let ask = Ask::Propose { change: change.clone() };
+        while let Some(to) = leader_search.next() {
+            let ask = ControlRequest::Propose { change: change.clone() };
             let (line, most) = self.line(change.weight());
             match line.call_within(ms + most, "propose", to, ask).await {
-                Ok(Reply::Proposed(Proposed::NotLogged { leader, why: w })) => {
-                    trail.heard(leader);
+                Ok(ControlResponse::Proposed(ProposalOutcome::NotLogged { leader, why: w })) => {
+                    leader_search.last_contact(leader);
                     why = w;
                 }
-                Ok(Reply::Proposed(p)) => return p,
+                Ok(ControlResponse::Proposed(p)) => return p,
                 Err(e) if e.step == "connect" || e.step == "hello" => why = e.to_string(),
-                _ => return Proposed::Undetermined,
+                _ => return ProposalOutcome::Undetermined,
             }
         }
-        Proposed::NotLogged { leader: None, why }
+        ProposalOutcome::NotLogged { leader: None, why }
     }
 
     /// The newest accepted state, from the leader under a confirmed view; else why not. A voter that is
     /// cut off says so at once; while a majority is between two leaders, the next one is waited for.
-    pub async fn state(&self) -> Result<Ledger, String> {
+    pub async fn state(&self) -> Result<ClusterState, String> {
         let until = self.clock.now() + self.set.timing.election_timeout_ms();
         loop {
-            if let Ok(ledger) = self.state_here() {
-                return Ok(ledger);
+            if let Ok(cluster_state) = self.state_here() {
+                return Ok(cluster_state);
             }
-            if self.reach() == Reach::CutOff {
+            if self.connectivity() == Connectivity::CutOff {
                 return Err(OUT_OF_TOUCH.into());
             }
             match self.ask_seats().await {
-                Round::Found(ledger) => return Ok(*ledger),
-                Round::Unanswered(why) => return Err(why),
-                Round::Leaderless if self.clock.now() >= until => {
+                QueryResult::LoadResult(cluster_state) => return Ok(*cluster_state),
+                QueryResult::Unanswered(why) => return Err(why),
+                QueryResult::Leaderless if self.clock.now() >= until => {
                     return Err("no leader under a confirmed view; ask again".into());
                 }
-                Round::Leaderless => sleep(Duration::from_millis(self.set.timing.heartbeat_ms() / 2)).await,
+                QueryResult::Leaderless => {
+                    sleep(Duration::from_millis(self.set.timing.heartbeat_ms() / 2)).await
+                }
             }
         }
     }
 
     /// Asks whoever was heard to lead, and, where that one is silent for a while or none was, all
     /// others at once: reading changes nothing, so it may be asked for many times.
-    async fn ask_seats(&self) -> Round {
+    async fn ask_seats(&self) -> QueryResult {
         let leader = self.state_here().err().flatten();
-        let mut trail = self.trail(leader);
+        let mut leader_search = self.leader_search(leader);
         let most = Duration::from_millis(self.set.timing.rpc_timeout_ms);
         let began = Instant::now();
         let mut hedge = std::pin::pin!(sleep_until(began + most / HEDGE_PART));
         let mut asked: FuturesUnordered<BoxFuture<'_, Answer>> = FuturesUnordered::new();
-        let first = if self.reach() == Reach::Near { 1 } else { VOTERS_ASKED };
-        self.ask_next(&mut trail, first, &mut asked);
+        let first = if self.connectivity() == Connectivity::InTouch { 1 } else { VOTERS_ASKED };
+        self.ask_next(&mut leader_search, first, &mut asked);
         let mut enough = std::pin::pin!(sleep_until(began + most / ENOUGH_PART));
         // This node's own word counts where it is one of the voters.
         let outside = self.lock().voter.contact(self.clock.now()) == Contact::Outside;
@@ -147,39 +150,41 @@
                 answer = asked.next() => answer,
                 () = &mut hedge, if !hedged => {
                     hedged = true;
-                    self.ask_next(&mut trail, VOTERS_ASKED, &mut asked);
+                    self.ask_next(&mut leader_search, VOTERS_ASKED, &mut asked);
                     continue;
                 }
                 () = &mut enough, if answered >= majority => break,
             };
             match answer {
                 None => break,
-                Some((at, Ok(Reply::State(ledger)))) => {
+                Some((at, Ok(ControlResponse::State(cluster_state)))) => {
                     let now = self.clock.now();
                     self.lock().answered = Some((at, now));
-                    return Round::Found(ledger);
+                    return QueryResult::LoadResult(cluster_state);
                 }
-                Some((_, Ok(Reply::Elsewhere { leader }))) => {
+                Some((_, Ok(ControlResponse::NotLeader { leader }))) => {
                     answered += 1;
-                    trail.heard(leader);
+                    leader_search.last_contact(leader);
                 }
                 Some((_, Ok(_))) => {}
                 Some((_, Err(e))) => why = e.to_string(),
             }
             // The one that was heard to lead does not: all others may be asked.
-            self.ask_next(&mut trail, VOTERS_ASKED, &mut asked);
+            self.ask_next(&mut leader_search, VOTERS_ASKED, &mut asked);
         }
-        if answered >= majority { Round::Leaderless } else { Round::Unanswered(why) }
+        if answered >= majority { QueryResult::Leaderless } else { QueryResult::Unanswered(why) }
     }
 
     fn ask_next<'a>(
         &'a self,
-        trail: &mut Trail,
+        leader_search: &mut LeaderSearch,
         most: usize,
         asked: &mut FuturesUnordered<BoxFuture<'a, Answer>>,
     ) {
-        for to in std::iter::from_fn(|| trail.next()).take(most) {
-            asked.push(Box::pin(async move { (to, self.bulk.call("state", to, Ask::State).await) }));
+        for to in std::iter::from_fn(|| leader_search.next()).take(most) {
+            asked.push(Box::pin(
+                async move { (to, self.bulk.call("state", to, ControlRequest::State).await) },
+            ));
         }
     }
 }
--- a/crates/control-plane/src/core/mod.rs
+++ b/crates/control-plane/src/core/mod.rs
@@ -1,23 +1,23 @@
 //! The daemon around a voter (design 2.7): carries out effects, syncs off the async threads.
 
+mod connectivity;
 mod drive;
 mod folder;
 mod leader;
 mod propose;
-mod reach;
 mod recorder;
 mod serve;
 
-pub use drive::{Drive, MakeDrive, files};
+pub use drive::{LogWriter, LogWriterFactory, files};
 pub use folder::{DataFolder, blank};
-pub use recorder::{Recorder, Retry};
+pub use recorder::{Recorder, RecoveryBackoff};
 
 use crate::{
-    change::{Change, Verdict, VoterInfo},
+    change::{ApplyOutcome, Change, VoterInfo},
+    cluster_state::ClusterState,
     consensus::{DurableState, Effect, Event, LogEntry, Voter},
     lease::Leases,
-    ledger::Ledger,
-    rpc::{Ask, Proposed, Reply},
+    rpc::{ControlRequest, ControlResponse, ProposalOutcome},
 };
 use common::{Clock, Index, NodeId, Revision, Tick, link::RpcClient, log_event, settings::Settings};
 use std::{
@@ -28,7 +28,7 @@
 };
 use tokio::sync::{oneshot, watch};
 
-pub type SignalLines = RpcClient<Ask, Reply>;
+pub type ControlClient = RpcClient<ControlRequest, ControlResponse>;
 
 /// Messages of more than this go by a line of their own, and have a millisecond more for each part.
 const BULK: usize = 64 << 10;
@@ -40,7 +40,7 @@
 struct Inner {
     voter: Voter,
     leases: Leases,
-    waiting: BTreeMap<Index, (Change, oneshot::Sender<Proposed>)>,
+    waiting: BTreeMap<Index, (Change, oneshot::Sender<ProposalOutcome>)>,
     /// What governs at each node, by its own last renewal.
     reports: BTreeMap<NodeId, (Index, Revision, Tick)>,
     /// When this voter was last in touch with its leader, or with a majority as the leader.
@@ -52,11 +52,11 @@
 pub struct Core {
     pub set: Settings,
     pub clock: Clock,
-    pub lines: SignalLines,
+    pub lines: ControlClient,
     /// For what is long: heartbeats must not wait behind it on their connection (design 2.3).
-    bulk: SignalLines,
+    bulk: ControlClient,
     inner: Mutex<Inner>,
-    disk: Box<dyn Drive>,
+    disk: Box<dyn LogWriter>,
     moved: watch::Sender<Index>,
 }
 
@@ -78,17 +78,17 @@
     fn into_image(self) -> DurableState {
         match self {
             Start::Whole(image) => *image,
-            Start::Waiting(holder) => Voter::blank_image(&holder),
+            Start::Waiting(holder) => Voter::blank_state(&holder),
         }
     }
 }
 
 /// What operators are shown of a voter.
 pub struct Status {
-    pub ledger: Ledger,
+    pub cluster_state: ClusterState,
     pub me: VoterInfo,
     pub leader: Option<VoterInfo>,
-    pub formed: bool,
+    pub initialized: bool,
     pub voting: bool,
     pub term: u64,
     pub reports: BTreeMap<NodeId, (Index, Revision)>,
@@ -97,23 +97,28 @@
 impl Core {
     /// Takes up a voter from what its disk held, where it can be read, and writes to the drive that is made for it.
     /// A founder waits for so many voters, where they are more than the seeds.
-    pub fn start(set: Settings, voters: usize, start: impl Into<Start>, drive: MakeDrive) -> Arc<Core> {
+    pub fn start(
+        set: Settings,
+        voters: usize,
+        start: impl Into<Start>,
+        drive: LogWriterFactory,
+    ) -> Arc<Core> {
         let clock = Clock::default();
         let start = start.into();
         let waiting = matches!(start, Start::Waiting(_));
-        let img = start.into_image();
+        let image = start.into_image();
         let mut voter = Voter::new(
-            img.me.clone(),
+            image.me.clone(),
             &set.cluster,
             set.seeds.clone(),
             set.timing.clone(),
-            Some(img),
+            Some(image),
             clock.now(),
         );
         voter.secret = common::runtime::draw();
-        voter.founds = set.founds;
-        voter.expects = voters;
-        voter.dead = waiting;
+        voter.may_bootstrap = set.may_bootstrap;
+        voter.expected_voters = voters;
+        voter.disk_failed = waiting;
         let (moved, _) = watch::channel(voter.accepted());
         let inner = Inner {
             voter,
@@ -136,12 +141,12 @@
         });
         let c = core.clone();
         common::runtime::spawn(async move {
-            let mut wakeup =
+            let mut expired_members =
                 tokio::time::interval(Duration::from_millis((c.set.timing.heartbeat_ms() / 2).max(5)));
             loop {
-                wakeup.tick().await;
+                expired_members.tick().await;
                 c.step(Event::Timer);
-                c.reach();
+                c.connectivity();
                 c.lease_timer();
             }
         });
@@ -152,20 +157,20 @@
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    pub fn step(self: &Arc<Self>, ev: Event) {
+    pub fn step(self: &Arc<Self>, event: Event) {
         let mut g = self.lock();
-        let effects = g.voter.step(ev, self.clock.now());
+        let effects = g.voter.step(event, self.clock.now());
         self.carry_out(&mut g, effects);
     }
 
     /// The line for a message of that weight, and how long it may take.
-    fn line(&self, weight: usize) -> (&SignalLines, u64) {
+    fn line(&self, weight: usize) -> (&ControlClient, u64) {
         let ms = self.set.timing.rpc_timeout_ms;
         if weight <= BULK { (&self.lines, ms) } else { (&self.bulk, 4 * ms + weight as u64 / BYTES_A_MS) }
     }
 
     /// Hands the lead over before a planned stop, and waits for another to take it.
-    pub async fn yield_lead(self: &Arc<Self>) {
+    pub async fn hand_over_leadership(self: &Arc<Self>) {
         self.step(Event::StepDown);
         let t = &self.set.timing;
         tokio::time::sleep(Duration::from_millis(t.heartbeat_ms() * 3)).await;
@@ -178,23 +183,23 @@
                     let (c, from, weight) = (self.clone(), self.set.rpc_addr(), msg.weight());
                     common::runtime::spawn(async move {
                         let (line, ms) = c.line(weight);
-                        let ask = Ask::Consensus { from, msg: Box::new(msg) };
+                        let ask = ControlRequest::Consensus { from, msg: Box::new(msg) };
                         let _ = line.call_within(ms, "seat", to, ask).await;
                     });
                 }
-                Effect::Persist { tok, rec } => {
-                    self.disk.write(tok, rec);
+                Effect::Persist { token, record } => {
+                    self.disk.write(token, record);
                 }
-                Effect::Accepted { entry, verdict } => self.accepted(g, entry, verdict),
+                Effect::Committed { entry, outcome } => self.accepted(g, entry, outcome),
                 Effect::SnapshotInstalled | Effect::Interrupted => {
                     // Places passed over are not told one by one.
                     std::mem::take(&mut g.waiting)
                         .into_iter()
-                        .for_each(|(_, w)| drop(w.1.send(Proposed::Undetermined)));
+                        .for_each(|(_, w)| drop(w.1.send(ProposalOutcome::Undetermined)));
                     self.moved.send_replace(g.voter.accepted());
                 }
                 Effect::BecameLeader { term } => {
-                    g.leases = Leases::taken_over(self.clock.now());
+                    g.leases = Leases::new_leader(self.clock.now());
                     log_event!(Info, "lead", "view" => term.0);
                 }
                 Effect::Removed => {
@@ -208,13 +213,13 @@
         }
     }
 
-    fn accepted(&self, g: &mut Inner, e: LogEntry, verdict: Verdict) {
+    fn accepted(&self, g: &mut Inner, e: LogEntry, outcome: ApplyOutcome) {
         if let Some((ch, tx)) = g.waiting.remove(&e.index) {
             let same = ch == e.change;
             let _ = tx.send(if same {
-                Proposed::Settled { index: e.index, verdict }
+                ProposalOutcome::Committed { index: e.index, outcome }
             } else {
-                Proposed::Undetermined
+                ProposalOutcome::Undetermined
             });
         }
         self.moved.send_replace(g.voter.accepted());
--- a/crates/control-plane/src/core/propose.rs
+++ b/crates/control-plane/src/core/propose.rs
@@ -2,24 +2,24 @@
 
 use super::{Core, OUT_OF_TOUCH};
 use crate::{
-    change::{Change, Verdict},
+    change::{ApplyOutcome, Change},
     consensus::{Contact, Effect, Event},
-    rpc::Proposed,
+    rpc::ProposalOutcome,
 };
 use std::{sync::Arc, time::Duration};
 use tokio::sync::oneshot;
 
 impl Core {
-    /// Proposes here, where this voter leads; waits for the verdict for at most `ms`.
-    pub async fn propose_here(self: &Arc<Self>, ch: Change, ms: u64) -> Proposed {
+    /// Proposes here, where this voter leads; waits for the outcome for at most `ms`.
+    pub async fn propose_here(self: &Arc<Self>, ch: Change, ms: u64) -> ProposalOutcome {
         let narrows = ch.narrows();
         let (rx, of) = {
             let mut g = self.lock();
             if let Some(why) = self.may_miss(&g, &ch) {
-                return Proposed::NotLogged { leader: g.voter.leader(), why };
+                return ProposalOutcome::NotLogged { leader: g.voter.leader(), why };
             }
-            if g.voter.is_leader() && g.voter.contact(self.clock.now()) == Contact::Lost {
-                return Proposed::NotLogged { leader: None, why: OUT_OF_TOUCH.into() };
+            if g.voter.is_leader() && g.voter.contact(self.clock.now()) == Contact::Isolated {
+                return ProposalOutcome::NotLogged { leader: None, why: OUT_OF_TOUCH.into() };
             }
             let effects = g.voter.step(Event::Propose(ch.clone()), self.clock.now());
             let index = effects.iter().find_map(|f| match f {
@@ -33,7 +33,7 @@
             if index.is_none() {
                 let why = not_logged(&effects);
                 self.carry_out(&mut g, effects);
-                return Proposed::NotLogged { leader: g.voter.leader(), why };
+                return ProposalOutcome::NotLogged { leader: g.voter.leader(), why };
             }
             let of = Self::members(&g);
             self.carry_out(&mut g, effects);
@@ -41,12 +41,18 @@
         };
         let until = self.clock.now() + ms;
         match tokio::time::timeout(Duration::from_millis(ms), rx).await {
-            Ok(Ok(Proposed::Settled { index, verdict: v @ Verdict::Accepted { .. } })) if narrows => {
+            Ok(Ok(ProposalOutcome::Committed { index, outcome: v @ ApplyOutcome::Accepted { .. } }))
+                if narrows =>
+            {
                 let held = self.held_by_most(&of, index, until).await;
-                if held { Proposed::Settled { index, verdict: v } } else { Proposed::Undetermined }
+                if held {
+                    ProposalOutcome::Committed { index, outcome: v }
+                } else {
+                    ProposalOutcome::Undetermined
+                }
             }
             Ok(Ok(p)) => p,
-            _ => Proposed::Undetermined,
+            _ => ProposalOutcome::Undetermined,
         }
     }
 }
--- a/crates/control-plane/src/core/recorder.rs
+++ b/crates/control-plane/src/core/recorder.rs
@@ -3,20 +3,20 @@
 
 use crate::{
     consensus::{DurableState, Record},
-    disk::{Disk, Folder, OpenError},
+    disk::{OpenError, RecordWriter, StateStorage},
 };
 use common::settings::Timing;
 use std::{io, time::Duration};
 
 /// Writes a voter's records; after one failed write it takes none until it has recovered.
 pub struct Recorder {
-    folder: Box<dyn Folder>,
-    disk: Option<Box<dyn Disk>>,
+    folder: Box<dyn StateStorage>,
+    disk: Option<Box<dyn RecordWriter>>,
 }
 
 impl Recorder {
     /// Has yet to open its folder.
-    pub fn new(folder: Box<dyn Folder>) -> Self {
+    pub fn new(folder: Box<dyn StateStorage>) -> Self {
         Self { folder, disk: None }
     }
 
@@ -46,13 +46,13 @@
 
 /// How long to wait before each attempt to recover, and which failures are logged: a heartbeat at
 /// first, twice as long each time up to a renewal.
-pub struct Retry {
+pub struct RecoveryBackoff {
     first_ms: u64,
     most_ms: u64,
     failures: u32,
 }
 
-impl Retry {
+impl RecoveryBackoff {
     pub fn new(timing: &Timing) -> Self {
         Self { first_ms: timing.heartbeat_ms(), most_ms: timing.renew_interval_ms(), failures: 0 }
     }
--- a/crates/control-plane/src/daemon.rs
+++ b/crates/control-plane/src/daemon.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     change::{NodeInfo, Role},
-    core::{Core, MakeDrive, Start},
+    core::{Core, LogWriterFactory, Start},
     member::Member,
     rpc,
 };
@@ -26,7 +26,7 @@
     set: Settings,
     voters: usize,
     (rpc_listener, http_listener): (Listener, Listener),
-    (start, drive): (impl Into<Start>, MakeDrive),
+    (start, drive): (impl Into<Start>, LogWriterFactory),
     handler: F,
     stop: impl Future<Output = ()>,
 ) where
@@ -36,12 +36,12 @@
     let core = Core::start(set.clone(), voters, start, drive);
     let info = NodeInfo::of(&set, Role::Core, core.status().me.incarnation);
     let member = Member::new(set.clone(), info, Clock::default());
-    // The core follows its own news, so that its lease names what governs here.
+    // The core follows its own state updates, so that its lease names what governs here.
     let m = member.clone();
     let mut moved = member.moved.subscribe();
     spawn(async move {
         while moved.changed().await.is_ok() {
-            m.governs.store(m.ledger.load().revision.0, Ordering::Release);
+            m.governs.store(m.cluster_state.load().revision.0, Ordering::Release);
         }
     });
     member.start();
@@ -55,7 +55,7 @@
     stop.await;
     log_event!(Info, "stopping");
     member.leave().await;
-    core.yield_lead().await;
+    core.hand_over_leadership().await;
     // What waits to be accepted is taken, and answered, before the end.
     let _ = tell.send(true);
     let _ = serving.await;
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -4,27 +4,27 @@
 use crate::consensus::{DurableState, Record};
 use std::{fmt, io};
 
-pub trait Disk: Send {
+pub trait RecordWriter: Send {
     /// Writes and syncs; an error means that the voter may no longer trust its disk.
-    fn write(&mut self, rec: &Record) -> io::Result<()>;
+    fn write(&mut self, record: &Record) -> io::Result<()>;
 }
 
 /// What was found at the start.
 #[derive(Debug, PartialEq)]
-pub enum Found {
+pub enum LoadResult {
     /// Nothing was ever written here.
     Nothing,
     DurableState(Box<DurableState>),
     /// Whole, but in a form that this version can't read: never written over.
-    OtherForm,
+    IncompatibleFormat,
     /// Synced data is damaged: the voter counts as blank and must be readmitted.
-    Damaged(String),
+    Corrupt(String),
 }
 
 /// What a folder holds, and what writes to it from there on.
 pub struct Opened {
     pub image: DurableState,
-    pub disk: Box<dyn Disk>,
+    pub disk: Box<dyn RecordWriter>,
 }
 
 /// Why a folder could not be opened.
@@ -48,7 +48,7 @@
 impl std::error::Error for OpenError {}
 
 /// Where a voter's state is kept: opened at the start of the process, and again after a write failed.
-pub trait Folder: Send {
+pub trait StateStorage: Send {
     /// Reads what is whole there and writes it anew, apart from what was written before; it is synced
     /// when this returns.
     fn open(&mut self) -> Result<Opened, OpenError>;
--- a/crates/control-plane/src/document.rs
+++ b/crates/control-plane/src/document.rs
@@ -1,7 +1,7 @@
 //! The text of a document: shared by all that hold it, and packed wherever it is written or sent
 //! (design 2.8).
 
-use crate::consensus::Room;
+use crate::consensus::SizeLimits;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Visitor};
 use std::{borrow::Cow, fmt, ops::Deref, sync::Arc};
 
@@ -35,7 +35,7 @@
 
     /// Whether it may be logged at all.
     pub fn fits(&self) -> bool {
-        self.len() <= MAX_DOC && self.packed_len() <= Room::default().doc()
+        self.len() <= MAX_DOC && self.packed_len() <= SizeLimits::default().doc()
     }
 
     /// Whether it is packed, and the bytes that go to disk and wire.
--- a/crates/control-plane/src/lease.rs
+++ b/crates/control-plane/src/lease.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     change::{Change, NodeInfo},
-    ledger::Ledger,
+    cluster_state::ClusterState,
 };
 use common::{Epoch, NodeId, Tick, settings::Timing};
 use std::collections::BTreeMap;
@@ -11,19 +11,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Leases {
     since: Tick,
-    heard: BTreeMap<NodeId, (u64, Tick)>,
+    last_contact: BTreeMap<NodeId, (u64, Tick)>,
     asked: BTreeMap<NodeId, Tick>,
 }
 
 impl Leases {
-    pub fn taken_over(now: Tick) -> Self {
+    pub fn new_leader(now: Tick) -> Self {
         Self { since: now, ..Self::default() }
     }
 
     /// A renewal arrived: the epoch that it keeps, or a change to propose first.
     pub fn renew(
         &mut self,
-        l: &Ledger,
+        l: &ClusterState,
         t: &Timing,
         info: &NodeInfo,
         now: Tick,
@@ -32,7 +32,7 @@
             // Once its expire may be in the log, a lease is renewed no more: it joins anew.
             Some(m) if m.info.incarnation == info.incarnation && self.expired(&m.info, t, now) => Err(None),
             Some(m) if m.info == *info => {
-                self.heard.insert(info.node.clone(), (info.incarnation.0, now));
+                self.last_contact.insert(info.node.clone(), (info.incarnation.0, now));
                 Ok(m.epoch)
             }
             // A younger self takes over only after the old lease must have expired; but what holds the
@@ -46,7 +46,7 @@
             }
             _ => {
                 // The new lease counts from when it was asked for.
-                self.heard.insert(info.node.clone(), (info.incarnation.0, now));
+                self.last_contact.insert(info.node.clone(), (info.incarnation.0, now));
                 let again =
                     self.asked.get(&info.node).is_none_or(|at| now.since(*at) > t.renew_interval_ms());
                 if again {
@@ -59,24 +59,24 @@
 
     /// Whether `new` stands where `old` stood, which has been silent for two heartbeats.
     fn outlived(&self, old: &NodeInfo, new: &NodeInfo, t: &Timing, now: Tick) -> bool {
-        let heard = self.heard.get(&old.node).filter(|h| h.0 == old.incarnation.0);
-        old.rpc_addr == new.rpc_addr && heard.is_none_or(|h| now.since(h.1) > 2 * t.heartbeat_ms())
+        let last_contact = self.last_contact.get(&old.node).filter(|h| h.0 == old.incarnation.0);
+        old.rpc_addr == new.rpc_addr && last_contact.is_none_or(|h| now.since(h.1) > 2 * t.heartbeat_ms())
     }
 
     fn expired(&self, info: &NodeInfo, t: &Timing, now: Tick) -> bool {
-        let heard = self
-            .heard
+        let last_contact = self
+            .last_contact
             .get(&info.node)
             .filter(|h| h.0 == info.incarnation.0)
             .map(|h| h.1)
             .unwrap_or(self.since);
-        now.since(heard.max(self.since)) > t.lease_ms + t.lease_margin_ms()
+        now.since(last_contact.max(self.since)) > t.lease_ms + t.lease_margin_ms()
     }
 
     /// Members that have not renewed here for two renewals: they may not hear of what is logged now.
-    pub fn silent(&self, l: &Ledger, t: &Timing, now: Tick) -> Vec<NodeId> {
+    pub fn silent(&self, l: &ClusterState, t: &Timing, now: Tick) -> Vec<NodeId> {
         let lately = |c: &NodeInfo| {
-            self.heard
+            self.last_contact
                 .get(&c.node)
                 .is_some_and(|h| h.0 == c.incarnation.0 && now.since(h.1) <= 2 * t.renew_interval_ms())
         };
@@ -84,7 +84,7 @@
     }
 
     /// A node gives its lease back on a planned stop.
-    pub fn leave(&self, l: &Ledger, info: &NodeInfo) -> Option<Change> {
+    pub fn leave(&self, l: &ClusterState, info: &NodeInfo) -> Option<Change> {
         l.members.get(&info.node).filter(|m| m.info.incarnation == info.incarnation).map(|_| Change::Expire {
             node: info.node.clone(),
             incarnation: info.incarnation,
@@ -93,7 +93,7 @@
     }
 
     /// Members whose lease must have expired by now.
-    pub fn wakeup(&mut self, l: &Ledger, t: &Timing, now: Tick) -> Vec<Change> {
+    pub fn expired_members(&mut self, l: &ClusterState, t: &Timing, now: Tick) -> Vec<Change> {
         let gone: Vec<NodeInfo> =
             l.members.values().map(|m| m.info.clone()).filter(|c| self.expired(c, t, now)).collect();
         gone.into_iter()
@@ -117,7 +117,7 @@
 }
 
 impl HeldLease {
-    pub fn renewed(&mut self, epoch: Epoch, sent: Tick, t: &Timing) {
+    pub fn extend(&mut self, epoch: Epoch, sent: Tick, t: &Timing) {
         self.epoch = epoch;
         self.until = self.until.max(sent + t.lease_ms);
     }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -3,24 +3,24 @@
 
 pub mod api;
 pub mod change;
+pub mod cluster_state;
 pub mod consensus;
 pub mod core;
 pub mod daemon;
-pub mod desk;
 pub mod disk;
 pub mod document;
-pub mod duty;
 pub mod lease;
-pub mod ledger;
-pub mod mass;
 pub mod member;
-pub mod news;
 pub mod operations;
+pub mod operator_service;
+pub mod partition_risk;
 pub mod patch;
 pub mod rpc;
+pub mod singleton;
+pub mod state_update;
 pub mod store;
 
-pub use change::{Change, Replica, ReplicaMove, Role, Verdict};
+pub use change::{ApplyOutcome, Change, Replica, ReplicaMove, Role};
+pub use cluster_state::{ClusterState, Member};
 pub use configuration::LANG;
 pub use document::{Document, MAX_DOC};
-pub use ledger::{Ledger, Member};
--- a/crates/control-plane/src/member.rs
+++ b/crates/control-plane/src/member.rs
@@ -1,13 +1,13 @@
 //! A node's own side of membership (design 3.1, 3.3): it renews its lease at the core, follows
-//! the news, and knows when it is cut off.
+//! the state updates, and knows when it is cut off.
 
 use crate::{
     change::{NodeInfo, VoterInfo},
-    core::SignalLines,
+    cluster_state::ClusterState,
+    core::ControlClient,
     lease::HeldLease,
-    ledger::Ledger,
-    news::{self, News, Taken},
-    rpc::{Ask, Reply},
+    rpc::{ControlRequest, ControlResponse},
+    state_update::{self, InstallResult, StateUpdate},
 };
 use arc_swap::ArcSwap;
 use common::{Clock, Epoch, Index, Revision, Tick, log_event, settings::Settings};
@@ -26,9 +26,9 @@
     pub set: Settings,
     pub clock: Clock,
     pub info: NodeInfo,
-    pub lines: Arc<SignalLines>,
+    pub lines: Arc<ControlClient>,
     /// Newest state that this node has seen.
-    pub ledger: ArcSwap<Ledger>,
+    pub cluster_state: ArcSwap<ClusterState>,
     pub moved: watch::Sender<Index>,
     held: Mutex<HeldLease>,
     /// Revision whose compiled form is in use here.
@@ -36,7 +36,7 @@
     leader: Mutex<Option<SocketAddr>>,
     /// Places that the leader spoke of and that are not held yet, each with when it was told.
     told: Mutex<VecDeque<(Index, Tick)>>,
-    /// A gap was found in the news: the next question asks for a snapshot.
+    /// A gap was found in the state updates: the next question asks for a snapshot.
     gap: AtomicBool,
     /// On its way out: renews no more.
     leaving: AtomicBool,
@@ -44,13 +44,13 @@
 
 impl Member {
     pub fn new(set: Settings, info: NodeInfo, clock: Clock) -> Arc<Self> {
-        let lines = Arc::new(SignalLines::new(set.me(), crate::rpc::SERVICE));
+        let lines = Arc::new(ControlClient::new(set.me(), crate::rpc::SERVICE));
         Arc::new(Self {
             set,
             clock,
             info,
             lines,
-            ledger: ArcSwap::from_pointee(Ledger::default()),
+            cluster_state: ArcSwap::from_pointee(ClusterState::default()),
             moved: watch::channel(Index(0)).0,
             held: Mutex::default(),
             governs: AtomicU64::new(0),
@@ -95,7 +95,7 @@
         if g.epoch != epoch {
             log_event!(Info, "tenure", "epoch" => epoch.0);
         }
-        g.renewed(epoch, sent, &self.set.timing);
+        g.extend(epoch, sent, &self.set.timing);
     }
 
     pub fn has_lease(&self) -> bool {
@@ -106,13 +106,13 @@
     /// restart of this node is newer (design 3.3).
     pub fn caught_up(&self) -> bool {
         let h = self.held();
-        h.epoch.0 > 0 && self.ledger.load().index.0 >= h.epoch.0
+        h.epoch.0 > 0 && self.cluster_state.load().index.0 >= h.epoch.0
     }
 
     /// The leader spoke of a place; `at` is before it did.
     pub fn told_of(&self, index: Index, at: Tick) {
         let mut g = self.told.lock().unwrap_or_else(|e| e.into_inner());
-        let newest = g.back().map(|t| t.0).unwrap_or_default().max(self.ledger.load().index);
+        let newest = g.back().map(|t| t.0).unwrap_or_default().max(self.cluster_state.load().index);
         if index > newest {
             g.push_back((index, at));
         }
@@ -128,7 +128,7 @@
 
     /// The core's addresses: those of the voters where it is known, and the seeds.
     pub fn voters(&self) -> Vec<(SocketAddr, bool)> {
-        let l = self.ledger.load();
+        let l = self.cluster_state.load();
         let mut v: Vec<(SocketAddr, bool)> =
             l.voters.iter().map(|h: &VoterInfo| (h.rpc_addr, h.zone == self.info.zone)).collect();
         for s in &self.set.seeds {
@@ -155,16 +155,20 @@
         while n < tries.len() && n <= crate::consensus::MOST_VOTERS {
             let (to, sent) = (tries[n], self.clock.now());
             n += 1;
-            let ask = Ask::Renew { info: self.info.clone(), index: self.ledger.load().index, revision };
+            let ask = ControlRequest::Renew {
+                info: self.info.clone(),
+                index: self.cluster_state.load().index,
+                revision,
+            };
             // Opening a line takes three ways there and back: as long as any call may take.
             match self.lines.call("renew", to, ask).await {
-                Ok(Reply::Renewed { epoch, index }) => {
+                Ok(ControlResponse::Renewed { epoch, index }) => {
                     self.told_of(index, sent);
                     self.hold(epoch, sent);
                     return self.set_hint(Some(to));
                 }
-                Ok(Reply::NotYet) => return self.set_hint(Some(to)),
-                Ok(Reply::Elsewhere { leader: Some(h) }) if !tries[..n].contains(&h.rpc_addr) => {
+                Ok(ControlResponse::Pending) => return self.set_hint(Some(to)),
+                Ok(ControlResponse::NotLeader { leader: Some(h) }) if !tries[..n].contains(&h.rpc_addr) => {
                     tries.insert(n, h.rpc_addr);
                 }
                 Ok(_) => {}
@@ -181,14 +185,14 @@
         tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await;
         let tries = self.hint().into_iter().chain(self.voters().into_iter().map(|s| s.0));
         for to in tries {
-            let ask = Ask::Leave { info: self.info.clone() };
-            if let Ok(Reply::Done) = self.lines.call("leave", to, ask).await {
+            let ask = ControlRequest::Leave { info: self.info.clone() };
+            if let Ok(ControlResponse::Done) = self.lines.call("leave", to, ask).await {
                 return;
             }
         }
     }
 
-    /// Takes news from the voter in the own zone first, then from the others.
+    /// Takes state updates from the voter in the own zone first, then from the others.
     async fn follow(&self) -> bool {
         let mut voters = self.voters();
         voters.sort_by_key(|(_, near)| !near);
@@ -200,12 +204,12 @@
         let wait_ms = self.set.timing.renew_interval_ms();
         for (to, _) in voters {
             let gap = self.gap.swap(false, Ordering::AcqRel);
-            let have = if gap { Index(0) } else { self.ledger.load().index };
-            let ask = Ask::News { have, wait_ms };
+            let have = if gap { Index(0) } else { self.cluster_state.load().index };
+            let ask = ControlRequest::WatchState { have, wait_ms };
             match self.lines.call_within(wait_ms + self.set.timing.rpc_timeout_ms, "news", to, ask).await {
-                Ok(Reply::News(n)) => {
+                Ok(ControlResponse::StateUpdate(n)) => {
                     // A voter that lags says nothing new; another may know more.
-                    if matches!(n, News::Same) && self.behind(to).await {
+                    if matches!(n, StateUpdate::Same) && self.behind(to).await {
                         continue;
                     }
                     self.install(n, &to.to_string());
@@ -220,30 +224,30 @@
 
     /// Whether a voter that told nothing new stands behind what this node has.
     async fn behind(&self, voter: SocketAddr) -> bool {
-        let have = self.ledger.load().index;
-        match self.lines.call("hail", voter, Ask::Hail { index: have }).await {
-            Ok(Reply::Hailed { index }) => index < have || index == Index(0),
+        let have = self.cluster_state.load().index;
+        match self.lines.call("hail", voter, ControlRequest::Heartbeat { index: have }).await {
+            Ok(ControlResponse::HeartbeatAck { index }) => index < have || index == Index(0),
             _ => true,
         }
     }
 
-    /// Brings the own copy forward with news from a voter or a peer.
-    pub fn install(&self, n: News, from: &str) -> Taken {
-        let mut own = Ledger::clone(&self.ledger.load());
-        let taken = news::take(&mut own, &self.set.cluster, n);
+    /// Brings the own copy forward with state updates from a voter or a peer.
+    pub fn install(&self, n: StateUpdate, from: &str) -> InstallResult {
+        let mut own = ClusterState::clone(&self.cluster_state.load());
+        let taken = state_update::take(&mut own, &self.set.cluster, n);
         match taken {
-            Taken::Newer => {
+            InstallResult::Advanced => {
                 let index = own.index;
-                self.ledger.store(Arc::new(own));
+                self.cluster_state.store(Arc::new(own));
                 self.told.lock().unwrap_or_else(|e| e.into_inner()).retain(|t| t.0 > index);
                 self.moved.send_replace(index);
             }
-            Taken::Gap => {
+            InstallResult::Gap => {
                 self.gap.store(true, Ordering::Release);
                 log_event!(Warn, "news", "peer" => from, "cause" => "gap; taking a frame");
             }
-            Taken::Rejected(why) => log_event!(Warn, "news", "peer" => from, "cause" => why),
-            Taken::Nothing => {}
+            InstallResult::Rejected(why) => log_event!(Warn, "news", "peer" => from, "cause" => why),
+            InstallResult::Nothing => {}
         }
         taken
     }
--- a/crates/control-plane/src/operations.rs
+++ b/crates/control-plane/src/operations.rs
@@ -1,7 +1,7 @@
 //! What is known of an operator's orders (design 4.9): which were accepted, and what an order that
-//! is sent again is to be told. No input or output: the desk and the simulator decide by the same code.
+//! is sent again is to be told. No input or output: the operator service and the simulator decide by the same code.
 
-use crate::{change::Verdict, ledger::Ledger};
+use crate::{change::ApplyOutcome, cluster_state::ClusterState};
 use common::{OpId, Revision};
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher13};
@@ -50,11 +50,11 @@
         self.hashes.len() * OPERATION_BYTES
     }
 
-    /// Whether an order that builds on version `expects` may have been accepted and forgotten. Each
+    /// Whether an order that builds on version `expected_voters` may have been accepted and forgotten. Each
     /// accepted document has a higher version than the one before it, so as many versions as
     /// operations are kept lie at least between a forgotten one's base and the current version.
-    fn may_have_forgotten(&self, expects: u64, current: u64) -> bool {
-        self.hashes.len() == ACCEPTED_KEPT && current.saturating_sub(expects) > ACCEPTED_KEPT as u64
+    fn may_have_forgotten(&self, expected_voters: u64, current: u64) -> bool {
+        self.hashes.len() == ACCEPTED_KEPT && current.saturating_sub(expected_voters) > ACCEPTED_KEPT as u64
     }
 }
 
@@ -66,28 +66,33 @@
 
 /// How an order stands in a state of which a majority holds that it is the newest.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum OperationStatus {
     /// Not decided so far, and built on the current version.
     Open,
     /// Decided before.
-    Decided(Verdict),
+    Decided(ApplyOutcome),
     /// Built on another version than the current one.
     Superseded,
-    /// Built on a version so old that its verdict may have been forgotten.
+    /// Built on a version so old that its outcome may have been forgotten.
     Forgotten,
 }
 
-/// What a state says of the order `op`, which builds on version `expects`, where `current` is the
+/// What a state says of the order `op`, which builds on version `expected_voters`, where `current` is the
 /// version in place. An accepted order is never superseded, however many were accepted after it.
-pub fn standing(ledger: &Ledger, op: &OpId, expects: u64, current: u64) -> Standing {
-    if let Some(verdict) = ledger.verdict(op) {
-        return Standing::Decided(verdict);
+pub fn standing(
+    cluster_state: &ClusterState,
+    op: &OpId,
+    expected_voters: u64,
+    current: u64,
+) -> OperationStatus {
+    if let Some(outcome) = cluster_state.outcome(op) {
+        return OperationStatus::Decided(outcome);
     }
-    if expects == current {
-        return Standing::Open;
+    if expected_voters == current {
+        return OperationStatus::Open;
     }
-    if ledger.accepted.may_have_forgotten(expects, current) {
-        return Standing::Forgotten;
+    if cluster_state.accepted.may_have_forgotten(expected_voters, current) {
+        return OperationStatus::Forgotten;
     }
-    Standing::Superseded
+    OperationStatus::Superseded
 }
--- a/crates/control-plane/src/desk.rs
+++ b/crates/control-plane/src/operator_service.rs
@@ -1,18 +1,18 @@
-//! The operator's desk (design 4.9): a document in any notation, replaced, amended and read back, and
+//! The operator's operator service (design 4.9): a document in any notation, replaced, amended and read back, and
 //! zones emptied and taken back, by sendings that may be repeated at any control node.
 //!
 //! A document carries its own version; a change names the version that it builds on. The name of an
-//! operation is the hash of what was sent, so a sending that is repeated has the verdict of the first.
+//! operation is the hash of what was sent, so a sending that is repeated has the outcome of the first.
 //! The version is compared with the newest accepted state, and the change is logged on top of that
 //! state's revision, so that the fold decides between two that were compared with the same.
 
 use crate::{
-    change::{Change, Verdict},
+    change::{ApplyOutcome, Change},
+    cluster_state::ClusterState,
     core::Core,
     document::Document,
-    ledger::Ledger,
-    operations::{Standing, standing},
-    rpc::Proposed,
+    operations::{OperationStatus, standing},
+    rpc::ProposalOutcome,
 };
 use common::{OpId, Revision, Zone, is_valid_name};
 use configuration::{Flaw, Notation};
@@ -43,7 +43,7 @@
     Undetermined,
 }
 
-pub struct Desk {
+pub struct OperatorService {
     core: Arc<Core>,
     notation: Arc<dyn Notation>,
     /// Zones that exist whether or not a node stands in them now.
@@ -59,29 +59,29 @@
 }
 
 /// The same for the same sending on each node and in each version.
-fn name(kind: &str, expects: u64, body: &str) -> OpId {
+fn name(kind: &str, expected_voters: u64, body: &str) -> OpId {
     let mut h = SipHasher13::new();
     h.write(kind.as_bytes());
-    h.write(&expects.to_le_bytes());
+    h.write(&expected_voters.to_le_bytes());
     h.write(body.as_bytes());
     OpId::new(format!("{kind}-{:032x}", h.finish128().as_u128()))
 }
 
-impl Desk {
+impl OperatorService {
     pub fn new(core: Arc<Core>, notation: Arc<dyn Notation>, zones: BTreeSet<Zone>) -> Self {
         Self { core, notation, zones }
     }
 
-    /// A whole document, kept byte for byte; `expects` is 0 where there is none yet.
-    pub async fn replace(&self, expects: u64, text: &str) -> Told {
-        let op = name("replace", expects, text);
-        self.submit(op, expects, text, |_| Ok(text.into())).await
+    /// A whole document, kept byte for byte; `expected_voters` is 0 where there is none yet.
+    pub async fn replace(&self, expected_voters: u64, text: &str) -> Told {
+        let op = name("replace", expected_voters, text);
+        self.submit(op, expected_voters, text, |_| Ok(text.into())).await
     }
 
     /// A change of named items; the document that comes of it is kept.
-    pub async fn amend(&self, expects: u64, change: &str) -> Told {
-        let op = name("amend", expects, change);
-        self.submit(op, expects, change, |now| self.notation.amend(now, change)).await
+    pub async fn amend(&self, expected_voters: u64, change: &str) -> Told {
+        let op = name("amend", expected_voters, change);
+        self.submit(op, expected_voters, change, |now| self.notation.amend(now, change)).await
     }
 
     /// The newest accepted document and its version.
@@ -91,7 +91,7 @@
         Ok(l.text.map(|t| (version, t)))
     }
 
-    /// Asks that nothing more go to an zone's replicas, or takes that back.
+    /// Asks that nothing more go to a zone's replicas, or takes that back.
     pub async fn evacuate(&self, zone: &str, on: bool) -> Told {
         if !is_valid_name(zone) {
             return invalid("area: allowed: 1 to 64 letters, digits, '-', '_' or '.'");
@@ -126,7 +126,7 @@
     async fn submit(
         &self,
         op: OpId,
-        expects: u64,
+        expected_voters: u64,
         body: &str,
         make: impl FnOnce(&str) -> Result<String, Vec<Flaw>>,
     ) -> Told {
@@ -143,14 +143,14 @@
                 Ok(version) => version,
                 Err(why) => return Told::Unavailable(why),
             };
-            match standing(&l, &op, expects, current) {
-                Standing::Decided(Verdict::Accepted { .. }) => self.confirm(op, until).await,
-                Standing::Decided(Verdict::Rejected { reason }) => invalid(reason),
-                Standing::Decided(Verdict::Conflict { .. }) | Standing::Superseded => {
+            match standing(&l, &op, expected_voters, current) {
+                OperationStatus::Decided(ApplyOutcome::Accepted { .. }) => self.confirm(op, until).await,
+                OperationStatus::Decided(ApplyOutcome::Rejected { reason }) => invalid(reason),
+                OperationStatus::Decided(ApplyOutcome::Conflict { .. }) | OperationStatus::Superseded => {
                     Told::Conflict { current: Some(current) }
                 }
-                Standing::Forgotten => Told::Undetermined,
-                Standing::Open => match self.checked(&l, current, make) {
+                OperationStatus::Forgotten => Told::Undetermined,
+                OperationStatus::Open => match self.checked(&l, current, make) {
                     Ok(text) => self.log(Change::Apply { op, base: l.revision, text }, until).await,
                     Err(told) => told,
                 },
@@ -159,12 +159,12 @@
         .await
     }
 
-    /// Logs an accepted order once more with nothing in it: its verdict stays, and it is told again
+    /// Logs an accepted order once more with nothing in it: its outcome stays, and it is told again
     /// only once most of the members hold it (design 3.7).
     async fn confirm(&self, op: OpId, until: Instant) -> Told {
         let nothing = Change::Apply { op, base: Revision(u64::MAX), text: "".into() };
         match self.log(nothing, until).await {
-            // Its verdict was forgotten on the way.
+            // Its outcome was forgotten on the way.
             Told::Conflict { .. } => Told::Undetermined,
             told => told,
         }
@@ -173,7 +173,7 @@
     /// The document to be logged on top of this state.
     fn checked(
         &self,
-        l: &Ledger,
+        l: &ClusterState,
         current: u64,
         make: impl FnOnce(&str) -> Result<String, Vec<Flaw>>,
     ) -> Result<Document, Told> {
@@ -189,7 +189,7 @@
     }
 
     /// 0 where there is no document yet.
-    fn version(&self, l: &Ledger) -> Result<u64, String> {
+    fn version(&self, l: &ClusterState) -> Result<u64, String> {
         let Some(text) = &l.text else { return Ok(0) };
         let read = self.notation.read(text).map(|m| m.version);
         read.map_err(|f| format!("the current document can't be read: {f:?}"))
@@ -202,19 +202,19 @@
         }
         let ms = until.duration_since(Instant::now()).as_millis() as u64;
         match self.core.propose(ch, ms).await {
-            Proposed::Settled { verdict: Verdict::Accepted { .. }, .. } => Told::Accepted,
-            Proposed::Settled { verdict: Verdict::Conflict { .. }, .. } => {
+            ProposalOutcome::Committed { outcome: ApplyOutcome::Accepted { .. }, .. } => Told::Accepted,
+            ProposalOutcome::Committed { outcome: ApplyOutcome::Conflict { .. }, .. } => {
                 let current = self.core.state().await.ok().and_then(|l| self.version(&l).ok());
                 Told::Conflict { current }
             }
-            Proposed::Settled { verdict: Verdict::Rejected { reason }, .. } => invalid(reason),
-            Proposed::NotLogged { why, .. } => Told::Unavailable(why),
-            Proposed::Undetermined => Told::Undetermined,
+            ProposalOutcome::Committed { outcome: ApplyOutcome::Rejected { reason }, .. } => invalid(reason),
+            ProposalOutcome::NotLogged { why, .. } => Told::Unavailable(why),
+            ProposalOutcome::Undetermined => Told::Undetermined,
         }
     }
 
     /// Nothing is sent for logging before the newest state is known: without it, nothing was.
-    async fn newest(&self, until: Instant) -> Result<Ledger, String> {
+    async fn newest(&self, until: Instant) -> Result<ClusterState, String> {
         let state = tokio::time::timeout_at(until, self.core.state()).await;
         state.unwrap_or_else(|_| Err("no leader answered in time".into()))
     }
@@ -224,8 +224,8 @@
     }
 }
 
-/// Whether anything that the core knows of stands in an zone.
-fn stands_in(l: &Ledger, zone: &Zone) -> bool {
+/// Whether anything that the core knows of stands in a zone.
+fn stands_in(l: &ClusterState, zone: &Zone) -> bool {
     l.members.values().any(|m| m.info.zone == *zone)
         || l.voters.iter().any(|h| h.zone == *zone)
         || l.replicas.values().any(|r| r.zone == *zone)
--- a/crates/control-plane/src/rpc.rs
+++ b/crates/control-plane/src/rpc.rs
@@ -1,10 +1,10 @@
 //! What a control node is asked by other processes (design 3.4).
 
 use crate::{
-    change::{Change, NodeInfo, Verdict, VoterInfo},
+    change::{ApplyOutcome, Change, NodeInfo, VoterInfo},
+    cluster_state::ClusterState,
     consensus::Message,
-    ledger::Ledger,
-    news::News,
+    state_update::StateUpdate,
 };
 use common::{Epoch, Index, Revision};
 use serde::{Deserialize, Serialize};
@@ -13,7 +13,7 @@
 pub const SERVICE: &str = "signal";
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Ask {
+pub enum ControlRequest {
     Consensus {
         from: SocketAddr,
         msg: Box<Message>,
@@ -28,7 +28,8 @@
     Leave {
         info: NodeInfo,
     },
-    News {
+    #[serde(rename = "News")]
+    WatchState {
         have: Index,
         wait_ms: u64,
     },
@@ -37,14 +38,15 @@
     },
     /// The newest accepted state, from the leader only.
     State,
-    Hail {
+    #[serde(rename = "Hail")]
+    Heartbeat {
         #[serde(rename = "idx")]
         index: Index,
     },
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Reply {
+pub enum ControlResponse {
     Done,
     /// With the place of the newest accepted change, so that a node knows when it lags.
     Renewed {
@@ -53,14 +55,18 @@
         index: Index,
     },
     /// Asked for; come again with the next renewal.
-    NotYet,
-    Elsewhere {
+    #[serde(rename = "NotYet")]
+    Pending,
+    #[serde(rename = "Elsewhere")]
+    NotLeader {
         leader: Option<VoterInfo>,
     },
-    News(News),
-    Proposed(Proposed),
-    State(Box<Ledger>),
-    Hailed {
+    #[serde(rename = "News")]
+    StateUpdate(StateUpdate),
+    Proposed(ProposalOutcome),
+    State(Box<ClusterState>),
+    #[serde(rename = "Hailed")]
+    HeartbeatAck {
         #[serde(rename = "idx")]
         index: Index,
     },
@@ -68,11 +74,13 @@
 
 /// Three results only, and one that says that nothing was tried (design 4.6).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Proposed {
-    Settled {
+pub enum ProposalOutcome {
+    #[serde(rename = "Settled")]
+    Committed {
         #[serde(rename = "idx")]
         index: Index,
-        verdict: Verdict,
+        #[serde(rename = "verdict")]
+        outcome: ApplyOutcome,
     },
     NotLogged {
         leader: Option<VoterInfo>,
@@ -81,16 +89,16 @@
     Undetermined,
 }
 
-impl tarpc::RequestName for Ask {
+impl tarpc::RequestName for ControlRequest {
     fn name(&self) -> &str {
         match self {
-            Ask::Consensus { .. } => "signal.seat",
-            Ask::Renew { .. } => "signal.renew",
-            Ask::Leave { .. } => "signal.leave",
-            Ask::News { .. } => "signal.news",
-            Ask::Propose { .. } => "signal.propose",
-            Ask::State => "signal.state",
-            Ask::Hail { .. } => "signal.hail",
+            ControlRequest::Consensus { .. } => "signal.seat",
+            ControlRequest::Renew { .. } => "signal.renew",
+            ControlRequest::Leave { .. } => "signal.leave",
+            ControlRequest::WatchState { .. } => "signal.news",
+            ControlRequest::Propose { .. } => "signal.propose",
+            ControlRequest::State => "signal.state",
+            ControlRequest::Heartbeat { .. } => "signal.hail",
         }
     }
 }
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     consensus::{DurableState, Record},
-    disk::{Disk, Found},
+    disk::{LoadResult, RecordWriter},
 };
 use common::wire;
 use raw::{
@@ -35,7 +35,7 @@
     seq: u64,
     log: File,
     pos: u64,
-    recs: u64,
+    records: u64,
 }
 
 fn err(msg: impl Into<String>) -> io::Error {
@@ -47,7 +47,7 @@
 enum Bad {
     Broken,
     /// Its checksums hold, and what they guard can't be read here.
-    OtherForm,
+    IncompatibleFormat,
 }
 
 /// The slot of that parity: `None` blank, else its sequence and image, or what is wrong with it.
@@ -62,13 +62,13 @@
         return Ok(None);
     }
     if head.starts_with(&MAGIC[..6]) && !head.starts_with(MAGIC) {
-        return Ok(Some(Err(Bad::OtherForm)));
+        return Ok(Some(Err(Bad::IncompatibleFormat)));
     }
     let Some((seq, len, crc)) = parse(&head).filter(|h| h.0 % 2 == parity) else {
         return Ok(Some(Err(Bad::Broken)));
     };
     let Some(body) = body(&f, HEAD as u64, len, crc)? else { return Ok(Some(Err(Bad::Broken))) };
-    Ok(Some(wire::decode::<DurableState>(&body).map(|i| (seq, i)).map_err(|_| Bad::OtherForm)))
+    Ok(Some(wire::decode::<DurableState>(&body).map(|i| (seq, i)).map_err(|_| Bad::IncompatibleFormat)))
 }
 
 impl FileStore {
@@ -77,13 +77,13 @@
     }
 
     /// Reads what is there. Torn ends are cut; damage before the synced end is told.
-    pub fn load(dir: &Path) -> io::Result<Found> {
+    pub fn load(dir: &Path) -> io::Result<LoadResult> {
         let (mut blank, mut best) = (true, None::<(u64, DurableState)>);
         for n in 0..2 {
             let found = slot(&Self::path(dir, "slot", n), n)?;
             blank &= found.is_none();
             match found {
-                Some(Err(Bad::OtherForm)) => return Ok(Found::OtherForm),
+                Some(Err(Bad::IncompatibleFormat)) => return Ok(LoadResult::IncompatibleFormat),
                 Some(Ok(s)) if best.as_ref().is_none_or(|b| s.0 > b.0) => best = Some(s),
                 _ => {}
             }
@@ -91,33 +91,33 @@
         if blank {
             return blank_folder(dir);
         }
-        let Some((seq, img)) = best else {
-            return Ok(Found::Damaged("no slot is whole".into()));
+        let Some((seq, image)) = best else {
+            return Ok(LoadResult::Corrupt("no slot is whole".into()));
         };
         if let Some(why) = lost_file(dir)? {
-            return Ok(Found::Damaged(why));
+            return Ok(LoadResult::Corrupt(why));
         }
         // A log that follows a slot is begun only once that slot is synced.
         if begun(&Self::path(dir, "log", seq + 1), seq + 1)?.is_some() {
-            return Ok(Found::Damaged(format!("slot {} was synced and is damaged", seq + 1)));
+            return Ok(LoadResult::Corrupt(format!("slot {} was synced and is damaged", seq + 1)));
         }
         let path = Self::path(dir, "log", seq);
         match log_state(&path, seq)? {
-            LogState::Begun { marked } => replay(&path, seq, marked, img),
-            LogState::NotBegun => Ok(Found::DurableState(Box::new(img))),
-            LogState::Later(later) => Ok(Found::Damaged(format!("slot {later} was synced and is lost"))),
-            LogState::Broken => Ok(Found::Damaged(format!("the header of log {seq} is damaged"))),
+            LogState::Begun { marked } => replay(&path, seq, marked, image),
+            LogState::NotBegun => Ok(LoadResult::DurableState(Box::new(image))),
+            LogState::Later(later) => Ok(LoadResult::Corrupt(format!("slot {later} was synced and is lost"))),
+            LogState::Broken => Ok(LoadResult::Corrupt(format!("the header of log {seq} is damaged"))),
         }
     }
 
-    /// Opens the folder for writing: `img` goes into a slot of its own, so that no write ever
+    /// Opens the folder for writing: `image` goes into a slot of its own, so that no write ever
     /// follows a torn one.
-    pub fn open(dir: &Path, img: &DurableState) -> io::Result<Self> {
-        Self::open_on(dir, img, Arc::new(System))
+    pub fn open(dir: &Path, image: &DurableState) -> io::Result<Self> {
+        Self::open_on(dir, image, Arc::new(System))
     }
 
     /// The same on a medium of one's own.
-    pub fn open_on(dir: &Path, img: &DurableState, medium: Arc<dyn Medium>) -> io::Result<Self> {
+    pub fn open_on(dir: &Path, image: &DurableState, medium: Arc<dyn Medium>) -> io::Result<Self> {
         std::fs::create_dir_all(dir)?;
         for n in 0..2 {
             reserve(&*medium, &Self::path(dir, "slot", n), SLOT_LEN)?;
@@ -126,8 +126,8 @@
         File::open(dir)?.sync_all()?;
         let seq = Self::durable(dir)?;
         let log = open(&Self::path(dir, "log", seq))?;
-        let mut s = Self { dir: dir.into(), medium, seq, log, pos: 0, recs: 0 };
-        s.image(img)?;
+        let mut s = Self { dir: dir.into(), medium, seq, log, pos: 0, records: 0 };
+        s.image(image)?;
         Ok(s)
     }
 
@@ -144,9 +144,9 @@
         Ok(newest)
     }
 
-    fn image(&mut self, img: &DurableState) -> io::Result<()> {
+    fn image(&mut self, image: &DurableState) -> io::Result<()> {
         let seq = self.seq + 1;
-        let body = wire::encode(img)?;
+        let body = wire::encode(image)?;
         if body.len() as u64 + HEAD as u64 > SLOT_LEN {
             return Err(err(format!("a frame of {} bytes does not fit into a slot", body.len())));
         }
@@ -160,31 +160,31 @@
         self.medium.sync(&log)?;
         self.medium.write(&log, 0, &header(seq, 0, &[]))?;
         self.medium.sync(&log)?;
-        (self.seq, self.log, self.pos, self.recs) = (seq, log, HEAD as u64, 0);
+        (self.seq, self.log, self.pos, self.records) = (seq, log, HEAD as u64, 0);
         Ok(())
     }
 
-    fn record(&mut self, rec: &Record) -> io::Result<()> {
-        let body = wire::encode(rec)?;
+    fn record(&mut self, record: &Record) -> io::Result<()> {
+        let body = wire::encode(record)?;
         let end = self.pos + (HEAD + body.len()) as u64;
         if end > LOG_LEN {
             return Err(err("the short log is full"));
         }
         // The mark of the last sync travels with the next one.
-        let number = record_number(self.seq, self.recs);
-        self.medium.write(&self.log, 0, &header(self.seq, self.recs, &[]))?;
+        let number = record_number(self.seq, self.records);
+        self.medium.write(&self.log, 0, &header(self.seq, self.records, &[]))?;
         self.medium.write(&self.log, self.pos, &header(number, body.len() as u64, &body))?;
         self.medium.write(&self.log, self.pos + HEAD as u64, &body)?;
         self.medium.sync(&self.log)?;
         self.pos = end;
-        self.recs += 1;
+        self.records += 1;
         Ok(())
     }
 }
 
-impl Disk for FileStore {
-    fn write(&mut self, rec: &Record) -> io::Result<()> {
-        match rec {
+impl RecordWriter for FileStore {
+    fn write(&mut self, record: &Record) -> io::Result<()> {
+        match record {
             Record::DurableState(i) => self.image(i),
             r => self.record(r),
         }
--- a/crates/control-plane/src/store/raw.rs
+++ b/crates/control-plane/src/store/raw.rs
@@ -1,6 +1,6 @@
 //! The store's files as headers, bodies and pieces; nothing whole is held but what is read for use.
 
-use crate::disk::Found;
+use crate::disk::LoadResult;
 use std::{
     fs::{File, OpenOptions},
     io,
@@ -214,17 +214,17 @@
 }
 
 /// Without a slot there is nothing, unless a log was begun: that follows a slot which was synced.
-pub(super) fn blank_folder(dir: &Path) -> io::Result<Found> {
+pub(super) fn blank_folder(dir: &Path) -> io::Result<LoadResult> {
     for n in 0..2 {
         let path = dir.join(format!("log-{n}"));
         match File::open(&path) {
             Ok(f) if has_data(&f, 0)? => {
-                return Ok(Found::Damaged(format!("log-{n} was begun and no slot is there")));
+                return Ok(LoadResult::Corrupt(format!("log-{n} was begun and no slot is there")));
             }
             Ok(_) => {}
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
             Err(e) => return Err(e),
         }
     }
-    Ok(Found::Nothing)
+    Ok(LoadResult::Nothing)
 }
--- a/crates/control-plane/src/store/replay.rs
+++ b/crates/control-plane/src/store/replay.rs
@@ -6,7 +6,7 @@
 };
 use crate::{
     consensus::{DurableState, Record},
-    disk::Found,
+    disk::LoadResult,
 };
 use common::wire;
 use std::{fs::File, io, path::Path};
@@ -19,25 +19,27 @@
         return Ok(None);
     }
     let Some(body) = body(log, at + HEAD as u64, len, crc)? else { return Ok(None) };
-    Ok(Some((at + HEAD as u64 + len, wire::decode::<Record>(&body).map_err(|_| Bad::OtherForm))))
+    Ok(Some((at + HEAD as u64 + len, wire::decode::<Record>(&body).map_err(|_| Bad::IncompatibleFormat))))
 }
 
 /// Brings an image forward by the log that follows it.
-pub(super) fn replay(path: &Path, seq: u64, marked: u64, mut img: DurableState) -> io::Result<Found> {
+pub(super) fn replay(path: &Path, seq: u64, marked: u64, mut image: DurableState) -> io::Result<LoadResult> {
     let log = File::open(path)?;
     let (mut n, mut at) = (0, HEAD as u64);
-    while let Some((next, rec)) = record_at(&log, at, seq, n)? {
-        let Ok(rec) = rec else { return Ok(Found::OtherForm) };
-        if !img.leads_to(&rec) {
-            return Ok(Found::Damaged(format!("record {n} of log {seq} does not follow its slot")));
+    while let Some((next, record)) = record_at(&log, at, seq, n)? {
+        let Ok(record) = record else { return Ok(LoadResult::IncompatibleFormat) };
+        if !image.leads_to(&record) {
+            return Ok(LoadResult::Corrupt(format!("record {n} of log {seq} does not follow its slot")));
         }
-        img.replay(rec);
+        image.replay(record);
         (n, at) = (n + 1, next);
     }
     if n < marked || later(&log, at, seq, n)? {
-        return Ok(Found::Damaged(format!("log {seq} is damaged after record {n}, before its synced end")));
+        return Ok(LoadResult::Corrupt(format!(
+            "log {seq} is damaged after record {n}, before its synced end"
+        )));
     }
-    Ok(Found::DurableState(Box::new(img)))
+    Ok(LoadResult::DurableState(Box::new(image)))
 }
 
 /// Whether the header of a record after the `n`th stands anywhere from a place on.
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -14,10 +14,10 @@
     Change, Role,
     change::NodeInfo,
     consensus::{Event, Record, Voter},
-    core::{Core, Drive, MakeDrive, Start, blank},
-    desk::{Desk, Told},
+    core::{Core, LogWriter, LogWriterFactory, Start, blank},
     member::Member,
-    rpc::{self, Proposed},
+    operator_service::{OperatorService, Told},
+    rpc::{self, ProposalOutcome},
 };
 use std::{
     net::{IpAddr, SocketAddr},
@@ -49,13 +49,13 @@
     ip: IpAddr,
 }
 
-impl Drive for MemDrive {
-    fn write(&self, tok: u64, _: Record) {
+impl LogWriter for MemDrive {
+    fn write(&self, token: u64, _: Record) {
         let core = self.core.clone();
         spawn_at(self.ip, async move {
             sleep(Duration::from_millis(2)).await;
             if let Some(core) = core.upgrade() {
-                core.step(Event::Synced(tok));
+                core.step(Event::Synced(token));
             }
         });
     }
@@ -64,7 +64,7 @@
 #[derive(Clone)]
 pub struct Stand {
     pub core: Arc<Core>,
-    desk: Arc<Desk>,
+    operator_service: Arc<OperatorService>,
     host: Arc<Host>,
     pub ip: IpAddr,
 }
@@ -78,7 +78,7 @@
     IpAddr::from([10, 0, n as u8, 1])
 }
 
-fn settings(n: usize, of: usize, founds: bool) -> Settings {
+fn settings(n: usize, of: usize, may_bootstrap: bool) -> Settings {
     Settings {
         cluster: "c".into(),
         node: format!("s{n}"),
@@ -88,7 +88,7 @@
         rpc_advertise: None,
         http_advertise: None,
         seeds: (0..of.min(3)).map(|n| SocketAddr::new(ip(n), 7100)).collect(),
-        founds,
+        may_bootstrap,
         data: None,
         timing: Timing::default(),
         log: "info".into(),
@@ -97,38 +97,38 @@
 
 async fn stand(set: Settings, voters: usize, host: Arc<Host>, waits: bool) -> Stand {
     let ip = set.rpc_addr.ip();
-    let make: MakeDrive = Box::new(move |core| Box::new(MemDrive { core, ip }));
+    let make: LogWriterFactory = Box::new(move |core| Box::new(MemDrive { core, ip }));
     let rpc_listener = bind(set.rpc_addr).await.unwrap();
     let start = match waits {
         true => Start::Waiting(Box::new(blank(&set))),
-        false => Start::from(Voter::blank_image(&blank(&set))),
+        false => Start::from(Voter::blank_state(&blank(&set))),
     };
     let core = Core::start(set.clone(), voters, start, make);
     let info = NodeInfo::of(&set, Role::Core, core.status().me.incarnation);
     Member::new(set.clone(), info, Clock::default()).start();
     spawn(rpc::listen(rpc_listener, set.me(), core.clone()));
     let zones = ["a0", "far"].map(Into::into).into_iter().collect();
-    let desk = Arc::new(Desk::new(core.clone(), Arc::new(RpcClient), zones));
-    Stand { core, desk, host, ip }
+    let operator_service = Arc::new(OperatorService::new(core.clone(), Arc::new(RpcClient), zones));
+    Stand { core, operator_service, host, ip }
 }
 
 impl Stand {
     /// What is done on a host is counted by that host's clock.
     async fn on<T: Send + 'static>(
         &self,
-        f: impl FnOnce(Arc<Desk>) -> std::pin::Pin<Box<dyn Future<Output = T> + Send>>,
+        f: impl FnOnce(Arc<OperatorService>) -> std::pin::Pin<Box<dyn Future<Output = T> + Send>>,
     ) -> T {
-        self.host.spawn(f(self.desk.clone())).await.unwrap()
+        self.host.spawn(f(self.operator_service.clone())).await.unwrap()
     }
 
-    pub async fn replace(&self, expects: u64, text: &str) -> Told {
+    pub async fn replace(&self, expected_voters: u64, text: &str) -> Told {
         let text = text.to_string();
-        self.on(move |d| Box::pin(async move { d.replace(expects, &text).await })).await
+        self.on(move |d| Box::pin(async move { d.replace(expected_voters, &text).await })).await
     }
 
-    pub async fn amend(&self, expects: u64, change: &str) -> Told {
+    pub async fn amend(&self, expected_voters: u64, change: &str) -> Told {
         let change = change.to_string();
-        self.on(move |d| Box::pin(async move { d.amend(expects, &change).await })).await
+        self.on(move |d| Box::pin(async move { d.amend(expected_voters, &change).await })).await
     }
 
     pub async fn evacuate(&self, zone: &str, on: bool) -> Told {
@@ -142,7 +142,7 @@
     }
 
     /// A change as it reaches the leader from another node.
-    pub async fn propose(&self, change: Change) -> Proposed {
+    pub async fn propose(&self, change: Change) -> ProposalOutcome {
         let core = self.core.clone();
         self.host.spawn(async move { core.propose_here(change, 800).await }).await.unwrap()
     }
@@ -163,15 +163,15 @@
         state.evacuated.iter().map(|a| a.to_string()).collect()
     }
 
-    pub fn verdicts(&self) -> usize {
-        self.core.status().ledger.ops.len()
+    pub fn outcomes(&self) -> usize {
+        self.core.status().cluster_state.recent_operations.len()
     }
 }
 
 impl Cluster {
-    /// Starts all voters; `founds` is whether they may found a cluster.
-    pub async fn start(world: Arc<World>, voters: usize, founds: bool) -> Self {
-        Self::started(world, voters, founds, None).await
+    /// Starts all voters; `may_bootstrap` is whether they may found a cluster.
+    pub async fn start(world: Arc<World>, voters: usize, may_bootstrap: bool) -> Self {
+        Self::started(world, voters, may_bootstrap, None).await
     }
 
     /// The disk of one can't be opened yet.
@@ -179,22 +179,22 @@
         Self::started(world, voters, true, Some(waits)).await
     }
 
-    async fn started(world: Arc<World>, voters: usize, founds: bool, waits: Option<usize>) -> Self {
+    async fn started(world: Arc<World>, voters: usize, may_bootstrap: bool, waits: Option<usize>) -> Self {
         let mut at = Vec::new();
         for n in 0..voters {
             let host = world.host(ip(n));
-            let s = stand(settings(n, voters, founds), voters, host.clone(), Some(n) == waits);
+            let s = stand(settings(n, voters, may_bootstrap), voters, host.clone(), Some(n) == waits);
             at.push(host.spawn(s).await.unwrap());
         }
         Self { world, at }
     }
 
     /// A cluster that has a leader, and all of whose voters are members.
-    pub async fn formed(world: Arc<World>, voters: usize) -> Self {
+    pub async fn initialized(world: Arc<World>, voters: usize) -> Self {
         let c = Self::start(world, voters, true).await;
         c.until("a leader and all members", |c| {
             let v = c.at.iter().map(|s| s.core.status());
-            v.into_iter().all(|v| v.leader.is_some() && v.ledger.members.len() == c.at.len())
+            v.into_iter().all(|v| v.leader.is_some() && v.cluster_state.members.len() == c.at.len())
         })
         .await;
         c
--- a/crates/control-plane/tests/compatibility/main.rs
+++ b/crates/control-plane/tests/compatibility/main.rs
@@ -6,9 +6,9 @@
 use control_plane::{
     Role,
     consensus::{DurableState, Record, Voter},
-    disk::{Disk, Found},
-    news::News,
-    rpc::{Ask, Proposed, Reply},
+    disk::{LoadResult, RecordWriter},
+    rpc::{ControlRequest, ControlResponse, ProposalOutcome},
+    state_update::StateUpdate,
     store::{FileStore, LOG_LEN, SLOT_LEN},
 };
 use rstest::rstest;
@@ -28,8 +28,8 @@
     for (name, change) in samples::changes() {
         fixtures().assert_wire(&format!("change-{name}"), &change);
     }
-    for (name, verdict) in samples::verdicts() {
-        fixtures().assert_wire(&format!("outcome-{name}"), &verdict);
+    for (name, outcome) in samples::outcomes() {
+        fixtures().assert_wire(&format!("outcome-{name}"), &outcome);
     }
 }
 
@@ -53,13 +53,13 @@
     let (_, msg) = samples::messages().remove(0);
     let (_, change) = samples::changes().remove(0);
     let requests = [
-        ("consensus", Ask::Consensus { from: samples::address(1), msg: Box::new(msg) }),
-        ("renew", Ask::Renew { info: info(), index: Index(4), revision: Revision(2) }),
-        ("leave", Ask::Leave { info: info() }),
-        ("updates", Ask::News { have: Index(4), wait_ms: 500 }),
-        ("propose", Ask::Propose { change }),
-        ("state", Ask::State),
-        ("heartbeat", Ask::Hail { index: Index(4) }),
+        ("consensus", ControlRequest::Consensus { from: samples::address(1), msg: Box::new(msg) }),
+        ("renew", ControlRequest::Renew { info: info(), index: Index(4), revision: Revision(2) }),
+        ("leave", ControlRequest::Leave { info: info() }),
+        ("updates", ControlRequest::WatchState { have: Index(4), wait_ms: 500 }),
+        ("propose", ControlRequest::Propose { change }),
+        ("state", ControlRequest::State),
+        ("heartbeat", ControlRequest::Heartbeat { index: Index(4) }),
     ];
     for (name, request) in requests {
         fixtures().assert_wire(&format!("request-{name}"), &request);
@@ -68,22 +68,22 @@
 
 #[test]
 fn compatibility_of_replies() {
-    let (_, verdict) = samples::verdicts().remove(0);
+    let (_, outcome) = samples::outcomes().remove(0);
     let leader = || Some(samples::voter(1));
     let why = "not the leader".to_string();
     let replies = [
-        ("done", Reply::Done),
-        ("renewed", Reply::Renewed { epoch: Epoch(4), index: Index(5) }),
-        ("not-yet", Reply::NotYet),
-        ("elsewhere", Reply::Elsewhere { leader: leader() }),
-        ("updates-none", Reply::News(News::Same)),
-        ("updates-snapshot", Reply::News(News::Snapshot(Box::new(samples::state())))),
-        ("updates-changes", Reply::News(News::Changes(samples::entries()))),
-        ("settled", Reply::Proposed(Proposed::Settled { index: Index(41), verdict })),
-        ("not-logged", Reply::Proposed(Proposed::NotLogged { leader: leader(), why })),
-        ("undetermined", Reply::Proposed(Proposed::Undetermined)),
-        ("state", Reply::State(Box::new(samples::state()))),
-        ("heartbeat", Reply::Hailed { index: Index(5) }),
+        ("done", ControlResponse::Done),
+        ("renewed", ControlResponse::Renewed { epoch: Epoch(4), index: Index(5) }),
+        ("not-yet", ControlResponse::Pending),
+        ("elsewhere", ControlResponse::NotLeader { leader: leader() }),
+        ("updates-none", ControlResponse::StateUpdate(StateUpdate::Same)),
+        ("updates-snapshot", ControlResponse::StateUpdate(StateUpdate::Snapshot(Box::new(samples::state())))),
+        ("updates-changes", ControlResponse::StateUpdate(StateUpdate::Changes(samples::entries()))),
+        ("settled", ControlResponse::Proposed(ProposalOutcome::Committed { index: Index(41), outcome })),
+        ("not-logged", ControlResponse::Proposed(ProposalOutcome::NotLogged { leader: leader(), why })),
+        ("undetermined", ControlResponse::Proposed(ProposalOutcome::Undetermined)),
+        ("state", ControlResponse::State(Box::new(samples::state()))),
+        ("heartbeat", ControlResponse::HeartbeatAck { index: Index(5) }),
     ];
     for (name, reply) in replies {
         fixtures().assert_wire(&format!("reply-{name}"), &reply);
@@ -108,7 +108,7 @@
 
 /// Writes a folder as a voter does: a blank identity, what `write` adds.
 fn write_store(folder: &Path, write: impl FnOnce(&mut FileStore)) {
-    let mut store = FileStore::open(folder, &Voter::blank_image(&samples::voter(1))).unwrap();
+    let mut store = FileStore::open(folder, &Voter::blank_state(&samples::voter(1))).unwrap();
     write(&mut store);
 }
 
@@ -131,7 +131,7 @@
 
 fn replaced_voter() -> DurableState {
     let mut state = samples::durable_state();
-    state.ledger.voters[2].incarnation = common::Incarnation(99);
+    state.cluster_state.voters[2].incarnation = common::Incarnation(99);
     state.entries.clear();
     state
 }
@@ -163,7 +163,7 @@
     let old = tempfile::tempdir().unwrap();
     restore(name, old.path());
     let found = FileStore::load(old.path()).unwrap();
-    assert!(matches!(found, Found::DurableState(_)), "{name}: {found:?}");
+    assert!(matches!(found, LoadResult::DurableState(_)), "{name}: {found:?}");
     assert_eq!(found, FileStore::load(folder.path()).unwrap());
 }
 
@@ -176,6 +176,6 @@
     let mut bytes = fs::read(&path).unwrap();
     bytes[100] ^= 1;
     fs::write(&path, bytes).unwrap();
-    let Found::Damaged(why) = FileStore::load(folder.path()).unwrap() else { panic!("taken as whole") };
+    let LoadResult::Corrupt(why) = FileStore::load(folder.path()).unwrap() else { panic!("taken as whole") };
     assert_eq!(why, "slot 2 was synced and is damaged");
 }
--- a/crates/control-plane/tests/compatibility/samples.rs
+++ b/crates/control-plane/tests/compatibility/samples.rs
@@ -2,11 +2,11 @@
 
 use common::{Epoch, Incarnation, Index, NodeId, OpId, ReplicaId, Revision, Service, Term, Tick, Zone};
 use control_plane::{
-    Change, Ledger, Member, Replica, ReplicaMove, Role, Verdict,
+    ApplyOutcome, Change, ClusterState, Member, Replica, ReplicaMove, Role,
     change::{NodeInfo, VoterInfo},
     consensus::{Body, DurableState, LogEntry, LogTail, Message, Record, VoterId},
-    mass::Lost,
     operations::AcceptedOperations,
+    partition_risk::LostMember,
 };
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -73,23 +73,23 @@
         .collect()
 }
 
-pub fn verdicts() -> Vec<(&'static str, Verdict)> {
+pub fn outcomes() -> Vec<(&'static str, ApplyOutcome)> {
     vec![
-        ("accepted", Verdict::Accepted { revision: Revision(8) }),
-        ("conflict", Verdict::Conflict { current: Revision(9) }),
-        ("bounced", Verdict::Rejected { reason: "no replica 'r-9' is listed".into() }),
+        ("accepted", ApplyOutcome::Accepted { revision: Revision(8) }),
+        ("conflict", ApplyOutcome::Conflict { current: Revision(9) }),
+        ("bounced", ApplyOutcome::Rejected { reason: "no replica 'r-9' is listed".into() }),
     ]
 }
 
 /// A state with every part in use.
-pub fn state() -> Ledger {
+pub fn state() -> ClusterState {
     let mut accepted = AcceptedOperations::default();
     accepted.record(&OpId::new("op-a"));
     accepted.record(&OpId::new("op-b"));
     let replica =
         Replica { service: "verdict".into(), zone: "centro-1".into(), addr: address(50), draining: true };
     let member = Member { info: node_info(Role::Core), epoch: Epoch(12) };
-    Ledger {
+    ClusterState {
         cluster: "bitacora".into(),
         secret: 0x0123_4567_89ab_cdef_0011_2233_4455_6677,
         index: Index(40),
@@ -101,8 +101,11 @@
         members: BTreeMap::from([(NodeId::new("p1"), member)]),
         epoch: Epoch(33),
         voters: (0..3).map(voter).collect(),
-        lost: vec![Lost { node: NodeId::new("p4"), of: 12 }],
-        ops: verdicts().into_iter().map(|(name, v)| (OpId::new(name), v)).collect::<VecDeque<_>>(),
+        lost: vec![LostMember { node: NodeId::new("p4"), of: 12 }],
+        recent_operations: outcomes()
+            .into_iter()
+            .map(|(name, v)| (OpId::new(name), v))
+            .collect::<VecDeque<_>>(),
         accepted,
     }
 }
@@ -110,10 +113,10 @@
 pub fn durable_state() -> DurableState {
     DurableState {
         me: voter(1),
-        formed: true,
-        promised: Term(25),
+        initialized: true,
+        current_term: Term(25),
         log_term: Term(17),
-        ledger: state(),
+        cluster_state: state(),
         entries: entries(),
     }
 }
@@ -135,7 +138,7 @@
         to: 2,
         term: Term(25),
         accepted: Index(40),
-        stamp: Tick(86_400_123),
+        sent_at: Tick(86_400_123),
         body,
     };
     let tail = LogTail {
@@ -150,12 +153,15 @@
             "discover",
             Message::Discover {
                 holder: voter(0),
-                formed: true,
+                initialized: true,
                 voters: vec![voter(0), voter(1)],
                 index: Index(4),
             },
         ),
-        ("bootstrap", Message::Bootstrap { ledger: Ledger::founded("bitacora", vec![voter(0)]) }),
+        (
+            "bootstrap",
+            Message::Bootstrap { cluster_state: ClusterState::bootstrapped("bitacora", vec![voter(0)]) },
+        ),
         ("join-request", Message::JoinRequest { holder: voter(2) }),
         ("leader-query", Message::LeaderQuery(Tick(7))),
         ("not-leading", Message::NotLeading(Tick(7))),
@@ -175,7 +181,7 @@
                 installed: true,
                 last: Index(50),
                 accepted: Index(40),
-                stamp: Tick(86_400_123),
+                sent_at: Tick(86_400_123),
             },
         ),
     ]
--- a/crates/control-plane/tests/consensus.rs
+++ b/crates/control-plane/tests/consensus.rs
@@ -2,7 +2,7 @@
 
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
 use control_plane::{
-    Change, Ledger,
+    Change, ClusterState,
     change::VoterInfo,
     consensus::{Body, DurableState, Effect, Event, LogTail, Message, Voter, VoterId},
 };
@@ -28,21 +28,21 @@
     (0..3).map(|n| holder(n, 10 + u64::from(n))).collect()
 }
 
-fn formed(n: u8) -> Voter {
-    let img = DurableState {
+fn initialized(n: u8) -> Voter {
+    let image = DurableState {
         me: holder(n, 10 + u64::from(n)),
-        formed: true,
-        promised: Term(0),
+        initialized: true,
+        current_term: Term(0),
         log_term: Term(0),
-        ledger: Ledger::founded("c", voters()),
+        cluster_state: ClusterState::bootstrapped("c", voters()),
         entries: vec![],
     };
-    Voter::new(holder(n, 0), "c", (0..3).map(addr).collect(), Timing::default(), Some(img), Tick(10_000))
+    Voter::new(holder(n, 0), "c", (0..3).map(addr).collect(), Timing::default(), Some(image), Tick(10_000))
 }
 
 fn blank(n: u8) -> Voter {
-    let img = Voter::blank_image(&holder(n, 90 + u64::from(n)));
-    Voter::new(holder(n, 0), "c", (0..3).map(addr).collect(), Timing::default(), Some(img), Tick(10_000))
+    let image = Voter::blank_state(&holder(n, 90 + u64::from(n)));
+    Voter::new(holder(n, 0), "c", (0..3).map(addr).collect(), Timing::default(), Some(image), Tick(10_000))
 }
 
 fn voter(n: u8) -> VoterId {
@@ -60,29 +60,35 @@
 }
 
 /// Tells the voter that all its writes are synced; what that releases.
-fn synced(s: &mut Voter, effects: &[Effect], now: Tick) -> Vec<Effect> {
+fn durable_index(s: &mut Voter, effects: &[Effect], now: Tick) -> Vec<Effect> {
     let mut last = effects.iter().filter_map(|f| match f {
-        Effect::Persist { tok, .. } => Some(*tok),
+        Effect::Persist { token, .. } => Some(*token),
         _ => None,
     });
-    last.next_back().map(|tok| s.step(Event::Synced(tok), now)).unwrap_or_default()
+    last.next_back().map(|token| s.step(Event::Synced(token), now)).unwrap_or_default()
 }
 
-fn held(n: u8, term: Term, last: u64, stamp: Tick, installed: bool) -> Event {
-    let m =
-        Message::AppendReply { by: voter(n), term, installed, last: Index(last), accepted: Index(0), stamp };
+fn held(n: u8, term: Term, last: u64, sent_at: Tick, installed: bool) -> Event {
+    let m = Message::AppendReply {
+        by: voter(n),
+        term,
+        installed,
+        last: Index(last),
+        accepted: Index(0),
+        sent_at,
+    };
     Event::Msg(addr(n), m)
 }
 
 /// Voter 0, brought to the lead with the help of voter 1.
 fn leader() -> (Voter, Tick) {
-    let mut s = formed(0);
+    let mut s = initialized(0);
     let now = Tick(13_000);
     s.step(Event::Timer, now);
     let term = Term(8);
     let effects = s.step(Event::Msg(addr(1), Message::PreVoteGranted { by: voter(1), term }), now);
     assert!(sent(&effects).is_empty(), "stop is not said before the own promise is synced");
-    let out = synced(&mut s, &effects, now);
+    let out = durable_index(&mut s, &effects, now);
     assert!(matches!(sent(&out)[0], Message::VoteRequest { .. }));
     let tail =
         LogTail { log_term: Term(0), last: Index(0), accepted: Index(0), snapshot: None, entries: vec![] };
@@ -91,7 +97,7 @@
         effects.iter().any(|f| matches!(f, Effect::BecameLeader { .. })),
         "the lead is told in the step that takes it"
     );
-    synced(&mut s, &effects, now);
+    durable_index(&mut s, &effects, now);
     (s, now)
 }
 
@@ -100,19 +106,19 @@
     let (mut s, now) = leader();
     s.step(held(1, Term(8), 0, now, true), now);
     let effects = s.step(Event::Propose(evac("a")), now);
-    let fx2 = synced(&mut s, &effects, now);
-    let accepted = |effects: &[Effect]| effects.iter().any(|f| matches!(f, Effect::Accepted { .. }));
+    let fx2 = durable_index(&mut s, &effects, now);
+    let accepted = |effects: &[Effect]| effects.iter().any(|f| matches!(f, Effect::Committed { .. }));
     assert!(!accepted(&effects) && !accepted(&fx2) && s.accepted() == Index(0));
     // Neither a holder that is no more in the voters nor an older term's answer counts.
-    let foreign = Message::AppendReply {
+    let saw_other_cluster = Message::AppendReply {
         by: VoterId { number: 2, incarnation: Incarnation(99) },
         term: Term(8),
         installed: true,
         last: Index(1),
         accepted: Index(0),
-        stamp: now,
+        sent_at: now,
     };
-    assert!(!accepted(&s.step(Event::Msg(addr(2), foreign), now)));
+    assert!(!accepted(&s.step(Event::Msg(addr(2), saw_other_cluster), now)));
     assert!(!accepted(&s.step(held(2, Term(0), 1, now, true), now)));
     assert!(accepted(&s.step(held(1, Term(8), 1, now, true), now)));
 }
@@ -125,18 +131,18 @@
 fn an_overdue_sync_costs_the_lead() {
     let (mut s, now) = leader();
     s.step(held(1, Term(8), 0, now, true), now);
-    assert!(s.leads(now));
+    assert!(s.has_leadership(now));
     s.step(Event::Propose(evac("a")), now);
     let late = now + Timing::default().sync_timeout_ms() + 1;
     s.step(held(1, Term(8), 0, late, true), late);
-    assert!(!s.leads(late), "its own disk has not answered");
+    assert!(!s.has_leadership(late), "its own disk has not answered");
     s.step(Event::Timer, late);
     assert!(!s.is_leader());
 }
 
 #[test]
 fn a_failed_sync_ends_the_vote() {
-    let mut s = formed(0);
+    let mut s = initialized(0);
     s.step(Event::SyncFailed, Tick(12_000));
     let ask = Message::PreVote { by: voter(1), term: Term(9) };
     assert!(s.step(Event::Msg(addr(1), ask), Tick(20_000)).is_empty());
@@ -148,12 +154,12 @@
 #[case::just_started(10_500, false)]
 #[case::long_silent(12_500, true)]
 fn promises_wait(#[case] now: u64, #[case] want: bool) {
-    let mut s = formed(1);
+    let mut s = initialized(1);
     let stop = Message::VoteRequest { by: voter(0), term: Term(8), accepted: Index(0) };
     let effects = s.step(Event::Msg(addr(0), stop), Tick(now));
     assert!(sent(&effects).is_empty());
     assert_eq!(effects.iter().any(|f| matches!(f, Effect::Persist { .. })), want);
-    let out = synced(&mut s, &effects, Tick(now));
+    let out = durable_index(&mut s, &effects, Tick(now));
     assert_eq!(sent(&out).len(), usize::from(want), "the answer follows the sync");
 }
 
@@ -173,7 +179,7 @@
     assert!(!swap(&s.step(held(1, Term(8), 0, later - 1, true), later + 5)));
     assert!(swap(&s.step(held(1, Term(8), 0, later + 1, true), later + 6)));
     // From here on the old incarnation counts no more.
-    assert!(!s.knows(&voter(2)));
+    assert!(!s.is_voter(&voter(2)));
 }
 
 /// Found by the simulator (seed 10543): word that a seed was blank some time ago let two blank
@@ -183,31 +189,32 @@
 #[case::old(5_000, false)]
 fn only_fresh_word_of_three_blank_seats_founds(#[case] gap: u64, #[case] want: bool) {
     let mut s = blank(0);
-    let discovered = |n: u8| Message::Discover {
+    let discovered_voters = |n: u8| Message::Discover {
         holder: holder(n, 90 + u64::from(n)),
-        formed: false,
+        initialized: false,
         voters: vec![],
         index: Index(0),
     };
-    s.step(Event::Msg(addr(1), discovered(1)), Tick(11_000));
-    s.step(Event::Msg(addr(2), discovered(2)), Tick(11_000 + gap));
+    s.step(Event::Msg(addr(1), discovered_voters(1)), Tick(11_000));
+    s.step(Event::Msg(addr(2), discovered_voters(2)), Tick(11_000 + gap));
     s.step(Event::Timer, Tick(11_000 + gap));
-    assert_eq!(s.formed, want);
+    assert_eq!(s.initialized, want);
 }
 
 #[test]
 fn nothing_with_state_is_founded_over() {
-    let other = Ledger::founded("c", (0..3).map(|n| holder(n, 90 + u64::from(n))).collect());
-    let mut s = formed(0);
-    let before = s.ledger.clone();
-    s.step(Event::Msg(addr(1), Message::Bootstrap { ledger: other.clone() }), Tick(12_000));
-    assert_eq!(s.ledger, before);
+    let other = ClusterState::bootstrapped("c", (0..3).map(|n| holder(n, 90 + u64::from(n))).collect());
+    let mut s = initialized(0);
+    let before = s.cluster_state.clone();
+    s.step(Event::Msg(addr(1), Message::Bootstrap { cluster_state: other.clone() }), Tick(12_000));
+    assert_eq!(s.cluster_state, before);
     // A blank voter that has seen a cluster without it is not founded either.
     let mut b = blank(0);
-    let seen = Message::Discover { holder: holder(1, 11), formed: true, voters: voters(), index: Index(4) };
+    let seen =
+        Message::Discover { holder: holder(1, 11), initialized: true, voters: voters(), index: Index(4) };
     b.step(Event::Msg(addr(1), seen), Tick(12_000));
-    b.step(Event::Msg(addr(1), Message::Bootstrap { ledger: other }), Tick(12_001));
-    assert!(!b.formed);
+    b.step(Event::Msg(addr(1), Message::Bootstrap { cluster_state: other }), Tick(12_001));
+    assert!(!b.initialized);
 }
 
 /// A blank voter neither votes nor promises; it says that it holds nothing.
@@ -219,15 +226,15 @@
     let stop = Message::VoteRequest { by: voter(1), term: Term(9), accepted: Index(0) };
     assert!(s.step(Event::Msg(addr(1), pre_vote), now).is_empty());
     assert!(s.step(Event::Msg(addr(1), stop), now).is_empty());
-    let feed = Message::Append {
+    let send_append = Message::Append {
         by: voter(1),
         to: 2,
         term: Term(9),
         accepted: Index(3),
-        stamp: now,
+        sent_at: now,
         body: Body::Ping,
     };
-    let effects = s.step(Event::Msg(addr(1), feed), now);
+    let effects = s.step(Event::Msg(addr(1), send_append), now);
     assert!(matches!(sent(&effects)[..], [Message::AppendReply { installed: false, last: Index(0), .. }]));
 }
 
@@ -236,22 +243,23 @@
 fn a_planned_stop_hands_the_lead_over() {
     let (mut s, now) = leader();
     s.step(held(1, Term(8), 0, now, true), now);
-    assert!(s.leads(now));
+    assert!(s.has_leadership(now));
     let effects = s.step(Event::StepDown, now);
     assert!(
-        !s.leads(now) && matches!(sent(&effects)[..], [Message::StepDown { .. }, Message::StepDown { .. }])
+        !s.has_leadership(now)
+            && matches!(sent(&effects)[..], [Message::StepDown { .. }, Message::StepDown { .. }])
     );
     for (term, stands) in [(Term(8), true), (Term(3), false)] {
-        let mut f = formed(1);
-        let feed = Message::Append {
+        let mut f = initialized(1);
+        let send_append = Message::Append {
             by: voter(0),
             to: 1,
             term: Term(8),
             accepted: Index(0),
-            stamp: now,
+            sent_at: now,
             body: Body::Ping,
         };
-        f.step(Event::Msg(addr(0), feed), now);
+        f.step(Event::Msg(addr(0), send_append), now);
         f.step(Event::Msg(addr(0), Message::StepDown { by: voter(0), term }), now);
         let effects = f.step(Event::Timer, now + 1);
         assert_eq!(sent(&effects).iter().any(|m| matches!(m, Message::PreVote { .. })), stands);
@@ -264,21 +272,21 @@
 /// `rpc_timeout_ms`, so what comes later than that in a process's life was said during this life.
 #[test]
 fn what_was_said_before_a_process_started_founds_nothing() {
-    let discovered = |n: u8| {
+    let discovered_voters = |n: u8| {
         let (holder, voters) = (holder(n, 90 + u64::from(n)), Vec::new());
-        Event::Msg(addr(n), Message::Discover { holder, formed: false, voters, index: Index(0) })
+        Event::Msg(addr(n), Message::Discover { holder, initialized: false, voters, index: Index(0) })
     };
     let mut s = blank(0);
     let start = Tick(10_000);
-    s.step(discovered(1), start + 1);
-    s.step(discovered(2), start + 1);
+    s.step(discovered_voters(1), start + 1);
+    s.step(discovered_voters(2), start + 1);
     s.step(Event::Timer, start + 100);
-    assert!(!s.formed, "it may be old");
+    assert!(!s.initialized, "it may be old");
     let later = start + Timing::default().rpc_timeout_ms + 1;
     s.step(Event::Timer, later);
-    assert!(!s.formed, "nothing was said since");
-    s.step(discovered(1), later);
-    s.step(discovered(2), later);
+    assert!(!s.initialized, "nothing was said since");
+    s.step(discovered_voters(1), later);
+    s.step(discovered_voters(2), later);
     s.step(Event::Timer, later + 100);
-    assert!(s.formed);
+    assert!(s.initialized);
 }
--- a/crates/control-plane/tests/damage.rs
+++ b/crates/control-plane/tests/damage.rs
@@ -4,10 +4,10 @@
 
 use common::{Incarnation, Index, Term};
 use control_plane::{
-    Change, Ledger,
+    Change, ClusterState,
     change::VoterInfo,
     consensus::{DurableState, LogEntry, Record, Voter},
-    disk::{Disk, Found},
+    disk::{LoadResult, RecordWriter},
     store::{FileStore, LOG_LEN, SLOT_LEN},
 };
 use rstest::rstest;
@@ -32,7 +32,11 @@
         rpc_addr: address,
         http: address,
     };
-    DurableState { formed: true, ledger: Ledger::founded("c", vec![me.clone()]), ..Voter::blank_image(&me) }
+    DurableState {
+        initialized: true,
+        cluster_state: ClusterState::bootstrapped("c", vec![me.clone()]),
+        ..Voter::blank_state(&me)
+    }
 }
 
 fn append(n: u64) -> Record {
@@ -49,34 +53,34 @@
 /// last log, and before the first of them.
 fn filled(slots: u64) -> (TempDir, Vec<DurableState>) {
     let dir = tempdir().unwrap();
-    let (mut img, mut n) = (image(), 0);
-    let mut store = FileStore::open(dir.path(), &img).unwrap();
+    let (mut image, mut n) = (image(), 0);
+    let mut store = FileStore::open(dir.path(), &image).unwrap();
     let mut states = vec![];
     for slot in 0..slots {
         if slot > 0 {
-            store.write(&Record::DurableState(Box::new(img.clone()))).unwrap();
+            store.write(&Record::DurableState(Box::new(image.clone()))).unwrap();
         }
-        states = vec![img.clone()];
+        states = vec![image.clone()];
         for _ in 0..3 {
             n += 1;
             store.write(&append(n)).unwrap();
-            img.replay(append(n));
-            states.push(img.clone());
+            image.replay(append(n));
+            states.push(image.clone());
         }
     }
     (dir, states)
 }
 
-fn load(dir: &Path) -> Found {
+fn load(dir: &Path) -> LoadResult {
     FileStore::load(dir).unwrap()
 }
 
-fn newest(states: &[DurableState]) -> Found {
-    Found::DurableState(Box::new(states.last().unwrap().clone()))
+fn newest(states: &[DurableState]) -> LoadResult {
+    LoadResult::DurableState(Box::new(states.last().unwrap().clone()))
 }
 
-fn told(found: &Found) -> bool {
-    matches!(found, Found::Damaged(_) | Found::OtherForm)
+fn told(found: &LoadResult) -> bool {
+    matches!(found, LoadResult::Corrupt(_) | LoadResult::IncompatibleFormat)
 }
 
 fn file(dir: &Path, name: &str) -> File {
@@ -84,7 +88,7 @@
 }
 
 /// Where the content of a file ends: nothing but zeros follows.
-fn content(path: &Path) -> usize {
+fn hears_leader(path: &Path) -> usize {
     let bytes = fs::read(path).unwrap();
     bytes.iter().rposition(|b| *b != 0).map_or(0, |at| at + 1)
 }
@@ -118,7 +122,7 @@
     let (dir, states) = filled(slots);
     let last_record = states[states.len() - 2].clone();
     let f = file(dir.path(), name);
-    let len = content(&dir.path().join(name));
+    let len = hears_leader(&dir.path().join(name));
     let bytes = fs::read(dir.path().join(name)).unwrap();
     let in_last_log = name == current_name(dir.path());
     for at in 0..len as u64 {
@@ -129,7 +133,7 @@
         for bit in bits {
             f.write_all_at(&[was[0] ^ 1 << bit], at).unwrap();
             let found = load(dir.path());
-            let cut = in_last_log && found == Found::DurableState(Box::new(last_record.clone()));
+            let cut = in_last_log && found == LoadResult::DurableState(Box::new(last_record.clone()));
             assert!(
                 told(&found) || found == newest(&states) || cut,
                 "{name} with {slots} slots: bit {bit} of byte {at}: {found:?}"
@@ -168,7 +172,7 @@
     let (dir, _) = filled(2);
     let path = dir.path().join(name);
     let whole = fs::read(&path).unwrap();
-    let lengths = (0..content(&path) + 2).chain([whole.len() / 2, whole.len() - 1]);
+    let lengths = (0..hears_leader(&path) + 2).chain([whole.len() / 2, whole.len() - 1]);
     for len in lengths {
         file(dir.path(), name).set_len(len as u64).unwrap();
         let found = load(dir.path());
@@ -185,9 +189,9 @@
         let (dir, _) = filled(slots);
         let lost: Vec<&str> = (0..4).filter(|n| set & (1 << n) != 0).map(|n: usize| FILES[n]).collect();
         let begun_log_stays =
-            ["log-0", "log-1"].iter().any(|f| !lost.contains(f) && content(&dir.path().join(f)) > 0);
+            ["log-0", "log-1"].iter().any(|f| !lost.contains(f) && hears_leader(&dir.path().join(f)) > 0);
         let slot_stays =
-            ["slot-0", "slot-1"].iter().any(|f| !lost.contains(f) && content(&dir.path().join(f)) > 0);
+            ["slot-0", "slot-1"].iter().any(|f| !lost.contains(f) && hears_leader(&dir.path().join(f)) > 0);
         for name in &lost {
             if empty {
                 file(dir.path(), name).set_len(0).unwrap();
@@ -197,7 +201,7 @@
         }
         let found = load(dir.path());
         // With all that was written gone it is a lost disk: blank, and so without a vote.
-        let blank = !begun_log_stays && !slot_stays && found == Found::Nothing;
+        let blank = !begun_log_stays && !slot_stays && found == LoadResult::Nothing;
         assert!(told(&found) || blank, "{lost:?} of {slots} slots lost: {found:?}");
     }
 }
@@ -229,30 +233,30 @@
 #[test]
 fn a_snapshot_cut_midway_is_passed_over() {
     let (dir, states) = filled(2);
-    let newer = DurableState { promised: Term(99), ..states.last().unwrap().clone() };
+    let newer = DurableState { current_term: Term(99), ..states.last().unwrap().clone() };
     let mut store = reopened(&dir, states.last().unwrap());
     let before = copy(dir.path());
     store.write(&Record::DurableState(Box::new(newer.clone()))).unwrap();
     let slot = current(dir.path(), "slot");
     let name = slot.file_name().unwrap();
     let written = fs::read(&slot).unwrap();
-    let len = content(&slot);
+    let len = hears_leader(&slot);
     let torn = copy(before.path());
     for reached in 0..=len {
         let was = fs::read(before.path().join(name)).unwrap();
         let mixed: Vec<u8> = written[..reached].iter().chain(&was[reached..]).copied().collect();
         file(torn.path(), &name.to_string_lossy()).write_all_at(&mixed[..len.max(1_000)], 0).unwrap();
         let found = load(torn.path());
-        let whole = found == Found::DurableState(Box::new(newer.clone()));
+        let whole = found == LoadResult::DurableState(Box::new(newer.clone()));
         let (whole_only_when_whole, older) = (whole && reached == len, found == newest(&states));
         assert!(older || whole_only_when_whole, "{reached} of {len} bytes: {found:?}");
     }
 }
 
 /// The store of a folder as it stands, without the slot that opening it writes.
-fn reopened(dir: &TempDir, img: &DurableState) -> FileStore {
-    let store = FileStore::open(dir.path(), img).unwrap();
-    assert_eq!(load(dir.path()), Found::DurableState(Box::new(img.clone())));
+fn reopened(dir: &TempDir, image: &DurableState) -> FileStore {
+    let store = FileStore::open(dir.path(), image).unwrap();
+    assert_eq!(load(dir.path()), LoadResult::DurableState(Box::new(image.clone())));
     store
 }
 
@@ -283,7 +287,7 @@
         f.write_all_at(&zeros, HEAD as u64).unwrap();
         f.write_all_at(&stale[from..len], from as u64).unwrap();
         let found = load(dir.path());
-        let snapshot = Found::DurableState(Box::new(states[0].clone()));
+        let snapshot = LoadResult::DurableState(Box::new(states[0].clone()));
         assert!(if marked { told(&found) } else { found == snapshot }, "from {from}: {found:?}");
     }
 }
@@ -352,9 +356,9 @@
         let len = if n + 1 == made { part.min(len) } else { len };
         fs::write(dir.path().join(name), vec![0; len]).unwrap();
     }
-    assert_eq!(load(dir.path()), Found::Nothing);
+    assert_eq!(load(dir.path()), LoadResult::Nothing);
     FileStore::open(dir.path(), &image()).unwrap();
-    assert_eq!(load(dir.path()), Found::DurableState(Box::new(image())));
+    assert_eq!(load(dir.path()), LoadResult::DurableState(Box::new(image())));
 }
 
 /// What can't be read at all is an error of the start, not a blank folder.
@@ -379,9 +383,9 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let (dir, states) = filled(rng.random_range(1..4));
         let last_log = current_name(dir.path());
-        let last_record = Found::DurableState(Box::new(states[states.len() - 2].clone()));
+        let last_record = LoadResult::DurableState(Box::new(states[states.len() - 2].clone()));
         let name = FILES[rng.random_range(0..4)];
-        let len = content(&dir.path().join(name)).max(64) as u64;
+        let len = hears_leader(&dir.path().join(name)).max(64) as u64;
         let f = file(dir.path(), name);
         match rng.random_range(0..3) {
             0 => (0..rng.random_range(1..6)).for_each(|_| {
--- a/crates/control-plane/tests/desk.rs
+++ b/crates/control-plane/tests/desk.rs
@@ -1,9 +1,9 @@
-//! Conformance of the operator's desk with design 4.9, and of small cores with design 2.2.
+//! Conformance of the operator's operator service with design 4.9, and of small cores with design 2.2.
 
 use common::runtime::World;
 use control_plane::{
-    desk::{MAX_DOC, Told},
-    ledger::OPS_KEPT,
+    cluster_state::OPS_KEPT,
+    operator_service::{MAX_DOC, Told},
 };
 use rstest::rstest;
 use std::time::Duration;
@@ -30,9 +30,9 @@
 #[rstest]
 fn cores_of_any_size_form_and_accept(#[values(1, 2, 3, 5, 6, 7)] voters: usize) {
     World::run(7, None, |w| async move {
-        let c = Cluster::formed(w, voters).await;
+        let c = Cluster::initialized(w, voters).await;
         for s in &c.at {
-            assert_eq!(s.core.status().ledger.voters.len(), voters);
+            assert_eq!(s.core.status().cluster_state.voters.len(), voters);
             assert_eq!(s.read().await, Ok(None));
         }
         assert_eq!(c.at[voters - 1].replace(0, "3\nfirst").await, Told::Accepted);
@@ -48,7 +48,7 @@
     World::run(8, None, |w| async move {
         let c = Cluster::start(w, voters, false).await;
         tokio::time::sleep(Duration::from_secs(60)).await;
-        assert!(c.at.iter().all(|s| !s.core.status().formed));
+        assert!(c.at.iter().all(|s| !s.core.status().initialized));
     });
 }
 
@@ -56,11 +56,11 @@
 #[test]
 fn one_of_two_seats_accepts_nothing() {
     World::run(9, None, |w| async move {
-        let c = Cluster::formed(w, 2).await;
+        let c = Cluster::initialized(w, 2).await;
         let at = c.leader();
         c.cut_off(1 - at);
         assert_ne!(c.at[at].replace(0, "1\nalone").await, Told::Accepted);
-        assert_eq!(c.at[at].core.status().ledger.revision.0, 0, "nothing came into force");
+        assert_eq!(c.at[at].core.status().cluster_state.revision.0, 0, "nothing came into force");
         c.mend(1 - at);
         c.until("both are led again", |c| c.at.iter().all(|s| s.core.status().leader.is_some())).await;
     });
@@ -72,10 +72,10 @@
     Amend,
 }
 
-async fn send(s: &cluster::Stand, kind: Kind, expects: u64, text: &str) -> Told {
+async fn send(s: &cluster::Stand, kind: Kind, expected_voters: u64, text: &str) -> Told {
     match kind {
-        Kind::Replace => s.replace(expects, text).await,
-        Kind::Amend => s.amend(expects, text).await,
+        Kind::Replace => s.replace(expected_voters, text).await,
+        Kind::Amend => s.amend(expected_voters, text).await,
     }
 }
 
@@ -89,7 +89,7 @@
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
     World::run(seed, None, |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "2\nbase").await, Told::Accepted);
         let (a, b) = (&c.at[at.0], &c.at[at.1]);
         let (texts, kinds) = (["5\n, one", "6\n, two"], [first, second]);
@@ -115,16 +115,16 @@
 #[test]
 fn a_resend_answers_as_at_first() {
     World::run(11, None, |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         let all = [(0, "1\na"), (1, "4\nb"), (4, "9\nc")];
-        for (n, (expects, text)) in all.iter().enumerate() {
-            assert_eq!(c.at[n].replace(*expects, text).await, Told::Accepted);
-            assert_eq!(c.at[n].replace(*expects, text).await, Told::Accepted);
+        for (n, (expected_voters, text)) in all.iter().enumerate() {
+            assert_eq!(c.at[n].replace(*expected_voters, text).await, Told::Accepted);
+            assert_eq!(c.at[n].replace(*expected_voters, text).await, Told::Accepted);
         }
         assert_eq!(c.at[1].amend(9, "10\n, d").await, Told::Accepted);
         for s in &c.at {
-            for (expects, text) in all {
-                assert_eq!(s.replace(expects, text).await, Told::Accepted);
+            for (expected_voters, text) in all {
+                assert_eq!(s.replace(expected_voters, text).await, Told::Accepted);
             }
             assert_eq!(s.amend(9, "10\n, d").await, Told::Accepted);
             // The same bytes on top of another version are another change.
@@ -134,17 +134,17 @@
     });
 }
 
-/// As many later verdicts as are kept don't push out that of an accepted document.
+/// As many later outcomes as are kept don't push out that of an accepted document.
 #[test]
 fn a_resend_outlives_later_verdicts() {
     World::run(12, None, |w| async move {
-        let c = Cluster::formed(w, 1).await;
+        let c = Cluster::initialized(w, 1).await;
         let s = &c.at[0];
         assert_eq!(s.replace(0, "1\na").await, Told::Accepted);
         for n in 0..OPS_KEPT + 1 {
             assert_eq!(s.evacuate("far", n % 2 == 0).await, Told::Accepted);
         }
-        assert_eq!(s.verdicts(), OPS_KEPT);
+        assert_eq!(s.outcomes(), OPS_KEPT);
         assert_eq!(s.replace(0, "1\na").await, Told::Accepted);
         assert_eq!(s.replace(1, "2\nb").await, Told::Accepted);
         assert_eq!(s.replace(0, "1\na").await, Told::Accepted);
@@ -154,7 +154,7 @@
 #[test]
 fn what_can_not_be_taken_is_told_and_changes_nothing() {
     World::run(13, None, |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         let s = &c.at[1];
         assert_eq!(s.replace(3, "4\n").await, Told::Conflict { current: Some(0) });
         assert!(invalid(&s.replace(0, "0\n").await).contains("allowed: above 0"));
@@ -182,7 +182,7 @@
 #[rstest]
 fn what_was_undetermined_is_told_by_sending_again(#[values(1, 2, 3)] seed: u64) {
     World::run(seed, None, |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         let old = c.leader();
         assert_eq!(c.at[old].replace(0, "1\na").await, Told::Accepted);
         c.cut_off(old);
@@ -207,7 +207,7 @@
         for s in &c.at {
             assert_eq!(s.replace(1, "2\nb").await, Told::Accepted);
             assert_eq!(s.read().await, held(2, "2\nb"));
-            assert_eq!(s.core.status().ledger.revision.0, 2, "each was taken once");
+            assert_eq!(s.core.status().cluster_state.revision.0, 2, "each was taken once");
         }
     });
 }
@@ -220,7 +220,7 @@
 fn documents_are_read_back_byte_for_byte(#[case] text: &str) {
     let text = text.to_string();
     World::run(21, None, |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[2].replace(0, &text).await, Told::Accepted);
         for s in &c.at {
             assert_eq!(s.read().await, held(1, &text));
@@ -231,7 +231,7 @@
 #[test]
 fn areas_are_evacuated_and_taken_back() {
     World::run(31, None, |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "1\na").await, Told::Accepted);
         // "far" is known by name only; in "a2" a voter stands.
         for (at, zone) in [(0, "far"), (1, "a2"), (2, "a2")] {
--- a/crates/control-plane/tests/disk_faults.rs
+++ b/crates/control-plane/tests/disk_faults.rs
@@ -5,11 +5,11 @@
 
 use common::{Incarnation, Index, Term, settings::Settings, settings::Timing};
 use control_plane::{
-    Change, Ledger,
+    Change, ClusterState,
     change::VoterInfo,
     consensus::{DurableState, LogEntry, Record, Voter},
-    core::{DataFolder, Recorder, Retry},
-    disk::{Disk, Found, OpenError},
+    core::{DataFolder, Recorder, RecoveryBackoff},
+    disk::{LoadResult, OpenError, RecordWriter},
     store::FileStore,
 };
 use medium::{FaultyMedium, Plan, Trouble};
@@ -34,7 +34,7 @@
         rpc_advertise: None,
         http_advertise: None,
         seeds: vec![addr(7000)],
-        founds: true,
+        may_bootstrap: true,
         data: Some(dir.to_path_buf()),
         timing: Timing::default(),
         log: "info".into(),
@@ -51,7 +51,11 @@
         rpc_addr: set.rpc_addr,
         http: set.http,
     };
-    DurableState { formed: true, ledger: Ledger::founded("c", vec![me.clone()]), ..Voter::blank_image(&me) }
+    DurableState {
+        initialized: true,
+        cluster_state: ClusterState::bootstrapped("c", vec![me.clone()]),
+        ..Voter::blank_state(&me)
+    }
 }
 
 fn entry(n: u64) -> LogEntry {
@@ -146,7 +150,7 @@
         return Err("it came up blank".into());
     }
     let (has, want) = (last(image), last(told));
-    if has < want || has > want + 1 || image.promised < told.promised {
+    if has < want || has > want + 1 || image.current_term < told.current_term {
         return Err(format!("it holds {has}, where {want} was told as synced"));
     }
     let whole = image.entries.iter().map(|e| e.index.0).eq(1..=has);
@@ -155,7 +159,7 @@
 
 fn starts_with(path: &Path, told: &DurableState) -> Result<(), String> {
     match FileStore::load(path).map_err(|e| e.to_string())? {
-        Found::DurableState(image) => holds(&image, told),
+        LoadResult::DurableState(image) => holds(&image, told),
         other => Err(format!("{other:?}")),
     }
 }
@@ -227,7 +231,7 @@
     let before = run.medium.operations();
     assert!(run.recorder.write(&Record::Promise(Term(10))).is_err(), "the disk works, and was not read anew");
     assert_eq!(run.medium.operations(), before);
-    assert_eq!(run.recorder.recover().unwrap().promised, Term(0));
+    assert_eq!(run.recorder.recover().unwrap().current_term, Term(0));
     assert!(run.recorder.write(&Record::Promise(Term(10))).is_ok());
 }
 
@@ -244,8 +248,8 @@
         assert!(recorder.failed());
     }
     let image = recorder.recover().unwrap();
-    assert!(!image.formed);
-    assert_eq!(FileStore::load(&data).unwrap(), Found::DurableState(Box::new(image)));
+    assert!(!image.initialized);
+    assert_eq!(FileStore::load(&data).unwrap(), LoadResult::DurableState(Box::new(image)));
 }
 
 /// A folder that turns out damaged is moved aside, and the voter comes up blank under another name.
@@ -262,7 +266,7 @@
     run.medium.plan(plan);
     assert!(run.recorder.write(&Record::Promise(Term(9))).is_err());
     let image = run.recorder.recover().unwrap();
-    assert!(!image.formed && image.me.incarnation != Incarnation(5));
+    assert!(!image.initialized && image.me.incarnation != Incarnation(5));
     let aside = fs::read_dir(run.dir.path()).unwrap().map(|e| e.unwrap().file_name());
     assert_eq!(aside.filter(|n| n.to_string_lossy().starts_with("data.damaged-")).count(), 1);
 }
@@ -282,7 +286,7 @@
 #[test]
 fn attempts_are_spread_and_few_are_told() {
     let timing = Timing::default();
-    let mut retry = Retry::new(&timing);
+    let mut retry = RecoveryBackoff::new(&timing);
     let mut waits = vec![retry.wait()];
     let told = (0..1_000).filter(|_| retry.failed()).count();
     waits.push(retry.wait());
--- a/crates/control-plane/tests/document.rs
+++ b/crates/control-plane/tests/document.rs
@@ -2,7 +2,7 @@
 //! and never longer than they are weighed.
 
 use common::wire;
-use control_plane::{Document, MAX_DOC, consensus::Room};
+use control_plane::{Document, MAX_DOC, consensus::SizeLimits};
 use rstest::rstest;
 
 mod noise;
@@ -53,13 +53,13 @@
 #[test]
 fn four_mebibytes_of_routes_fit() {
     let d = Document::from(routes(MAX_DOC));
-    assert!(d.fits() && d.packed_len() < Room::default().doc(), "{}", d.packed_len());
+    assert!(d.fits() && d.packed_len() < SizeLimits::default().doc(), "{}", d.packed_len());
     assert!(!Document::from(routes(MAX_DOC + 1)).fits());
 }
 
 #[rstest]
-#[case(Room::default().doc(), true)]
-#[case(Room::default().doc() + 1, false)]
+#[case(SizeLimits::default().doc(), true)]
+#[case(SizeLimits::default().doc() + 1, false)]
 fn what_can_not_be_packed_has_less_room(#[case] len: usize, #[case] fits: bool) {
     assert_eq!(Document::from(noise(5, len)).fits(), fits);
 }
--- a/crates/control-plane/tests/drawn.rs
+++ b/crates/control-plane/tests/drawn.rs
@@ -15,7 +15,7 @@
         rpc_advertise: None,
         http_advertise: None,
         seeds: vec![],
-        founds: true,
+        may_bootstrap: true,
         data: None,
         timing: Timing::default(),
         log: "info".into(),
@@ -29,7 +29,7 @@
     assert_eq!(all.len(), 1_000);
 }
 
-/// Two operators at one voter in one millisecond: the second was answered with the first one's verdict.
+/// Two operators at one voter in one millisecond: the second was answered with the first one's outcome.
 #[test]
 fn no_two_operations_share_a_name() {
     let all: BTreeSet<_> = (0..1_000).map(|_| drawn_op()).collect();
--- a/crates/control-plane/tests/feed.rs
+++ b/crates/control-plane/tests/feed.rs
@@ -1,4 +1,4 @@
-//! What a leader feeds, and when it feeds it again (design 2.3): long entries on long links go once,
+//! What a leader appends, and when it appends it again (design 2.3): long entries on long links go once,
 //! and heartbeats go meanwhile.
 
 use common::Index;
@@ -8,8 +8,8 @@
 use rig::{DOC, Rig, start};
 
 /// Feeds to a voter since a moment: those that carry a document, and all.
-fn fed(r: &Rig, to: usize, since: common::Tick) -> (usize, usize) {
-    let to_it = r.fed.iter().filter(|f| f.0 == to && f.1 >= since);
+fn replication_targets(r: &Rig, to: usize, since: common::Tick) -> (usize, usize) {
+    let to_it = r.replication_targets.iter().filter(|f| f.0 == to && f.1 >= since);
     (to_it.clone().filter(|f| f.2 >= DOC).count(), to_it.count())
 }
 
@@ -30,7 +30,7 @@
     r.stalled = true;
     r.apply(0, DOC);
     r.run(1_000);
-    let (long, all) = fed(&r, far, since);
+    let (long, all) = replication_targets(&r, far, since);
     assert_eq!(long, 1);
     assert!(all >= 10, "{all} beats in a second");
     r.stalled = false;
@@ -47,7 +47,7 @@
     let since = r.now;
     r.apply(0, DOC);
     r.run(5_000);
-    let (long, all) = fed(&r, far, since);
+    let (long, all) = replication_targets(&r, far, since);
     assert!((3..=5).contains(&long), "{long} times in five seconds");
     assert!(all >= 50, "{all} beats in five seconds");
     r.cut = None;
--- a/crates/control-plane/tests/larger.rs
+++ b/crates/control-plane/tests/larger.rs
@@ -2,7 +2,7 @@
 
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
 use control_plane::{
-    Change, Ledger,
+    Change, ClusterState,
     change::VoterInfo,
     consensus::{DurableState, Effect, Event, LogEntry, LogTail, MOST_VOTERS, Message, Voter, VoterId},
 };
@@ -29,15 +29,22 @@
     VoterId { number: n, incarnation: Incarnation(incarnation) }
 }
 
-fn formed(n: u8, of: u8, promised: u64) -> Voter {
+fn initialized(n: u8, of: u8, current_term: u64) -> Voter {
     let voters = (0..of).map(|n| holder(n, 10 + u64::from(n))).collect();
-    let img = DurableState {
-        formed: true,
-        promised: Term(promised),
-        ledger: Ledger::founded("c", voters),
-        ..Voter::blank_image(&holder(n, 10 + u64::from(n)))
+    let image = DurableState {
+        initialized: true,
+        current_term: Term(current_term),
+        cluster_state: ClusterState::bootstrapped("c", voters),
+        ..Voter::blank_state(&holder(n, 10 + u64::from(n)))
     };
-    Voter::new(img.me.clone(), "c", (0..3).map(addr).collect(), Timing::default(), Some(img), Tick(10_000))
+    Voter::new(
+        image.me.clone(),
+        "c",
+        (0..3).map(addr).collect(),
+        Timing::default(),
+        Some(image),
+        Tick(10_000),
+    )
 }
 
 fn pre_vote_granted(s: &mut Voter, now: Tick) -> Option<Term> {
@@ -51,11 +58,11 @@
 #[test]
 fn views_are_their_candidates_own() {
     let mut whose: BTreeMap<Term, u8> = BTreeMap::new();
-    for promised in 0..60 {
+    for current_term in 0..60 {
         for n in 0..MOST_VOTERS as u8 {
-            let mut s = formed(n, MOST_VOTERS as u8, promised);
+            let mut s = initialized(n, MOST_VOTERS as u8, current_term);
             let term = pre_vote_granted(&mut s, Tick(60_000)).expect("it stands");
-            assert!(term > Term(promised));
+            assert!(term > Term(current_term));
             assert_eq!(*whose.entry(term).or_insert(n), n, "{term} is another's too");
         }
     }
@@ -67,23 +74,24 @@
 #[case::one_is_missing(1, 100, None)]
 #[case::one_never_comes(1, 4_500, Some(4))]
 #[case::none_comes(0, 4_500, Some(3))]
-fn a_founder_waits_for_the_others(#[case] others: u8, #[case] ms: u64, #[case] voters: Option<usize>) {
+fn a_founder_waits_for_the_others(#[case] other_voters: u8, #[case] ms: u64, #[case] voters: Option<usize>) {
     let me = holder(0, 90);
-    let img = Voter::blank_image(&me);
-    let mut s = Voter::new(me, "c", (0..3).map(addr).collect(), Timing::default(), Some(img), Tick(10_000));
-    s.expects = 5;
+    let image = Voter::blank_state(&me);
+    let mut s = Voter::new(me, "c", (0..3).map(addr).collect(), Timing::default(), Some(image), Tick(10_000));
+    s.expected_voters = 5;
     let mut now = Tick(11_000);
     let end = now + ms;
-    while now < end && !s.formed {
+    while now < end && !s.initialized {
         now = now + 50;
-        for n in (1..3).chain(3..3 + others) {
+        for n in (1..3).chain(3..3 + other_voters) {
             let holder = holder(n, 90 + u64::from(n));
-            let discovered = Message::Discover { holder, formed: false, voters: vec![], index: Index(0) };
-            s.step(Event::Msg(addr(n), discovered), now);
+            let discovered_voters =
+                Message::Discover { holder, initialized: false, voters: vec![], index: Index(0) };
+            s.step(Event::Msg(addr(n), discovered_voters), now);
         }
         s.step(Event::Timer, now);
     }
-    assert_eq!(s.formed.then_some(s.ledger.voters.len()), voters);
+    assert_eq!(s.initialized.then_some(s.cluster_state.voters.len()), voters);
 }
 
 /// Found by the simulator (five voters, seed 616): a voter that did not know of a swap led with the
@@ -91,8 +99,11 @@
 #[rstest]
 #[case::with_the_replaced_holder(&[(0, 10), (3, 13)], false)]
 #[case::with_two_that_still_hold_seats(&[(3, 13), (4, 14)], true)]
-fn votes_count_by_the_roster_of_the_log_that_is_taken(#[case] from: &[(u8, u64)], #[case] leads: bool) {
-    let mut s = formed(2, 5, 0);
+fn votes_count_by_the_roster_of_the_log_that_is_taken(
+    #[case] from: &[(u8, u64)],
+    #[case] has_leadership: bool,
+) {
+    let mut s = initialized(2, 5, 0);
     let now = Tick(60_000);
     let term = pre_vote_granted(&mut s, now).expect("it stands");
     for (n, incarnation) in [(0, 10), (3, 13)] {
@@ -101,17 +112,17 @@
     let swap = LogEntry { index: Index(1), change: Change::ReplaceVoter(holder(0, 77)) };
     let mut led = false;
     for (n, incarnation) in from {
-        let knows = *n != 0;
+        let is_voter = *n != 0;
         let tail = LogTail {
-            log_term: Term(u64::from(knows)),
-            last: Index(u64::from(knows)),
+            log_term: Term(u64::from(is_voter)),
+            last: Index(u64::from(is_voter)),
             accepted: Index(0),
             snapshot: None,
-            entries: if knows { vec![swap.clone()] } else { vec![] },
+            entries: if is_voter { vec![swap.clone()] } else { vec![] },
         };
         let stopped = Message::Vote { by: voter(*n, *incarnation), term, tail };
         let effects = s.step(Event::Msg(addr(*n), stopped), now);
         led |= effects.iter().any(|f| matches!(f, Effect::BecameLeader { .. }));
     }
-    assert_eq!(led, leads);
+    assert_eq!(led, has_leadership);
 }
--- a/crates/control-plane/tests/malformed.rs
+++ b/crates/control-plane/tests/malformed.rs
@@ -7,9 +7,11 @@
     wire::{decode, encode},
 };
 use control_plane::{
-    Change, Ledger,
+    Change, ClusterState,
     change::VoterInfo,
-    consensus::{Body, DurableState, Effect, Event, LogEntry, LogTail, Message, Refusal, Voter, VoterId},
+    consensus::{
+        Body, DurableState, Effect, Event, InvalidMessage, LogEntry, LogTail, Message, Voter, VoterId,
+    },
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
@@ -51,13 +53,13 @@
     LogEntry { index: Index(n), change }
 }
 
-fn state(index: u64) -> Ledger {
-    let mut ledger = Ledger::founded("c", voters());
+fn state(index: u64) -> ClusterState {
+    let mut cluster_state = ClusterState::bootstrapped("c", voters());
     (1..=index.min(5)).for_each(|n| {
-        ledger.fold(Index(n), &entry(n).change);
+        cluster_state.fold(Index(n), &entry(n).change);
     });
-    ledger.index = Index(index);
-    ledger
+    cluster_state.index = Index(index);
+    cluster_state
 }
 
 fn voter(image: DurableState) -> Voter {
@@ -66,18 +68,24 @@
 }
 
 fn blank() -> Voter {
-    voter(Voter::blank_image(&VoterInfo { number: u8::MAX, incarnation: Incarnation(90), ..holder(2) }))
+    voter(Voter::blank_state(&VoterInfo { number: u8::MAX, incarnation: Incarnation(90), ..holder(2) }))
 }
 
 /// Voter 0 with five accepted changes, in the term 8 that it leads or once led.
-fn formed() -> Voter {
-    let blank = Voter::blank_image(&holder(0));
-    voter(DurableState { formed: true, promised: Term(8), log_term: Term(8), ledger: state(5), ..blank })
+fn initialized() -> Voter {
+    let blank = Voter::blank_state(&holder(0));
+    voter(DurableState {
+        initialized: true,
+        current_term: Term(8),
+        log_term: Term(8),
+        cluster_state: state(5),
+        ..blank
+    })
 }
 
 /// The same, as the leader of term 16 by the vote of voter 1, with six logged and five accepted.
 fn leader() -> Voter {
-    let mut s = formed();
+    let mut s = initialized();
     s.step(Event::Timer, NOW);
     let term = Term(16);
     s.step(Event::Msg(address(1), Message::PreVoteGranted { by: voter_id(1), term }), NOW);
@@ -92,7 +100,7 @@
     s.step(Event::Msg(address(1), Message::Vote { by: voter_id(1), term, tail }), NOW);
     s.step(Event::Synced(2), NOW);
     s.step(Event::Msg(address(1), holds(16, 5, 5, NOW)), NOW);
-    assert!(s.current(NOW), "{:?}", s.role);
+    assert!(s.can_serve_reads(NOW), "{:?}", s.role);
     s.step(Event::Propose(entry(6).change), NOW);
     assert_eq!(s.last(), Index(6));
     s
@@ -100,24 +108,24 @@
 
 /// Voter 0 as it gathers the ends of the others' logs for term 16.
 fn candidate() -> Voter {
-    let mut s = formed();
+    let mut s = initialized();
     s.step(Event::Timer, NOW);
     s.step(Event::Msg(address(1), Message::PreVoteGranted { by: voter_id(1), term: Term(16) }), NOW);
     s.step(Event::Synced(1), NOW);
     s
 }
 
-fn holds(term: u64, last: u64, accepted: u64, stamp: Tick) -> Message {
+fn holds(term: u64, last: u64, accepted: u64, sent_at: Tick) -> Message {
     let (last, accepted) = (Index(last), Index(accepted));
-    Message::AppendReply { by: voter_id(1), term: Term(term), installed: true, last, accepted, stamp }
+    Message::AppendReply { by: voter_id(1), term: Term(term), installed: true, last, accepted, sent_at }
 }
 
-fn feed(term: u64, accepted: u64, body: Body) -> Message {
+fn send_append(term: u64, accepted: u64, body: Body) -> Message {
     let (term, accepted) = (Term(term), Index(accepted));
-    Message::Append { by: voter_id(1), to: 0, term, accepted, stamp: NOW, body }
+    Message::Append { by: voter_id(1), to: 0, term, accepted, sent_at: NOW, body }
 }
 
-fn install(cut: u64, snapshot: Option<Ledger>, entries: &[u64]) -> Body {
+fn install(cut: u64, snapshot: Option<ClusterState>, entries: &[u64]) -> Body {
     Body::Install { cut: Index(cut), snapshot, entries: entries.iter().copied().map(entry).collect() }
 }
 
@@ -125,37 +133,43 @@
     Body::Append { prev: Index(prev), entries: entries.iter().copied().map(entry).collect() }
 }
 
-fn stopped(log_term: u64, last: u64, accepted: u64, snapshot: Option<Ledger>, entries: &[u64]) -> Message {
+fn stopped(
+    log_term: u64,
+    last: u64,
+    accepted: u64,
+    snapshot: Option<ClusterState>,
+    entries: &[u64],
+) -> Message {
     let entries = entries.iter().copied().map(entry).collect();
     let tail =
         LogTail { log_term: Term(log_term), last: Index(last), accepted: Index(accepted), snapshot, entries };
     Message::Vote { by: voter_id(1), term: Term(16), tail }
 }
 
-fn foreign(index: u64) -> Ledger {
-    Ledger { cluster: "another".into(), ..state(index) }
+fn saw_other_cluster(index: u64) -> ClusterState {
+    ClusterState { cluster: "another".into(), ..state(index) }
 }
 
-fn with_roster(voters: Vec<VoterInfo>) -> Ledger {
-    Ledger { voters, ..state(9) }
+fn with_roster(voters: Vec<VoterInfo>) -> ClusterState {
+    ClusterState { voters, ..state(9) }
 }
 
-fn discovered(voters: Vec<VoterInfo>, index: u64) -> Message {
-    Message::Discover { holder: holder(1), formed: true, voters, index: Index(index) }
+fn discovered_voters(voters: Vec<VoterInfo>, index: u64) -> Message {
+    Message::Discover { holder: holder(1), initialized: true, voters, index: Index(index) }
 }
 
 /// All of a voter that a message could change and that must outlive it.
 fn shown(s: &Voter) -> String {
     format!(
         "{} {} {} {:?} {:?} {} {} {} {} {} {:?}",
-        s.formed,
-        s.promised,
+        s.initialized,
+        s.current_term,
         s.log_term,
-        s.ledger,
+        s.cluster_state,
         s.log,
         s.base,
-        s.synced,
-        s.dead,
+        s.durable_index,
+        s.disk_failed,
         s.out,
         s.last(),
         s.role
@@ -163,7 +177,7 @@
 }
 
 /// Refused by that name, with no other effect, and nothing of the voter changed.
-fn refused(mut s: Voter, msg: Message, why: Refusal) {
+fn refused(mut s: Voter, msg: Message, why: InvalidMessage) {
     let before = shown(&s);
     let effects = s.step(Event::Msg(address(1), msg.clone()), NOW);
     let named = matches!(effects.as_slice(), [Effect::Refused { why: w, .. }] if *w == why);
@@ -172,70 +186,73 @@
 }
 
 #[rstest]
-#[case::feed_of_a_view_out_of_reach(feed(MOST - 6, 5, Body::Ping), Refusal::ViewOutOfReach)]
-#[case::feed_in_the_view_of_another(feed(18, 5, Body::Ping), Refusal::ViewOfAnother)]
-#[case::feed_of_a_place_out_of_reach(feed(17, MOST, Body::Ping), Refusal::IndexOutOfReach)]
-#[case::state_of_another_cluster(feed(17, 9, install(0, Some(foreign(9)), &[])), Refusal::ForeignCluster)]
-#[case::state_at_a_place_out_of_reach(feed(17, 9, install(0, Some(state(MOST)), &[])), Refusal::IndexOutOfReach)]
-#[case::state_without_a_roster(feed(17, 9, install(0, Some(with_roster(vec![])), &[])), Refusal::UnsoundRoster)]
+#[case::feed_of_a_view_out_of_reach(send_append(MOST - 6, 5, Body::Ping), InvalidMessage::TermOutOfRange)]
+#[case::feed_in_the_view_of_another(send_append(18, 5, Body::Ping), InvalidMessage::TermOfAnother)]
+#[case::feed_of_a_place_out_of_reach(send_append(17, MOST, Body::Ping), InvalidMessage::IndexOutOfRange)]
+#[case::state_of_another_cluster(send_append(17, 9, install(0, Some(saw_other_cluster(9)), &[])), InvalidMessage::ForeignCluster)]
+#[case::state_at_a_place_out_of_reach(send_append(17, 9, install(0, Some(state(MOST)), &[])), InvalidMessage::IndexOutOfRange)]
+#[case::state_without_a_roster(send_append(17, 9, install(0, Some(with_roster(vec![])), &[])), InvalidMessage::InvalidVoterSet)]
 #[case::state_with_a_seat_twice(
-    feed(17, 9, install(0, Some(with_roster(vec![holder(1), holder(1)])), &[])), Refusal::UnsoundRoster)]
-#[case::entries_that_begin_late(feed(17, 5, install(5, None, &[7, 8])), Refusal::Gap)]
-#[case::entries_with_a_gap(feed(17, 5, install(5, None, &[6, 8])), Refusal::Gap)]
-#[case::entries_that_go_back(feed(17, 5, install(5, None, &[6, 7, 6])), Refusal::Gap)]
-#[case::entries_that_do_not_follow_the_state(feed(17, 9, install(9, Some(state(9)), &[11])), Refusal::Gap)]
-#[case::appended_with_a_gap(feed(17, 5, append(5, &[6, 9])), Refusal::Gap)]
-#[case::appended_elsewhere(feed(17, 5, append(5, &[9])), Refusal::Gap)]
+    send_append(17, 9, install(0, Some(with_roster(vec![holder(1), holder(1)])), &[])), InvalidMessage::InvalidVoterSet)]
+#[case::entries_that_begin_late(send_append(17, 5, install(5, None, &[7, 8])), InvalidMessage::Gap)]
+#[case::entries_with_a_gap(send_append(17, 5, install(5, None, &[6, 8])), InvalidMessage::Gap)]
+#[case::entries_that_go_back(send_append(17, 5, install(5, None, &[6, 7, 6])), InvalidMessage::Gap)]
+#[case::entries_that_do_not_follow_the_state(send_append(17, 9, install(9, Some(state(9)), &[11])), InvalidMessage::Gap)]
+#[case::appended_with_a_gap(send_append(17, 5, append(5, &[6, 9])), InvalidMessage::Gap)]
+#[case::appended_elsewhere(send_append(17, 5, append(5, &[9])), InvalidMessage::Gap)]
 #[case::stop_of_a_view_out_of_reach(
-    Message::VoteRequest { by: voter_id(1), term: Term(MOST - 6), accepted: Index(0) }, Refusal::ViewOutOfReach)]
+    Message::VoteRequest { by: voter_id(1), term: Term(MOST - 6), accepted: Index(0) }, InvalidMessage::TermOutOfRange)]
 #[case::stop_in_the_view_of_another(
-    Message::VoteRequest { by: voter_id(1), term: Term(24), accepted: Index(0) }, Refusal::ViewOfAnother)]
+    Message::VoteRequest { by: voter_id(1), term: Term(24), accepted: Index(0) }, InvalidMessage::TermOfAnother)]
 #[case::canvass_of_a_view_out_of_reach(
-    Message::PreVote { by: voter_id(1), term: Term(MOST - 6) }, Refusal::ViewOutOfReach)]
-#[case::roster_of_nobody(discovered(vec![], 99), Refusal::UnsoundRoster)]
-#[case::roster_of_too_many(discovered((0..9).map(holder).collect(), 99), Refusal::UnsoundRoster)]
-#[case::roster_at_a_place_out_of_reach(discovered(voters(), MOST), Refusal::IndexOutOfReach)]
-#[case::founding_with_a_history(Message::Bootstrap { ledger: state(3) }, Refusal::WrongEnd)]
-#[case::founding_of_another_cluster(Message::Bootstrap { ledger: foreign(0) }, Refusal::ForeignCluster)]
+    Message::PreVote { by: voter_id(1), term: Term(MOST - 6) }, InvalidMessage::TermOutOfRange)]
+#[case::roster_of_nobody(discovered_voters(vec![], 99), InvalidMessage::InvalidVoterSet)]
+#[case::roster_of_too_many(discovered_voters((0..9).map(holder).collect(), 99), InvalidMessage::InvalidVoterSet)]
+#[case::roster_at_a_place_out_of_reach(discovered_voters(voters(), MOST), InvalidMessage::IndexOutOfRange)]
+#[case::founding_with_a_history(Message::Bootstrap { cluster_state: state(3) }, InvalidMessage::LogEndMismatch)]
+#[case::founding_of_another_cluster(Message::Bootstrap { cluster_state: saw_other_cluster(0) }, InvalidMessage::ForeignCluster)]
 fn no_seat_takes_it(
     #[case] msg: Message,
-    #[case] why: Refusal,
-    #[values(blank, formed, candidate, leader)] at: fn() -> Voter,
+    #[case] why: InvalidMessage,
+    #[values(blank, initialized, candidate, leader)] at: fn() -> Voter,
 ) {
     refused(at(), msg, why);
 }
 
 #[rstest]
-#[case::feed(Message::Append {
-    by: voter_id(0), to: 0, term: Term(24), accepted: Index(5), stamp: NOW, body: Body::Ping })]
+#[case::send_append(Message::Append {
+    by: voter_id(0), to: 0, term: Term(24), accepted: Index(5), sent_at: NOW, body: Body::Ping })]
 #[case::stop(Message::VoteRequest { by: voter_id(0), term: Term(24), accepted: Index(5) })]
 #[case::vote(Message::PreVoteGranted { by: voter_id(0), term: Term(16) })]
 #[case::held(Message::AppendReply {
-    by: voter_id(0), term: Term(16), installed: true, last: Index(6), accepted: Index(5), stamp: NOW })]
-fn its_own_name_is_no_sender(#[case] msg: Message, #[values(formed, candidate, leader)] at: fn() -> Voter) {
-    refused(at(), msg, Refusal::OwnName);
+    by: voter_id(0), term: Term(16), installed: true, last: Index(6), accepted: Index(5), sent_at: NOW })]
+fn its_own_name_is_no_sender(
+    #[case] msg: Message,
+    #[values(initialized, candidate, leader)] at: fn() -> Voter,
+) {
+    refused(at(), msg, InvalidMessage::OwnIdentity);
 }
 
 #[rstest]
-#[case::more_than_was_logged(holds(16, 7, 5, NOW), Refusal::HoldsMore)]
-#[case::a_place_out_of_reach(holds(16, MOST, 5, NOW), Refusal::IndexOutOfReach)]
-#[case::accepted_past_its_end(holds(16, 6, MOST / 512, NOW), Refusal::WrongEnd)]
-#[case::from_the_future(holds(16, 6, 5, NOW + 1), Refusal::AnswerFromFuture)]
-#[case::in_a_view_out_of_reach(holds(MOST, 6, 5, NOW), Refusal::ViewOutOfReach)]
-fn a_leader_counts_no_absurd_answer(#[case] msg: Message, #[case] why: Refusal) {
+#[case::more_than_was_logged(holds(16, 7, 5, NOW), InvalidMessage::BeyondLog)]
+#[case::a_place_out_of_reach(holds(16, MOST, 5, NOW), InvalidMessage::IndexOutOfRange)]
+#[case::accepted_past_its_end(holds(16, 6, MOST / 512, NOW), InvalidMessage::LogEndMismatch)]
+#[case::from_the_future(holds(16, 6, 5, NOW + 1), InvalidMessage::ReplyFromFuture)]
+#[case::in_a_view_out_of_reach(holds(MOST, 6, 5, NOW), InvalidMessage::TermOutOfRange)]
+fn a_leader_counts_no_absurd_answer(#[case] msg: Message, #[case] why: InvalidMessage) {
     refused(leader(), msg, why);
 }
 
 #[rstest]
-#[case::longer_than_its_entries(stopped(8, 9, 5, None, &[6, 7]), Refusal::WrongEnd)]
-#[case::longer_without_entries(stopped(8, 9, 5, None, &[]), Refusal::WrongEnd)]
-#[case::with_a_gap(stopped(8, 9, 5, None, &[6, 9]), Refusal::Gap)]
-#[case::that_begins_late(stopped(8, 9, 5, None, &[8, 9]), Refusal::Gap)]
-#[case::of_a_later_view_than_asked(stopped(17, 6, 5, None, &[6]), Refusal::ViewOutOfReach)]
-#[case::accepted_past_its_end(stopped(8, 6, 7, None, &[6]), Refusal::WrongEnd)]
-#[case::of_another_cluster(stopped(8, 9, 9, Some(foreign(9)), &[]), Refusal::ForeignCluster)]
-#[case::at_a_place_out_of_reach(stopped(8, MOST, 5, None, &[6]), Refusal::IndexOutOfReach)]
-fn a_candidate_takes_no_absurd_log(#[case] msg: Message, #[case] why: Refusal) {
+#[case::longer_than_its_entries(stopped(8, 9, 5, None, &[6, 7]), InvalidMessage::LogEndMismatch)]
+#[case::longer_without_entries(stopped(8, 9, 5, None, &[]), InvalidMessage::LogEndMismatch)]
+#[case::with_a_gap(stopped(8, 9, 5, None, &[6, 9]), InvalidMessage::Gap)]
+#[case::that_begins_late(stopped(8, 9, 5, None, &[8, 9]), InvalidMessage::Gap)]
+#[case::of_a_later_view_than_asked(stopped(17, 6, 5, None, &[6]), InvalidMessage::TermOutOfRange)]
+#[case::accepted_past_its_end(stopped(8, 6, 7, None, &[6]), InvalidMessage::LogEndMismatch)]
+#[case::of_another_cluster(stopped(8, 9, 9, Some(saw_other_cluster(9)), &[]), InvalidMessage::ForeignCluster)]
+#[case::at_a_place_out_of_reach(stopped(8, MOST, 5, None, &[6]), InvalidMessage::IndexOutOfRange)]
+fn a_candidate_takes_no_absurd_log(#[case] msg: Message, #[case] why: InvalidMessage) {
     refused(candidate(), msg, why);
 }
 
@@ -243,20 +260,20 @@
 #[rstest]
 #[case::stop_of_an_older_view(Message::VoteRequest { by: voter_id(1), term: Term(1), accepted: Index(0) })]
 #[case::vote_for_an_older_view(Message::PreVoteGranted { by: voter_id(1), term: Term(8) })]
-#[case::feed_of_an_older_view(feed(1, 5, append(5, &[6, 7])))]
+#[case::feed_of_an_older_view(send_append(1, 5, append(5, &[6, 7])))]
 #[case::stop_of_a_removed_member(
     Message::VoteRequest { by: VoterId { number: 1, incarnation: Incarnation(1) }, term: Term(25), accepted: Index(0) })]
 #[case::feed_of_a_removed_member(Message::Append {
-    by: VoterId { number: 1, incarnation: Incarnation(1) }, to: 0, term: Term(25), accepted: Index(5), stamp: NOW,
+    by: VoterId { number: 1, incarnation: Incarnation(1) }, to: 0, term: Term(25), accepted: Index(5), sent_at: NOW,
     body: append(5, &[6, 7]) })]
 #[case::held_by_a_removed_member(Message::AppendReply {
     by: VoterId { number: 1, incarnation: Incarnation(1) }, term: Term(16), installed: true, last: Index(6),
-    accepted: Index(5), stamp: NOW })]
+    accepted: Index(5), sent_at: NOW })]
 #[case::yield_of_a_removed_member(
     Message::StepDown { by: VoterId { number: 1, incarnation: Incarnation(1) }, term: Term(17) })]
 fn who_has_no_say_changes_nothing(
     #[case] msg: Message,
-    #[values(formed, candidate, leader)] at: fn() -> Voter,
+    #[values(initialized, candidate, leader)] at: fn() -> Voter,
 ) {
     let mut s = at();
     let before = shown(&s);
@@ -265,7 +282,7 @@
         matches!(
             f,
             Effect::Send { msg: Message::PreVoteGranted { .. } | Message::Vote { .. }, .. }
-                | Effect::Accepted { .. }
+                | Effect::Committed { .. }
                 | Effect::Persist { .. }
         )
     };
@@ -277,23 +294,23 @@
 #[test]
 fn a_leader_goes_on_behind_all_of_it() {
     let mut s = leader();
-    for msg in [holds(16, MOST, 5, NOW), holds(16, 6, 5, NOW + 9_999), feed(MOST - 6, 5, Body::Ping)] {
+    for msg in [holds(16, MOST, 5, NOW), holds(16, 6, 5, NOW + 9_999), send_append(MOST - 6, 5, Body::Ping)] {
         s.step(Event::Msg(address(1), msg), NOW);
     }
     s.step(Event::Synced(3), NOW);
     let effects = s.step(Event::Msg(address(1), holds(16, 6, 5, NOW)), NOW);
-    assert!(effects.iter().any(|f| matches!(f, Effect::Accepted { .. })), "{effects:?}");
-    assert!(!s.current(NOW + 5_000), "a stamp of the future does not lengthen the lead");
+    assert!(effects.iter().any(|f| matches!(f, Effect::Committed { .. })), "{effects:?}");
+    assert!(!s.can_serve_reads(NOW + 5_000), "a stamp of the future does not lengthen the lead");
 }
 
 /// A feed of an older term that comes late: its answer goes to a voter that leads the newer one by now, so
 /// it may not name what is not synced.
 #[test]
 fn a_late_feed_is_not_answered_by_what_is_not_synced() {
-    let mut s = formed();
-    let effects = s.step(Event::Msg(address(1), feed(17, 5, install(5, None, &[6, 7]))), NOW);
+    let mut s = initialized();
+    let effects = s.step(Event::Msg(address(1), send_append(17, 5, install(5, None, &[6, 7]))), NOW);
     assert!(matches!(effects.as_slice(), [Effect::Persist { .. }]), "{effects:?}");
-    let late = s.step(Event::Msg(address(1), feed(9, 5, Body::Ping)), NOW);
+    let late = s.step(Event::Msg(address(1), send_append(9, 5, Body::Ping)), NOW);
     let held = |f: &Effect| matches!(f, Effect::Send { msg: Message::AppendReply { .. }, .. });
     assert!(!late.iter().any(held), "{late:?}");
     let told = s.step(Event::Synced(1), NOW);
@@ -305,17 +322,17 @@
 #[test]
 fn random_bytes_lose_nothing() {
     let whole = [
-        feed(17, 7, install(5, None, &[6, 7])),
-        feed(17, 9, install(0, Some(state(9)), &[10])),
-        feed(17, 6, append(5, &[6])),
+        send_append(17, 7, install(5, None, &[6, 7])),
+        send_append(17, 9, install(0, Some(state(9)), &[10])),
+        send_append(17, 6, append(5, &[6])),
         stopped(8, 7, 6, None, &[6, 7]),
         stopped(8, 9, 9, Some(state(9)), &[]),
         holds(16, 6, 5, NOW),
-        discovered(voters(), 9),
+        discovered_voters(voters(), 9),
         Message::VoteRequest { by: voter_id(1), term: Term(17), accepted: Index(5) },
         Message::PreVote { by: voter_id(1), term: Term(17) },
         Message::JoinRequest { holder: holder(2) },
-        Message::Bootstrap { ledger: state(0) },
+        Message::Bootstrap { cluster_state: state(0) },
     ];
     let mut rng = SmallRng::seed_from_u64(7);
     let mut read = 0;
@@ -332,14 +349,14 @@
             }
             let Ok(msg) = decode::<Message>(&bytes) else { continue };
             read += 1;
-            for at in [blank, formed, candidate, leader] {
+            for at in [blank, initialized, candidate, leader] {
                 let mut s = at();
                 let accepted = s.accepted();
                 s.step(Event::Msg(address(1), msg.clone()), NOW);
                 s.step(Event::Synced(9), NOW);
                 (0..80).for_each(|n| drop(s.step(Event::Timer, NOW + n * 50)));
                 assert!(s.accepted() >= accepted, "{msg:?}");
-                assert!(!s.formed || s.ledger.cluster == "c", "{msg:?}");
+                assert!(!s.initialized || s.cluster_state.cluster == "c", "{msg:?}");
             }
         }
     }
--- a/crates/control-plane/tests/medium/mod.rs
+++ b/crates/control-plane/tests/medium/mod.rs
@@ -65,12 +65,12 @@
 
 /// A write that no sync covered is there, missing or torn.
 fn perhaps(chance: &mut SmallRng, durable: &mut Vec<u8>, w: &Written) {
-    let upto = match chance.random_range(0..3) {
+    let last_sent = match chance.random_range(0..3) {
         0 => 0,
         1 => w.bytes.len(),
         _ => chance.random_range(0..=w.bytes.len()),
     };
-    put(durable, w.at, &w.bytes[..upto]);
+    put(durable, w.at, &w.bytes[..last_sent]);
 }
 
 fn refused() -> io::Error {
@@ -141,15 +141,15 @@
 impl Medium for FaultyMedium {
     fn write(&self, file: &File, at: u64, bytes: &[u8]) -> io::Result<()> {
         let mut s = self.lock();
-        let upto = match s.next()? {
+        let last_sent = match s.next()? {
             Some(Trouble::Refuses) => return Err(refused()),
             Some(Trouble::Tears) => s.chance.random_range(0..bytes.len()),
             Some(Trouble::ForgetsAtSync) | None => bytes.len(),
         };
-        file.write_all_at(&bytes[..upto], at)?;
+        file.write_all_at(&bytes[..last_sent], at)?;
         let state = s.files.entry(file.metadata()?.ino()).or_default();
-        state.unsynced.push(Written { at, bytes: bytes[..upto].to_vec() });
-        if upto < bytes.len() { Err(refused()) } else { Ok(()) }
+        state.unsynced.push(Written { at, bytes: bytes[..last_sent].to_vec() });
+        if last_sent < bytes.len() { Err(refused()) } else { Ok(()) }
     }
 
     fn sync(&self, file: &File) -> io::Result<()> {
--- a/crates/control-plane/tests/model/describe.rs
+++ b/crates/control-plane/tests/model/describe.rs
@@ -58,7 +58,7 @@
             Some(voter) => format!(
                 "n{n}/{}: term {} log term {} accepted {} last {} {:?}",
                 voter.me.incarnation,
-                voter.promised,
+                voter.current_term,
                 voter.log_term,
                 voter.accepted(),
                 voter.last(),
@@ -94,7 +94,7 @@
         Message::NotLeading(_) => "answer that it does not lead".into(),
         Message::StepDown { term, .. } => format!("hand-over of term {term}"),
         Message::JoinRequest { holder } => format!("join request of {}", holder.incarnation),
-        Message::Discover { formed, .. } => format!("discovery, formed {formed}"),
+        Message::Discover { initialized, .. } => format!("discovery, formed {initialized}"),
         Message::Bootstrap { .. } => "founding".into(),
     }
 }
--- a/crates/control-plane/tests/model/history.rs
+++ b/crates/control-plane/tests/model/history.rs
@@ -3,7 +3,7 @@
 use super::digest::{Digest, digest};
 use common::{Incarnation, Index, OpId, Revision, Term};
 use control_plane::{
-    Change, Ledger, Verdict,
+    ApplyOutcome, Change, ClusterState,
     change::VoterInfo,
     consensus::{DurableState, LogEntry, Message, VoterId},
 };
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// The one order of changes: the first acceptance at each index decides.
-    pub order: BTreeMap<Index, (Change, Verdict)>,
+    pub order: BTreeMap<Index, (Change, ApplyOutcome)>,
     /// Digest of the replicated state after each accepted index.
     states: BTreeMap<Index, Digest>,
     leaders: BTreeMap<Term, Incarnation>,
@@ -40,7 +40,7 @@
     }
 
     /// Invariant `one-leader-per-term`.
-    pub fn leads(&mut self, term: Term, leader: Incarnation) -> Result<(), Broken> {
+    pub fn has_leadership(&mut self, term: Term, leader: Incarnation) -> Result<(), Broken> {
         match self.leaders.insert(term, leader) {
             Some(other) if other != leader => {
                 Err(format!("one-leader-per-term: {other} and {leader} both lead term {term}"))
@@ -59,11 +59,11 @@
     }
 
     /// Invariants `one-order` and `not-logged-is-final`; true where the entry is accepted first.
-    pub fn accepts(&mut self, entry: &LogEntry, verdict: &Verdict) -> Result<bool, Broken> {
+    pub fn accepts(&mut self, entry: &LogEntry, outcome: &ApplyOutcome) -> Result<bool, Broken> {
         if let Some((change, known)) = self.order.get(&entry.index) {
-            if *change != entry.change || known != verdict {
+            if *change != entry.change || known != outcome {
                 let (at, other) = (entry.index, &entry.change);
-                return Err(format!("one-order: at {at} {change:?} ({known:?}) and {other:?} ({verdict:?})"));
+                return Err(format!("one-order: at {at} {change:?} ({known:?}) and {other:?} ({outcome:?})"));
             }
             return Ok(false);
         }
@@ -73,21 +73,21 @@
         if let Some(op) = entry.change.op().filter(|op| !self.logged.contains(*op)) {
             return Err(format!("not-logged-is-final: {op} was told as not logged and is accepted"));
         }
-        self.order.insert(entry.index, (entry.change.clone(), verdict.clone()));
+        self.order.insert(entry.index, (entry.change.clone(), outcome.clone()));
         Ok(true)
     }
 
     /// Invariant `one-state`: at one index all voters hold the same replicated state.
-    pub fn holds(&mut self, ledger: &Ledger) -> Result<(), Broken> {
-        if ledger.index > self.newest() {
-            return Err(format!("one-state: state at {} before it was accepted", ledger.index));
+    pub fn holds(&mut self, cluster_state: &ClusterState) -> Result<(), Broken> {
+        if cluster_state.index > self.newest() {
+            return Err(format!("one-state: state at {} before it was accepted", cluster_state.index));
         }
-        let state = digest(ledger);
-        if *self.states.entry(ledger.index).or_insert(state) != state {
-            return Err(format!("one-state: two states at {}", ledger.index));
+        let state = digest(cluster_state);
+        if *self.states.entry(cluster_state.index).or_insert(state) != state {
+            return Err(format!("one-state: two states at {}", cluster_state.index));
         }
-        if ledger.index == self.newest() {
-            self.voters = ledger.voters.clone();
+        if cluster_state.index == self.newest() {
+            self.voters = cluster_state.voters.clone();
         }
         Ok(())
     }
@@ -106,9 +106,9 @@
     }
 
     /// Invariants `told-is-kept` and `one-change-per-base`.
-    pub fn told(&mut self, op: &OpId, at: Index, verdict: &Verdict) -> Result<(), Broken> {
-        match verdict {
-            Verdict::Accepted { .. } => {
+    pub fn told(&mut self, op: &OpId, at: Index, outcome: &ApplyOutcome) -> Result<(), Broken> {
+        match outcome {
+            ApplyOutcome::Accepted { .. } => {
                 if self.order.get(&at).is_none_or(|(change, _)| change.op() != Some(op)) {
                     return Err(format!(
                         "told-is-kept: {op} told as accepted at {at}, where it does not stand"
@@ -142,10 +142,10 @@
             _ => return Ok(false),
         };
         self.votes_by_right(by, disk_formed)?;
-        let promised = self.voted.get(&by.incarnation).copied().unwrap_or_default();
-        if term < promised {
+        let current_term = self.voted.get(&by.incarnation).copied().unwrap_or_default();
+        if term < current_term {
             return Err(format!(
-                "promise-is-kept: {} promised {promised} and answers in {term}",
+                "promise-is-kept: {} promised {current_term} and answers in {term}",
                 by.incarnation
             ));
         }
--- a/crates/control-plane/tests/model/main.rs
+++ b/crates/control-plane/tests/model/main.rs
@@ -15,7 +15,7 @@
 mod world;
 
 use common::{Incarnation, Index, Revision, Term};
-use control_plane::{Ledger, Verdict, consensus::LogEntry};
+use control_plane::{ApplyOutcome, ClusterState, consensus::LogEntry};
 use history::History;
 use rstest::rstest;
 use scenario::Scenario;
@@ -93,7 +93,7 @@
 }
 
 #[rstest]
-#[case::founding(Scenario::Founding)]
+#[case::bootstrap_messages(Scenario::Founding)]
 #[case::first_election(Scenario::FirstElection)]
 #[case::racing_changes(Scenario::RacingChanges)]
 #[case::logged_only_by_leader(Scenario::LoggedOnlyByLeader)]
@@ -117,7 +117,7 @@
 /// Of the states a sample is run on undisturbed: once the trouble ends, the core reads its newest
 /// accepted state, and each voter has a state of its own again.
 #[rstest]
-#[case::founding(Scenario::Founding)]
+#[case::bootstrap_messages(Scenario::Founding)]
 #[case::first_election(Scenario::FirstElection)]
 #[case::racing_changes(Scenario::RacingChanges)]
 #[case::logged_only_by_leader(Scenario::LoggedOnlyByLeader)]
@@ -152,7 +152,7 @@
 }
 
 #[rstest]
-#[case::founding(Scenario::Founding)]
+#[case::bootstrap_messages(Scenario::Founding)]
 #[case::first_election(Scenario::FirstElection)]
 #[case::racing_changes(Scenario::RacingChanges)]
 #[case::logged_only_by_leader(Scenario::LoggedOnlyByLeader)]
@@ -219,16 +219,17 @@
         assert!(found.as_ref().is_err_and(|what| what.starts_with(invariant)), "{invariant}: {found:?}");
     };
     let mut history = History::default();
-    assert_eq!(history.leads(Term(8), Incarnation(10)), Ok(()));
-    starts_with(history.leads(Term(8), Incarnation(11)), "one-leader-per-term");
+    assert_eq!(history.has_leadership(Term(8), Incarnation(10)), Ok(()));
+    starts_with(history.has_leadership(Term(8), Incarnation(11)), "one-leader-per-term");
     let entry = |index, text| LogEntry { index: Index(index), change: world::apply(text, 0, text) };
-    let verdict = Verdict::Accepted { revision: Revision(1) };
+    let outcome = ApplyOutcome::Accepted { revision: Revision(1) };
     ["a", "b"].iter().for_each(|text| history.logged(&entry(1, text).change));
-    assert_eq!(history.accepts(&entry(1, "a"), &verdict), Ok(true));
-    assert_eq!(history.accepts(&entry(1, "a"), &verdict), Ok(false));
-    starts_with(history.accepts(&entry(1, "b"), &verdict).map(drop), "one-order");
-    starts_with(history.accepts(&entry(3, "b"), &verdict).map(drop), "one-order");
-    let state = |cluster: &str| Ledger { cluster: cluster.into(), index: Index(1), ..Ledger::default() };
+    assert_eq!(history.accepts(&entry(1, "a"), &outcome), Ok(true));
+    assert_eq!(history.accepts(&entry(1, "a"), &outcome), Ok(false));
+    starts_with(history.accepts(&entry(1, "b"), &outcome).map(drop), "one-order");
+    starts_with(history.accepts(&entry(3, "b"), &outcome).map(drop), "one-order");
+    let state =
+        |cluster: &str| ClusterState { cluster: cluster.into(), index: Index(1), ..ClusterState::default() };
     assert_eq!(history.holds(&state("a")), Ok(()));
     starts_with(history.holds(&state("b")), "one-state");
 }
--- a/crates/control-plane/tests/model/scenario.rs
+++ b/crates/control-plane/tests/model/scenario.rs
@@ -75,7 +75,7 @@
     pub fn start(self, variant: Option<Variant>) -> Result<World, Broken> {
         let mut world = match self {
             Self::Founding => World::blank(variant),
-            _ => World::founded(variant),
+            _ => World::bootstrapped(variant),
         };
         self.prepare(&mut world)?;
         world.budget = self.budget();
@@ -83,14 +83,14 @@
     }
 
     fn prepare(self, world: &mut World) -> Result<(), Broken> {
-        let patience = Timing::default().election_timeout_ms();
+        let election_timeout = Timing::default().election_timeout_ms();
         if self == Self::Founding {
             // Sooner than this nothing that is heard counts.
             world.now = world.now + Timing::default().rpc_timeout_ms + 1;
             return Ok(());
         }
         if self == Self::FirstElection {
-            world.now = world.now + patience;
+            world.now = world.now + election_timeout;
             return Ok(());
         }
         world.quiet(&[], |w| w.leader().is_some())?;
@@ -106,7 +106,7 @@
                 world.changes = changes(1, &["c", "d"]);
                 world.order(0)?;
                 world.packets.clear();
-                world.now = world.now + patience;
+                world.now = world.now + election_timeout;
             }
             Self::HalfReplicated => {
                 world.changes = changes(1, &["c", "d"]);
@@ -180,7 +180,7 @@
 
 impl World {
     pub fn leader(&self) -> Option<usize> {
-        (0..self.machines.len()).find(|n| self.voter(*n).is_some_and(|voter| voter.current(self.now)))
+        (0..self.machines.len()).find(|n| self.voter(*n).is_some_and(|voter| voter.can_serve_reads(self.now)))
     }
 
     fn all_accepted(&self, machines: &[usize]) -> bool {
@@ -191,7 +191,7 @@
 
     /// It counts as a voter and has a state of its own.
     fn is_voter(&self, machine: usize) -> bool {
-        let me = self.machine(machine).disk.synced.me.incarnation;
+        let me = self.machine(machine).disk.durable_index.me.incarnation;
         self.is_whole() && self.history.value.voters.iter().any(|holder| holder.incarnation == me)
     }
 
@@ -270,7 +270,8 @@
             let Some(at) = w.leader() else { return false };
             let asks =
                 |p: &super::world::Packet| p.to == at && matches!(p.message, Message::JoinRequest { .. });
-            let taken_as_lost = w.last_heard(at, silent).is_some_and(|heard| w.now.since(heard) > lost_after);
+            let taken_as_lost =
+                w.last_heard(at, silent).is_some_and(|last_contact| w.now.since(last_contact) > lost_after);
             taken_as_lost && w.packets.iter().any(|p| asks(&p.value))
         })
     }
@@ -278,7 +279,7 @@
     /// When a leader sent what it last had an answer to from another voter.
     fn last_heard(&self, leader: usize, other: usize) -> Option<Tick> {
         let VoterRole::Leader { peers, .. } = &self.voter(leader)?.role else { return None };
-        peers.get(&(other as u8)).map(|peer| peer.stamp)
+        peers.get(&(other as u8)).map(|peer| peer.sent_at)
     }
 
     /// Liveness sample: with all machines up and the network whole, the core reads its newest state.
@@ -290,7 +291,7 @@
         let begin = world.now;
         for machine in 0..world.machines.len() {
             world.sync_all(machine)?;
-            if world.voter(machine).is_some_and(|voter| voter.dead) {
+            if world.voter(machine).is_some_and(|voter| voter.disk_failed) {
                 world.crash(machine, 0);
             }
             if world.may_restart(machine) {
