--- a/crates/control-plane/tests/model/search.rs
+++ b/crates/control-plane/tests/model/search.rs
@@ -51,7 +51,7 @@
     }
 }
 
-struct Found {
+struct LoadResult {
     origin: Origin,
     digest: Digest,
     world: Result<World, String>,
@@ -115,11 +115,11 @@
 }
 
 /// Expands one batch on a few threads; the order of the results does not depend on them.
-fn expand_all(batch: &[(usize, World)], known: &HashSet<Digest>, transitions: &mut usize) -> Vec<Found> {
+fn expand_all(batch: &[(usize, World)], known: &HashSet<Digest>, transitions: &mut usize) -> Vec<LoadResult> {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get()).min(4);
     let share = batch.len().div_ceil(threads).max(1);
     std::thread::scope(|scope| {
-        let work = |part: &[(usize, World)]| -> (usize, Vec<Found>) {
+        let work = |part: &[(usize, World)]| -> (usize, Vec<LoadResult>) {
             let mut seen = 0;
             let all = part.iter().flat_map(|(id, world)| expand(*id, world)).inspect(|_| seen += 1);
             let new = all.filter(|found| found.world.is_err() || !known.contains(&found.digest)).collect();
@@ -136,11 +136,11 @@
     })
 }
 
-fn expand(parent: usize, world: &World) -> impl Iterator<Item = Found> + '_ {
+fn expand(parent: usize, world: &World) -> impl Iterator<Item = LoadResult> + '_ {
     world.actions().into_iter().map(move |action| {
         let after = world.after(action);
         let digest = after.as_ref().map_or(0, World::digest);
-        Found { origin: Origin { parent, action }, digest, world: after }
+        LoadResult { origin: Origin { parent, action }, digest, world: after }
     })
 }
 
--- a/crates/control-plane/tests/model/world.rs
+++ b/crates/control-plane/tests/model/world.rs
@@ -8,7 +8,7 @@
 };
 use common::{Incarnation, Index, OpId, Revision, Term, Tick, settings::Timing};
 use control_plane::{
-    Change, Ledger, Verdict,
+    ApplyOutcome, Change, ClusterState,
     change::VoterInfo,
     consensus::{DurableState, Effect, Event, LogEntry, LogTail, Message, Record, Voter, VoterId, VoterRole},
 };
@@ -45,15 +45,15 @@
 
 /// What a machine's disk holds: what is synced, and the writes that are not, oldest first.
 #[derive(Clone, Debug)]
-pub struct Disk {
-    pub synced: DurableState,
+pub struct RecordWriter {
+    pub durable_index: DurableState,
     pub unsynced: VecDeque<(u64, Record)>,
 }
 
-impl Disk {
+impl RecordWriter {
     fn sync_oldest(&mut self) -> Option<u64> {
         let (token, record) = self.unsynced.pop_front()?;
-        self.synced.replay(record);
+        self.durable_index.replay(record);
         Some(token)
     }
 
@@ -68,13 +68,13 @@
 /// Whether an accepted change outlives a loss of power with this on disk.
 fn holds(image: &DurableState, index: Index, change: &Change) -> bool {
     let logged = |entry: &LogEntry| entry.index == index && entry.change == *change;
-    image.formed && (image.ledger.index >= index || image.entries.iter().any(logged))
+    image.initialized && (image.cluster_state.index >= index || image.entries.iter().any(logged))
 }
 
 #[derive(Clone, Debug)]
 pub struct Machine {
     pub process: Option<Voter>,
-    pub disk: Disk,
+    pub disk: RecordWriter,
     /// Since when this process runs.
     started: Tick,
     /// Changes that this process logged as a leader, whose operators wait.
@@ -101,7 +101,7 @@
         &mut own.value
     }
 
-    fn settle(this: &mut Arc<Self>) {
+    fn initialize(this: &mut Arc<Self>) {
         if this.changed {
             let own = Arc::make_mut(this);
             own.digest = digest(&own.value);
@@ -221,25 +221,25 @@
 
 impl World {
     /// Three voters that were just founded, and a blank spare.
-    pub fn founded(variant: Option<Variant>) -> Self {
+    pub fn bootstrapped(variant: Option<Variant>) -> Self {
         let voters: Vec<VoterInfo> = (0..VOTERS).map(|n| holder(n, n as u8, incarnation(n))).collect();
-        let ledger = Ledger::founded(CLUSTER, voters.clone());
+        let cluster_state = ClusterState::bootstrapped(CLUSTER, voters.clone());
         let voter = |n: usize| DurableState {
             me: voters[n].clone(),
-            formed: true,
-            promised: Term(0),
+            initialized: true,
+            current_term: Term(0),
             log_term: Term(0),
-            ledger: ledger.clone(),
+            cluster_state: cluster_state.clone(),
             entries: Vec::new(),
         };
         let mut history = History::default();
-        assert_eq!(history.holds(&ledger), Ok(()));
+        assert_eq!(history.holds(&cluster_state), Ok(()));
         Self::started((0..VOTERS).map(voter), history, variant)
     }
 
     /// Three blank machines that start together, and a blank spare that is down.
     pub fn blank(variant: Option<Variant>) -> Self {
-        let image = |n: usize| Voter::blank_image(&holder(n, u8::MAX, incarnation(n)));
+        let image = |n: usize| Voter::blank_state(&holder(n, u8::MAX, incarnation(n)));
         Self::started((0..VOTERS).map(image), History::default(), variant)
     }
 
@@ -249,10 +249,10 @@
         variant: Option<Variant>,
     ) -> Self {
         let now = Tick(100_000);
-        let spare = Voter::blank_image(&holder(SPARE, u8::MAX, incarnation(SPARE)));
+        let spare = Voter::blank_state(&holder(SPARE, u8::MAX, incarnation(SPARE)));
         let machine = |image: DurableState| Machine {
             process: None,
-            disk: Disk { synced: image, unsynced: VecDeque::new() },
+            disk: RecordWriter { durable_index: image, unsynced: VecDeque::new() },
             started: now,
             waiting: BTreeMap::new(),
         };
@@ -270,7 +270,7 @@
         for n in 0..VOTERS {
             world.restart(n);
         }
-        world.settle();
+        world.initialize();
         world
     }
 
@@ -309,9 +309,9 @@
     /// A leader that takes itself for one that may answer reads.
     pub fn serves(&self, voter: &Voter) -> bool {
         if self.variant != Some(Variant::ReadsWithoutLease) {
-            return voter.current(self.now);
+            return voter.can_serve_reads(self.now);
         }
-        matches!(&voter.role, VoterRole::Leader { floor, .. } if voter.accepted() >= *floor)
+        matches!(&voter.role, VoterRole::Leader { term_start, .. } if voter.accepted() >= *term_start)
     }
 
     pub fn timing(&self) -> Timing {
@@ -382,7 +382,8 @@
 
     /// It is down; a blank spare is put up by the scenario, not by the search.
     pub fn may_restart(&self, machine: usize) -> bool {
-        self.voter(machine).is_none() && (machine != SPARE || self.machine(machine).disk.synced.formed)
+        self.voter(machine).is_none()
+            && (machine != SPARE || self.machine(machine).disk.durable_index.initialized)
     }
 
     /// Losses of power, with each number of unsynced writes kept, and of the disk.
@@ -395,8 +396,12 @@
                 all.extend(kept.map(|kept| Action::FailSync { machine, kept }));
             }
         }
-        let votes =
-            self.history.value.voters.iter().any(|holder| holder.incarnation == disk.synced.me.incarnation);
+        let votes = self
+            .history
+            .value
+            .voters
+            .iter()
+            .any(|holder| holder.incarnation == disk.durable_index.me.incarnation);
         if self.budget.wipes > 0 && votes && self.is_whole() && self.all_in_touch() {
             all.push(Action::Wipe { machine });
         }
@@ -407,8 +412,10 @@
         // A founder's word may still be on its way to a machine that never lost anything.
         let first = |holder: &VoterInfo| holder.incarnation.0 < incarnation(VOTERS);
         let has_state = |holder: &VoterInfo| {
-            let mut disks = self.machines.iter().map(|machine| &machine.value.disk.synced);
-            disks.any(|image| image.me.incarnation == holder.incarnation && (image.formed || first(holder)))
+            let mut disks = self.machines.iter().map(|machine| &machine.value.disk.durable_index);
+            disks.any(|image| {
+                image.me.incarnation == holder.incarnation && (image.initialized || first(holder))
+            })
         };
         self.history.value.voters.iter().all(has_state)
     }
@@ -424,22 +431,25 @@
     /// The next moment at which some voter may decide otherwise than now.
     pub fn next_deadline(&self) -> Option<Tick> {
         let timing = self.timing();
-        let patience = timing.election_timeout_ms();
+        let election_timeout = timing.election_timeout_ms();
         let mut times = Vec::new();
         for machine in self.machines.iter().map(|machine| &machine.value) {
-            let Some(voter) = machine.process.as_ref().filter(|voter| voter.formed && !voter.out) else {
+            let Some(voter) = machine.process.as_ref().filter(|voter| voter.initialized && !voter.out) else {
                 continue;
             };
-            let stands =
-                patience + patience * u64::from(voter.me.number) / 4 + patience * (voter.promised.0 % 5) / 10;
-            times.push(machine.started + patience);
+            let stands = election_timeout
+                + election_timeout * u64::from(voter.me.number) / 4
+                + election_timeout * (voter.current_term.0 % 5) / 10;
+            times.push(machine.started + election_timeout);
             match &voter.role {
-                VoterRole::Follower { heard, .. } => times.extend([*heard + patience, *heard + stands]),
+                VoterRole::Follower { last_contact, .. } => {
+                    times.extend([*last_contact + election_timeout, *last_contact + stands])
+                }
                 VoterRole::PreCandidate { since, .. } | VoterRole::Candidate { since, .. } => {
                     times.push(*since + stands / 2)
                 }
                 VoterRole::Leader { since, .. } => {
-                    times.extend([voter.lead_until(), *since + 2 * patience + 1])
+                    times.extend([voter.leadership_until(), *since + 2 * election_timeout + 1])
                 }
             }
         }
@@ -451,7 +461,7 @@
         let mut next = self.clone();
         next.act(action)?;
         next.act_scheduled(action)?;
-        next.settle();
+        next.initialize();
         next.lose_cut_off();
         next.forget_dead_packets();
         next.check()?;
@@ -520,9 +530,9 @@
         change(Digested::edit(&mut self.history))
     }
 
-    fn settle(&mut self) {
-        self.machines.iter_mut().for_each(Digested::settle);
-        Digested::settle(&mut self.history);
+    fn initialize(&mut self) {
+        self.machines.iter_mut().for_each(Digested::initialize);
+        Digested::initialize(&mut self.history);
     }
 
     pub fn crash(&mut self, machine: usize, kept: usize) {
@@ -535,24 +545,24 @@
 
     pub fn wipe(&mut self, machine: usize) {
         self.crash(machine, 0);
-        let image = &self.machine(machine).disk.synced;
+        let image = &self.machine(machine).disk.durable_index;
         let lost = image.clone();
         let fresh = VoterInfo {
             number: u8::MAX,
             incarnation: Incarnation(lost.me.incarnation.0 + NEXT_INCARNATION),
             ..image.me.clone()
         };
-        let mut blank = Voter::blank_image(&fresh);
+        let mut blank = Voter::blank_state(&fresh);
         if self.variant == Some(Variant::BlankVotesAsFormerSelf) {
             let voters = (0..VOTERS).map(|n| holder(n, n as u8, 10 + n as u64)).collect();
             blank = DurableState {
                 me: image.me.clone(),
-                formed: true,
-                ledger: Ledger::founded(CLUSTER, voters),
+                initialized: true,
+                cluster_state: ClusterState::bootstrapped(CLUSTER, voters),
                 ..blank
             };
         }
-        self.edit(machine, |here| here.disk.synced = blank);
+        self.edit(machine, |here| here.disk.durable_index = blank);
         self.record(|history| history.lost.insert(lost.me.incarnation, lost));
     }
 
@@ -561,9 +571,9 @@
         if self.variant == Some(Variant::VotesRightAfterRestart) {
             started = started - self.timing().election_timeout_ms();
         }
-        let mut image = self.machine(machine).disk.synced.clone();
+        let mut image = self.machine(machine).disk.durable_index.clone();
         if self.variant == Some(Variant::ForgetsPromise) {
-            image.promised = image.log_term;
+            image.current_term = image.log_term;
         }
         let seeds = (0..VOTERS).map(address).collect();
         let voter = Voter::new(image.me.clone(), CLUSTER, seeds, self.timing(), Some(image), started);
@@ -579,7 +589,7 @@
             let sent_on = *base;
             self.record(|history| history.sent_on.insert(op.clone(), sent_on));
             if self.variant == Some(Variant::RebasesChanges) {
-                *base = self.voter(machine).map_or(sent_on, |voter| voter.ledger.revision);
+                *base = self.voter(machine).map_or(sent_on, |voter| voter.cluster_state.revision);
             }
         }
         self.step(machine, Event::Propose(change), slow)
@@ -652,7 +662,7 @@
     fn raw_step(&mut self, machine: usize, event: Event) -> Result<(), Broken> {
         let Some(before) = self.voter(machine) else { return Ok(()) };
         let (accepted_before, led_before) = (before.accepted(), before.is_leader());
-        let formed_before = before.formed;
+        let formed_before = before.initialized;
         let voters = voters_of(before, &event);
         let now = self.now;
         let variant = self.variant;
@@ -668,16 +678,16 @@
             self.carry_out(machine, effect, &voters)?;
         }
         let Some(voter) = self.voter(machine) else { return Ok(()) };
-        if !formed_before && voter.formed && self.history.value.newest() == Index(0) {
-            let founded = voter.ledger.voters.clone();
-            self.record(|history| history.voters = founded);
+        if !formed_before && voter.initialized && self.history.value.newest() == Index(0) {
+            let bootstrapped = voter.cluster_state.voters.clone();
+            self.record(|history| history.voters = bootstrapped);
         }
         let Some(voter) = self.voter(machine) else { return Ok(()) };
         if voter.accepted() != accepted_before {
-            let ledger = voter.ledger.clone();
-            self.record(|history| history.holds(&ledger))?;
+            let cluster_state = voter.cluster_state.clone();
+            self.record(|history| history.holds(&cluster_state))?;
         }
-        if variant == Some(Variant::RefusesWhatWasLogged) && led_before && !self.leads(machine) {
+        if variant == Some(Variant::RefusesWhatWasLogged) && led_before && !self.has_leadership(machine) {
             let waiting = self.machine(machine).waiting.clone();
             self.edit(machine, |here| here.waiting.clear());
             for op in waiting.values().filter_map(Change::op) {
@@ -687,17 +697,17 @@
         Ok(())
     }
 
-    fn leads(&self, machine: usize) -> bool {
+    fn has_leadership(&self, machine: usize) -> bool {
         self.voter(machine).is_some_and(Voter::is_leader)
     }
 
     fn carry_out(&mut self, machine: usize, effect: Effect, voters: &[Incarnation]) -> Result<(), Broken> {
         match effect {
             Effect::Send { to, msg } => self.send(machine, to, msg),
-            Effect::Persist { tok, rec } => {
-                self.edit(machine, |here| here.disk.unsynced.push_back((tok, rec)));
+            Effect::Persist { token, record } => {
+                self.edit(machine, |here| here.disk.unsynced.push_back((token, record)));
                 if self.variant == Some(Variant::AcknowledgesBeforeSync) {
-                    return self.raw_step(machine, Event::Synced(tok));
+                    return self.raw_step(machine, Event::Synced(token));
                 }
                 Ok(())
             }
@@ -708,15 +718,15 @@
                 });
                 match change.op() {
                     Some(op) if self.variant == Some(Variant::AcknowledgesOnceLogged) => {
-                        self.tell(op, index, &Verdict::Accepted { revision: Revision(0) })
+                        self.tell(op, index, &ApplyOutcome::Accepted { revision: Revision(0) })
                     }
                     _ => Ok(()),
                 }
             }
-            Effect::Accepted { entry, verdict } => self.accepted(machine, &entry, &verdict),
+            Effect::Committed { entry, outcome } => self.accepted(machine, &entry, &outcome),
             Effect::BecameLeader { term } => {
-                let leader = self.machine(machine).disk.synced.me.incarnation;
-                self.record(|history| history.leads(term, leader))?;
+                let leader = self.machine(machine).disk.durable_index.me.incarnation;
+                self.record(|history| history.has_leadership(term, leader))?;
                 self.history.value.elected_by(voters)
             }
             Effect::Interrupted => {
@@ -731,8 +741,8 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: Message) -> Result<(), Broken> {
-        let formed = self.machine(from).disk.synced.formed;
-        if self.history.value.sends(&message, formed)?
+        let initialized = self.machine(from).disk.durable_index.initialized;
+        if self.history.value.sends(&message, initialized)?
             && let Message::Vote { by, term, .. } = &message
         {
             self.record(|history| history.voted.insert(by.incarnation, *term));
@@ -750,8 +760,8 @@
     }
 
     /// Invariant `acknowledged-is-durable`, at the moment of the first acceptance.
-    fn accepted(&mut self, machine: usize, entry: &LogEntry, verdict: &Verdict) -> Result<(), Broken> {
-        let first = self.record(|history| history.accepts(entry, verdict))?;
+    fn accepted(&mut self, machine: usize, entry: &LogEntry, outcome: &ApplyOutcome) -> Result<(), Broken> {
+        let first = self.record(|history| history.accepts(entry, outcome))?;
         if first {
             let mut voters = self.history.value.voters.clone();
             if let Change::ReplaceVoter(new) = &entry.change {
@@ -768,19 +778,19 @@
         let waited = self.edit(machine, |here| here.waiting.remove(&entry.index));
         // Where another change took the place, the operator is told that the outcome is not known.
         match waited.filter(|change| *change == entry.change).as_ref().and_then(Change::op) {
-            Some(op) => self.tell(op, entry.index, verdict),
+            Some(op) => self.tell(op, entry.index, outcome),
             None => Ok(()),
         }
     }
 
-    fn tell(&mut self, op: &OpId, at: Index, verdict: &Verdict) -> Result<(), Broken> {
-        self.record(|history| history.told(op, at, verdict))
+    fn tell(&mut self, op: &OpId, at: Index, outcome: &ApplyOutcome) -> Result<(), Broken> {
+        self.record(|history| history.told(op, at, outcome))
     }
 
     /// Voters of a voters that hold an accepted change on disk, or held it when their disk was lost:
     /// an answer in flight outlives the disk that it speaks of.
     fn copies(&self, voters: &[VoterInfo], index: Index, change: &Change) -> usize {
-        let disks = self.machines.iter().map(|machine| &machine.value.disk.synced);
+        let disks = self.machines.iter().map(|machine| &machine.value.disk.durable_index);
         let images: Vec<&DurableState> = disks.chain(self.history.value.lost.values()).collect();
         let holds = |holder: &VoterInfo| {
             images
@@ -794,7 +804,7 @@
     fn check(&self) -> Result<(), Broken> {
         let history = &self.history.value;
         let serving: Vec<&Voter> = self.voters().filter(|voter| self.serves(voter)).collect();
-        let leading = self.voters().filter(|voter| voter.leads(self.now)).count();
+        let leading = self.voters().filter(|voter| voter.has_leadership(self.now)).count();
         if serving.len() > 1 || leading > 1 {
             return Err(format!("one-lease: {leading} lead and {} serve at one time", serving.len()));
         }
@@ -816,16 +826,16 @@
         let machines = &self.machines;
         self.packets.retain(|packet| {
             let to = &machines[packet.value.to].value;
-            let promised = to.disk.synced.promised;
-            let leads = to.process.as_ref().is_some_and(Voter::is_leader);
+            let current_term = to.disk.durable_index.current_term;
+            let has_leadership = to.process.as_ref().is_some_and(Voter::is_leader);
             let candidate =
                 matches!(to.process.as_ref().map(|voter| &voter.role), Some(VoterRole::Candidate { .. }));
             match &packet.value.message {
                 Message::PreVote { term, .. }
                 | Message::PreVoteGranted { term, .. }
-                | Message::VoteRequest { term, .. } => *term > promised,
-                Message::Vote { term, .. } => candidate && *term >= promised,
-                Message::AppendReply { term, .. } => leads || *term > promised,
+                | Message::VoteRequest { term, .. } => *term > current_term,
+                Message::Vote { term, .. } => candidate && *term >= current_term,
+                Message::AppendReply { term, .. } => has_leadership || *term > current_term,
                 _ => true,
             }
         });
@@ -873,11 +883,13 @@
 /// For `Variant::CountsReplacedVoter`: the answer of a voter that a logged entry replaces accepts it.
 fn accept_on_replaced_answer(voter: &mut Voter, event: &Event, effects: &mut Vec<Effect>) {
     let Event::Msg(_, Message::AppendReply { by, .. }) = event else { return };
-    let replaced =
-        voter.ledger.voters.iter().any(|holder| holder.incarnation == by.incarnation) && !voter.knows(by);
+    let replaced = voter.cluster_state.voters.iter().any(|holder| holder.incarnation == by.incarnation)
+        && !voter.is_voter(by);
     let due = voter.log.iter().find(|entry| entry.index == voter.accepted().next()).cloned();
-    if let Some(entry) = due.filter(|entry| voter.is_leader() && replaced && voter.synced >= entry.index) {
-        let verdict = voter.ledger.fold(entry.index, &entry.change);
-        effects.push(Effect::Accepted { entry, verdict });
+    if let Some(entry) =
+        due.filter(|entry| voter.is_leader() && replaced && voter.durable_index >= entry.index)
+    {
+        let outcome = voter.cluster_state.fold(entry.index, &entry.change);
+        effects.push(Effect::Committed { entry, outcome });
     }
 }
--- a/crates/control-plane/tests/modules/ledger.rs
+++ b/crates/control-plane/tests/modules/cluster_state.rs
@@ -1,7 +1,7 @@
-//! Tests of `control_plane::ledger`.
+//! Tests of `control_plane::cluster_state`.
 
 use common::{Incarnation, Index, OpId, Revision, wire};
-use control_plane::{Change, Ledger, ReplicaMove, Verdict, change::NodeInfo};
+use control_plane::{ApplyOutcome, Change, ClusterState, ReplicaMove, change::NodeInfo};
 
 fn apply(op: &str, base: u64, text: &str) -> Change {
     Change::Apply { op: OpId::new(op), base: Revision(base), text: text.into() }
@@ -10,16 +10,16 @@
 /// Design 4.6: one racer wins, the loser never takes effect, a repeat answers as at first.
 #[test]
 fn racing_writers_and_repeats() {
-    let mut l = Ledger::founded("c", vec![]);
-    let one = Verdict::Accepted { revision: Revision(1) };
+    let mut l = ClusterState::bootstrapped("c", vec![]);
+    let one = ApplyOutcome::Accepted { revision: Revision(1) };
     assert_eq!(l.fold(Index(1), &apply("a", 0, "x")), one);
-    assert_eq!(l.fold(Index(2), &apply("b", 0, "y")), Verdict::Conflict { current: Revision(1) });
-    assert_eq!(l.fold(Index(3), &apply("c", 1, "z")), Verdict::Accepted { revision: Revision(2) });
+    assert_eq!(l.fold(Index(2), &apply("b", 0, "y")), ApplyOutcome::Conflict { current: Revision(1) });
+    assert_eq!(l.fold(Index(3), &apply("c", 1, "z")), ApplyOutcome::Accepted { revision: Revision(2) });
     assert_eq!(l.fold(Index(4), &apply("a", 0, "x")), one);
     assert_eq!((l.text.as_deref(), l.revision), (Some("z"), Revision(2)));
 }
 
-/// Found by the first cluster: a verdict in a form that only JSON can read back broke every
+/// Found by the first cluster: a outcome in a form that only JSON can read back broke every
 /// snapshot and slot that held one.
 #[test]
 fn a_full_ledger_survives_the_wire() {
@@ -34,7 +34,7 @@
         http: addr,
     };
     let list = ReplicaMove::List { service: "s".into(), zone: "a".into(), addr };
-    let mut l = Ledger::founded("c", vec![]);
+    let mut l = ClusterState::bootstrapped("c", vec![]);
     for (n, ch) in [
         apply("a", 0, "x"),
         apply("b", 0, "y"),
@@ -48,22 +48,22 @@
     {
         l.fold(Index(n as u64 + 1), ch);
     }
-    assert_eq!((l.ops.len(), l.accepted.len()), (4, 1));
-    assert_eq!(wire::decode::<Ledger>(&wire::encode(&l).unwrap()).unwrap(), l);
+    assert_eq!((l.recent_operations.len(), l.accepted.len()), (4, 1));
+    assert_eq!(wire::decode::<ClusterState>(&wire::encode(&l).unwrap()).unwrap(), l);
 }
 
 /// An evacuation that is late on its way does not undo what was decided after it; one that changes
 /// nothing is accepted.
 #[test]
 fn a_late_evacuation_does_not_come_back() {
-    let mut l = Ledger::founded("c", vec![]);
+    let mut l = ClusterState::bootstrapped("c", vec![]);
     let mut fold = |index: u64, on: bool, seen: u64| {
         let op = OpId::new(format!("e{index}"));
-        let verdict = l.fold(Index(index), &Change::Evacuate { op, zone: "a".into(), on, seen: Index(seen) });
-        (verdict, l.evacuated.len())
+        let outcome = l.fold(Index(index), &Change::Evacuate { op, zone: "a".into(), on, seen: Index(seen) });
+        (outcome, l.evacuated.len())
     };
-    let taken = Verdict::Accepted { revision: Revision(0) };
-    let overtaken = Verdict::Conflict { current: Revision(0) };
+    let taken = ApplyOutcome::Accepted { revision: Revision(0) };
+    let overtaken = ApplyOutcome::Conflict { current: Revision(0) };
     assert_eq!(fold(1, true, 0), (taken.clone(), 1));
     assert_eq!(fold(2, true, 0), (taken.clone(), 1), "sent again");
     assert_eq!(fold(3, false, 2), (taken.clone(), 0));
--- a/crates/control-plane/tests/modules/lease.rs
+++ b/crates/control-plane/tests/modules/lease.rs
@@ -1,7 +1,7 @@
 //! Tests of `control_plane::lease`.
 
 use common::{Epoch, Incarnation, Index, Tick, settings::Timing};
-use control_plane::{Change, Ledger, Role, change::NodeInfo, lease::Leases};
+use control_plane::{Change, ClusterState, Role, change::NodeInfo, lease::Leases};
 
 /// Found by the simulator (seed 53): a expire waited in the log behind a slow disk while the
 /// node, thawed, had its lease renewed; the expire then took effect under a valid lease.
@@ -18,13 +18,13 @@
         rpc_addr: addr,
         http: addr,
     };
-    let mut l = Ledger::founded("c", vec![]);
+    let mut l = ClusterState::bootstrapped("c", vec![]);
     l.fold(Index(1), &Change::Join(info.clone()));
     let t = Timing::default();
-    let mut ten = Leases::taken_over(Tick(0));
+    let mut ten = Leases::new_leader(Tick(0));
     assert_eq!(ten.renew(&l, &t, &info, Tick(100)), Ok(Epoch(1)));
     let late = Tick(101 + t.lease_ms + t.lease_margin_ms());
-    assert_eq!(ten.wakeup(&l, &t, late).len(), 1);
+    assert_eq!(ten.expired_members(&l, &t, late).len(), 1);
     assert_eq!(ten.renew(&l, &t, &info, late + 1), Err(None));
     l.fold(Index(2), &Change::Expire { node: "n".into(), incarnation, left: false });
     assert_eq!(ten.renew(&l, &t, &info, late + 600), Err(Some(Change::Join(info.clone()))));
--- a/crates/control-plane/tests/modules/mass.rs
+++ b/crates/control-plane/tests/modules/partition_risk.rs
@@ -1,14 +1,14 @@
-//! Tests of `control_plane::mass`.
+//! Tests of `control_plane::partition_risk`.
 
 use common::{Epoch, Incarnation, NodeId};
 use control_plane::{
-    Ledger, Member, Role,
+    ClusterState, Member, Role,
     change::NodeInfo,
-    mass::{Lost, stale_majority},
+    partition_risk::{LostMember, stale_majority},
 };
 use rstest::rstest;
 
-fn ledger(members: usize, lost: &[u32]) -> Ledger {
+fn cluster_state(members: usize, lost: &[u32]) -> ClusterState {
     let addr = "127.0.0.1:1".parse().unwrap();
     let info = |n: usize| NodeInfo {
         node: format!("p{n}").as_str().into(),
@@ -19,14 +19,14 @@
         rpc_addr: addr,
         http: addr,
     };
-    let mut l = Ledger::founded("c", vec![]);
+    let mut l = ClusterState::bootstrapped("c", vec![]);
     for n in 0..members {
         l.members.insert(info(n).node, Member { info: info(n), epoch: Epoch(1) });
     }
     l.lost = lost
         .iter()
         .enumerate()
-        .map(|(n, of)| Lost { node: format!("x{n}").as_str().into(), of: *of })
+        .map(|(n, of)| LostMember { node: format!("x{n}").as_str().into(), of: *of })
         .collect();
     l
 }
@@ -49,5 +49,5 @@
     #[case] found: Option<usize>,
 ) {
     let silent: Vec<NodeId> = (0..silent).map(|n| format!("p{n}").as_str().into()).collect();
-    assert_eq!(stale_majority(&ledger(members, lost), &silent).map(|v| v.len()), found);
+    assert_eq!(stale_majority(&cluster_state(members, lost), &silent).map(|v| v.len()), found);
 }
--- a/crates/control-plane/tests/operator/cut_off.rs
+++ b/crates/control-plane/tests/operator/cut_off.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{Cluster, Stand};
 use common::runtime::World;
-use control_plane::desk::Told;
+use control_plane::operator_service::Told;
 use rstest::rstest;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -82,7 +82,7 @@
     #[values(1, 2)] seed: u64,
 ) {
     World::run(seed, None, |w| async move {
-        let c = Cluster::formed(w.clone(), voters).await;
+        let c = Cluster::initialized(w.clone(), voters).await;
         taken(&c.at[0], 1).await;
         let lead = c.leader();
         let n = if whom == Whom::Leader { lead } else { (lead + 1) % voters };
@@ -134,7 +134,7 @@
     #[values(1, 2, 3)] seed: u64,
 ) {
     World::run(seed, None, |w| async move {
-        let c = Cluster::formed(w.clone(), 3).await;
+        let c = Cluster::initialized(w.clone(), 3).await;
         taken(&c.at[0], 1).await;
         let lead = c.leader();
         let n = if whom == Whom::Leader { lead } else { (lead + 1) % 3 };
@@ -156,11 +156,11 @@
 }
 
 /// When the leader is lost, the others' nodes wait for the next one as long as callers wait for them,
-/// and neither tell old news nor time out.
+/// and neither tell old state updates nor time out.
 #[rstest]
 fn between_leaders_calls_end_in_time(#[values(1, 2, 3)] seed: u64) {
     World::run(seed, None, |w| async move {
-        let c = Cluster::formed(w.clone(), 3).await;
+        let c = Cluster::initialized(w.clone(), 3).await;
         taken(&c.at[0], 1).await;
         let lead = c.leader();
         c.cut_off(lead);
@@ -184,7 +184,7 @@
 /// What a node that was cut off tells while the others take a new version.
 fn read_while_cut_off(whom: Whom, broken: Option<&str>) -> Result<Option<(u64, String)>, String> {
     World::run(5, broken.map(Into::into), |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         taken(&c.at[0], 1).await;
         let lead = c.leader();
         let n = if whom == Whom::Leader { lead } else { (lead + 1) % 3 };
--- a/crates/control-plane/tests/operator/orders.rs
+++ b/crates/control-plane/tests/operator/orders.rs
@@ -3,26 +3,26 @@
 use crate::cluster::{Cluster, Stand};
 use common::{Index, OpId, Revision, runtime::World, wire};
 use control_plane::{
-    Change, Ledger, Verdict,
-    desk::Told,
-    ledger::OPS_KEPT,
-    operations::{ACCEPTED_KEPT, OPERATION_BYTES, Standing, standing},
-    rpc::Proposed,
+    ApplyOutcome, Change, ClusterState,
+    cluster_state::OPS_KEPT,
+    operations::{ACCEPTED_KEPT, OPERATION_BYTES, OperationStatus, standing},
+    operator_service::Told,
+    rpc::ProposalOutcome,
 };
 use rstest::rstest;
 
-async fn send(s: &Stand, kind: &str, expects: u64, text: &str) -> Told {
+async fn send(s: &Stand, kind: &str, expected_voters: u64, text: &str) -> Told {
     match kind {
-        "replace" => s.replace(expects, text).await,
-        _ => s.amend(expects, text).await,
+        "replace" => s.replace(expected_voters, text).await,
+        _ => s.amend(expected_voters, text).await,
     }
 }
 
-/// Whether an order is accepted again after as many evacuations as verdicts are kept, and then more
+/// Whether an order is accepted again after as many evacuations as outcomes are kept, and then more
 /// changes than that.
 fn resend_after_hundreds_of_changes(kind: &'static str, broken: Option<&str>) -> Vec<Told> {
     World::run(12, broken.map(Into::into), |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "1\na").await, Told::Accepted);
         assert_eq!(send(&c.at[1], kind, 1, "2\nb").await, Told::Accepted);
         let mut told = Vec::new();
@@ -62,13 +62,13 @@
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
     World::run(seed, None, |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "1\na").await, Told::Accepted);
         let all = (0..8).map(|n| send(&c.at[n % 3], kind, 1, "2\nb"));
         let told = futures::future::join_all(all).await;
         assert!(told.iter().all(|t| *t == Told::Accepted), "{told:?}");
         assert_eq!(c.at[0].read().await.unwrap().unwrap().0, 2);
-        assert_eq!(c.at[c.leader()].core.status().ledger.revision, Revision(2), "taken once");
+        assert_eq!(c.at[c.leader()].core.status().cluster_state.revision, Revision(2), "taken once");
     });
 }
 
@@ -76,7 +76,7 @@
 #[test]
 fn another_order_is_not_taken_for_an_accepted_one() {
     World::run(5, None, |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "1\na").await, Told::Accepted);
         assert_eq!(c.at[0].replace(1, "2\nb").await, Told::Accepted);
         for s in &c.at {
@@ -97,36 +97,36 @@
 /// accepted is refused, however old it is.
 #[test]
 fn an_order_older_than_all_that_is_kept_is_left_open() {
-    let mut l = Ledger::founded("c", vec![]);
+    let mut l = ClusterState::bootstrapped("c", vec![]);
     let all = ACCEPTED_KEPT as u64 + 10;
     for n in 0..all {
-        assert_eq!(l.fold(Index(n + 1), &apply(n)), Verdict::Accepted { revision: Revision(n + 1) });
+        assert_eq!(l.fold(Index(n + 1), &apply(n)), ApplyOutcome::Accepted { revision: Revision(n + 1) });
     }
     let current = 2 * all;
-    let ask = |op: &str, expects: u64| standing(&l, &OpId::new(op), expects, current);
-    let taken = Standing::Decided(Verdict::Accepted { revision: Revision(11) });
+    let ask = |op: &str, expected_voters: u64| standing(&l, &OpId::new(op), expected_voters, current);
+    let taken = OperationStatus::Decided(ApplyOutcome::Accepted { revision: Revision(11) });
     assert_eq!(ask("op10", 20), taken, "the oldest that is kept");
-    assert_eq!(ask("op9", 18), Standing::Forgotten);
-    assert_eq!(ask("op0", 0), Standing::Forgotten);
-    assert_eq!(ask("other", current - ACCEPTED_KEPT as u64), Standing::Superseded);
-    assert_eq!(ask("other", current + 1), Standing::Superseded);
-    assert_eq!(ask("other", current), Standing::Open);
+    assert_eq!(ask("op9", 18), OperationStatus::Forgotten);
+    assert_eq!(ask("op0", 0), OperationStatus::Forgotten);
+    assert_eq!(ask("other", current - ACCEPTED_KEPT as u64), OperationStatus::Superseded);
+    assert_eq!(ask("other", current + 1), OperationStatus::Superseded);
+    assert_eq!(ask("other", current), OperationStatus::Open);
 }
 
 /// A state in which nothing was forgotten refuses every order on an older version.
 #[test]
 fn a_short_history_leaves_nothing_open() {
-    let mut l = Ledger::founded("c", vec![]);
+    let mut l = ClusterState::bootstrapped("c", vec![]);
     for n in 0..3 {
         l.fold(Index(n + 1), &apply(n));
     }
-    assert_eq!(standing(&l, &OpId::new("other"), 0, 1_000_000_000), Standing::Superseded);
+    assert_eq!(standing(&l, &OpId::new("other"), 0, 1_000_000_000), OperationStatus::Superseded);
 }
 
 /// Thousands of operations take tens of KiB in a snapshot, within what is reckoned for them.
 #[test]
 fn operations_stay_small_in_a_snapshot() {
-    let mut l = Ledger::founded("c", vec![]);
+    let mut l = ClusterState::bootstrapped("c", vec![]);
     let empty = wire::encode(&l).unwrap().len();
     for n in 0..2 * ACCEPTED_KEPT as u64 {
         l.fold(Index(n + 1), &apply(n));
@@ -134,8 +134,8 @@
     let encoded = wire::encode(&l).unwrap();
     assert!(encoded.len() - empty <= ACCEPTED_KEPT * OPERATION_BYTES, "{} bytes", encoded.len());
     assert!(encoded.len() <= l.weight());
-    assert_eq!(l.ops.len(), 0, "accepted documents push no other verdict out");
-    assert_eq!(wire::decode::<Ledger>(&encoded).unwrap(), l);
+    assert_eq!(l.recent_operations.len(), 0, "accepted documents push no other verdict out");
+    assert_eq!(wire::decode::<ClusterState>(&encoded).unwrap(), l);
     println!("{} operations: {} bytes", l.accepted.len(), encoded.len() - empty);
 }
 
@@ -143,13 +143,13 @@
 /// elsewhere, taken, and taken back.
 fn evacuated_after_a_late_order(broken: Option<&str>) -> Vec<String> {
     World::run(3, broken.map(Into::into), |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         let s = &c.at[c.leader()];
-        let seen = s.core.status().ledger.index;
+        let seen = s.core.status().cluster_state.index;
         let late = Change::Evacuate { op: "late".into(), zone: "far".into(), on: true, seen };
         assert_eq!(c.at[0].evacuate("far", true).await, Told::Accepted);
         assert_eq!(c.at[1].evacuate("far", false).await, Told::Accepted);
-        assert!(matches!(s.propose(late).await, Proposed::Settled { .. }));
+        assert!(matches!(s.propose(late).await, ProposalOutcome::Committed { .. }));
         c.at[2].evacuated().await
     })
 }
@@ -165,7 +165,7 @@
 #[rstest]
 fn evacuations_sent_at_once_all_end(#[values(1, 2, 3, 4)] seed: u64) {
     World::run(seed, None, |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         let all = (0..8).map(|n| c.at[n % 3].evacuate("far", n % 2 == 0));
         let told = futures::future::join_all(all).await;
         assert!(told.iter().all(|t| *t == Told::Accepted), "{told:?}");
--- a/crates/control-plane/tests/readmission.rs
+++ b/crates/control-plane/tests/readmission.rs
@@ -24,10 +24,10 @@
         r.apply(2 + n, 200);
         r.run(400);
     }
-    let revision = r.voters[r.leader()].ledger.revision;
+    let revision = r.voters[r.leader()].cluster_state.revision;
     (0..3).for_each(|n| r.restart(n, (n == second).then_some(99)));
     r.run(12_000);
-    let at = r.leads().expect("a seat leads again");
-    assert_eq!(r.voters[at].ledger.revision, revision);
+    let at = r.has_leadership().expect("a seat leads again");
+    assert_eq!(r.voters[at].cluster_state.revision, revision);
     r.well();
 }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -32,7 +32,7 @@
 }
 
 fn stop(voter: &Voter, by: VoterId) -> Event {
-    let term = Term(voter.promised.0 + 80);
+    let term = Term(voter.current_term.0 + 80);
     Event::Msg(rig::addr(usize::from(by.number)), Message::VoteRequest { by, term, accepted: Index(0) })
 }
 
@@ -42,7 +42,7 @@
     let dir = tempdir().unwrap();
     let mut r = settled(dir.path());
     let (lead, now) = (r.leader(), r.now);
-    let term = r.voters[lead].promised;
+    let term = r.voters[lead].current_term;
     let effects = r.voters[lead].step(Event::SyncFailed, now);
     let yields = sent(&effects)
         .iter()
@@ -61,13 +61,14 @@
     let lead = r.leader();
     let at = (lead + 1) % 3;
     r.voters[at].step(Event::SyncFailed, r.now);
-    let (by, term) = (r.voters[lead].id(), r.voters[lead].promised);
-    let feed = Message::Append { by, to: at as u8, term, accepted: Index(1), stamp: r.now, body: Body::Ping };
+    let (by, term) = (r.voters[lead].id(), r.voters[lead].current_term);
+    let send_append =
+        Message::Append { by, to: at as u8, term, accepted: Index(1), sent_at: r.now, body: Body::Ping };
     let from = rig::addr(lead);
     let late = r.now + 20 * Timing::default().election_timeout_ms();
     let events = [
         stop(&r.voters[at], by),
-        Event::Msg(from, feed),
+        Event::Msg(from, send_append),
         Event::Msg(from, Message::PreVote { by, term: Term(term.0 + 80) }),
         Event::Msg(from, Message::LeaderQuery(Tick(1))),
         Event::Timer,
@@ -92,24 +93,24 @@
     let lead = r.leader();
     let at = (lead + 1) % 3;
     let late = r.now + 2 * Timing::default().election_timeout_ms();
-    let (by, promised) = (r.voters[lead].id(), r.voters[at].promised);
+    let (by, current_term) = (r.voters[lead].id(), r.voters[at].current_term);
     let image = r.held(at);
     let event = stop(&r.voters[at], by);
     let effects = r.voters[at].step(event, late);
     let token =
-        effects.iter().find_map(|f| if let Effect::Persist { tok, .. } = f { Some(*tok) } else { None });
+        effects.iter().find_map(|f| if let Effect::Persist { token, .. } = f { Some(*token) } else { None });
     let token = token.expect("a promise is written");
-    assert!(r.voters[at].promised > promised);
+    assert!(r.voters[at].current_term > current_term);
     r.voters[at].step(Event::SyncFailed, late);
     r.voters[at].step(Event::Recovered(Box::new(image)), late);
-    assert_eq!(r.voters[at].promised, promised, "it believes its disk");
+    assert_eq!(r.voters[at].current_term, current_term, "it believes its disk");
     assert!(sent(&r.voters[at].step(Event::Synced(token), late)).is_empty());
     // Its next write is told of by a token of its own.
     let later = late + Timing::default().election_timeout_ms();
     let event = stop(&r.voters[at], by);
     let effects = r.voters[at].step(event, later);
     let next =
-        effects.iter().find_map(|f| if let Effect::Persist { tok, .. } = f { Some(*tok) } else { None });
+        effects.iter().find_map(|f| if let Effect::Persist { token, .. } = f { Some(*token) } else { None });
     assert!(next.is_some_and(|t| t > token));
     assert!(sent(&r.voters[at].step(Event::Synced(token), later)).is_empty());
 }
@@ -140,10 +141,10 @@
     let dir = tempdir().unwrap();
     let mut r = settled(dir.path());
     let image = r.held(0);
-    let older = DurableState { promised: Term(0), ..image };
-    let promised = r.voters[0].promised;
+    let older = DurableState { current_term: Term(0), ..image };
+    let current_term = r.voters[0].current_term;
     assert!(r.voters[0].step(Event::Recovered(Box::new(older)), r.now).is_empty());
-    assert_eq!(r.voters[0].promised, promised);
+    assert_eq!(r.voters[0].current_term, current_term);
 }
 
 /// A voter that was formed and lost its folder knows of a cluster: it must not found another. One whose
@@ -151,15 +152,15 @@
 #[rstest]
 #[case::the_folder_was_damaged(77, false)]
 #[case::the_founding_was_refused(10, true)]
-fn who_may_found_after_a_recovery(#[case] incarnation: u64, #[case] founds: bool) {
+fn who_may_found_after_a_recovery(#[case] incarnation: u64, #[case] may_bootstrap: bool) {
     let dir = tempdir().unwrap();
     let mut r = settled(dir.path());
     let me =
         control_plane::change::VoterInfo { incarnation: Incarnation(incarnation), ..r.voters[0].me.clone() };
     r.voters[0].step(Event::SyncFailed, r.now);
-    r.voters[0].step(Event::Recovered(Box::new(Voter::blank_image(&me))), r.now);
-    assert_eq!(r.voters[0].founds, founds);
-    assert!(!r.voters[0].formed);
+    r.voters[0].step(Event::Recovered(Box::new(Voter::blank_state(&me))), r.now);
+    assert_eq!(r.voters[0].may_bootstrap, may_bootstrap);
+    assert!(!r.voters[0].initialized);
 }
 
 /// Found on the users' platform (`disk-refuses-writes-once`): one short refusal cost a vote for ever, and
@@ -175,7 +176,7 @@
     for (n, at) in [first, second].into_iter().enumerate() {
         r.refuse(at, true);
         let doc = 10 * (n as u64 + 1);
-        if r.leads().is_some() {
+        if r.has_leadership().is_some() {
             r.apply(doc, 200);
         }
         r.run(4_000);
@@ -184,7 +185,7 @@
         r.apply(doc + 1, 200);
         r.run(1_000);
         r.well();
-        assert!(r.voters.iter().all(|s| !s.dead));
+        assert!(r.voters.iter().all(|s| !s.disk_failed));
     }
 }
 
@@ -196,13 +197,14 @@
     let lead = r.leader();
     let at = (lead + 1) % 3;
     let late = r.now + 2 * Timing::default().election_timeout_ms();
-    let (by, term) = (r.voters[lead].id(), r.voters[lead].promised);
+    let (by, term) = (r.voters[lead].id(), r.voters[lead].current_term);
     let event = stop(&r.voters[at], by);
     let effects = r.voters[at].step(event, late);
     let token =
-        effects.iter().find_map(|f| if let Effect::Persist { tok, .. } = f { Some(*tok) } else { None });
-    let feed = Message::Append { by, to: at as u8, term, accepted: Index(1), stamp: late, body: Body::Ping };
-    assert!(sent(&r.voters[at].step(Event::Msg(rig::addr(lead), feed), late)).is_empty());
+        effects.iter().find_map(|f| if let Effect::Persist { token, .. } = f { Some(*token) } else { None });
+    let send_append =
+        Message::Append { by, to: at as u8, term, accepted: Index(1), sent_at: late, body: Body::Ping };
+    assert!(sent(&r.voters[at].step(Event::Msg(rig::addr(lead), send_append), late)).is_empty());
     let said = r.voters[at].step(Event::Synced(token.unwrap()), late);
     let held = |m: &&&Message| matches!(m, Message::AppendReply { term: v, .. } if *v > term);
     assert_eq!(sent(&said).iter().filter(held).count(), 1);
--- a/crates/control-plane/tests/refusing.rs
+++ b/crates/control-plane/tests/refusing.rs
@@ -3,8 +3,8 @@
 use common::runtime::World;
 use control_plane::{
     consensus::{Event, Voter},
-    desk::Told,
-    rpc::{Ask, Reply},
+    operator_service::Told,
+    rpc::{ControlRequest, ControlResponse},
 };
 
 mod cluster;
@@ -14,7 +14,7 @@
 #[test]
 fn an_order_at_a_seat_that_refuses_is_taken_elsewhere() {
     World::run(3, None, |w| async move {
-        let c = Cluster::formed(w, 3).await;
+        let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "1\nfirst").await, Told::Accepted);
         let lead = c.leader();
         let (core, me) = (c.at[lead].core.clone(), c.at[lead].core.status().me);
@@ -32,14 +32,23 @@
         assert_eq!(c.at[lead].read().await, Ok(Some((2, "2\nsecond".into()))));
         let wait_ms = 400;
         let asked = c.world.ms();
-        let news = core.clone().answer(Ask::News { have: core.status().ledger.index, wait_ms }).await;
-        assert!(matches!(news, Reply::Elsewhere { .. }) && c.world.ms() == asked, "not after the wait");
+        let state_update = core
+            .clone()
+            .answer(ControlRequest::WatchState { have: core.status().cluster_state.index, wait_ms })
+            .await;
+        assert!(
+            matches!(state_update, ControlResponse::NotLeader { .. }) && c.world.ms() == asked,
+            "not after the wait"
+        );
         // Its folder turns out damaged: it comes back blank and is readmitted.
         let blank =
             control_plane::change::VoterInfo { incarnation: common::Incarnation(77), number: u8::MAX, ..me };
-        core.step(Event::Recovered(Box::new(Voter::blank_image(&blank))));
+        core.step(Event::Recovered(Box::new(Voter::blank_state(&blank))));
         c.until("its vote", |c| c.at[lead].core.status().voting).await;
-        assert_eq!(c.at[lead].core.status().ledger.revision, c.at[c.leader()].core.status().ledger.revision);
+        assert_eq!(
+            c.at[lead].core.status().cluster_state.revision,
+            c.at[c.leader()].core.status().cluster_state.revision
+        );
     });
 }
 
@@ -47,7 +56,7 @@
 #[test]
 fn an_order_under_way_is_undetermined_at_once() {
     World::run(4, None, |w| async move {
-        let c = Cluster::formed(w.clone(), 3).await;
+        let c = Cluster::initialized(w.clone(), 3).await;
         let lead = c.leader();
         c.cut_off(lead);
         let stand = c.at[lead].clone();
@@ -66,11 +75,14 @@
     World::run(5, None, |w| async move {
         let c = Cluster::start_waiting(w, 3, 2).await;
         tokio::time::sleep(std::time::Duration::from_secs(20)).await;
-        let formed = |n: usize| c.at[n].core.status().formed;
-        assert!(!formed(0) && !formed(1) && !formed(2), "two of three blank seeds found nothing");
+        let initialized = |n: usize| c.at[n].core.status().initialized;
+        assert!(
+            !initialized(0) && !initialized(1) && !initialized(2),
+            "two of three blank seeds found nothing"
+        );
         let core = &c.at[2].core;
         let me = core.status().me;
-        core.step(Event::Recovered(Box::new(Voter::blank_image(&me))));
+        core.step(Event::Recovered(Box::new(Voter::blank_state(&me))));
         c.until("a leader", |c| c.at.iter().all(|s| s.core.status().leader.is_some())).await;
         assert_eq!(c.at[2].replace(0, "1\nfirst").await, Told::Accepted);
     });
--- a/crates/control-plane/tests/rig/mod.rs
+++ b/crates/control-plane/tests/rig/mod.rs
@@ -7,10 +7,10 @@
 
 use common::{Incarnation, Revision, Tick, settings::Timing, wire};
 use control_plane::{
-    Change, Ledger,
+    Change, ClusterState,
     change::VoterInfo,
     consensus::{DurableState, Effect, Event, Message, Voter},
-    disk::{Disk, Found},
+    disk::{LoadResult, RecordWriter},
     store::FileStore,
 };
 use noise::noise;
@@ -32,14 +32,14 @@
     /// The slow disk syncs nothing.
     pub stalled: bool,
     pub now: Tick,
-    dead: Vec<String>,
+    disk_failed: Vec<String>,
     /// Disks that refuse every write.
     refusing: [bool; 3],
     widest: usize,
     pub logged: usize,
     pub rejected: usize,
     /// Feeds: to whom, when, and what they weigh.
-    pub fed: Vec<(usize, Tick, usize)>,
+    pub replication_targets: Vec<(usize, Tick, usize)>,
 }
 
 pub fn start(dir: &Path) -> Rig {
@@ -53,16 +53,16 @@
     };
     let (mut voters, mut disks) = (vec![], vec![]);
     for n in 0..3 {
-        let ledger = Ledger::founded("c", (0..3).map(holder).collect());
-        let img = DurableState { formed: true, ledger, ..Voter::blank_image(&holder(n)) };
+        let cluster_state = ClusterState::bootstrapped("c", (0..3).map(holder).collect());
+        let image = DurableState { initialized: true, cluster_state, ..Voter::blank_state(&holder(n)) };
         let dir = dir.join(format!("s{n}"));
-        disks.push(FileStore::open(&dir, &img).unwrap());
+        disks.push(FileStore::open(&dir, &image).unwrap());
         let seeds = (0..3).map(addr).collect();
-        voters.push(Voter::new(holder(n), "c", seeds, Timing::default(), Some(img), Tick(10_000)));
+        voters.push(Voter::new(holder(n), "c", seeds, Timing::default(), Some(image), Tick(10_000)));
     }
-    let (mail, dead) = Default::default();
+    let (mail, disk_failed) = Default::default();
     let (widest, logged, rejected) = (0, 0, 0);
-    let fed = vec![];
+    let replication_targets = vec![];
     let dir = dir.to_path_buf();
     Rig {
         dir,
@@ -73,25 +73,25 @@
         slow: None,
         stalled: false,
         now: Tick(10_000),
-        dead,
+        disk_failed,
         refusing: [false; 3],
         widest,
         logged,
         rejected,
-        fed,
+        replication_targets,
     }
 }
 
 impl Rig {
-    pub fn step(&mut self, n: usize, ev: Event) {
-        let mut due = VecDeque::from(self.voters[n].step(ev, self.now));
+    pub fn step(&mut self, n: usize, event: Event) {
+        let mut due = VecDeque::from(self.voters[n].step(event, self.now));
         while let Some(f) = due.pop_front() {
             match f {
                 Effect::Send { to, msg } => {
                     let len = wire::encode(&msg).unwrap().len();
                     self.widest = self.widest.max(len);
                     if let Message::Append { to, body, .. } = &msg {
-                        self.fed.push((usize::from(*to), self.now, body.weight()));
+                        self.replication_targets.push((usize::from(*to), self.now, body.weight()));
                     }
                     if len < wire::MAX_FRAME {
                         self.mail.push_back((n, usize::from(to.port()) - 7000, msg));
@@ -100,13 +100,13 @@
                 Effect::Persist { .. } if self.refusing[n] => {
                     due.extend(self.voters[n].step(Event::SyncFailed, self.now))
                 }
-                Effect::Persist { tok, rec } => match self.disks[n].write(&rec) {
+                Effect::Persist { token, record } => match self.disks[n].write(&record) {
                     Ok(()) => match &mut self.slow {
-                        Some((s, toks)) if *s == n => toks.push_back(tok),
-                        _ => due.extend(self.voters[n].step(Event::Synced(tok), self.now)),
+                        Some((s, toks)) if *s == n => toks.push_back(token),
+                        _ => due.extend(self.voters[n].step(Event::Synced(token), self.now)),
                     },
                     Err(e) => {
-                        self.dead.push(format!("s{n}: {e}"));
+                        self.disk_failed.push(format!("s{n}: {e}"));
                         self.voters[n].step(Event::SyncFailed, self.now);
                     }
                 },
@@ -121,9 +121,9 @@
         for _ in 0..ms / 25 {
             self.now = self.now + 25;
             for n in 0..3 {
-                let tok =
+                let token =
                     self.slow.as_mut().filter(|s| s.0 == n && !self.stalled).and_then(|s| s.1.pop_front());
-                tok.into_iter().for_each(|tok| self.step(n, Event::Synced(tok)));
+                token.into_iter().for_each(|token| self.step(n, Event::Synced(token)));
                 self.step(n, Event::Timer);
             }
             for _ in 0..self.mail.len() {
@@ -138,7 +138,7 @@
     /// What the disk of a voter holds.
     pub fn held(&self, n: usize) -> DurableState {
         match FileStore::load(&self.dir.join(format!("s{n}"))).unwrap() {
-            Found::DurableState(image) => *image,
+            LoadResult::DurableState(image) => *image,
             other => panic!("s{n}: {other:?}"),
         }
     }
@@ -146,7 +146,7 @@
     /// A disk refuses every write, or works again under the same process.
     pub fn refuse(&mut self, n: usize, refuses: bool) {
         self.refusing[n] = refuses;
-        if !refuses && self.voters[n].dead {
+        if !refuses && self.voters[n].disk_failed {
             let image = self.held(n);
             self.disks[n] = FileStore::open(&self.dir.join(format!("s{n}")), &image).unwrap();
             self.step(n, Event::Recovered(Box::new(image)));
@@ -160,28 +160,28 @@
         if blank.is_some() {
             std::fs::remove_dir_all(&dir).unwrap();
         }
-        let img = match FileStore::load(&dir).unwrap() {
-            Found::DurableState(i) => *i,
-            Found::Nothing => Voter::blank_image(&me),
+        let image = match FileStore::load(&dir).unwrap() {
+            LoadResult::DurableState(i) => *i,
+            LoadResult::Nothing => Voter::blank_state(&me),
             other => panic!("s{n}: {other:?}"),
         };
-        self.disks[n] = FileStore::open(&dir, &img).unwrap();
+        self.disks[n] = FileStore::open(&dir, &image).unwrap();
         let seeds = (0..3).map(addr).collect();
-        self.voters[n] = Voter::new(img.me.clone(), "c", seeds, Timing::default(), Some(img), self.now);
+        self.voters[n] = Voter::new(image.me.clone(), "c", seeds, Timing::default(), Some(image), self.now);
         self.mail.retain(|m| m.0 != n && m.1 != n);
     }
 
-    pub fn leads(&self) -> Option<usize> {
-        (0..3).find(|n| self.voters[*n].current(self.now))
+    pub fn has_leadership(&self) -> Option<usize> {
+        (0..3).find(|n| self.voters[*n].can_serve_reads(self.now))
     }
 
     pub fn leader(&self) -> usize {
-        (0..3).find(|n| self.voters[*n].leads(self.now)).expect("a seat leads")
+        (0..3).find(|n| self.voters[*n].has_leadership(self.now)).expect("a seat leads")
     }
 
     pub fn apply(&mut self, n: u64, len: usize) {
         let at = self.leader();
-        let base = Revision(self.voters[at].ledger.revision.0);
+        let base = Revision(self.voters[at].cluster_state.revision.0);
         let text = noise(n, len);
         self.step(
             at,
@@ -190,11 +190,11 @@
     }
 
     pub fn well(&self) {
-        assert!(self.dead.is_empty(), "{:?}", self.dead);
+        assert!(self.disk_failed.is_empty(), "{:?}", self.disk_failed);
         assert!(self.widest < wire::MAX_FRAME, "a message of {} bytes", self.widest);
-        let l = &self.voters[self.leader()].ledger;
+        let l = &self.voters[self.leader()].cluster_state;
         for s in &self.voters {
-            assert_eq!((s.ledger.index, s.ledger.revision), (l.index, l.revision));
+            assert_eq!((s.cluster_state.index, s.cluster_state.revision), (l.index, l.revision));
         }
     }
 }
--- a/crates/control-plane/tests/size.rs
+++ b/crates/control-plane/tests/size.rs
@@ -3,11 +3,11 @@
 
 use common::{Incarnation, Index, Revision, Term, wire};
 use control_plane::{
-    Change, Ledger, ReplicaMove, Role,
+    Change, ClusterState, ReplicaMove, Role,
     change::{NodeInfo, VoterInfo},
     consensus::{Event, LogEntry, Record},
-    disk::Found,
-    news,
+    disk::LoadResult,
+    state_update,
     store::FileStore,
 };
 use rstest::rstest;
@@ -39,9 +39,10 @@
     r.well();
     let at = r.leader();
     let s = &r.voters[at];
-    assert_eq!(s.ledger.revision, Revision(count), "each was accepted");
-    for have in [1, s.ledger.index.0 / 2, s.ledger.index.0 - 1] {
-        let told = wire::encode(&news::since(Index(have), &s.ledger, &s.log, s.base, s.room)).unwrap();
+    assert_eq!(s.cluster_state.revision, Revision(count), "each was accepted");
+    for have in [1, s.cluster_state.index.0 / 2, s.cluster_state.index.0 - 1] {
+        let told = wire::encode(&state_update::since(Index(have), &s.cluster_state, &s.log, s.base, s.room))
+            .unwrap();
         assert!(told.len() < wire::MAX_FRAME, "news of {} bytes after {have}", told.len());
     }
     let kept: usize = s.log.iter().map(|e| wire::encode(e).unwrap().len()).sum();
@@ -105,7 +106,7 @@
     }
 }
 
-/// Names from a path are as long as a caller likes, and verdicts name them: neither may fill the
+/// Names from a path are as long as a caller likes, and outcomes name them: neither may fill the
 /// state. A state that is full still takes what makes it smaller.
 #[test]
 fn the_whole_state_stays_within_its_slot() {
@@ -139,7 +140,7 @@
     r.well();
     // What is on disk is read back whole.
     let back = FileStore::load(&dir.path().join("s0")).unwrap();
-    assert!(matches!(back, Found::DurableState(i) if i.ledger.replicas.len() > 900));
+    assert!(matches!(back, LoadResult::DurableState(i) if i.cluster_state.replicas.len() > 900));
 }
 
 /// Weights bound the real lengths: all room is reckoned by them.
@@ -176,7 +177,7 @@
         named(&"q".repeat(64), &"w".repeat(64), ReplicaMove::Drain),
         Change::Apply { op: "z".into(), base: Revision(0), text: "".into() },
     ];
-    let mut l = Ledger::founded(&"c".repeat(64), vec![holder.clone(), holder.clone(), holder]);
+    let mut l = ClusterState::bootstrapped(&"c".repeat(64), vec![holder.clone(), holder.clone(), holder]);
     let mut told = vec![];
     for (n, change) in all.into_iter().enumerate() {
         let e = LogEntry { index: Index(u64::MAX - 100 + n as u64), change };
@@ -185,6 +186,6 @@
         assert!(wire::encode(&l).unwrap().len() <= l.weight(), "{l:?}");
         told.push(e);
     }
-    let rec = Record::Install { term: Term(u64::MAX), cut: Index(u64::MAX), entries: told };
-    assert!(wire::encode(&rec).unwrap().len() + 32 <= rec.weight());
+    let record = Record::Install { term: Term(u64::MAX), cut: Index(u64::MAX), entries: told };
+    assert!(wire::encode(&record).unwrap().len() + 32 <= record.weight());
 }
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -2,10 +2,10 @@
 
 use common::{Incarnation, Index, Term};
 use control_plane::{
-    Change, Ledger,
+    Change, ClusterState,
     change::VoterInfo,
     consensus::{DurableState, LogEntry, Record, Voter},
-    disk::{Disk, Found},
+    disk::{LoadResult, RecordWriter},
     store::FileStore,
 };
 use rstest::rstest;
@@ -21,7 +21,11 @@
         rpc_addr: addr,
         http: addr,
     };
-    DurableState { formed: true, ledger: Ledger::founded("c", vec![me.clone()]), ..Voter::blank_image(&me) }
+    DurableState {
+        initialized: true,
+        cluster_state: ClusterState::bootstrapped("c", vec![me.clone()]),
+        ..Voter::blank_state(&me)
+    }
 }
 
 fn append(n: u64) -> Record {
@@ -34,9 +38,9 @@
     Record::Append { accepted: Index(0), entries: vec![LogEntry { index: Index(n), change }] }
 }
 
-fn last(f: Found) -> Option<u64> {
+fn last(f: LoadResult) -> Option<u64> {
     match f {
-        Found::DurableState(i) => Some(i.entries.last().map(|e| e.index.0).unwrap_or(0)),
+        LoadResult::DurableState(i) => Some(i.entries.last().map(|e| e.index.0).unwrap_or(0)),
         _ => None,
     }
 }
@@ -75,15 +79,15 @@
 #[test]
 fn what_was_synced_comes_back_over_many_slots() {
     let d = tempfile::tempdir().unwrap();
-    assert_eq!(FileStore::load(d.path()).unwrap(), Found::Nothing);
-    let mut img = image();
+    assert_eq!(FileStore::load(d.path()).unwrap(), LoadResult::Nothing);
+    let mut image = image();
     for round in 0..5u64 {
-        let mut s = FileStore::open(d.path(), &img).unwrap();
+        let mut s = FileStore::open(d.path(), &image).unwrap();
         s.write(&Record::Promise(Term(round + 1))).unwrap();
         s.write(&append(round + 1)).unwrap();
-        img.replay(Record::Promise(Term(round + 1)));
-        img.replay(append(round + 1));
-        assert_eq!(FileStore::load(d.path()).unwrap(), Found::DurableState(Box::new(img.clone())));
+        image.replay(Record::Promise(Term(round + 1)));
+        image.replay(append(round + 1));
+        assert_eq!(FileStore::load(d.path()).unwrap(), LoadResult::DurableState(Box::new(image.clone())));
     }
 }
 
@@ -109,7 +113,7 @@
         let at = records(b)[which];
         b[at + 35] ^= 1;
     });
-    assert!(matches!(FileStore::load(d.path()).unwrap(), Found::Damaged(_)));
+    assert!(matches!(FileStore::load(d.path()).unwrap(), LoadResult::Corrupt(_)));
 }
 
 #[test]
@@ -120,7 +124,7 @@
         let at = records(b)[1];
         b[at..].fill(0);
     });
-    assert!(matches!(FileStore::load(d.path()).unwrap(), Found::Damaged(_)));
+    assert!(matches!(FileStore::load(d.path()).unwrap(), LoadResult::Corrupt(_)));
 }
 
 #[test]
@@ -129,7 +133,7 @@
     filled(d.path(), 2);
     let slot = newest(d.path(), "slot");
     edit(&slot, |b| b[50] ^= 1);
-    assert!(matches!(FileStore::load(d.path()).unwrap(), Found::Damaged(_)));
+    assert!(matches!(FileStore::load(d.path()).unwrap(), LoadResult::Corrupt(_)));
     // Torn while it was written: its log was not begun yet, the older slot and log are whole.
     let d = tempfile::tempdir().unwrap();
     filled(d.path(), 2);
@@ -149,7 +153,7 @@
     for n in 0..2 {
         edit(&d.path().join(format!("slot-{n}")), |b| b[..64].fill(9));
     }
-    assert!(matches!(FileStore::load(d.path()).unwrap(), Found::Damaged(_)));
+    assert!(matches!(FileStore::load(d.path()).unwrap(), LoadResult::Corrupt(_)));
 }
 
 /// Whole data of another form is not damage: were it taken as such, an upgrade of all three voters
@@ -159,7 +163,7 @@
     let d = tempfile::tempdir().unwrap();
     filled(d.path(), 1);
     edit(&newest(d.path(), "slot"), |b| b[..8].copy_from_slice(b"fshunt01"));
-    assert_eq!(FileStore::load(d.path()).unwrap(), Found::OtherForm);
+    assert_eq!(FileStore::load(d.path()).unwrap(), LoadResult::IncompatibleFormat);
     let d = tempfile::tempdir().unwrap();
     filled(d.path(), 1);
     edit(&newest(d.path(), "slot"), |b| {
@@ -171,7 +175,7 @@
         b[28..32].copy_from_slice(&head.to_le_bytes());
         b[32..32 + body.len()].copy_from_slice(body);
     });
-    assert_eq!(FileStore::load(d.path()).unwrap(), Found::OtherForm);
+    assert_eq!(FileStore::load(d.path()).unwrap(), LoadResult::IncompatibleFormat);
 }
 
 /// Logs are looked through in pieces: a header that stands across the end of one is found too.
@@ -197,20 +201,20 @@
         let at = 32 + behind;
         b[at..at + 32].copy_from_slice(&second);
     });
-    assert!(matches!(FileStore::load(d.path()).unwrap(), Found::Damaged(_)));
+    assert!(matches!(FileStore::load(d.path()).unwrap(), LoadResult::Corrupt(_)));
 }
 
 /// The mark is brought forward in place with each record. Before: torn on the way, it made all records
 /// behind it count for nothing.
 #[rstest]
-fn a_mark_torn_at_any_byte_leaves_the_records(#[values(16, 17, 20, 24, 25, 28, 30, 31)] upto: usize) {
+fn a_mark_torn_at_any_byte_leaves_the_records(#[values(16, 17, 20, 24, 25, 28, 30, 31)] last_sent: usize) {
     let d = tempfile::tempdir().unwrap();
     let mut s = FileStore::open(d.path(), &image()).unwrap();
     (1..=2).for_each(|k| s.write(&append(k)).unwrap());
     let before = fs::read(newest(d.path(), "log")).unwrap()[..32].to_vec();
     s.write(&append(3)).unwrap();
     // The new mark up to here, what stood there before from here on.
-    edit(&newest(d.path(), "log"), |b| b[upto..32].copy_from_slice(&before[upto..]));
+    edit(&newest(d.path(), "log"), |b| b[last_sent..32].copy_from_slice(&before[last_sent..]));
     assert_eq!(last(FileStore::load(d.path()).unwrap()), Some(3));
 }
 
@@ -220,9 +224,9 @@
 fn a_start_never_writes_over_the_last_synced_slot() {
     let d = tempfile::tempdir().unwrap();
     filled(d.path(), 2);
-    let synced = newest(d.path(), "slot");
-    let other = d.path().join(if synced.ends_with("slot-0") { "slot-1" } else { "slot-0" });
-    let bytes = fs::read(&synced).unwrap();
+    let durable_index = newest(d.path(), "slot");
+    let other = d.path().join(if durable_index.ends_with("slot-0") { "slot-1" } else { "slot-0" });
+    let bytes = fs::read(&durable_index).unwrap();
     let sequence = u64::from_le_bytes(bytes[8..16].try_into().unwrap()) + 1;
     edit(&other, |b| {
         b.copy_from_slice(&bytes);
@@ -231,5 +235,5 @@
         b[28..32].copy_from_slice(&head.to_le_bytes());
     });
     FileStore::open(d.path(), &image()).unwrap();
-    assert_eq!(fs::read(&synced).unwrap(), bytes);
+    assert_eq!(fs::read(&durable_index).unwrap(), bytes);
 }
--- a/crates/control-plane/tests/wake.rs
+++ b/crates/control-plane/tests/wake.rs
@@ -18,7 +18,7 @@
     r.run(500);
     (0..3).for_each(|n| r.restart(n, (blank == Some(n)).then_some(99)));
     r.run(Timing::default().election_timeout_ms() - 200);
-    assert!(r.leads().is_some());
+    assert!(r.has_leadership().is_some());
     r.run(8_000);
     r.well();
 }
@@ -45,7 +45,7 @@
     let mut r = rig::start(dir.path());
     r.run(6_000);
     let (lead, now) = (r.leader(), r.now);
-    let asks = |life| Event::Msg(rig::addr((lead + 1) % 3), Message::LeaderQuery(life));
+    let asks = |process_started| Event::Msg(rig::addr((lead + 1) % 3), Message::LeaderQuery(process_started));
     let rests = |effects: Vec<Effect>| {
         effects.iter().any(|f| matches!(f, Effect::Send { msg: Message::NotLeading(_), .. }))
     };
--- a/crates/data-plane/src/answer.rs
+++ b/crates/data-plane/src/answer.rs
@@ -3,10 +3,10 @@
 use crate::{
     pressure::Figures,
     router::{Router, lock},
-    rpc::{Ask, Reply},
+    rpc::{RouterRequest, RouterResponse},
 };
-use common::{Fence, Service, Zone, log_event, settings::Settings};
-use control_plane::{consensus::Room, news};
+use common::{FencingToken, Service, Zone, log_event, settings::Settings};
+use control_plane::{consensus::SizeLimits, state_update};
 use std::{
     collections::VecDeque,
     sync::{Arc, atomic::Ordering},
@@ -14,68 +14,76 @@
 };
 
 impl Router {
-    pub async fn answer(self: Arc<Self>, node: String, ask: Ask) -> Reply {
+    pub async fn answer(self: Arc<Self>, node: String, ask: RouterRequest) -> RouterResponse {
         match ask {
             // No sign of life by itself: it may have waited here while this node was frozen.
-            Ask::Hail { .. } => Reply::Hailed {
-                index: self.ledger().index,
+            RouterRequest::Hail { .. } => RouterResponse::Hailed {
+                index: self.cluster_state().index,
                 incarnation: self.member.info.incarnation,
                 fit: self.standing().is_none() && !self.draining.load(Ordering::Acquire),
             },
-            Ask::News { have } => {
-                let l = self.ledger();
+            RouterRequest::FetchState { have } => {
+                let l = self.cluster_state();
                 let base = l.index;
-                Reply::News(news::since(have, &l, &VecDeque::new(), base, Room::default()))
+                RouterResponse::StateUpdate(state_update::since(
+                    have,
+                    &l,
+                    &VecDeque::new(),
+                    base,
+                    SizeLimits::default(),
+                ))
             }
-            Ask::Settle { fence, key, service, stale, pick, ttl_ms } => {
-                match self.settle_here(fence, key, &service, stale, pick, ttl_ms) {
-                    Ok(s) => Reply::Settled(s),
+            RouterRequest::Settle { fencing_token, key, service, stale, pick, ttl_ms } => {
+                match self.settle_here(fencing_token, key, &service, stale, pick, ttl_ms) {
+                    Ok(s) => RouterResponse::Settled(s),
                     Err(why) => self.no("settle", &node, why),
                 }
             }
-            Ask::Copy { fence, shard, rows } => {
-                let known = lock(&self.tab).fence(shard, fence);
+            RouterRequest::Copy { fencing_token, shard, rows } => {
+                let known = lock(&self.tab).fencing_token(shard, fencing_token);
                 match known {
                     Ok(()) => {
                         self.take_copies(rows);
-                        Reply::Done
+                        RouterResponse::Done
                     }
                     Err(f) => self.no("copy", &node, format!("stale fence: {f} is known")),
                 }
             }
-            Ask::Fetch { shard } => Reply::Rows(lock(&self.tab).rows_of(shard, self.now())),
-            Ask::Watch { service, zone, seq, fence, wait_ms } => {
-                match self.tell_figures(service, zone, seq, fence, wait_ms).await {
-                    Some(f) => Reply::Figures(f),
-                    None => Reply::Rejected("not the home".into()),
+            RouterRequest::Fetch { shard } => {
+                RouterResponse::Rows(lock(&self.tab).rows_of(shard, self.now()))
+            }
+            RouterRequest::Watch { service, zone, seq, fencing_token, wait_ms } => {
+                match self.tell_figures(service, zone, seq, fencing_token, wait_ms).await {
+                    Some(f) => RouterResponse::Figures(f),
+                    None => RouterResponse::Rejected("not the home".into()),
                 }
             }
-            Ask::Last { service, zone } => match self.last_figures(&service, &zone) {
-                Some(f) => Reply::Figures(f),
-                None => Reply::Rejected("nothing heard".into()),
+            RouterRequest::Last { service, zone } => match self.last_figures(&service, &zone) {
+                Some(f) => RouterResponse::Figures(f),
+                None => RouterResponse::Rejected("nothing heard".into()),
             },
-            Ask::Passes { region, service, node } => match self.grant(&region, &service, &node) {
-                Ok(p) => Reply::Pass(p),
-                Err(why) => Reply::Rejected(why.into()),
+            RouterRequest::Passes { region, service, node } => match self.grant(&region, &service, &node) {
+                Ok(p) => RouterResponse::Pass(p),
+                Err(why) => RouterResponse::Rejected(why.into()),
             },
-            Ask::Note { note } => {
+            RouterRequest::Note { note } => {
                 self.heard_of(&note);
-                Reply::Done
+                RouterResponse::Done
             }
-            Ask::Board { zone, seq, wait_ms } => {
-                Reply::Board(self.tell_board(zone, seq, wait_ms).await.map(Box::new))
+            RouterRequest::Board { zone, seq, wait_ms } => {
+                RouterResponse::Board(self.tell_board(zone, seq, wait_ms).await.map(Box::new))
             }
-            Ask::Redeem { spent } => match self.redeem_here(&spent) {
-                Ok(()) => Reply::Done,
+            RouterRequest::Redeem { spent } => match self.redeem_here(&spent) {
+                Ok(()) => RouterResponse::Done,
                 Err(why) => self.no("redeem", &node, why.into()),
             },
         }
     }
 
-    fn no(&self, step: &'static str, peer: &str, why: String) -> Reply {
+    fn no(&self, step: &'static str, peer: &str, why: String) -> RouterResponse {
         self.numbers.reject(why.split(':').next().unwrap_or("bounced"));
         log_event!(Info, step, "peer" => peer, "cause" => why);
-        Reply::Rejected(why)
+        RouterResponse::Rejected(why)
     }
 
     /// Figures with their age, as long as they still count.
@@ -95,11 +103,12 @@
         svc: Service,
         zone: Zone,
         seq: u64,
-        fence: Fence,
+        fencing_token: FencingToken,
         wait_ms: u64,
     ) -> Option<Figures> {
         let mut rx = lock(&self.published).get(&(svc.clone(), zone.clone()))?.subscribe();
-        let newer = |f: &Option<Figures>| f.as_ref().is_some_and(|f| f.fence != fence || f.seq > seq);
+        let newer =
+            |f: &Option<Figures>| f.as_ref().is_some_and(|f| f.fencing_token != fencing_token || f.seq > seq);
         let wait = Duration::from_millis(wait_ms.min(10_000));
         let came = self.now();
         let _ = tokio::time::timeout(wait, rx.wait_for(newer)).await;
--- a/crates/data-plane/src/away.rs
+++ b/crates/data-plane/src/away.rs
@@ -70,7 +70,7 @@
             spent,
             left_ms: left,
         };
-        let signed = match hop::sign(self.ledger().secret, &h) {
+        let signed = match hop::sign(self.cluster_state().secret, &h) {
             Ok(s) => s,
             Err(e) => return Next::NotRun(Fault::new(step, &region, e)),
         };
--- a/crates/data-plane/src/carry.rs
+++ b/crates/data-plane/src/carry.rs
@@ -101,9 +101,9 @@
         (self.now() >= p.deadline).then_some("past its deadline").or_else(|| self.standing())
     }
 
-    /// No more listed there, draining, or in an zone that was evacuated since it was picked.
+    /// No more listed there, draining, or in a zone that was evacuated since it was picked.
     fn departed(&self, id: &ReplicaId, addr: SocketAddr) -> bool {
-        let l = self.ledger();
+        let l = self.cluster_state();
         if common::runtime::broken("departed-still-used") {
             return false;
         }
--- a/crates/data-plane/src/cut.rs
+++ b/crates/data-plane/src/cut.rs
@@ -1,10 +1,10 @@
 //! Signs of life between nodes (design 3.5): who is heard, whether this node is cut off, and
-//! newer news from peers.
+//! newer state updates from peers.
 
 use crate::{
     digest::Happened,
     router::{Router, lock},
-    rpc::{Ask, Reply},
+    rpc::{RouterRequest, RouterResponse},
 };
 use common::{Index, NodeId};
 use control_plane::{Role, rpc as signal};
@@ -27,7 +27,7 @@
         if self.member.has_lease() {
             return false;
         }
-        let l = self.ledger();
+        let l = self.cluster_state();
         let all = l.members.len();
         let heard = l.members.keys().filter(|n| **n == *self.node() || self.hears(n)).count();
         heard * 2 <= all
@@ -35,7 +35,7 @@
 
     /// Why this node takes no new work now (design 3.5, 3.6).
     pub fn standing(&self) -> Option<&'static str> {
-        let l = self.ledger();
+        let l = self.cluster_state();
         let newer = self.governing.load().as_ref().is_none_or(|g| g.revision < l.revision);
         [
             (!self.member.caught_up(), "joining"),
@@ -52,7 +52,7 @@
         wakeup.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             wakeup.tick().await;
-            let l = self.ledger();
+            let l = self.cluster_state();
             self.note_standing();
             let turns = if common::runtime::broken("hails-squared") { l.members.len() / 4 } else { 1 };
             let others = l.members.values().filter(|m| m.info.node != *self.node());
@@ -63,29 +63,31 @@
                 common::runtime::spawn(async move {
                     let to = m.info.rpc_addr;
                     let index = match m.info.role {
-                        Role::Router => match me.lines.call("hail", to, Ask::Hail { index }).await {
-                            Ok(Reply::Hailed { index, incarnation, fit })
-                                if incarnation == m.info.incarnation =>
-                            {
-                                let mut g = lock(&me.unfit);
-                                if fit {
-                                    g.remove(&m.info.node)
-                                } else {
-                                    g.insert(m.info.node.clone())
-                                };
-                                Some(index)
-                            }
-                            // Nothing listens there any more: no need to wait until it is missed.
-                            Err(e) if e.refused => {
-                                lock(&me.heard).remove(&m.info.node);
-                                None
+                        Role::Router => {
+                            match me.lines.call("hail", to, RouterRequest::Hail { index }).await {
+                                Ok(RouterResponse::Hailed { index, incarnation, fit })
+                                    if incarnation == m.info.incarnation =>
+                                {
+                                    let mut g = lock(&me.unfit);
+                                    if fit {
+                                        g.remove(&m.info.node)
+                                    } else {
+                                        g.insert(m.info.node.clone())
+                                    };
+                                    Some(index)
+                                }
+                                // Nothing listens there any more: no need to wait until it is missed.
+                                Err(e) if e.refused => {
+                                    lock(&me.heard).remove(&m.info.node);
+                                    None
+                                }
+                                _ => None,
                             }
-                            _ => None,
-                        },
+                        }
                         Role::Core => {
-                            let ask = signal::Ask::Hail { index };
+                            let ask = signal::ControlRequest::Heartbeat { index };
                             match me.member.lines.call("hail", to, ask).await {
-                                Ok(signal::Reply::Hailed { index }) => Some(index),
+                                Ok(signal::ControlResponse::HeartbeatAck { index }) => Some(index),
                                 _ => None,
                             }
                         }
@@ -108,7 +110,7 @@
         let mut heard = lock(&self.heard);
         if common::runtime::broken("hears-by-pair") {
             let by = |m: &NodeId| NodeId::new(format!("{n}/{m}"));
-            heard.extend(self.ledger().members.keys().map(|m| (by(m), asked)));
+            heard.extend(self.cluster_state().members.keys().map(|m| (by(m), asked)));
         }
         heard.insert(n, asked);
     }
@@ -127,18 +129,20 @@
 
     /// A peer that has seen more tells it; an older state is never installed.
     async fn news_from(&self, peer: std::net::SocketAddr, index: Index) {
-        let have = self.ledger().index;
+        let have = self.cluster_state().index;
         if index <= have {
             return;
         }
-        if let Ok(Reply::News(n)) = self.lines.call("news", peer, Ask::News { have }).await {
+        if let Ok(RouterResponse::StateUpdate(n)) =
+            self.lines.call("news", peer, RouterRequest::FetchState { have }).await
+        {
             self.member.install(n, &peer.to_string());
         }
     }
 
     /// Fit to take new work, as the platform asks it.
     pub fn ready(&self) -> Response<common::http::Body> {
-        let l = self.ledger();
+        let l = self.cluster_state();
         let why: Vec<&str> = [
             (self.governing.load().is_none(), "no configuration"),
             (self.draining.load(Ordering::Acquire), "draining"),
@@ -159,7 +163,7 @@
     }
 
     pub fn metrics(&self) -> String {
-        let l = self.ledger();
+        let l = self.cluster_state();
         let vals: HashMap<&str, i64> = HashMap::from([
             ("tenured", i64::from(self.member.has_lease())),
             ("cut_off", i64::from(self.cut_off())),
--- a/crates/data-plane/src/daemon.rs
+++ b/crates/data-plane/src/daemon.rs
@@ -26,7 +26,7 @@
         spawn(http::serve(callers, conns.clone(), told, move |peer, req| r.clone().handle(peer, req)));
     log_event!(Info, "started", "rail" => set.rpc_addr, "http" => set.http);
     stop.await;
-    // Not ready first, and duties given back, so that callers and the other routers go
+    // Not ready first, and singleton roles given back, so that callers and the other routers go
     // elsewhere; then no more is accepted; what was read is finished (design 6.5).
     log_event!(Info, "draining", "open" => router.open_count.open());
     router.draining.store(true, Ordering::Release);
--- a/crates/data-plane/src/edge.rs
+++ b/crates/data-plane/src/edge.rs
@@ -157,7 +157,7 @@
     }
 
     async fn inner_plan(&self, g: Arc<Governing>, head: &Parts, raw: &str) -> Result<Plan, &'static str> {
-        let h = hop::verify(self.ledger().secret, raw).ok_or("unsigned hop")?;
+        let h = hop::verify(self.cluster_state().secret, raw).ok_or("unsigned hop")?;
         hop::check(self, &h).await.inspect_err(|why| {
             log_event!(Info, "hop", "peer" => h.from, "cause" => *why, "job" => h.job);
         })?;
@@ -174,7 +174,7 @@
     /// Work that may not be read here: sent on, unread, to a router in a home (design 5.2).
     fn elsewhere(&self, p: &Plan, head: &Parts) -> Option<Res> {
         let own = self.own_region(&p.governing.table);
-        let away = self.ledger().evacuated.contains(self.zone());
+        let away = self.cluster_state().evacuated.contains(self.zone());
         let at_home = own.as_ref().is_some_and(|o| p.homes.contains(o));
         if at_home && !away {
             return None;
@@ -200,7 +200,7 @@
     /// A router of a region that is heard, not evacuated and not tried yet; drawn, so that
     /// no one of them gets it all.
     pub fn router_in(&self, p: &Plan, region: &common::Region, tried: &[String]) -> Option<Member> {
-        let l = self.ledger();
+        let l = self.cluster_state();
         let all: Vec<Member> = l
             .routers()
             .into_iter()
--- a/crates/data-plane/src/heir.rs
+++ b/crates/data-plane/src/heir.rs
@@ -2,10 +2,10 @@
 
 use crate::{
     router::Router,
-    rpc::{Ask, Reply},
+    rpc::{RouterRequest, RouterResponse},
 };
 use common::{Service, Zone};
-use control_plane::duty;
+use control_plane::singleton;
 
 impl Router {
     /// Whether no router of the zone outlived the last figures: then the zone was lost, and what is
@@ -16,14 +16,15 @@
         if self.now().since(s.at) <= 2 * self.set.timing.probe_interval_ms {
             return false;
         }
-        let line = duty::line(&self.ledger(), "home", Some(zone));
-        let older = line.into_iter().filter(|m| m.epoch.0 <= s.fig.fence.0 && m.info.node != *self.node());
+        let line = singleton::ranked_holders(&self.cluster_state(), "home", Some(zone));
+        let older =
+            line.into_iter().filter(|m| m.epoch.0 <= s.fig.fencing_token.0 && m.info.node != *self.node());
         let asks = older.map(|m| async move {
-            let ask = Ask::Hail { index: self.ledger().index };
+            let ask = RouterRequest::Hail { index: self.cluster_state().index };
             let told = self.lines.call("hail", m.info.rpc_addr, ask).await;
-            matches!(told, Ok(Reply::Hailed { incarnation, .. }) if incarnation == m.info.incarnation)
+            matches!(told, Ok(RouterResponse::Hailed { incarnation, .. }) if incarnation == m.info.incarnation)
         });
-        let mine = self.member.held().epoch.0 <= s.fig.fence.0 && self.zone() == zone;
+        let mine = self.member.held().epoch.0 <= s.fig.fencing_token.0 && self.zone() == zone;
         !mine && !futures::future::join_all(asks).await.into_iter().any(|up| up)
     }
 }
--- a/crates/data-plane/src/hop.rs
+++ b/crates/data-plane/src/hop.rs
@@ -74,7 +74,7 @@
     if h.revision > g.revision {
         return Err("revision not here yet");
     }
-    if r.ledger().evacuated.contains(r.zone()) {
+    if r.cluster_state().evacuated.contains(r.zone()) {
         return Err("evacuated");
     }
     let e = g.table.entries.iter().find(|e| e.name == h.entry).ok_or("no such entry")?;
@@ -95,7 +95,7 @@
     if h.to != *r.node() || h.to_epoch != r.member.held().epoch {
         return Err("hop for another router");
     }
-    let l = r.ledger();
+    let l = r.cluster_state();
     let member = |n: &NodeId| l.members.get(n).map(|m| m.epoch);
     lock(&r.replay).take(&h.from, h.epoch, h.number, &member)
 }
--- a/crates/data-plane/src/lend.rs
+++ b/crates/data-plane/src/lend.rs
@@ -1,7 +1,7 @@
 //! Lending passes (design 5.5): no input or output. A lender hands out a share of measured
 //! headroom; a purse holds what was handed out; each pick elsewhere uses one.
 
-use common::{Fence, NodeId, Region, Service, Tick};
+use common::{FencingToken, NodeId, Region, Service, Tick};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -9,7 +9,8 @@
 pub struct Pass {
     pub region: Region,
     pub service: Service,
-    pub fence: Fence,
+    #[serde(rename = "fence")]
+    pub fencing_token: FencingToken,
     pub serial: u64,
     pub count: u32,
     pub life_ms: u64,
@@ -20,7 +21,8 @@
 pub struct Spent {
     pub region: Region,
     pub service: Service,
-    pub fence: Fence,
+    #[serde(rename = "fence")]
+    pub fencing_token: FencingToken,
     pub serial: u64,
     pub node: NodeId,
 }
@@ -32,10 +34,10 @@
     until: Tick,
 }
 
-/// Held by the one router that lends for a region, under its fence.
+/// Held by the one router that lends for a region, under its fencing token.
 #[derive(Clone, Debug, Default)]
 pub struct Lender {
-    pub fence: Fence,
+    pub fencing_token: FencingToken,
     serial: u64,
     well_since: Option<Tick>,
     grants: BTreeMap<(Service, NodeId), Grant>,
@@ -44,10 +46,10 @@
 }
 
 impl Lender {
-    /// A new fence voids all that was granted under the old one, and wellness starts anew.
-    pub fn under(&mut self, fence: Fence) {
-        if fence != self.fence {
-            *self = Self { fence, serial: self.serial, ..Self::default() };
+    /// A new fencing token voids all that was granted under the old one, and wellness starts anew.
+    pub fn under(&mut self, fencing_token: FencingToken) {
+        if fencing_token != self.fencing_token {
+            *self = Self { fencing_token, serial: self.serial, ..Self::default() };
         }
     }
 
@@ -90,13 +92,13 @@
         self.serial += 1;
         let serial = self.serial;
         self.grants.insert(at, Grant { serial, left: count, until: now + life_ms });
-        let (region, service, fence) = (region.clone(), service.clone(), self.fence);
-        Some(Pass { region, service, fence, serial, count, life_ms })
+        let (region, service, fencing_token) = (region.clone(), service.clone(), self.fencing_token);
+        Some(Pass { region, service, fencing_token, serial, count, life_ms })
     }
 
     /// The lender's last word on one use.
     pub fn redeem(&mut self, s: &Spent, now: Tick) -> Result<(), &'static str> {
-        if s.fence != self.fence {
+        if s.fencing_token != self.fencing_token {
             return Err("stale fence");
         }
         let at = (s.service.clone(), s.node.clone());
@@ -143,7 +145,7 @@
         Some(Spent {
             region: region.clone(),
             service: service.clone(),
-            fence: p.fence,
+            fencing_token: p.fencing_token,
             serial: p.serial,
             node: node.clone(),
         })
--- a/crates/data-plane/src/lending.rs
+++ b/crates/data-plane/src/lending.rs
@@ -1,20 +1,22 @@
-//! Lending at work (design 5.5): the lender's duty, and the purse that is kept filled.
+//! Lending at work (design 5.5): the lender's singleton role, and the purse that is kept filled.
 
 use crate::{
     lend::{Pass, Spent},
     router::{Router, lock, stands_in},
-    rpc::{Ask, Reply},
+    rpc::{RouterRequest, RouterResponse},
 };
 use common::{NodeId, Region, Service};
 use configuration::Table;
-use control_plane::{Member, duty};
+use control_plane::{Member, singleton};
 use std::{sync::Arc, time::Duration};
 
 impl Router {
     /// The one router that lends for a region.
     pub fn lender_of(&self, t: &Table, region: &Region) -> Option<Member> {
-        let l = self.ledger();
-        duty::line(&l, &format!("lender/{region}"), None).into_iter().find(|m| stands_in(&l, t, m, region))
+        let l = self.cluster_state();
+        singleton::ranked_holders(&l, &format!("lender/{region}"), None)
+            .into_iter()
+            .find(|m| stands_in(&l, t, m, region))
     }
 
     fn lends_here(&self, t: &Table) -> Option<Region> {
@@ -28,14 +30,14 @@
         loop {
             wakeup.tick().await;
             let Some(g) = self.governing.load_full() else { continue };
-            let fence = self.fence();
+            let fencing_token = self.fencing_token();
             let holds = self.lends_here(&g.table).is_some();
             let well = holds
                 && self.member.has_lease()
                 && g.table.services.keys().any(|s| !self.own_replicas(&g.table, s).is_empty());
             let mut l = lock(&self.lender);
             if holds {
-                l.under(fence);
+                l.under(fencing_token);
             }
             l.observe(well, self.now());
         }
@@ -57,7 +59,7 @@
             .filter(|c| c.gauge.allowance.is_none())
             .map(|c| c.gauge.capacity * over - c.consumption())
             .sum();
-        let l = self.ledger();
+        let l = self.cluster_state();
         let askers =
             l.routers().into_iter().filter(|m| g.table.region_of(&m.info.zone) != Some(region)).count();
         let tun = &g.table.tuning;
@@ -79,10 +81,10 @@
         let res = if lender.info.node == *self.node() {
             self.redeem_here(s)
         } else {
-            let ask = Ask::Redeem { spent: s.clone() };
+            let ask = RouterRequest::Redeem { spent: s.clone() };
             match self.lines.call("redeem", lender.info.rpc_addr, ask).await {
-                Ok(Reply::Done) => Ok(()),
-                Ok(Reply::Rejected(_)) => Err("pass not good"),
+                Ok(RouterResponse::Done) => Ok(()),
+                Ok(RouterResponse::Rejected(_)) => Err("pass not good"),
                 _ => Err("lender unreachable"),
             }
         };
@@ -111,12 +113,12 @@
                     let to = lender.info.rpc_addr;
                     common::runtime::spawn(async move {
                         let asked = me.now();
-                        let ask = Ask::Passes {
+                        let ask = RouterRequest::Passes {
                             region: region.clone(),
                             service: svc.clone(),
                             node: me.node().clone(),
                         };
-                        if let Ok(Reply::Pass(p)) = me.lines.call("passes", to, ask).await {
+                        if let Ok(RouterResponse::Pass(p)) = me.lines.call("passes", to, ask).await {
                             lock(&me.purse).put(&region, &svc, p, asked);
                         }
                     });
--- a/crates/data-plane/src/place.rs
+++ b/crates/data-plane/src/place.rs
@@ -5,11 +5,11 @@
     choose::{candidates, draw, draw_by_key, passes},
     plan::Plan,
     router::{Cached, Router, lock},
-    rpc::{Ask, Reply},
+    rpc::{RouterRequest, RouterResponse},
     tab::{Copy, Settled, UserKey},
 };
 use common::{Region, Service, Tick};
-use control_plane::{Member, duty};
+use control_plane::{Member, singleton};
 use std::{collections::BTreeSet, sync::Arc};
 
 /// Where a job is to go, and whether it needs a pass to be there.
@@ -21,7 +21,7 @@
 
 impl Router {
     fn owners(&self, shard: u16) -> Vec<Member> {
-        duty::line(&self.ledger(), &format!("shard/{shard}"), None)
+        singleton::ranked_holders(&self.cluster_state(), &format!("shard/{shard}"), None)
     }
 
     pub async fn place(self: &Arc<Self>, p: &Plan, avoid: &BTreeSet<Region>) -> Option<Placed> {
@@ -121,13 +121,13 @@
     ) -> Option<Settled> {
         let shard = key.shard(service);
         let owner = self.owners(shard).into_iter().next()?;
-        let fence = self.fence();
+        let fencing_token = self.fencing_token();
         if owner.info.node == *self.node() {
-            return self.settle_here(fence, key, service, stale, pick, ttl_ms).ok();
+            return self.settle_here(fencing_token, key, service, stale, pick, ttl_ms).ok();
         }
-        let ask = Ask::Settle { fence, key, service: service.clone(), stale, pick, ttl_ms };
+        let ask = RouterRequest::Settle { fencing_token, key, service: service.clone(), stale, pick, ttl_ms };
         match self.lines.call_within(wait_ms, "settle", owner.info.rpc_addr, ask).await {
-            Ok(Reply::Settled(s)) => Some(s),
+            Ok(RouterResponse::Settled(s)) => Some(s),
             _ => None,
         }
     }
@@ -135,7 +135,7 @@
     /// The owner's side: settles and tells the followers of what it won.
     pub fn settle_here(
         self: &Arc<Self>,
-        fence: common::Fence,
+        fencing_token: common::FencingToken,
         key: UserKey,
         service: &Service,
         stale: Option<u64>,
@@ -150,24 +150,31 @@
         let now = self.now();
         let (res, row) = {
             let mut t = lock(&self.tab);
-            t.admit(shard, self.fence(), fence).map_err(|f| format!("stale fence: {f} is known"))?;
+            t.admit(shard, self.fencing_token(), fencing_token)
+                .map_err(|f| format!("stale fence: {f} is known"))?;
             let res = t.settle(key, service, stale, pick, ttl_ms, now);
             (res, t.one(key, service, now))
         };
         if let Some(row) = row {
-            self.tell_followers(shard, fence, owners, row);
+            self.tell_followers(shard, fencing_token, owners, row);
         }
         Ok(res)
     }
 
     /// Two followers, in other zones where that can be had.
-    fn tell_followers(self: &Arc<Self>, shard: u16, fence: common::Fence, owners: Vec<Member>, row: Copy) {
+    fn tell_followers(
+        self: &Arc<Self>,
+        shard: u16,
+        fencing_token: common::FencingToken,
+        owners: Vec<Member>,
+        row: Copy,
+    ) {
         let (far, near): (Vec<_>, Vec<_>) =
             owners.into_iter().skip(1).partition(|m| m.info.zone != *self.zone());
         for m in far.into_iter().chain(near).take(2) {
             let (me, rows) = (self.clone(), vec![row.clone()]);
             common::runtime::spawn(async move {
-                let ask = Ask::Copy { fence, shard, rows };
+                let ask = RouterRequest::Copy { fencing_token, shard, rows };
                 let _ = me.lines.call("copy", m.info.rpc_addr, ask).await;
             });
         }
@@ -188,7 +195,8 @@
                 for m in owners.into_iter().skip(1).take(3) {
                     let (me, to) = (self.clone(), m.info.rpc_addr);
                     common::runtime::spawn(async move {
-                        if let Ok(Reply::Rows(rows)) = me.lines.call("fetch", to, Ask::Fetch { shard }).await
+                        if let Ok(RouterResponse::Rows(rows)) =
+                            me.lines.call("fetch", to, RouterRequest::Fetch { shard }).await
                         {
                             me.take_copies(rows);
                         }
--- a/crates/data-plane/src/pressure.rs
+++ b/crates/data-plane/src/pressure.rs
@@ -1,6 +1,6 @@
 //! Pressure (design 5.4): what each home node publishes, and how regions are folded from it.
 
-use common::{Fence, NodeId, Region, ReplicaId, Service, Tick, Zone};
+use common::{FencingToken, NodeId, Region, ReplicaId, Service, Tick, Zone};
 use serde::{Deserialize, Serialize};
 use std::{
     collections::{BTreeMap, HashMap},
@@ -29,7 +29,8 @@
     pub service: Service,
     #[serde(rename = "area")]
     pub zone: Zone,
-    pub fence: Fence,
+    #[serde(rename = "fence")]
+    pub fencing_token: FencingToken,
     pub seq: u64,
     pub age_ms: u64,
     /// How long the question for them lay at the home before they were sent.
@@ -139,12 +140,15 @@
         let _w = self.write.lock().unwrap_or_else(|e| e.into_inner());
         let key = (fig.service.clone(), fig.zone.clone());
         let mut b = Board::clone(&self.board.load());
-        let newer = b
-            .seen
-            .get(&key)
-            .is_none_or(|s| fig.fence > s.fig.fence || (fig.fence == s.fig.fence && fig.seq >= s.fig.seq));
+        let newer = b.seen.get(&key).is_none_or(|s| {
+            fig.fencing_token > s.fig.fencing_token
+                || (fig.fencing_token == s.fig.fencing_token && fig.seq >= s.fig.seq)
+        });
         if newer {
-            let again = b.seen.get(&key).is_some_and(|s| s.fig.seq == fig.seq && s.fig.fence == fig.fence);
+            let again = b
+                .seen
+                .get(&key)
+                .is_some_and(|s| s.fig.seq == fig.seq && s.fig.fencing_token == fig.fencing_token);
             if !again {
                 for g in &fig.replicas {
                     let o = self.own(&g.id);
--- a/crates/data-plane/src/probe.rs
+++ b/crates/data-plane/src/probe.rs
@@ -1,4 +1,4 @@
-//! The home of a service in an zone (design 5.4): probes its replicas and publishes figures;
+//! The home of a service in a zone (design 5.4): probes its replicas and publishes figures;
 //! the others subscribe.
 
 use crate::{
@@ -6,12 +6,12 @@
     pressure::{Figures, Gauge, Own},
     replica::routers_of,
     router::{Router, lock},
-    rpc::{Ask, Reply},
+    rpc::{RouterRequest, RouterResponse},
     watched::{Checked, Report, Watched},
 };
-use common::{Fence, NodeId, ReplicaId, Service, Tick, Zone, http::ask, log_event};
+use common::{FencingToken, NodeId, ReplicaId, Service, Tick, Zone, http::ask, log_event};
 use configuration::Table;
-use control_plane::{Member, Replica, duty};
+use control_plane::{Member, Replica, singleton};
 use hyper::Method;
 use std::{collections::BTreeMap, sync::Arc, sync::atomic::Ordering, time::Duration};
 use tokio::{sync::watch, task::JoinHandle};
@@ -21,11 +21,13 @@
 impl Router {
     /// The home: a router of the zone; where it has none, one of its region.
     pub fn home_of(&self, t: &Table, svc: &Service, zone: &Zone) -> Option<Member> {
-        let l = self.ledger();
+        let l = self.cluster_state();
         let key = format!("home/{svc}/{zone}");
-        duty::line(&l, &key, Some(zone)).into_iter().next().or_else(|| {
+        singleton::ranked_holders(&l, &key, Some(zone)).into_iter().next().or_else(|| {
             let region = t.region_of(zone);
-            duty::line(&l, &key, None).into_iter().find(|m| t.region_of(&m.info.zone) == region)
+            singleton::ranked_holders(&l, &key, None)
+                .into_iter()
+                .find(|m| t.region_of(&m.info.zone) == region)
         })
     }
 
@@ -68,15 +70,21 @@
 
     async fn subscribe(self: Arc<Self>, (service, zone): Key, home: Member) {
         self.ask_the_last(&service, &zone).await;
-        let (mut seq, mut fence) = (0, Fence(0));
+        let (mut seq, mut fencing_token) = (0, FencingToken(0));
         let wait_ms = self.set.timing.probe_interval_ms * 2;
         loop {
-            let ask = Ask::Watch { service: service.clone(), zone: zone.clone(), seq, fence, wait_ms };
+            let ask = RouterRequest::Watch {
+                service: service.clone(),
+                zone: zone.clone(),
+                seq,
+                fencing_token,
+                wait_ms,
+            };
             let ms = wait_ms + self.set.timing.rpc_timeout_ms;
             let asked = self.now();
             match self.lines.call_within(ms, "watch", home.info.rpc_addr, ask).await {
-                Ok(Reply::Figures(f)) => {
-                    (seq, fence) = (f.seq, f.fence);
+                Ok(RouterResponse::Figures(f)) => {
+                    (seq, fencing_token) = (f.seq, f.fencing_token);
                     self.take_figures(f, asked);
                 }
                 _ => tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await,
@@ -106,7 +114,7 @@
                 full_at = self.now();
             }
             let Some(g) = self.governing.load_full() else { continue };
-            let l = self.ledger();
+            let l = self.cluster_state();
             let mine: Vec<(ReplicaId, Replica)> = l
                 .replicas
                 .iter()
@@ -146,7 +154,7 @@
             let fig = Figures {
                 service,
                 zone,
-                fence: Fence(l.epoch.0),
+                fencing_token: FencingToken(l.epoch.0),
                 seq,
                 age_ms: 0,
                 waited_ms: 0,
@@ -164,12 +172,12 @@
         if self.last_figures(service, zone).is_some() {
             return;
         }
-        let (others, asked) = (self.ledger(), self.now());
+        let (others, asked) = (self.cluster_state(), self.now());
         let asks = others.routers().into_iter().filter(|m| m.info.node != *self.node()).map(|m| {
-            let ask = Ask::Last { service: service.clone(), zone: zone.clone() };
+            let ask = RouterRequest::Last { service: service.clone(), zone: zone.clone() };
             Box::pin(async move {
                 match self.lines.call("last figures", m.info.rpc_addr, ask).await {
-                    Ok(Reply::Figures(f)) => Ok(f),
+                    Ok(RouterResponse::Figures(f)) => Ok(f),
                     _ => Err(()),
                 }
             })
--- a/crates/data-plane/src/replica.rs
+++ b/crates/data-plane/src/replica.rs
@@ -7,7 +7,7 @@
 };
 use common::{NodeId, Region, Service, rendezvous::stable_hash};
 use configuration::{Kind, Table};
-use control_plane::Ledger;
+use control_plane::ClusterState;
 use std::{
     net::SocketAddr,
     sync::{Arc, atomic::Ordering},
@@ -39,7 +39,7 @@
     i64::from(whole / n) + i64::from((place as u64) < u64::from(whole % n))
 }
 
-pub fn routers_of(l: &Ledger, t: &Table, region: &Region) -> Vec<NodeId> {
+pub fn routers_of(l: &ClusterState, t: &Table, region: &Region) -> Vec<NodeId> {
     l.routers().into_iter().filter(|m| stands_in(l, t, m, region)).map(|m| m.info.node.clone()).collect()
 }
 
@@ -77,7 +77,7 @@
         tried: &[common::ReplicaId],
     ) -> Result<Picked, bool> {
         let region = self.own_region(t).ok_or(false)?;
-        let l = self.ledger();
+        let l = self.cluster_state();
         let now = self.now();
         let mut all: Vec<Candidate> = self
             .own_replicas(t, svc)
@@ -97,9 +97,9 @@
         match (kind, key) {
             // The same user's prefixes stay on the same replicas, best the same one.
             (Kind::Model, Some(k)) => {
-                let rendezvous =
+                let weight =
                     |c: &Candidate| stable_hash(&[&k.0.to_le_bytes(), c.gauge.id.as_str().as_bytes()]);
-                all.sort_by_key(|c| std::cmp::Reverse(rendezvous(c)));
+                all.sort_by_key(|c| std::cmp::Reverse(weight(c)));
                 let whole: f64 = all.iter().map(|c| c.gauge.capacity).sum();
                 let used: f64 = all.iter().map(|c| c.consumption()).sum();
                 // Under pressure a cold run elsewhere costs more than a short wait.
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -7,18 +7,18 @@
     numbers::Numbers,
     pressure::{Candidate, Figures, Pressure, RegionPressure, regions},
     replay::ReplayGuard,
-    rpc::{Ask, Reply},
+    rpc::{RouterRequest, RouterResponse},
     serving::{board::Board, reading::Reading},
     tab::{Tab, UserKey},
     waitlist::Waitlist,
 };
 use arc_swap::ArcSwapOption;
 use common::{
-    Clock, Fence, NodeId, Region, Revision, Service, Tick, Zone, http::OpenCount, journal::Journal,
+    Clock, FencingToken, NodeId, Region, Revision, Service, Tick, Zone, http::OpenCount, journal::Journal,
     link::RpcClient, log_event, settings::Settings,
 };
 use configuration::Table;
-use control_plane::{Ledger, Member, member};
+use control_plane::{ClusterState, Member, member};
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
     sync::{
@@ -46,7 +46,7 @@
 /// Figures of the homes that this node holds.
 pub type Published = BTreeMap<(Service, Zone), watch::Sender<Option<Figures>>>;
 
-/// What this node publishes of an zone, and when it was asked for it last.
+/// What this node publishes of a zone, and when it was asked for it last.
 pub struct Publication {
     pub tx: watch::Sender<Option<(Arc<Board>, Tick)>>,
     pub asked: Tick,
@@ -56,7 +56,7 @@
     pub set: Settings,
     pub clock: Clock,
     pub member: Arc<member::Member>,
-    pub lines: RpcClient<Ask, Reply>,
+    pub lines: RpcClient<RouterRequest, RouterResponse>,
     pub governing: ArcSwapOption<Governing>,
     pub pressure: Pressure,
     pub tab: Mutex<Tab>,
@@ -129,8 +129,8 @@
         self.journal.append(Event { at: self.now(), what });
     }
 
-    pub fn ledger(&self) -> Arc<Ledger> {
-        self.member.ledger.load_full()
+    pub fn cluster_state(&self) -> Arc<ClusterState> {
+        self.member.cluster_state.load_full()
     }
 
     pub fn node(&self) -> &NodeId {
@@ -145,7 +145,7 @@
     pub async fn govern(self: Arc<Self>) {
         let mut moved = self.member.moved.subscribe();
         loop {
-            let l = self.ledger();
+            let l = self.cluster_state();
             let have = self.governing.load().as_ref().map(|g| g.revision).unwrap_or_default();
             if let Some(text) = l.text.as_ref().filter(|_| l.revision > have) {
                 match configuration::compile(text) {
@@ -170,9 +170,9 @@
         }
     }
 
-    /// The fence of all duties that this node knows of (design 3.2).
-    pub fn fence(&self) -> Fence {
-        Fence(self.ledger().epoch.0)
+    /// The fencing token of all singleton roles that this node knows of (design 3.2).
+    pub fn fencing_token(&self) -> FencingToken {
+        FencingToken(self.cluster_state().epoch.0)
     }
 
     /// Replicas of the own region that may be given something now.
@@ -188,7 +188,7 @@
     /// Replicas that may be given something now: listed, not draining, zone not evacuated,
     /// figures fresh and healthy.
     pub fn usable(&self, svc: &Service) -> Vec<Candidate> {
-        let l = self.ledger();
+        let l = self.cluster_state();
         self.pressure.replicas(svc, self.now(), self.set.timing.report_max_age_ms(), &|g, zone| {
             if common::runtime::broken("departed-still-used") {
                 return true;
@@ -234,8 +234,8 @@
     }
 }
 
-/// Whether a router stands in a region, in an zone that is not evacuated.
-pub fn stands_in(l: &Ledger, t: &Table, m: &Member, region: &Region) -> bool {
+/// Whether a router stands in a region, in a zone that is not evacuated.
+pub fn stands_in(l: &ClusterState, t: &Table, m: &Member, region: &Region) -> bool {
     t.region_of(&m.info.zone) == Some(region) && !l.evacuated.contains(&m.info.zone)
 }
 
--- a/crates/data-plane/src/rpc.rs
+++ b/crates/data-plane/src/rpc.rs
@@ -6,25 +6,27 @@
     serving::{board::Board, reading::Note},
     tab::{Copy, Settled, UserKey},
 };
-use common::{Fence, Incarnation, Index, NodeId, Region, Service, Zone};
-use control_plane::news::News;
+use common::{FencingToken, Incarnation, Index, NodeId, Region, Service, Zone};
+use control_plane::state_update::StateUpdate;
 use serde::{Deserialize, Serialize};
 
 pub const SERVICE: &str = "points";
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Ask {
+pub enum RouterRequest {
     /// A sign of life, with what this node has seen.
     Hail {
         #[serde(rename = "idx")]
         index: Index,
     },
-    News {
+    #[serde(rename = "News")]
+    FetchState {
         have: Index,
     },
     /// Settles a miss or a failed placement at the shard's owner: first writer wins.
     Settle {
-        fence: Fence,
+        #[serde(rename = "fence")]
+        fencing_token: FencingToken,
         key: UserKey,
         service: Service,
         stale: Option<u64>,
@@ -33,7 +35,8 @@
     },
     /// From an owner to its followers.
     Copy {
-        fence: Fence,
+        #[serde(rename = "fence")]
+        fencing_token: FencingToken,
         shard: u16,
         rows: Vec<Copy>,
     },
@@ -46,10 +49,11 @@
         #[serde(rename = "area")]
         zone: Zone,
         seq: u64,
-        fence: Fence,
+        #[serde(rename = "fence")]
+        fencing_token: FencingToken,
         wait_ms: u64,
     },
-    /// What this node last heard of a service in an zone, for a home that has just begun.
+    /// What this node last heard of a service in a zone, for a home that has just begun.
     Last {
         service: Service,
         #[serde(rename = "area")]
@@ -67,7 +71,7 @@
     Note {
         note: Note,
     },
-    /// What this node publishes of an zone's replicas; being asked makes it publish.
+    /// What this node publishes of a zone's replicas; being asked makes it publish.
     Board {
         #[serde(rename = "area")]
         zone: Zone,
@@ -77,7 +81,7 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Reply {
+pub enum RouterResponse {
     /// Alive, as this incarnation: another one at the same address is no sign of life of the first.
     Hailed {
         #[serde(rename = "idx")]
@@ -87,7 +91,8 @@
         /// Takes new work now.
         fit: bool,
     },
-    News(News),
+    #[serde(rename = "News")]
+    StateUpdate(StateUpdate),
     Settled(Settled),
     Rows(Vec<Copy>),
     Figures(Figures),
@@ -99,20 +104,20 @@
     Rejected(String),
 }
 
-impl tarpc::RequestName for Ask {
+impl tarpc::RequestName for RouterRequest {
     fn name(&self) -> &str {
         match self {
-            Ask::Hail { .. } => "points.hail",
-            Ask::News { .. } => "points.news",
-            Ask::Settle { .. } => "points.settle",
-            Ask::Copy { .. } => "points.copy",
-            Ask::Fetch { .. } => "points.fetch",
-            Ask::Watch { .. } => "points.watch",
-            Ask::Last { .. } => "points.last",
-            Ask::Passes { .. } => "points.passes",
-            Ask::Redeem { .. } => "points.redeem",
-            Ask::Note { .. } => "points.note",
-            Ask::Board { .. } => "points.board",
+            RouterRequest::Hail { .. } => "points.hail",
+            RouterRequest::FetchState { .. } => "points.news",
+            RouterRequest::Settle { .. } => "points.settle",
+            RouterRequest::Copy { .. } => "points.copy",
+            RouterRequest::Fetch { .. } => "points.fetch",
+            RouterRequest::Watch { .. } => "points.watch",
+            RouterRequest::Last { .. } => "points.last",
+            RouterRequest::Passes { .. } => "points.passes",
+            RouterRequest::Redeem { .. } => "points.redeem",
+            RouterRequest::Note { .. } => "points.note",
+            RouterRequest::Board { .. } => "points.board",
         }
     }
 }
--- a/crates/data-plane/src/serving/board.rs
+++ b/crates/data-plane/src/serving/board.rs
@@ -1,11 +1,11 @@
 //! Figures of the replicas of one zone, as its home publishes them (design 9.3). Pure data.
 
 use super::dialect::{EngineReport, Listed};
-use common::{Fence, Service, Tick, Zone};
+use common::{FencingToken, Service, Tick, Zone};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// One replica of an zone.
+/// One replica of a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub id: common::ReplicaId,
@@ -22,13 +22,14 @@
     pub memory_total: u64,
 }
 
-/// All replicas of an zone, numbered by their publisher.
+/// All replicas of a zone, numbered by their publisher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Board {
     #[serde(rename = "area")]
     pub zone: Zone,
     pub publisher: common::NodeId,
-    pub fence: Fence,
+    #[serde(rename = "fence")]
+    pub fencing_token: FencingToken,
     pub seq: u64,
     /// How old the figures were when they were sent, and how long the question lay before that.
     pub age_ms: u64,
--- a/crates/data-plane/src/serving/carry.rs
+++ b/crates/data-plane/src/serving/carry.rs
@@ -149,8 +149,8 @@
     /// A request came: it adds its part to the budget of further tries.
     fn earn_further_tries(&self, svc: &Service) {
         let (b, routers) = (&self.site.bounds, self.routers());
-        let rendezvous = retries::rendezvous(svc, self.router.node(), &routers);
-        let share = Share::of(b.extra_tries, b.retry_window_ms, rendezvous, routers.len());
+        let ranked_above = retries::ranked_above(svc, self.router.node(), &routers);
+        let share = Share::of(b.extra_tries, b.retry_window_ms, ranked_above, routers.len());
         self.retries.earn(svc, b.retry_ratio, share, self.now());
     }
 
--- a/crates/data-plane/src/serving/cold.rs
+++ b/crates/data-plane/src/serving/cold.rs
@@ -11,10 +11,10 @@
     let most = (bound * USED / 2.0).floor().max(1.0) as usize;
     let claim = |n: &NodeId| stable_hash(&[id.as_str().as_bytes(), n.as_str().as_bytes()]);
     let own = claim(me);
-    let rendezvous = routers.iter().filter(|n| *n != me && claim(n) > own).count();
+    let ranked_above = routers.iter().filter(|n| *n != me && claim(n) > own).count();
     let shared = routers.len().max(1).min(most);
     // In any second: the one that was saved, and what comes in that second.
-    (rendezvous < shared).then(|| (bound * USED / shared as f64 - 1.0).max(0.5))
+    (ranked_above < shared).then(|| (bound * USED / shared as f64 - 1.0).max(0.5))
 }
 
 /// One saved at most, so that a second never sees more than its rate and one.
--- a/crates/data-plane/src/serving/dialect.rs
+++ b/crates/data-plane/src/serving/dialect.rs
@@ -85,7 +85,7 @@
     fn names(&self) -> &Names;
     fn report(&self, body: &[u8]) -> Option<EngineReport>;
     fn listing(&self, body: &[u8]) -> Option<Listing>;
-    /// Path and query under which one page of an zone's replicas is listed.
+    /// Path and query under which one page of a zone's replicas is listed.
     fn listing_path(&self, zone: &Zone, page: Option<&str>) -> String;
     fn prompt(&self, head: &HeaderMap) -> Prompt;
     fn lookup(&self, query: &str) -> Lookup;
--- a/crates/data-plane/src/serving/directory.rs
+++ b/crates/data-plane/src/serving/directory.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 use std::{net::SocketAddr, sync::Arc};
 
-/// Routers that an zone needs before its clients are kept inside it.
+/// Routers that a zone needs before its clients are kept inside it.
 const ENOUGH: usize = 2;
 /// Most addresses in an answer.
 const MOST: usize = 64;
@@ -41,7 +41,7 @@
 impl Serving {
     fn edges(&self) -> Vec<Edge> {
         let r = &self.router;
-        let l = r.ledger();
+        let l = r.cluster_state();
         let mine = self.unfit().is_none();
         let fit =
             |n: &common::NodeId| if n == r.node() { mine } else { r.hears(n) && !lock(&r.unfit).contains(n) };
--- a/crates/data-plane/src/serving/listing.rs
+++ b/crates/data-plane/src/serving/listing.rs
@@ -1,4 +1,4 @@
-//! The platform's list of replicas, as the home of an zone reads it (design 9.3): page by page, within the
+//! The platform's list of replicas, as the home of a zone reads it (design 9.3): page by page, within the
 //! rate that all nodes share, and never in the way of the probes.
 
 use super::{
@@ -23,7 +23,7 @@
 /// A reader that is refused for its rate pauses up to so many times as long: what leaves must still be seen in time.
 const MOST_BACKOFF: u64 = 4;
 
-/// A whole reading of an zone's part of the list.
+/// A whole reading of a zone's part of the list.
 #[derive(Debug, Default)]
 pub struct ListRead {
     rows: BTreeMap<ReplicaId, Listed>,
@@ -51,7 +51,7 @@
     Failed(Fault),
 }
 
-/// What is known of an zone's list, and when it is read next. Pure.
+/// What is known of a zone's list, and when it is read next. Pure.
 #[derive(Debug, Default)]
 pub struct Known {
     rows: Option<BTreeMap<ReplicaId, Listed>>,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Reads an zone's list beside the home's other work.
+/// Reads a zone's list beside the home's other work.
 pub struct ListReader {
     zone: Zone,
     known: Known,
@@ -112,7 +112,7 @@
         Self { zone, known: Known::default(), pending: None }
     }
 
-    /// Forgets the list: the home's duty has ended.
+    /// Forgets the list: the home's singleton role has ended.
     pub fn reset(&mut self) {
         *self = Self::new(self.zone.clone());
     }
@@ -153,7 +153,7 @@
 }
 
 impl Serving {
-    /// Time between two calls for an zone's list, so that all zones together stay far below the rate.
+    /// Time between two calls for a zone's list, so that all zones together stay far below the rate.
     fn list_ms(&self) -> u64 {
         let zones = self.site.zones.len().max(1) as f64;
         let least = RATE_HEADROOM * 1_000.0 * zones / self.site.list_per_s.max(0.1);
--- a/crates/data-plane/src/serving/publication.rs
+++ b/crates/data-plane/src/serving/publication.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 
 impl Router {
-    /// What this node publishes of an zone, newer than `seq`; being asked makes it publish.
+    /// What this node publishes of a zone, newer than `seq`; being asked makes it publish.
     pub async fn tell_board(&self, zone: Zone, seq: u64, wait_ms: u64) -> Option<Board> {
         let came = self.now();
         let mut rx = {
--- a/crates/data-plane/src/serving/retries.rs
+++ b/crates/data-plane/src/serving/retries.rs
@@ -24,13 +24,13 @@
 }
 
 impl Share {
-    /// The share of the router that `rendezvous` others precede. The capacities of all routers and what
+    /// The share of the router that `ranked_above` others precede. The capacities of all routers and what
     /// accrues to them within one window sum to the surplus at most. A bucket must hold a whole token
     /// to be of use: where an equal part is less, the first in rank hold one each.
-    pub fn of(surplus: f64, window_ms: u64, rendezvous: usize, routers: usize) -> Self {
+    pub fn of(surplus: f64, window_ms: u64, ranked_above: usize, routers: usize) -> Self {
         let whole = (surplus * MOST_SAVED).floor().max(surplus.floor().min(1.0)) as usize;
         let holders = routers.clamp(1, whole.max(1));
-        if whole == 0 || rendezvous >= holders {
+        if whole == 0 || ranked_above >= holders {
             return Self::default();
         }
         let capacity = (surplus * SAVED / holders as f64).max(1.0);
@@ -40,7 +40,7 @@
 }
 
 /// How many routers precede this one in holding a share for a service; all see the same order.
-pub fn rendezvous(svc: &Service, me: &NodeId, routers: &[NodeId]) -> usize {
+pub fn ranked_above(svc: &Service, me: &NodeId, routers: &[NodeId]) -> usize {
     let claim = |n: &NodeId| (stable_hash(&[svc.as_str().as_bytes(), n.as_str().as_bytes()]), n.clone());
     let own = claim(me);
     routers.iter().filter(|n| claim(n) > own).count()
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -60,7 +60,7 @@
     pub mix: Mutex<Mix>,
     /// How long requests of a service take, as seen here lately.
     pub pace: Mutex<HashMap<Service, f64>>,
-    /// When the evacuation of an zone ended last: its replicas may have turned cold.
+    /// When the evacuation of a zone ended last: its replicas may have turned cold.
     pub returned: Mutex<HashMap<Zone, Tick>>,
     /// Open requests from here at regions other than the own, by service.
     pub abroad: Mutex<HashMap<(Region, Service), i64>>,
@@ -100,7 +100,7 @@
         let mut moved = self.router.member.moved.subscribe();
         let (mut evacuated, mut have) = (BTreeSet::new(), common::Revision(0));
         loop {
-            let l = self.router.ledger();
+            let l = self.router.cluster_state();
             for a in evacuated.difference(&l.evacuated) {
                 lock(&self.returned).insert(Zone::clone(a), self.now());
             }
@@ -125,9 +125,9 @@
         }
     }
 
-    /// Routers that the ledger knows, this one too.
+    /// Routers that the cluster state knows, this one too.
     pub fn routers(&self) -> Vec<NodeId> {
-        let l = self.router.ledger();
+        let l = self.router.cluster_state();
         l.routers().into_iter().map(|m| m.info.node.clone()).collect()
     }
 
@@ -137,9 +137,9 @@
         b.cold_per_s > 0.0 && (back || c.cold_until > now)
     }
 
-    /// Listed, not leaving, in an zone that is not evacuated.
+    /// Listed, not leaving, in a zone that is not evacuated.
     pub fn usable(&self, c: &Candidate) -> bool {
-        !c.draining && !self.router.ledger().evacuated.contains(&c.zone)
+        !c.draining && !self.router.cluster_state().evacuated.contains(&c.zone)
     }
 
     /// How long a request of this service occupies a replica.
--- a/crates/data-plane/src/serving/tell.rs
+++ b/crates/data-plane/src/serving/tell.rs
@@ -4,7 +4,7 @@
 use super::{choose::READS_PER_MS, fleet::Candidate, plan::Plan, reading::Note, state::Serving};
 use crate::{
     router::{Router, lock},
-    rpc::Ask,
+    rpc::RouterRequest,
 };
 use std::sync::Arc;
 
@@ -30,7 +30,7 @@
             memory: c.memory_total,
         };
         self.router.heard_of(&note);
-        let l = self.router.ledger();
+        let l = self.router.cluster_state();
         let few = l.members.len() <= TELL_ALL;
         let near = |m: &&control_plane::Member| {
             let r = self.site.zones.get(&m.info.zone);
@@ -40,7 +40,7 @@
         for m in l.routers().into_iter().filter(near) {
             let (me, to, note) = (self.router.clone(), m.info.rpc_addr, note.clone());
             common::runtime::spawn(async move {
-                let _ = me.lines.call("note", to, Ask::Note { note }).await;
+                let _ = me.lines.call("note", to, RouterRequest::Note { note }).await;
             });
         }
     }
--- a/crates/data-plane/src/serving/watch.rs
+++ b/crates/data-plane/src/serving/watch.rs
@@ -1,6 +1,6 @@
-//! The homes of zones (design 9.3): one router reads an zone's part of the platform's list and
+//! The homes of zones (design 9.3): one router reads a zone's part of the platform's list and
 //! probes its replicas; the others subscribe to what it publishes. A router that is asked takes the
-//! duty up, so that a lost home is replaced as soon as somebody misses it.
+//! singleton role up, so that a lost home is replaced as soon as somebody misses it.
 
 use super::{
     board::{Board, Probed, Watched, lends},
@@ -10,10 +10,10 @@
 };
 use crate::{
     router::lock,
-    rpc::{Ask, Reply},
+    rpc::{RouterRequest, RouterResponse},
 };
-use common::{Fence, NodeId, ReplicaId, Tick, Zone, fault::Fault, http::ask, log_event};
-use control_plane::{Member, duty};
+use common::{FencingToken, NodeId, ReplicaId, Tick, Zone, fault::Fault, http::ask, log_event};
+use control_plane::{Member, singleton};
 use hyper::Method;
 use std::{
     collections::{BTreeMap, HashMap},
@@ -27,17 +27,17 @@
 const LEND_SHARE: f64 = 0.8;
 
 impl Serving {
-    /// Time between two looks at an zone's replicas.
+    /// Time between two looks at a zone's replicas.
     pub(super) fn report_interval_ms(&self) -> u64 {
         self.router.set.timing.probe_interval_ms / 2
     }
 
-    /// Claimants to an zone's duty: its own routers first, then the others.
+    /// Claimants to a zone's singleton role: its own routers first, then the others.
     fn line(&self, zone: &Zone) -> Vec<Member> {
-        let l = self.router.ledger();
+        let l = self.router.cluster_state();
         let key = format!("board/{zone}");
-        let near = duty::line(&l, &key, Some(zone));
-        let far = duty::line(&l, &key, None).into_iter().filter(|m| m.info.zone != *zone);
+        let near = singleton::ranked_holders(&l, &key, Some(zone));
+        let far = singleton::ranked_holders(&l, &key, None).into_iter().filter(|m| m.info.zone != *zone);
         near.into_iter().chain(far).collect()
     }
 
@@ -80,10 +80,10 @@
             let told = if node == *self.router.node() {
                 Ok(self.router.tell_board(zone.clone(), seq, wait_ms).await)
             } else {
-                let q = Ask::Board { zone: zone.clone(), seq, wait_ms };
+                let q = RouterRequest::Board { zone: zone.clone(), seq, wait_ms };
                 let ms = wait_ms + self.router.set.timing.rpc_timeout_ms;
                 match self.router.lines.call_within(ms, "board", home.info.rpc_addr, q).await {
-                    Ok(Reply::Board(b)) => Ok(b.map(|b| *b)),
+                    Ok(RouterResponse::Board(b)) => Ok(b.map(|b| *b)),
                     Ok(_) => Err(Fault::new("board", home.info.rpc_addr, "another answer")),
                     Err(e) => Err(e),
                 }
@@ -143,7 +143,7 @@
             let region = self.site.zones.get(&zone);
             let askers = self
                 .router
-                .ledger()
+                .cluster_state()
                 .routers()
                 .into_iter()
                 .filter(|m| self.site.zones.get(&m.info.zone) != region)
@@ -151,7 +151,7 @@
             let board = Board {
                 zone: zone.clone(),
                 publisher: self.router.node().clone(),
-                fence: Fence(self.router.ledger().epoch.0),
+                fencing_token: FencingToken(self.router.cluster_state().epoch.0),
                 seq,
                 age_ms: 0,
                 waited_ms: 0,
--- a/crates/data-plane/src/tab.rs
+++ b/crates/data-plane/src/tab.rs
@@ -1,7 +1,7 @@
 //! One node's part of the placement table (design 5.3): no input or output. The owner of a
 //! shard settles misses; followers keep copies; lower fences reject.
 
-use common::{Fence, Region, Service, Tick, rendezvous::stable_hash};
+use common::{FencingToken, Region, Service, Tick, rendezvous::stable_hash};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
@@ -52,14 +52,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tab {
     rows: HashMap<(UserKey, Service), Row>,
-    fences: HashMap<u16, Fence>,
+    fencing_tokens: HashMap<u16, FencingToken>,
     vers: u64,
 }
 
 impl Tab {
-    /// Remembers the highest fence of a shard; tells the known one where this is lower.
-    pub fn fence(&mut self, shard: u16, f: Fence) -> Result<(), Fence> {
-        let known = self.fences.entry(shard).or_default();
+    /// Remembers the highest fencing token of a shard; tells the known one where this is lower.
+    pub fn fencing_token(&mut self, shard: u16, f: FencingToken) -> Result<(), FencingToken> {
+        let known = self.fencing_tokens.entry(shard).or_default();
         if f < *known {
             return Err(*known);
         }
@@ -67,11 +67,11 @@
         Ok(())
     }
 
-    /// The owner's look at an asker's fence. Its own is the floor: a restarted owner counts
+    /// The owner's look at an asker's fencing token. Its own is the floor: a restarted owner counts
     /// versions anew, and must keep them apart from those of its earlier life.
-    pub fn admit(&mut self, shard: u16, own: Fence, asked: Fence) -> Result<(), Fence> {
-        let _ = self.fence(shard, own);
-        self.fence(shard, asked)
+    pub fn admit(&mut self, shard: u16, own: FencingToken, asked: FencingToken) -> Result<(), FencingToken> {
+        let _ = self.fencing_token(shard, own);
+        self.fencing_token(shard, asked)
     }
 
     /// The first writer wins. `stale` names the version that the asker found wanting: only that
@@ -86,11 +86,11 @@
         now: Tick,
     ) -> Settled {
         let at = (key, service.clone());
-        let high = self.fences.get(&key.shard(service)).map(|f| f.0).unwrap_or(0);
+        let high = self.fencing_tokens.get(&key.shard(service)).map(|f| f.0).unwrap_or(0);
         let next = (high << 32) | ((self.vers + 1) & 0xffff_ffff);
         let live = self.rows.get_mut(&at).filter(|r| r.until > now);
         if let Some(r) = live.filter(|r| Some(r.ver) != stale || pick.is_none()) {
-            // A row that was inherited goes on under the own fence, so that a late copy from the
+            // A row that was inherited goes on under the own fencing token, so that a late copy from the
             // owner before never stands above it.
             if r.ver >> 32 < high {
                 r.ver = next;
@@ -105,7 +105,7 @@
         if self.rows.len() >= MAX_ROWS {
             self.rows.retain(|_, r| r.until > now);
         }
-        // Versions differ between owners: the fence's number stands above the count.
+        // Versions differ between owners: the fencing token's number stands above the count.
         self.vers += 1;
         let ver = next;
         if self.rows.len() < MAX_ROWS {
--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -1,13 +1,15 @@
 //! Messages between routers keep the form in which an earlier version sent them.
 
-use common::{Epoch, Fence, Incarnation, Index, JobId, NodeId, ReplicaId, Revision, Service, Tenant, Tick};
-use control_plane::news::News;
+use common::{
+    Epoch, FencingToken, Incarnation, Index, JobId, NodeId, ReplicaId, Revision, Service, Tenant, Tick,
+};
+use control_plane::state_update::StateUpdate;
 use data_plane::{
     digest::{Digest, Event, Happened},
     hop::{self, Hop},
     lend::{Pass, Spent},
     pressure::{Figures, Gauge},
-    rpc::{Ask, Reply},
+    rpc::{RouterRequest, RouterResponse},
     serving::{
         board::{Board, Row},
         reading::Note,
@@ -33,7 +35,13 @@
 }
 
 fn spent() -> Spent {
-    Spent { region: "norte".into(), service: service(), fence: Fence(4), serial: 9, node: "p1".into() }
+    Spent {
+        region: "norte".into(),
+        service: service(),
+        fencing_token: FencingToken(4),
+        serial: 9,
+        node: "p1".into(),
+    }
 }
 
 fn note() -> Note {
@@ -66,7 +74,7 @@
     Board {
         zone: "centro-1".into(),
         publisher: NodeId::new("p1"),
-        fence: Fence(4),
+        fencing_token: FencingToken(4),
         seq: 17,
         age_ms: 120,
         waited_ms: 30,
@@ -87,7 +95,7 @@
     Figures {
         service: service(),
         zone: "centro-1".into(),
-        fence: Fence(4),
+        fencing_token: FencingToken(4),
         seq: 17,
         age_ms: 120,
         waited_ms: 30,
@@ -119,12 +127,12 @@
 fn compatibility_of_requests() {
     let zone = || "centro-1".into();
     let requests = [
-        ("heartbeat", Ask::Hail { index: Index(4) }),
-        ("updates", Ask::News { have: Index(4) }),
+        ("heartbeat", RouterRequest::Hail { index: Index(4) }),
+        ("updates", RouterRequest::FetchState { have: Index(4) }),
         (
             "place",
-            Ask::Settle {
-                fence: Fence(4),
+            RouterRequest::Settle {
+                fencing_token: FencingToken(4),
                 key: UserKey(99),
                 service: service(),
                 stale: Some(2),
@@ -132,14 +140,23 @@
                 ttl_ms: 900_000,
             },
         ),
-        ("replicate", Ask::Copy { fence: Fence(4), shard: 7, rows: rows() }),
-        ("fetch", Ask::Fetch { shard: 7 }),
-        ("watch", Ask::Watch { service: service(), zone: zone(), seq: 3, fence: Fence(4), wait_ms: 500 }),
-        ("last", Ask::Last { service: service(), zone: zone() }),
-        ("lend", Ask::Passes { region: "norte".into(), service: service(), node: "p1".into() }),
-        ("redeem", Ask::Redeem { spent: spent() }),
-        ("prompt", Ask::Note { note: note() }),
-        ("load-report", Ask::Board { zone: zone(), seq: 3, wait_ms: 500 }),
+        ("replicate", RouterRequest::Copy { fencing_token: FencingToken(4), shard: 7, rows: rows() }),
+        ("fetch", RouterRequest::Fetch { shard: 7 }),
+        (
+            "watch",
+            RouterRequest::Watch {
+                service: service(),
+                zone: zone(),
+                seq: 3,
+                fencing_token: FencingToken(4),
+                wait_ms: 500,
+            },
+        ),
+        ("last", RouterRequest::Last { service: service(), zone: zone() }),
+        ("lend", RouterRequest::Passes { region: "norte".into(), service: service(), node: "p1".into() }),
+        ("redeem", RouterRequest::Redeem { spent: spent() }),
+        ("prompt", RouterRequest::Note { note: note() }),
+        ("load-report", RouterRequest::Board { zone: zone(), seq: 3, wait_ms: 500 }),
     ];
     for (name, request) in requests {
         fixtures().assert_wire(&format!("request-{name}"), &request);
@@ -151,22 +168,22 @@
     let pass = Pass {
         region: "norte".into(),
         service: service(),
-        fence: Fence(4),
+        fencing_token: FencingToken(4),
         serial: 9,
         count: 3,
         life_ms: 1_000,
     };
     let replies = [
-        ("heartbeat", Reply::Hailed { index: Index(4), incarnation: Incarnation(77), fit: true }),
-        ("updates", Reply::News(News::Same)),
-        ("placed-empty", Reply::Settled(Settled::Empty)),
-        ("placed", Reply::Settled(Settled::Held { region: "norte".into(), ver: 3, won: true })),
-        ("rows", Reply::Rows(rows())),
-        ("figures", Reply::Figures(figures())),
-        ("pass", Reply::Pass(Some(pass))),
-        ("load-report", Reply::Board(Some(Box::new(board())))),
-        ("done", Reply::Done),
-        ("rejected", Reply::Rejected("stale fence".into())),
+        ("heartbeat", RouterResponse::Hailed { index: Index(4), incarnation: Incarnation(77), fit: true }),
+        ("updates", RouterResponse::StateUpdate(StateUpdate::Same)),
+        ("placed-empty", RouterResponse::Settled(Settled::Empty)),
+        ("placed", RouterResponse::Settled(Settled::Held { region: "norte".into(), ver: 3, won: true })),
+        ("rows", RouterResponse::Rows(rows())),
+        ("figures", RouterResponse::Figures(figures())),
+        ("pass", RouterResponse::Pass(Some(pass))),
+        ("load-report", RouterResponse::Board(Some(Box::new(board())))),
+        ("done", RouterResponse::Done),
+        ("rejected", RouterResponse::Rejected("stale fence".into())),
     ];
     for (name, reply) in replies {
         fixtures().assert_wire(&format!("reply-{name}"), &reply);
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -4,7 +4,7 @@
 mod kit;
 
 use common::{Clock, Epoch, Index, Tick};
-use control_plane::{Ledger, member::Member, news::News};
+use control_plane::{ClusterState, member::Member, state_update::StateUpdate};
 use data_plane::router::Router;
 use kit::{Back, IP, back, hears_p9, info, post, router, say, settings};
 use rstest::rstest;
@@ -104,9 +104,9 @@
 async fn a_cut_off_router_says_so() {
     let b = back(WHOLE).await;
     let (r, at) = router("verdict", std::slice::from_ref(&b)).await;
-    let stale = Ledger { index: Index(r.ledger().index.0 + 1), ..(*r.ledger()).clone() };
+    let stale = ClusterState { index: Index(r.cluster_state().index.0 + 1), ..(*r.cluster_state()).clone() };
     let expired = Member::new(settings(), info("p1", "centro-1"), Clock::default());
-    expired.install(News::Snapshot(Box::new(stale)), "test");
+    expired.install(StateUpdate::Snapshot(Box::new(stale)), "test");
     expired.hold(Epoch(1), Tick(0));
     let alone = Router::new(settings(), expired, Clock::default());
     assert!(!r.cut_off() && alone.cut_off());
--- a/crates/data-plane/tests/heir.rs
+++ b/crates/data-plane/tests/heir.rs
@@ -27,7 +27,7 @@
     panic!("no figures were published");
 }
 
-/// Found by the world (seed 6): an zone was lost, a router of another one became the home and was
+/// Found by the world (seed 6): a zone was lost, a router of another one became the home and was
 /// refused twice, then the zone came back with a home of its own. That took the replicas for warm.
 #[tokio::test]
 async fn what_the_last_home_found_absent_is_cold_to_the_next() {
--- a/crates/data-plane/tests/kit/mod.rs
+++ b/crates/data-plane/tests/kit/mod.rs
@@ -2,10 +2,12 @@
 #![allow(dead_code)]
 
 use common::{
-    Clock, Epoch, Fence, Incarnation, Tick, http,
+    Clock, Epoch, FencingToken, Incarnation, Tick, http,
     settings::{Settings, Timing},
 };
-use control_plane::{Change, Ledger, ReplicaMove, Role, change::NodeInfo, member::Member, news::News};
+use control_plane::{
+    Change, ClusterState, ReplicaMove, Role, change::NodeInfo, member::Member, state_update::StateUpdate,
+};
 use data_plane::{
     pressure::{Figures, Gauge},
     router::Router,
@@ -57,7 +59,7 @@
         rpc_advertise: None,
         http_advertise: None,
         seeds: vec![],
-        founds: true,
+        may_bootstrap: true,
         data: None,
         timing: Timing { lease_ms: 60_000, probe_interval_ms: 60_000, ..Timing::default() },
         log: "error".into(),
@@ -84,7 +86,7 @@
 
 pub async fn router_at(clock: Clock, service: &str, backs: &[Back]) -> (Arc<Router>, SocketAddr) {
     let member = Member::new(settings(), info("p1", "centro-1"), clock.clone());
-    let mut l = Ledger::founded("bitacora", vec![]);
+    let mut l = ClusterState::bootstrapped("bitacora", vec![]);
     let mut add = |ch: Change| l.fold(l.index.next(), &ch);
     add(Change::Apply { op: "a".into(), base: Default::default(), text: DOC.into() });
     for (n, b) in backs.iter().enumerate() {
@@ -94,15 +96,15 @@
     }
     add(Change::Join(info("p9", "norte-1")));
     add(Change::Join(info("p1", "centro-1")));
-    let fence = Fence(l.epoch.0);
+    let fencing_token = FencingToken(l.epoch.0);
     member.hold(Epoch(l.index.0), clock.now());
-    member.install(News::Snapshot(Box::new(l)), "test");
+    member.install(StateUpdate::Snapshot(Box::new(l)), "test");
     let r = Router::new(settings(), member, clock);
     tokio::spawn(r.clone().govern());
     while r.governing.load().is_none() {
         tokio::task::yield_now().await;
     }
-    r.take_figures(figures(service, backs, fence, 1, 0.0), r.now());
+    r.take_figures(figures(service, backs, fencing_token, 1, 0.0), r.now());
     r.since.store(Tick(1).0, Ordering::Release);
     let listener = TcpListener::bind((IP, 0)).await.unwrap();
     let at = listener.local_addr().unwrap();
@@ -127,7 +129,13 @@
     format!("POST {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{more}content-length: {n}\r\n\r\n{body}")
 }
 
-pub fn figures(service: &str, backs: &[Back], fence: Fence, seq: u64, consumption: f64) -> Figures {
+pub fn figures(
+    service: &str,
+    backs: &[Back],
+    fencing_token: FencingToken,
+    seq: u64,
+    consumption: f64,
+) -> Figures {
     let gauge = |(n, b): (usize, &Back)| Gauge {
         id: format!("r{n}").as_str().into(),
         addr: b.at,
@@ -138,7 +146,7 @@
     };
     let replicas = backs.iter().enumerate().map(gauge).collect();
     let (service, zone) = (service.into(), "centro-1".into());
-    Figures { service, zone, fence, seq, age_ms: 0, waited_ms: 0, line: vec!["p1".into()], replicas }
+    Figures { service, zone, fencing_token, seq, age_ms: 0, waited_ms: 0, line: vec!["p1".into()], replicas }
 }
 
 pub fn hears_p9(r: &Router) {
--- a/crates/data-plane/tests/lag.rs
+++ b/crates/data-plane/tests/lag.rs
@@ -3,7 +3,7 @@
 mod kit;
 
 use common::{Clock, Revision};
-use control_plane::{Change, Ledger, api::flaws, news::News};
+use control_plane::{Change, ClusterState, api::flaws, state_update::StateUpdate};
 use kit::{Back, DOC, back, post, router_at, say};
 use rstest::rstest;
 use std::sync::{Arc, atomic::AtomicU64, atomic::Ordering};
@@ -22,7 +22,7 @@
     (r, at, hand)
 }
 
-fn evacuated(l: &Ledger) -> Ledger {
+fn evacuated(l: &ClusterState) -> ClusterState {
     let mut l = l.clone();
     l.fold(
         l.index.next(),
@@ -39,14 +39,14 @@
 async fn what_the_leader_spoke_of_must_come(#[case] ms: u64, #[case] comes: bool, #[case] serves: bool) {
     let b = back(WHOLE).await;
     let (r, at, hand) = one(&b).await;
-    r.member.told_of(r.ledger().index.next(), r.now());
+    r.member.told_of(r.cluster_state().index.next(), r.now());
     hand.fetch_add(ms, Ordering::AcqRel);
     r.member.hold(r.member.held().epoch, r.now());
     if comes {
-        r.member.install(News::Snapshot(Box::new(evacuated(&r.ledger()))), "test");
+        r.member.install(StateUpdate::Snapshot(Box::new(evacuated(&r.cluster_state()))), "test");
     }
     // Later words of the same place do not start the count anew.
-    r.member.told_of(r.ledger().index.next(), r.now());
+    r.member.told_of(r.cluster_state().index.next(), r.now());
     let (job, ready, numbers) = asked(at).await;
     assert_eq!(job.contains("outcome: done"), serves, "{job}");
     assert_eq!(job.contains("lags behind the core"), !serves, "{job}");
@@ -59,7 +59,7 @@
 async fn an_outage_of_the_core_is_no_lag() {
     let b = back(WHOLE).await;
     let (r, _, hand) = one(&b).await;
-    r.member.told_of(r.ledger().index.next(), r.now());
+    r.member.told_of(r.cluster_state().index.next(), r.now());
     hand.fetch_add(61_000, Ordering::AcqRel);
     kit::hears_p9(&r);
     assert_eq!(r.standing(), None);
@@ -69,10 +69,10 @@
 async fn an_accepted_document_that_cannot_be_read_stops_new_work() {
     let b = back(WHOLE).await;
     let (r, at, _hand) = one(&b).await;
-    let mut l = (*r.ledger()).clone();
+    let mut l = (*r.cluster_state()).clone();
     let later = Change::Apply { op: "b".into(), base: Revision(1), text: "cluster = what".into() };
     l.fold(l.index.next(), &later);
-    r.member.install(News::Snapshot(Box::new(l)), "test");
+    r.member.install(StateUpdate::Snapshot(Box::new(l)), "test");
     while r.unreadable.load(Ordering::Acquire) == 0 {
         tokio::task::yield_now().await;
     }
@@ -88,7 +88,7 @@
 async fn a_member_of_an_older_language_is_named() {
     let b = back(WHOLE).await;
     let (r, _, _hand) = one(&b).await;
-    let mut l = (*r.ledger()).clone();
+    let mut l = (*r.cluster_state()).clone();
     let list = |zone: &str, service: &str| {
         let what =
             control_plane::ReplicaMove::List { service: service.into(), zone: zone.into(), addr: b.at };
--- a/crates/data-plane/tests/leap.rs
+++ b/crates/data-plane/tests/leap.rs
@@ -3,11 +3,11 @@
 
 mod kit;
 
-use common::{Clock, Fence, Tick};
-use control_plane::news::News;
+use common::{Clock, FencingToken, Tick};
+use control_plane::state_update::StateUpdate;
 use data_plane::{
     pressure::Figures,
-    rpc::{Ask, Reply},
+    rpc::{RouterRequest, RouterResponse},
 };
 use kit::{back, figures, hears_p9, post, router_at, say};
 use rstest::rstest;
@@ -33,15 +33,15 @@
     let b = back(WHOLE).await;
     let (clock, hand) = Clock::hand();
     let (r, at) = router_at(clock, "verdict", std::slice::from_ref(&b)).await;
-    let fence = Fence(r.ledger().epoch.0);
+    let fencing_token = FencingToken(r.cluster_state().epoch.0);
     let backs = std::slice::from_ref(&b);
-    r.take_figures(figures("verdict", backs, fence, 2, 8.0), r.now());
+    r.take_figures(figures("verdict", backs, fencing_token, 2, 8.0), r.now());
     let job = tokio::spawn(async move { say(at, &post("/v1/verdicts", "", "{\"station\":\"x\"}")).await });
     while data_plane::router::lock(&r.waitlist).is_empty() {
         tokio::task::yield_now().await;
     }
     hand.fetch_add(ms, Ordering::AcqRel);
-    r.take_figures(figures("verdict", backs, fence, 3, 0.0), r.now());
+    r.take_figures(figures("verdict", backs, fencing_token, 3, 0.0), r.now());
     let got = job.await.unwrap();
     assert!(got.contains(says), "{got}");
     assert_eq!(b.runs.load(Ordering::Acquire), runs);
@@ -67,7 +67,7 @@
     let (r, _) = router_at(clock, "verdict", std::slice::from_ref(&b)).await;
     hand.fetch_add(3_600_000, Ordering::AcqRel);
     assert!(r.cut_off(), "neither a tenure nor a majority in hearing");
-    let ask = Ask::Hail { index: r.ledger().index };
+    let ask = RouterRequest::Hail { index: r.cluster_state().index };
     r.clone().answer("p9".into(), ask).await;
     assert!(r.cut_off(), "a hail that waited in the socket says nothing of now");
     hears_p9(&r);
@@ -82,7 +82,7 @@
 #[case::held_by_the_home_until_they_came(7_900, 0, 8_900)]
 #[case::the_home_was_frozen_while_it_held_it(60_000, 100, 8_900)]
 fn figures_age_from_the_question(#[case] waited_ms: u64, #[case] age_ms: u64, #[case] fresh: u64) {
-    let f = Figures { waited_ms, age_ms, ..figures("verdict", &[], Fence(1), 1, 0.0) };
+    let f = Figures { waited_ms, age_ms, ..figures("verdict", &[], FencingToken(1), 1, 0.0) };
     assert_eq!(f.fresh_at(Tick(1_000), Tick(9_000)), Tick(fresh));
 }
 
@@ -93,11 +93,11 @@
     let (clock, hand) = Clock::hand();
     let (r, _) = router_at(clock, "verdict", std::slice::from_ref(&b)).await;
     let listener = TcpListener::bind((kit::IP, 0)).await.unwrap();
-    let mut l = (*r.ledger()).clone();
+    let mut l = (*r.cluster_state()).clone();
     let at = listener.local_addr().unwrap();
     l.members.values_mut().for_each(|m| m.info.rpc_addr = at);
     l.index = l.index.next();
-    r.member.install(News::Snapshot(Box::new(l)), "test");
+    r.member.install(StateUpdate::Snapshot(Box::new(l)), "test");
     let (asked, asks) = (Arc::new(AtomicUsize::new(0)), hand.clone());
     let count = asked.clone();
     tokio::spawn(common::link::listen(
@@ -110,10 +110,10 @@
             asks.fetch_add(if first { 3_600_000 } else { 0 }, Ordering::AcqRel);
             async move {
                 match ask {
-                    Ask::Hail { index } => {
-                        Reply::Hailed { index, incarnation: common::Incarnation(1), fit: true }
+                    RouterRequest::Hail { index } => {
+                        RouterResponse::Hailed { index, incarnation: common::Incarnation(1), fit: true }
                     }
-                    _ => Reply::Done,
+                    _ => RouterResponse::Done,
                 }
             }
         },
--- a/crates/data-plane/tests/modules/lend.rs
+++ b/crates/data-plane/tests/modules/lend.rs
@@ -1,13 +1,13 @@
 //! Tests of `data_plane::lend`.
 
-use common::{Fence, Region, Service, Tick};
+use common::{FencingToken, Region, Service, Tick};
 use data_plane::lend::{Lender, Pass, Spent};
 
 fn spent(p: &Pass, node: &str) -> Spent {
     Spent {
         region: p.region.clone(),
         service: p.service.clone(),
-        fence: p.fence,
+        fencing_token: p.fencing_token,
         serial: p.serial,
         node: node.into(),
     }
@@ -19,7 +19,7 @@
 fn passes_from_grant_to_bounce() {
     let (r, s) = (Region::new("r"), Service::new("s"));
     let mut l = Lender::default();
-    l.under(Fence(4));
+    l.under(FencingToken(4));
     l.observe(true, Tick(0));
     assert!(!l.well(Tick(2999), 3000) && l.well(Tick(3000), 3000));
     l.observe(false, Tick(3001));
@@ -34,8 +34,8 @@
     assert_eq!(l.redeem(&spent(&b, "b"), Tick(1)), Err("pass used up"));
     assert_eq!(l.redeem(&spent(&a, "a"), Tick(1000)), Err("pass expired"));
     let mut old = spent(&a, "a");
-    old.fence = Fence(3);
+    old.fencing_token = FencingToken(3);
     assert_eq!(l.redeem(&old, Tick(1)), Err("stale fence"));
-    l.under(Fence(5));
+    l.under(FencingToken(5));
     assert_eq!(l.redeem(&spent(&a, "a"), Tick(1)), Err("stale fence"));
 }
--- a/crates/data-plane/tests/modules/tab.rs
+++ b/crates/data-plane/tests/modules/tab.rs
@@ -1,6 +1,6 @@
 //! Tests of `data_plane::tab`.
 
-use common::{Fence, Region, Service, Tick};
+use common::{FencingToken, Region, Service, Tick};
 use data_plane::tab::{Copy, Settled, Tab, UserKey};
 
 fn held(s: Settled) -> (String, u64, bool) {
@@ -42,7 +42,7 @@
     let (mut owner, mut follower) = (Tab::default(), Tab::default());
     owner.copy(row("north", 24 << 32 | 28), Tick(0));
     follower.copy(row("south", 24 << 32 | 29), Tick(0));
-    owner.fence(k.shard(&svc), Fence(26)).unwrap();
+    owner.fencing_token(k.shard(&svc), FencingToken(26)).unwrap();
     let (region, ver, _) = held(owner.settle(k, &svc, None, None, 900, Tick(1)));
     follower.copy(row(&region, ver), Tick(1));
     assert_eq!(follower.one(k, &svc, Tick(2)).unwrap().region, Region::new("north"));
@@ -51,7 +51,7 @@
 #[test]
 fn lower_fences_bounce() {
     let mut t = Tab::default();
-    assert!(t.fence(3, Fence(5)).is_ok());
-    assert_eq!(t.fence(3, Fence(4)), Err(Fence(5)));
-    assert!(t.fence(4, Fence(4)).is_ok());
+    assert!(t.fencing_token(3, FencingToken(5)).is_ok());
+    assert_eq!(t.fencing_token(3, FencingToken(4)), Err(FencingToken(5)));
+    assert!(t.fencing_token(4, FencingToken(4)).is_ok());
 }
--- a/crates/data-plane/tests/replay.rs
+++ b/crates/data-plane/tests/replay.rs
@@ -16,7 +16,7 @@
 
 /// A hop as the northern router signs it for the one in the centre.
 fn from_north(r: &Router, number: u64) -> Hop {
-    let l = r.ledger();
+    let l = r.cluster_state();
     let g = r.governing.load_full().unwrap();
     let entry = g.table.entries.iter().find(|e| e.name == "match-verdicts").unwrap();
     Hop {
@@ -38,7 +38,7 @@
 }
 
 fn sent(r: &Router, h: &Hop) -> String {
-    let signed = hop::sign(r.ledger().secret, h).unwrap();
+    let signed = hop::sign(r.cluster_state().secret, h).unwrap();
     post("/v1/verdicts", &format!("{}: {signed}\r\n", hop::HEADER), "{\"station\":\"x\"}")
 }
 
--- a/crates/data-plane/tests/serving/exchange.rs
+++ b/crates/data-plane/tests/serving/exchange.rs
@@ -51,7 +51,7 @@
 enum Event {
     NotOpened,
     /// Reset, silence, or an answer that is none.
-    Lost {
+    LostMember {
         ran: bool,
     },
     /// Nobody waits for it any more: another replica is asked, or the first one went on.
@@ -114,7 +114,7 @@
             out.push(Event::NotOpened);
         }
         for ran in [false, true] {
-            out.push(Event::Lost { ran });
+            out.push(Event::LostMember { ran });
             out.push(Event::Abandoned { ran });
             for head in heads() {
                 // Its own answer: a replica does not lie about what it has not run, nor about ids.
@@ -135,12 +135,12 @@
 
     fn after(mut self, event: Event, out: &mut Vec<Self>) {
         self.reached += u32::from(!matches!(event, Event::NotOpened));
-        if let Event::Lost { ran } | Event::Abandoned { ran } | Event::Head { ran, .. } = event {
+        if let Event::LostMember { ran } | Event::Abandoned { ran } | Event::Head { ran, .. } = event {
             self.ran += u32::from(ran);
         }
         match event {
             Event::NotOpened => out.push(self.ended(AttemptEnd::NotSent)),
-            Event::Lost { .. } => out.push(self.ended(AttemptEnd::MayHaveRun)),
+            Event::LostMember { .. } => out.push(self.ended(AttemptEnd::MayHaveRun)),
             Event::Abandoned { .. } => out.push(self),
             Event::Head { head, genuine, .. } => match judge(self.asked, &head) {
                 Verdict::Declined => out.push(self.ended(AttemptEnd::Declined)),
--- a/crates/data-plane/tests/serving/kit.rs
+++ b/crates/data-plane/tests/serving/kit.rs
@@ -1,6 +1,6 @@
 //! Boards, candidates and routes made by hand.
 
-use common::{Fence, NodeId, Region, Tick, Zone};
+use common::{FencingToken, NodeId, Region, Tick, Zone};
 use configuration::{Route, RouteKind};
 use data_plane::serving::{
     Names, Prompt,
@@ -35,7 +35,7 @@
     Board {
         zone: zone.into(),
         publisher: "p0".into(),
-        fence: Fence(1),
+        fencing_token: FencingToken(1),
         seq,
         age_ms: 0,
         waited_ms: 0,
--- a/crates/data-plane/tests/serving/place.rs
+++ b/crates/data-plane/tests/serving/place.rs
@@ -36,7 +36,7 @@
     assert!((weight.unwrap_or(0.0) - want.unwrap_or(0.0)).abs() < 1e-9, "{weight:?}");
 }
 
-/// Routers as `zone/region`, by number; an zone needs two for its own clients.
+/// Routers as `zone/region`, by number; a zone needs two for its own clients.
 #[rstest]
 #[case::zone(&["n1/north", "n1/north", "n2/north", "s1/south"], "n1", "north", &[0, 1])]
 #[case::region(&["n1/north", "n2/north", "s1/south"], "n1", "north", &[0, 1])]
--- a/crates/data-plane/tests/serving/retries.rs
+++ b/crates/data-plane/tests/serving/retries.rs
@@ -2,7 +2,7 @@
 
 use crate::kit::nodes;
 use common::{Service, Tick};
-use data_plane::serving::retries::{Retries, Share, rendezvous};
+use data_plane::serving::retries::{Retries, Share, ranked_above};
 use rstest::rstest;
 
 const STEP_MS: u64 = 100;
@@ -45,7 +45,7 @@
     let names = nodes(l.routers);
     let shares: Vec<Share> = names
         .iter()
-        .map(|me| Share::of(l.extra, WINDOW_MS, rendezvous(&svc, me, &names), l.routers))
+        .map(|me| Share::of(l.extra, WINDOW_MS, ranked_above(&svc, me, &names), l.routers))
         .collect();
     let mut all: Vec<Retries> = (0..l.routers).map(|_| Retries::started(Tick(0))).collect();
     let mut due = vec![0.0; l.routers];
@@ -119,7 +119,7 @@
     let (names, svc) = (nodes(routers), Service::new("chat"));
     let shares: Vec<Share> = names
         .iter()
-        .map(|me| Share::of(surplus, WINDOW_MS, rendezvous(&svc, me, &names), routers))
+        .map(|me| Share::of(surplus, WINDOW_MS, ranked_above(&svc, me, &names), routers))
         .filter(|s| *s != Share::default())
         .collect();
     let sum: f64 = shares.iter().map(|s| s.capacity + s.per_ms * WINDOW_MS as f64).sum();
--- a/crates/data-plane/tests/serving/stage.rs
+++ b/crates/data-plane/tests/serving/stage.rs
@@ -12,7 +12,9 @@
     settings::{Settings, Timing},
 };
 use configuration::{Backend, Notation, RequestLimits, Route, RouteMap, place::Flaw};
-use control_plane::{Change, Ledger, Role, change::NodeInfo, member::Member, news::News};
+use control_plane::{
+    Change, ClusterState, Role, change::NodeInfo, member::Member, state_update::StateUpdate,
+};
 use data_plane::{
     router::{Router, lock},
     serving::{
@@ -304,7 +306,7 @@
     s: Arc<Serving>,
     script: Arc<Script>,
     http: SocketAddr,
-    ledger: Ledger,
+    cluster_state: ClusterState,
 }
 
 /// Replicas by zone; those of `gone` are listed and nobody listens there.
@@ -333,7 +335,7 @@
         rpc_advertise: None,
         http_advertise: None,
         seeds: vec![],
-        founds: true,
+        may_bootstrap: true,
         data: None,
         timing: Timing { lease_ms: 600_000, ..Timing::default() },
         log: "error".into(),
@@ -350,7 +352,7 @@
     async fn on_its_host(world: Arc<World>, cast: Cast, routes: Vec<Route>, acts: Vec<Act>) -> Self {
         let (set, clock) = (settings(), Clock::default());
         let info = NodeInfo::of(&set, Role::Router, Incarnation(1));
-        let mut l = Ledger::founded("line", vec![]);
+        let mut l = ClusterState::bootstrapped("line", vec![]);
         let mut add = |ch: Change| l.fold(l.index.next(), &ch);
         add(Change::Apply { op: "a".into(), base: Default::default(), text: "kept elsewhere".into() });
         add(Change::Join(info.clone()));
@@ -359,7 +361,7 @@
         }
         let member = Member::new(set.clone(), info, clock.clone());
         member.hold(Epoch(l.index.0), clock.now());
-        member.install(News::Snapshot(Box::new(l.clone())), "test");
+        member.install(StateUpdate::Snapshot(Box::new(l.clone())), "test");
         let site = Site {
             region: Region::new("north"),
             zones: zones(),
@@ -414,12 +416,12 @@
             me.listen(listener, Arc::default(), ended).await;
             drop(end);
         });
-        Self { world, s, script, http, ledger: l }
+        Self { world, s, script, http, cluster_state: l }
     }
 
-    /// From now on an zone is evacuated.
+    /// From now on a zone is evacuated.
     pub fn evacuate(&self, zone: &str) {
-        let mut l = self.ledger.clone();
+        let mut l = self.cluster_state.clone();
         l.fold(
             l.index.next(),
             &Change::Evacuate {
@@ -429,7 +431,7 @@
                 seen: common::Index(u64::MAX),
             },
         );
-        self.s.router.member.install(News::Snapshot(Box::new(l)), "test");
+        self.s.router.member.install(StateUpdate::Snapshot(Box::new(l)), "test");
     }
 
     pub async fn send(&self, path: &str, more: &[(&str, &str)], body: Body) -> Told {
--- a/crates/foldshunt-admin/src/main.rs
+++ b/crates/foldshunt-admin/src/main.rs
@@ -47,7 +47,7 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Evacuates an zone: it gets nothing new until it is restored
+    /// Evacuates a zone: it gets nothing new until it is restored
     #[bpaf(command)]
     Evacuate {
         #[bpaf(positional("AREA"))]
--- a/crates/simulator/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -86,8 +86,8 @@
 pub fn audit(ride: &Ride, backs: &[Arc<StandIn>], scene: &Scene) -> Audit {
     let model = scene.model;
     let runs = by_job(backs);
-    let mut a = Audit { jobs: ride.heard.len(), model: model.into(), ..Audit::default() };
-    for h in &ride.heard {
+    let mut a = Audit { jobs: ride.responses.len(), model: model.into(), ..Audit::default() };
+    for h in &ride.responses {
         one(&mut a, h, runs.get(&h.call.job).map(Vec::as_slice).unwrap_or(&[]));
     }
     for s in backs.iter().filter(|s| s.shape.service == model) {
@@ -101,7 +101,7 @@
     checks(&mut a, ride, scene, backs);
     a.prefix_hit_ratio = a.prefix_hits as f64 / a.model_runs.max(1) as f64;
     let mut begun: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
-    for h in ride.heard.iter().filter(|h| h.told == Told::Done) {
+    for h in ride.responses.iter().filter(|h| h.told == Told::Done) {
         begun.entry(h.call.entry).or_default().push(h.at);
     }
     for (k, mut v) in begun {
@@ -110,7 +110,7 @@
         a.longest_gap_ms.insert(k.into(), gap.unwrap_or(0));
     }
     let mut took: BTreeMap<String, Vec<u128>> = BTreeMap::new();
-    for h in ride.heard.iter().filter(|h| h.told == Told::Done) {
+    for h in ride.responses.iter().filter(|h| h.told == Told::Done) {
         took.entry(h.call.entry.into()).or_default().push(h.took.as_millis());
     }
     for (k, mut v) in took {
--- a/crates/simulator/src/caller.rs
+++ b/crates/simulator/src/caller.rs
@@ -86,10 +86,10 @@
 }
 
 /// Sends one job, follows one redirect, and says what came of it.
-pub async fn call(ip: IpAddr, to: SocketAddr, c: Call, patience: Duration) -> Heard {
+pub async fn call(ip: IpAddr, to: SocketAddr, c: Call, give_up_after: Duration) -> Heard {
     let at = Instant::now();
     let (mut router, mut redirected) = (to, false);
-    let told = tokio::time::timeout(patience, async {
+    let told = tokio::time::timeout(give_up_after, async {
         loop {
             let Ok(mut tx) = open(ip, router, 2_000).await else {
                 // What was redirected was told that it did not run: no connection changes nothing.
--- a/crates/simulator/src/checks.rs
+++ b/crates/simulator/src/checks.rs
@@ -6,7 +6,7 @@
     caller::{Heard, Told},
     drive::Ride,
     fault::What,
-    papers::Verdict,
+    papers::DocumentOutcome,
     standin::StandIn,
     timeline::{Scene, Timeline},
 };
@@ -43,9 +43,9 @@
 fn documents(a: &mut Audit, ride: &Ride) {
     let told = |h: &Heard| h.revision;
     for p in ride.acts.iter().flat_map(|x| &x.papers) {
-        let Verdict::Accepted(rev) = p.told else { continue };
+        let DocumentOutcome::Accepted(rev) = p.told else { continue };
         let late = |h: &&Heard| h.at > p.at + GOVERNS && told(h).is_some_and(|v| v < rev);
-        let found: Vec<&Heard> = ride.heard.iter().filter(late).collect();
+        let found: Vec<&Heard> = ride.responses.iter().filter(late).collect();
         a.governed_late += found.len();
         found
             .iter()
@@ -53,7 +53,10 @@
             .for_each(|h| a.note("governed late", &format!("{} by {:?}, not {rev}", h.call.job, h.revision)));
     }
     let mut by: BTreeMap<SocketAddr, Vec<&Heard>> = BTreeMap::new();
-    ride.heard.iter().filter(|h| h.revision.is_some()).for_each(|h| by.entry(h.router).or_default().push(h));
+    ride.responses
+        .iter()
+        .filter(|h| h.revision.is_some())
+        .for_each(|h| by.entry(h.router).or_default().push(h));
     for v in by.values_mut() {
         v.sort_by_key(|h| h.at);
         let mut ends: Vec<(Instant, u64)> =
@@ -72,7 +75,7 @@
 
 /// Told at once, with when to come back; what a frozen or cut-off router holds up is no fault of its own.
 fn rejections(a: &mut Audit, ride: &Ride, scene: &Scene, t: &Timeline) {
-    for h in ride.heard.iter().filter(|h| matches!(h.told, Told::Rejected(_))) {
+    for h in ride.responses.iter().filter(|h| matches!(h.told, Told::Rejected(_))) {
         if h.code == 503 && h.retry_after.is_none() {
             a.bounced_without_retry_after += 1;
         }
@@ -90,7 +93,7 @@
 /// that still fails, all the while servable, at most twelve seconds.
 fn gaps(a: &mut Audit, ride: &Ride, scene: &Scene, backs: &[Arc<StandIn>], t: &Timeline) {
     let mut by: BTreeMap<(&str, &str), Vec<&Heard>> = BTreeMap::new();
-    ride.heard.iter().for_each(|h| by.entry((h.call.entry, h.call.tenant)).or_default().push(h));
+    ride.responses.iter().for_each(|h| by.entry((h.call.entry, h.call.tenant)).or_default().push(h));
     for ((entry, tenant), v) in by.iter_mut() {
         v.sort_by_key(|h| h.at);
         let mut failing: Option<Instant> = None;
@@ -160,7 +163,7 @@
         What::StartArea => b.shape.zone == whom,
         _ => false,
     };
-    // An zone that was lost with the home of its figures, and is back before three checks, was never
+    // A zone that was lost with the home of its figures, and is back before three checks, was never
     // seen to be gone.
     let lost =
         ride.acts.iter().filter(|x| x.fault.what == What::KillArea && x.fault.whom == whom && x.at < act.at);
--- a/crates/simulator/src/drive.rs
+++ b/crates/simulator/src/drive.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 pub struct Ride {
-    pub heard: Vec<Heard>,
+    pub responses: Vec<Heard>,
     pub acts: Vec<Act>,
     pub began: Instant,
 }
@@ -105,9 +105,9 @@
         f.nodes.iter().filter(|n| !n.core).map(|n| (n.http(), dep.region_of(n.zone))).collect();
     let (net, begin) = (f.net, Instant::now());
     // Traffic goes on while an operator waits or a process takes its time to stop.
-    let (heard, acts) =
+    let (responses, acts) =
         tokio::join!(traffic(dep, routers, net, begin, load), happen(f, load.seed, begin, faults));
-    Ok(Ride { heard, acts, began: begin })
+    Ok(Ride { responses, acts, began: begin })
 }
 
 async fn happen(f: &mut Fleet, seed: u64, begin: Instant, faults: &[Fault]) -> Vec<Act> {
@@ -133,7 +133,7 @@
     let us = users(&dep, &mut rng);
     let mut jobs: JoinSet<Heard> = JoinSet::new();
     let mut next: Vec<f64> = dep.kinds.iter().map(|_| 0.0).collect();
-    let (mut n, mut heard) = (0u64, Vec::new());
+    let (mut n, mut responses) = (0u64, Vec::new());
     loop {
         let now = begin.elapsed().as_secs_f64();
         if now >= secs {
@@ -178,12 +178,12 @@
             }
         }
         while let Some(r) = jobs.try_join_next() {
-            heard.extend(r);
+            responses.extend(r);
         }
         tokio::time::sleep(Duration::from_millis(3)).await;
     }
     while let Some(r) = jobs.join_next().await {
-        heard.extend(r);
+        responses.extend(r);
     }
-    heard
+    responses
 }
--- a/crates/simulator/src/fault.rs
+++ b/crates/simulator/src/fault.rs
@@ -16,7 +16,7 @@
     Thaw,
     /// The machine loses its power: nothing is closed, nothing answers until it is started.
     Dark,
-    /// Cuts a node, an zone or `core` off (`p1`), only outwards (`p1>`), or one link (`s1--s2`).
+    /// Cuts a node, a zone or `core` off (`p1`), only outwards (`p1>`), or one link (`s1--s2`).
     Cut,
     Mend,
     /// All control nodes at once.
@@ -59,7 +59,7 @@
     Race,
     /// Three documents in quick succession.
     Burst,
-    /// All processes and replicas of an zone at once.
+    /// All processes and replicas of a zone at once.
     KillArea,
     StartArea,
 }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -11,7 +11,7 @@
     timeline::Scene,
 };
 use common::{http::ask, runtime::World};
-use control_plane::consensus::Room;
+use control_plane::consensus::SizeLimits;
 use eyre::{Result, eyre};
 use hyper::Method;
 use std::{
@@ -67,8 +67,8 @@
                     told,
                     cluster: dep.name,
                     seeds: Vec::new(),
-                    life: None,
-                    disk: Arc::new(Mutex::new(SimDisk::new(None, Room::default()))),
+                    process: None,
+                    disk: Arc::new(Mutex::new(SimDisk::new(None, SizeLimits::default()))),
                 });
             }
         }
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -8,7 +8,7 @@
 use common::runtime::{Host, World, bind, spawn_at};
 use control_plane::{
     consensus::{DurableState, Event, Record, Voter},
-    core::{Core, Drive, Retry, blank},
+    core::{Core, LogWriter, RecoveryBackoff, blank},
 };
 use rand::Rng;
 use std::{
@@ -41,11 +41,11 @@
                 _ => return,
             };
             if core {
-                let img = take_up(&set, &disk);
-                let drive = Box::new(move |core| -> Box<dyn Drive> {
+                let image = take_up(&set, &disk);
+                let drive = Box::new(move |core| -> Box<dyn LogWriter> {
                     Box::new(WorldDrive { core, disk, ip, world })
                 });
-                control_plane::daemon::run(set, 0, bound, (img, drive), control_plane::api::handle, told)
+                control_plane::daemon::run(set, 0, bound, (image, drive), control_plane::api::handle, told)
                     .await
             } else {
                 data_plane::daemon::run(set, bound, told).await
@@ -86,15 +86,15 @@
 
 fn take_up(set: &common::settings::Settings, disk: &Mutex<SimDisk>) -> DurableState {
     let mut d = lock(disk);
-    let img = d.kept.clone().unwrap_or_else(|| Voter::blank_image(&blank(set)));
-    d.kept = Some(img.clone());
-    img
+    let image = d.kept.clone().unwrap_or_else(|| Voter::blank_state(&blank(set)));
+    d.kept = Some(image.clone());
+    image
 }
 
 /// Tries until the disk takes writes again, as the daemon's own drive does.
 async fn recover(core: Weak<Core>, disk: Arc<Mutex<SimDisk>>) {
     let Some(timing) = core.upgrade().map(|c| c.set.timing.clone()) else { return };
-    let mut retry = Retry::new(&timing);
+    let mut retry = RecoveryBackoff::new(&timing);
     let image = loop {
         sleep(retry.wait()).await;
         let d = lock(&disk);
@@ -115,11 +115,11 @@
     world: Arc<World>,
 }
 
-impl Drive for WorldDrive {
-    fn write(&self, tok: u64, rec: Record) {
+impl LogWriter for WorldDrive {
+    fn write(&self, token: u64, record: Record) {
         let ms = {
             let mut d = lock(&self.disk);
-            if let Err(e) = d.write(tok, rec) {
+            if let Err(e) = d.write(token, record) {
                 panic!("{e}");
             }
             match d.mood {
@@ -133,7 +133,7 @@
             while lock(&disk).mood == Mood::Stalled {
                 sleep(Duration::from_millis(40)).await;
             }
-            let ev = {
+            let event = {
                 let mut d = lock(&disk);
                 match d.mood {
                     // An earlier write was refused with all that was under way.
@@ -145,9 +145,9 @@
                     _ => d.sync_one().map(Event::Synced),
                 }
             };
-            let failed = matches!(ev, Some(Event::SyncFailed));
-            if let (Some(core), Some(ev)) = (core.upgrade(), ev) {
-                core.step(ev);
+            let failed = matches!(event, Some(Event::SyncFailed));
+            if let (Some(core), Some(event)) = (core.upgrade(), event) {
+                core.step(event);
             }
             if failed {
                 recover(core, disk).await;
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -49,7 +49,7 @@
     pub dir: PathBuf,
     pub cluster: &'static str,
     pub seeds: Vec<SocketAddr>,
-    pub life: Option<Life>,
+    pub process: Option<Life>,
     /// In a world: its disk, which outlives the process.
     pub disk: Arc<Mutex<SimDisk>>,
 }
@@ -70,7 +70,7 @@
             rpc_advertise: advertise(RAIL),
             http_advertise: advertise(HTTP),
             seeds: self.seeds.clone(),
-            founds: true,
+            may_bootstrap: true,
             data: self.core.then(|| self.dir.join("data")),
             timing: Timing::default(),
             log: "info".into(),
@@ -78,10 +78,10 @@
     }
 
     pub fn start(&mut self, yard: &Yard) -> Result<()> {
-        if self.life.is_some() {
+        if self.process.is_some() {
             bail!("{} runs already", self.name);
         }
-        self.life = Some(match yard {
+        self.process = Some(match yard {
             Yard::Programs(bin) => Life::Process(self.process(bin)?),
             Yard::World(w) => Life::Hosted(Hosted::start(w, self)),
         });
@@ -106,14 +106,14 @@
 
     /// Of a real process, while it runs.
     pub fn pid(&self) -> Option<u32> {
-        match &self.life {
+        match &self.process {
             Some(Life::Process(c)) => c.id(),
             _ => None,
         }
     }
 
     fn signal(&self, s: Signal) -> Result<()> {
-        match &self.life {
+        match &self.process {
             Some(Life::Process(c)) => {
                 let pid = c.id().ok_or_else(|| eyre!("{} has ended", self.name))?;
                 Ok(kill(Pid::from_raw(pid as i32), s)?)
@@ -123,7 +123,7 @@
     }
 
     pub fn freeze(&self) -> Result<()> {
-        match &self.life {
+        match &self.process {
             Some(Life::Hosted(h)) => {
                 h.host.freeze();
                 Ok(())
@@ -133,7 +133,7 @@
     }
 
     pub fn thaw(&self) -> Result<()> {
-        match &self.life {
+        match &self.process {
             Some(Life::Hosted(h)) => {
                 h.host.thaw();
                 Ok(())
@@ -143,7 +143,7 @@
     }
 
     pub async fn kill(&mut self) -> Result<()> {
-        match self.life.take() {
+        match self.process.take() {
             Some(Life::Process(mut c)) => c.kill().await?,
             Some(Life::Hosted(h)) => h.kill(&self.disk).await,
             None => {}
@@ -153,13 +153,13 @@
 
     /// The machine loses its power; a real process can only be killed.
     pub async fn power_off(&mut self) -> Result<()> {
-        match self.life.take() {
+        match self.process.take() {
             Some(Life::Hosted(h)) => {
                 h.power_off(&self.disk).await;
                 Ok(())
             }
-            life => {
-                self.life = life;
+            process => {
+                self.process = process;
                 self.kill().await
             }
         }
@@ -169,7 +169,7 @@
     pub async fn stop(&mut self) -> Result<Duration> {
         let at = tokio::time::Instant::now();
         let most = Duration::from_secs(90);
-        match self.life.take() {
+        match self.process.take() {
             Some(Life::Process(mut c)) => {
                 let pid = c.id().ok_or_else(|| eyre!("{} has ended", self.name))?;
                 kill(Pid::from_raw(pid as i32), Signal::SIGTERM)?;
@@ -185,7 +185,7 @@
 
     /// A voter's disk changes; real files do as they do.
     pub fn mood(&self, m: Mood) -> Result<()> {
-        if !matches!(self.life, Some(Life::Hosted(_))) {
+        if !matches!(self.process, Some(Life::Hosted(_))) {
             bail!("the disk of {} is a real one; disks change in a world only", self.name);
         }
         self.disk.lock().unwrap_or_else(|e| e.into_inner()).mood = m;
@@ -193,7 +193,7 @@
     }
 
     pub fn runs(&self) -> bool {
-        self.life.is_some()
+        self.process.is_some()
     }
 
     pub fn wipe(&self) -> Result<()> {
--- a/crates/simulator/src/papers.rs
+++ b/crates/simulator/src/papers.rs
@@ -4,7 +4,7 @@
 use tokio::time::Instant;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum DocumentOutcome {
     Accepted(u64),
     /// Never to take effect.
     Refused,
@@ -16,17 +16,19 @@
 pub struct Paper {
     pub op: String,
     pub text: String,
-    pub told: Verdict,
-    /// When its verdict was told.
+    pub told: DocumentOutcome,
+    /// When its outcome was told.
     pub at: Instant,
 }
 
 impl Paper {
     fn of(op: &str, text: &str, res: &Option<(u16, serde_json::Value)>) -> Paper {
         let told = match res {
-            Some((200, v)) => v["revision"].as_u64().map(Verdict::Accepted).unwrap_or(Verdict::Doubt),
-            Some((412 | 422, _)) => Verdict::Refused,
-            _ => Verdict::Doubt,
+            Some((200, v)) => {
+                v["revision"].as_u64().map(DocumentOutcome::Accepted).unwrap_or(DocumentOutcome::Doubt)
+            }
+            Some((412 | 422, _)) => DocumentOutcome::Refused,
+            _ => DocumentOutcome::Doubt,
         };
         Paper { op: op.into(), text: text.into(), told, at: Instant::now() }
     }
@@ -104,13 +106,15 @@
 
 /// What must be read back at the end, and what must not: doubts are asked for by their operation.
 pub async fn settle(op: &Operator, acts: &mut [Act]) {
-    for p in acts.iter_mut().flat_map(|a| a.papers.iter_mut()).filter(|p| p.told == Verdict::Doubt) {
+    for p in acts.iter_mut().flat_map(|a| a.papers.iter_mut()).filter(|p| p.told == DocumentOutcome::Doubt) {
         let res = op.ask(hyper::Method::GET, &format!("/v1/ops/{}", p.op), &[], "").await;
         let v: serde_json::Value = res.and_then(|(_, b)| serde_json::from_slice(&b).ok()).unwrap_or_default();
         p.told = match v["outcome"].as_str() {
-            Some("accepted") => v["revision"].as_u64().map(Verdict::Accepted).unwrap_or(Verdict::Doubt),
-            Some("refused") => Verdict::Refused,
-            _ => Verdict::Doubt,
+            Some("accepted") => {
+                v["revision"].as_u64().map(DocumentOutcome::Accepted).unwrap_or(DocumentOutcome::Doubt)
+            }
+            Some("refused") => DocumentOutcome::Refused,
+            _ => DocumentOutcome::Doubt,
         };
         p.at = Instant::now();
     }
@@ -120,7 +124,7 @@
 pub fn newest(acts: &[Act], first: &str) -> String {
     let papers = acts.iter().flat_map(|a| &a.papers);
     let accepted = papers.filter_map(|p| match p.told {
-        Verdict::Accepted(r) => Some((r, p.text.as_str())),
+        DocumentOutcome::Accepted(r) => Some((r, p.text.as_str())),
         _ => None,
     });
     accepted.max_by_key(|a| a.0).map_or(first, |a| a.1).to_string()
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -6,7 +6,7 @@
     drive::{Load, ride},
     fault::Fault,
     fleet::Fleet,
-    papers::{self, Verdict},
+    papers::{self, DocumentOutcome},
 };
 use eyre::{Result, WrapErr, ensure};
 use std::time::Duration;
@@ -41,7 +41,7 @@
     a.extra_over = (a.extra_goes - most).max(0.0).ceil() as usize;
     let want = papers::newest(&r.acts, &f.dep.document);
     a.read_back_exact = Some(shown.as_ref() == Some(&want));
-    let refused = r.acts.iter().flat_map(|x| &x.papers).filter(|p| p.told == Verdict::Refused);
+    let refused = r.acts.iter().flat_map(|x| &x.papers).filter(|p| p.told == DocumentOutcome::Refused);
     a.refused_read_back = refused.filter(|p| shown.as_ref() == Some(&p.text)).count();
     Ok(a)
 }
--- a/crates/simulator/src/scale/hollow.rs
+++ b/crates/simulator/src/scale/hollow.rs
@@ -1,5 +1,5 @@
 //! Hollow nodes: the routers' own code on hosts of a world, without the listener for callers. They
-//! hold memberships, follow the news, take part in figures, duties, passes and placements.
+//! hold memberships, follow the state updates, take part in figures, singleton roles, passes and placements.
 
 use super::layout::Layout;
 use crate::node::Node;
--- a/crates/simulator/src/scale/layout.rs
+++ b/crates/simulator/src/scale/layout.rs
@@ -6,7 +6,7 @@
     sim::disk::SimDisk,
     standin::{Shape, StandIn},
 };
-use control_plane::consensus::Room;
+use control_plane::consensus::SizeLimits;
 use std::{
     fmt::Write,
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -90,8 +90,8 @@
                 told: self.ip(1, n),
                 cluster: CLUSTER,
                 seeds: seeds.clone(),
-                life: None,
-                disk: Arc::new(Mutex::new(SimDisk::new(None, Room::default()))),
+                process: None,
+                disk: Arc::new(Mutex::new(SimDisk::new(None, SizeLimits::default()))),
             }
         };
         (0..self.nodes).map(one).collect()
--- a/crates/simulator/src/scale/rows.rs
+++ b/crates/simulator/src/scale/rows.rs
@@ -66,10 +66,11 @@
     r.bytes += (c.asked + c.told) as f64 * part;
 }
 
-/// What one duty is asked, a second: homes are asked for figures, owners settle, lenders grant.
+/// What one singleton role is asked, a second: homes are asked for figures, owners settle, lenders grant.
 #[derive(Clone, Debug, Serialize)]
 pub struct DutyRow {
-    pub duty: &'static str,
+    #[serde(rename = "duty")]
+    pub singleton: &'static str,
     pub count: usize,
     pub holders: usize,
     pub most_held: usize,
@@ -77,10 +78,10 @@
     pub bytes: f64,
 }
 
-pub fn duties(nodes: &[Hollow], t: &Traffic, secs: f64) -> Vec<DutyRow> {
+pub fn singletons(nodes: &[Hollow], t: &Traffic, secs: f64) -> Vec<DutyRow> {
     let Some(r) = nodes.first().map(|h| &h.router) else { return vec![] };
     let Some(g) = r.governing.load_full() else { return vec![] };
-    let l = r.ledger();
+    let l = r.cluster_state();
     let homes = g.table.zones.keys().flat_map(|a| g.table.services.keys().map(move |s| (a, s)));
     let homes: Vec<String> =
         homes.filter_map(|(a, s)| r.home_of(&g.table, s, a)).map(|m| m.info.node.to_string()).collect();
@@ -92,12 +93,12 @@
         .map(|m| m.info.node.to_string())
         .collect();
     let shards = (0..data_plane::tab::SHARDS)
-        .filter_map(|n| control_plane::duty::duty(&l, &format!("shard/{n}"), None))
+        .filter_map(|n| control_plane::singleton::holder_of(&l, &format!("shard/{n}"), None))
         .map(|d| d.holder.info.node.to_string())
         .collect();
     [("home", "watch", homes), ("shard owner", "settle", shards), ("lender", "passes", lenders)]
         .into_iter()
-        .map(|(duty, step, held)| {
+        .map(|(singleton, step, held)| {
             let mut by: BTreeMap<&str, usize> = BTreeMap::new();
             held.iter().for_each(|n| *by.entry(n).or_default() += 1);
             let served =
@@ -105,7 +106,7 @@
             let (calls, bytes) = served.fold((0, 0), |a, c| (a.0 + c.calls, a.1 + c.asked + c.told));
             let part = 1.0 / secs / held.len().max(1) as f64;
             DutyRow {
-                duty,
+                singleton,
                 count: held.len(),
                 holders: by.len(),
                 most_held: by.values().copied().max().unwrap_or(0),
@@ -119,7 +120,8 @@
 /// Encoded bytes of what a router holds; the mean over all.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct StateRow {
-    pub ledger: f64,
+    #[serde(rename = "ledger")]
+    pub cluster_state: f64,
     pub document: f64,
     pub figures: f64,
     pub signs_of_life: f64,
@@ -133,9 +135,9 @@
     let part = 1.0 / nodes.len().max(1) as f64;
     for h in nodes {
         let r = &h.router;
-        let l = r.ledger();
+        let l = r.cluster_state();
         let size = |b: std::io::Result<Vec<u8>>| b.map_or(0, |b| b.len()) as f64 * part;
-        s.ledger += size(encode(&*l));
+        s.cluster_state += size(encode(&*l));
         s.document += l.text.as_ref().map_or(0, |t| t.len()) as f64 * part;
         s.figures += r.pressure.board().seen.values().map(|x| size(encode(&x.fig))).sum::<f64>();
         let heard: Vec<_> = data_plane::router::lock(&r.heard).iter().map(|(n, t)| (n.clone(), *t)).collect();
@@ -145,7 +147,7 @@
         s.placement_rows += rows as f64 * part;
         s.placements += ((rows + cached) * A_ROW) as f64 * part;
     }
-    s.whole = s.ledger + s.figures + s.signs_of_life + s.placements;
+    s.whole = s.cluster_state + s.figures + s.signs_of_life + s.placements;
     s
 }
 
--- a/crates/simulator/src/scale/run.rs
+++ b/crates/simulator/src/scale/run.rs
@@ -4,7 +4,7 @@
     ScalePlan,
     hollow::Hollow,
     layout::{Layout, VOTERS},
-    rows::{DutyRow, RoleRow, StateRow, duties, role, state},
+    rows::{DutyRow, RoleRow, StateRow, role, singletons, state},
     times::{Span, changes, lost, until},
     usage,
 };
@@ -38,7 +38,8 @@
     pub seconds: f64,
     /// Without changes of configuration.
     pub roles: Vec<RoleRow>,
-    pub duties: Vec<DutyRow>,
+    #[serde(rename = "duties")]
+    pub singletons: Vec<DutyRow>,
     pub state: StateRow,
     /// Bytes of the core's slot on disk.
     pub slot: f64,
@@ -125,7 +126,7 @@
         }
         let whole = |h: &Hollow| {
             h.router.member.governs.load(Ordering::Acquire) > 0
-                && h.router.member.ledger.load().members.len() == nodes
+                && h.router.member.cluster_state.load().members.len() == nodes
         };
         let (_, never) = until(&hollow, Instant::now(), whole).await;
         ensure!(never == 0, "{never} of {nodes} nodes did not join");
@@ -183,7 +184,7 @@
             seed: p.seed,
             layout: lay,
             seconds: p.seconds,
-            duties: duties(&self.hollow, &calm, p.seconds),
+            singletons: singletons(&self.hollow, &calm, p.seconds),
             state: state(&self.hollow),
             slot,
             cpu_ms_a_node_second: cpu / p.seconds / lay.nodes as f64,
@@ -226,7 +227,7 @@
             std::mem::take(&mut self.hollow).into_iter().partition(|h| group(h.zone) == whole);
         self.hollow = left;
         for n in self.voters.iter_mut().filter(|n| group(n.zone) == whole) {
-            if let Some(Life::Hosted(h)) = n.life.take() {
+            if let Some(Life::Hosted(h)) = n.process.take() {
                 h.power_off(&n.disk).await;
             }
         }
--- a/crates/simulator/src/scale/times.rs
+++ b/crates/simulator/src/scale/times.rs
@@ -86,7 +86,7 @@
     gone.iter().for_each(|h| h.host.power_off());
     let names: Vec<common::NodeId> = gone.iter().map(|h| h.name.as_str().into()).collect();
     let (ms, never) = until(left, at, |h| {
-        let l = h.router.member.ledger.load();
+        let l = h.router.member.cluster_state.load();
         names.iter().all(|n| !l.members.contains_key(n))
     })
     .await;
--- a/crates/simulator/src/sim/acts.rs
+++ b/crates/simulator/src/sim/acts.rs
@@ -1,31 +1,31 @@
-//! Verdicts, routers and duties within the simulated world (design 7.1).
+//! Verdicts, routers and singleton roles within the simulated world (design 7.1).
 
 use super::{
     Broken,
     nodes::{WIRE, fits, timing},
     world::{What, World},
 };
-use common::{Epoch, Fence, Index, NodeId, Revision, Tick};
+use common::{Epoch, FencingToken, Index, NodeId, Revision, Tick};
 use control_plane::{
-    Change, Verdict,
+    ApplyOutcome, Change,
     change::NodeInfo,
     consensus::{Event, LogEntry},
-    duty,
-    news::{self, News, Taken},
+    singleton,
+    state_update::{self, InstallResult, StateUpdate},
 };
 use rand::Rng;
 
 const DUTY: &str = "lender/north";
 
 impl World {
-    pub fn on_accepted(&mut self, n: usize, e: &LogEntry, v: &Verdict) -> Result<(), String> {
+    pub fn on_accepted(&mut self, n: usize, e: &LogEntry, v: &ApplyOutcome) -> Result<(), String> {
         let first = self.book.accepted(e, v)?;
         self.order_decided(n, e, v)?;
         if first {
             self.stats.accepted += 1;
             match &e.change {
                 Change::ReplaceVoter(h) => {
-                    self.book.voters = self.voters[n].voter.as_ref().map(|s| s.ledger.voters.clone());
+                    self.book.voters = self.voters[n].voter.as_ref().map(|s| s.cluster_state.voters.clone());
                     self.stats.readmitted += 1;
                     self.note(format!("{} readmitted as seat {}", h.node, h.number));
                 }
@@ -47,24 +47,24 @@
             }
         }
         if let Some(p) = self.waiting.remove(&(n, e.index))
-            && p.life == self.voters[p.voter].life
+            && p.starts == self.voters[p.voter].starts
         {
             if p.change != e.change {
                 self.stats.undetermined += 1;
                 return Ok(());
             }
             match v {
-                Verdict::Accepted { .. } => {
+                ApplyOutcome::Accepted { .. } => {
                     self.stats.told_accepted += 1;
                     if self.broken != Some(Broken::EarlyAccept) {
                         self.book.told(&p.op, e.index, &p.change)?;
                     }
                 }
-                Verdict::Conflict { .. } => {
+                ApplyOutcome::Conflict { .. } => {
                     self.stats.told_conflict += 1;
                     self.book.told_refused.insert(p.op, ());
                 }
-                Verdict::Rejected { .. } => self.stats.told_refused += 1,
+                ApplyOutcome::Rejected { .. } => self.stats.told_refused += 1,
             }
         }
         Ok(())
@@ -75,10 +75,10 @@
         let t = self.t;
         let s = &mut self.voters[n];
         let now = s.clock.at(t);
-        let Some(voter) = s.voter.as_ref().filter(|x| x.current(now) && s.frozen_until <= t) else {
+        let Some(voter) = s.voter.as_ref().filter(|x| x.can_serve_reads(now) && s.frozen_until <= t) else {
             return Ok(());
         };
-        let due = s.leases.wakeup(&voter.ledger, &timing(), now);
+        let due = s.leases.expired_members(&voter.cluster_state, &timing(), now);
         due.into_iter().try_for_each(|ch| self.voter_step(n, Event::Propose(ch)))
     }
 
@@ -104,16 +104,16 @@
         }
         let voter = self.rng.random_range(0..self.voters.len());
         if let Some(ms) = self.transit(self.voters.len() + r, voter) {
-            let have = self.routers[r].ledger.index;
+            let have = self.routers[r].cluster_state.index;
             self.push(ms, What::AskNews { voter, router: r, have });
         }
-        // A duty is acted on while the lease holds; the blow may land late.
+        // A singleton role is acted on while the lease holds; the blow may land late.
         let me = &self.routers[r];
-        let mine = duty::duty(&me.ledger, DUTY, None).filter(|d| d.holder.info == me.info);
+        let mine = singleton::holder_of(&me.cluster_state, DUTY, None).filter(|d| d.holder.info == me.info);
         if let Some(d) = mine.filter(|_| me.held.valid(now)) {
             let late = self.rng.random_range(1..400);
             let node = self.routers[r].info.node.clone();
-            self.push(late, What::Act { fence: d.fence, node });
+            self.push(late, What::Act { fencing_token: d.fencing_token, node });
         }
         Ok(())
     }
@@ -122,10 +122,10 @@
         let t = self.t;
         let s = &mut self.voters[n];
         let now = s.clock.at(t);
-        let Some(voter) = s.voter.as_ref().filter(|x| x.current(now) && s.frozen_until <= t) else {
+        let Some(voter) = s.voter.as_ref().filter(|x| x.can_serve_reads(now) && s.frozen_until <= t) else {
             return Ok(());
         };
-        match s.leases.renew(&voter.ledger, &timing(), &info, now) {
+        match s.leases.renew(&voter.cluster_state, &timing(), &info, now) {
             Ok(epoch) => {
                 if let Some(ms) = self.transit(n, self.voters.len() + r) {
                     self.push(ms, What::Renewed { router: r, incarnation: info.incarnation.0, epoch, sent });
@@ -137,55 +137,56 @@
         }
     }
 
-    pub fn renewed(&mut self, r: usize, incarnation: u64, epoch: Epoch, sent: Tick) -> Result<(), String> {
+    pub fn extend(&mut self, r: usize, incarnation: u64, epoch: Epoch, sent: Tick) -> Result<(), String> {
         let late = self.broken == Some(Broken::LateLease);
         let me = &mut self.routers[r];
         if me.info.incarnation.0 == incarnation {
             let now = me.clock.at(self.t);
-            me.held.renewed(epoch, if late { now } else { sent }, &timing());
+            me.held.extend(epoch, if late { now } else { sent }, &timing());
         }
         Ok(())
     }
 
     pub fn tell_news(&mut self, n: usize, r: usize, have: Index) -> Result<(), String> {
         let Some(voter) =
-            self.voters[n].voter.as_ref().filter(|s| s.formed && self.voters[n].frozen_until <= self.t)
+            self.voters[n].voter.as_ref().filter(|s| s.initialized && self.voters[n].frozen_until <= self.t)
         else {
             return Ok(());
         };
         let back = self.broken == Some(Broken::NewsGoesBack);
-        let news = if back {
-            News::Snapshot(Box::new(voter.ledger.clone()))
+        let state_update = if back {
+            StateUpdate::Snapshot(Box::new(voter.cluster_state.clone()))
         } else {
-            news::since(have, &voter.ledger, &voter.log, voter.base, voter.room)
+            state_update::since(have, &voter.cluster_state, &voter.log, voter.base, voter.room)
         };
-        fits("news", &news, WIRE)?;
+        fits("news", &state_update, WIRE)?;
         if let Some(ms) = self.transit(n, self.voters.len() + r) {
-            self.push(ms, What::News { router: r, news: Box::new(news) });
+            self.push(ms, What::StateUpdate { router: r, state_update: Box::new(state_update) });
         }
         Ok(())
     }
 
-    pub fn take_news(&mut self, r: usize, news: News) -> Result<(), String> {
+    pub fn take_news(&mut self, r: usize, state_update: StateUpdate) -> Result<(), String> {
         let me = &mut self.routers[r];
-        let had = (me.ledger.index, me.ledger.revision);
-        if let (Some(Broken::NewsGoesBack), News::Snapshot(f)) = (self.broken, &news) {
-            me.ledger = (**f).clone();
+        let had = (me.cluster_state.index, me.cluster_state.revision);
+        if let (Some(Broken::NewsGoesBack), StateUpdate::Snapshot(f)) = (self.broken, &state_update) {
+            me.cluster_state = (**f).clone();
         } else {
-            let mut own = me.ledger.clone();
-            if news::take(&mut own, "sim", news) == Taken::Newer {
-                me.ledger = own;
+            let mut own = me.cluster_state.clone();
+            if state_update::take(&mut own, "sim", state_update) == InstallResult::Advanced {
+                me.cluster_state = own;
             }
         }
-        let now: (Index, Revision) = (me.ledger.index, me.ledger.revision);
+        let now: (Index, Revision) = (me.cluster_state.index, me.cluster_state.revision);
         if now.0 < had.0 || now.1 < had.1 {
             return Err(format!("{} went back from {had:?} to {now:?}", me.info.node));
         }
         Ok(())
     }
 
-    pub fn act(&mut self, fence: Fence, node: NodeId) -> Result<(), String> {
-        let through = self.fences.check(DUTY, fence).is_ok() || self.broken == Some(Broken::NoFences);
-        if through { self.book.acted(fence, &node) } else { Ok(()) }
+    pub fn act(&mut self, fencing_token: FencingToken, node: NodeId) -> Result<(), String> {
+        let through =
+            self.fencing_tokens.check(DUTY, fencing_token).is_ok() || self.broken == Some(Broken::NoFences);
+        if through { self.book.acted(fencing_token, &node) } else { Ok(()) }
     }
 }
--- a/crates/simulator/src/sim/catch_up/checks.rs
+++ b/crates/simulator/src/sim/catch_up/checks.rs
@@ -1,13 +1,13 @@
 //! The invariants looked at after each step, and the variants that break them.
 
 use super::{cluster::Cluster, member::counted};
-use control_plane::consensus::{Message, Room, VoterRole};
+use control_plane::consensus::{Message, SizeLimits, VoterRole};
 
 impl Cluster {
     /// Nobody counts for more than its disk holds, nobody leads without all that was accepted, and
     /// the log in memory is bounded (design 2.8).
     pub(super) fn check(&mut self) -> Result<(), String> {
-        let most = 2 * Room::default().batch();
+        let most = 2 * SizeLimits::default().batch();
         for (n, member) in self.members.iter().enumerate() {
             let Some(voter) = member.voter.as_ref() else { continue };
             if !matches!(voter.role, VoterRole::Leader { .. }) {
@@ -34,7 +34,7 @@
     pub(super) fn forget_feeds(&mut self, n: usize) {
         let Some(voter) = self.members[n].voter.as_mut() else { return };
         if let VoterRole::Leader { peers, .. } = &mut voter.role {
-            peers.values_mut().for_each(|p| p.carried = None);
+            peers.values_mut().for_each(|p| p.in_flight = None);
         }
     }
 
