--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -10,7 +10,7 @@
 use common::{Index, Tick};
 use control_plane::{
     Change, Document,
-    consensus::{Effect, Event, Message, Room, Voter},
+    consensus::{Effect, Event, Message, SizeLimits, Voter},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
 pub(super) enum ClusterEvent {
     Wakeup(usize),
     Message { from: usize, to: usize, msg: Box<Message> },
-    Synced { voter: usize, life: u64 },
+    Synced { voter: usize, starts: u64 },
 }
 
 /// The run of one case.
@@ -53,12 +53,12 @@
     pub fn new(case: &Case, broken: Option<BrokenCatchUp>) -> Self {
         let mut rng = SmallRng::seed_from_u64(case.seed);
         let unbounded = broken == Some(BrokenCatchUp::NeverTrimmed);
-        let room = if unbounded { Room { log: usize::MAX / 64 } } else { Room::default() };
+        let room = if unbounded { SizeLimits { log: usize::MAX / 64 } } else { SizeLimits::default() };
         let documents = documents(case.documents, &mut rng);
         let mut cluster = Self {
             t: 0,
             measured: Measured::default(),
-            members: (0..VOTERS).map(|n| Member::founded(n, room)).collect(),
+            members: (0..VOTERS).map(|n| Member::bootstrapped(n, room)).collect(),
             lines: BTreeMap::new(),
             speed: LineSpeed { delay_ms: case.delay_ms, mbit_s: case.mbit_s },
             rng,
@@ -97,7 +97,11 @@
 
     pub fn leader(&self) -> Option<&Voter> {
         let now = self.now();
-        self.members.iter().filter(|m| !m.cut).filter_map(|m| m.voter.as_ref()).find(|s| s.current(now))
+        self.members
+            .iter()
+            .filter(|m| !m.cut)
+            .filter_map(|m| m.voter.as_ref())
+            .find(|s| s.can_serve_reads(now))
     }
 
     pub fn shown(&self, n: usize) -> String {
@@ -105,8 +109,8 @@
             let last = s.last();
             format!(
                 "formed {} promised {} accepted {} last {last} {:?}",
-                s.formed,
-                s.promised,
+                s.initialized,
+                s.current_term,
                 s.accepted(),
                 s.role
             )
@@ -138,7 +142,7 @@
             member.start(now);
         }
         self.watched = Some(n);
-        self.measured.needed = self.leader().map_or(0, |l| l.ledger.weight());
+        self.measured.needed = self.leader().map_or(0, |l| l.cluster_state.weight());
     }
 
     /// Runs to a moment, or until what is waited for has come.
@@ -175,9 +179,9 @@
                 self.step(to, Event::Msg(address(from), *msg))
             }
             ClusterEvent::Message { .. } => Ok(()),
-            ClusterEvent::Synced { voter, life } if self.members[voter].life == life => {
+            ClusterEvent::Synced { voter, starts } if self.members[voter].starts == starts => {
                 match self.members[voter].sync() {
-                    Some(tok) => self.step(voter, Event::Synced(tok)),
+                    Some(token) => self.step(voter, Event::Synced(token)),
                     None => Ok(()),
                 }
             }
@@ -185,23 +189,23 @@
         }
     }
 
-    pub(super) fn step(&mut self, n: usize, ev: Event) -> Result<(), String> {
+    pub(super) fn step(&mut self, n: usize, event: Event) -> Result<(), String> {
         let now = self.now();
         let Some(voter) = self.members[n].voter.as_mut() else { return Ok(()) };
-        let effects = voter.step(ev, now);
+        let effects = voter.step(event, now);
         effects.into_iter().try_for_each(|f| self.effect(n, f))
     }
 
     fn effect(&mut self, n: usize, effect: Effect) -> Result<(), String> {
         match effect {
             Effect::Send { to, msg } => self.send(n, usize::from(to.port() - 7000), msg),
-            Effect::Persist { tok, rec } => {
-                let at = self.members[n].write(tok, rec, self.t)?;
-                let life = self.members[n].life;
-                self.push(at, ClusterEvent::Synced { voter: n, life });
+            Effect::Persist { token, record } => {
+                let at = self.members[n].write(token, record, self.t)?;
+                let starts = self.members[n].starts;
+                self.push(at, ClusterEvent::Synced { voter: n, starts });
                 Ok(())
             }
-            Effect::Accepted { entry, .. } => {
+            Effect::Committed { entry, .. } => {
                 if self.watched.is_some() && entry.index > self.highest {
                     self.measured.needed += entry.weight();
                 }
--- a/crates/simulator/src/sim/catch_up/member.rs
+++ b/crates/simulator/src/sim/catch_up/member.rs
@@ -3,9 +3,9 @@
 use super::timing;
 use common::{Incarnation, Index, Tick};
 use control_plane::{
-    Ledger,
+    ClusterState,
     change::VoterInfo,
-    consensus::{DurableState, LogEntry, Record, Room, Voter, VoterRole},
+    consensus::{DurableState, LogEntry, Record, SizeLimits, Voter, VoterRole},
     store::LOG_LEN,
 };
 use std::{collections::VecDeque, net::SocketAddr};
@@ -42,25 +42,29 @@
     /// Bytes in the short log.
     log_bytes: usize,
     /// Rises with each start: syncs of an earlier life are dropped.
-    pub life: u64,
+    pub starts: u64,
     /// Its lines are cut.
     pub cut: bool,
-    pub room: Room,
+    pub room: SizeLimits,
 }
 
 impl Member {
     /// A member of a cluster that was founded and holds nothing yet.
-    pub fn founded(n: usize, room: Room) -> Self {
+    pub fn bootstrapped(n: usize, room: SizeLimits) -> Self {
         let voters = (0..VOTERS).map(|n| holder(n, 10 + n as u64)).collect();
-        let ledger = Ledger::founded(CLUSTER, voters);
-        let kept = DurableState { formed: true, ledger, ..Voter::blank_image(&holder(n, 10 + n as u64)) };
+        let cluster_state = ClusterState::bootstrapped(CLUSTER, voters);
+        let kept = DurableState {
+            initialized: true,
+            cluster_state,
+            ..Voter::blank_state(&holder(n, 10 + n as u64))
+        };
         let mut member = Self {
             voter: None,
             kept,
             pending: VecDeque::new(),
             writes_until: 0,
             log_bytes: 0,
-            life: 0,
+            starts: 0,
             cut: false,
             room,
         };
@@ -74,7 +78,7 @@
         let mut voter = Voter::new(image.me.clone(), CLUSTER, seeds, timing(), Some(image), now);
         voter.room = self.room;
         self.voter = Some(voter);
-        self.life += 1;
+        self.starts += 1;
         self.log_bytes = 0;
     }
 
@@ -85,18 +89,18 @@
 
     /// Its disk is blank from here on: it starts as another holder.
     pub fn wipe(&mut self, n: usize) {
-        let blank = VoterInfo { number: u8::MAX, ..holder(n, 100 + self.life) };
-        self.kept = Voter::blank_image(&blank);
+        let blank = VoterInfo { number: u8::MAX, ..holder(n, 100 + self.starts) };
+        self.kept = Voter::blank_state(&blank);
     }
 
     /// Takes a record, and says when it will be synced; an error where it does not fit (design 2.8).
-    pub fn write(&mut self, tok: u64, rec: Record, now: u64) -> Result<u64, String> {
-        let bytes = match &rec {
+    pub fn write(&mut self, token: u64, record: Record, now: u64) -> Result<u64, String> {
+        let bytes = match &record {
             Record::DurableState(image) => {
                 self.log_bytes = 0;
                 let entries: usize = image.entries.iter().map(LogEntry::weight).sum();
-                let bytes = image.ledger.weight() + entries;
-                fits("a slot", bytes, Room::default().slot())?;
+                let bytes = image.cluster_state.weight() + entries;
+                fits("a slot", bytes, SizeLimits::default().slot())?;
                 bytes + LOG_LEN as usize
             }
             record => {
@@ -105,21 +109,21 @@
                 record.weight()
             }
         };
-        self.pending.push_back((tok, rec));
+        self.pending.push_back((token, record));
         self.writes_until = self.writes_until.max(now) + SYNC_MS + (bytes / DISK_BYTES_A_MS) as u64;
         Ok(self.writes_until)
     }
 
     /// The oldest write is synced; its token.
     pub fn sync(&mut self) -> Option<u64> {
-        let (tok, rec) = self.pending.pop_front()?;
-        self.kept.replay(rec);
-        Some(tok)
+        let (token, record) = self.pending.pop_front()?;
+        self.kept.replay(record);
+        Some(token)
     }
 
     /// Up to where its disk holds the log.
     pub fn durable(&self) -> Index {
-        self.kept.entries.last().map_or(self.kept.ledger.index, |e| e.index)
+        self.kept.entries.last().map_or(self.kept.cluster_state.index, |e| e.index)
     }
 
     /// Bytes of the log that it keeps in memory.
--- a/crates/simulator/src/sim/catch_up/mod.rs
+++ b/crates/simulator/src/sim/catch_up/mod.rs
@@ -71,7 +71,7 @@
 pub enum BrokenCatchUp {
     /// Accepted entries are trimmed by their count alone.
     NeverTrimmed,
-    /// A leader forgets what it has on its way to a follower, and feeds it anew with each heartbeat.
+    /// A leader forgets what it has on its way to a follower, and appends it anew with each heartbeat.
     FedAnew,
     /// A member says that it holds the whole log before its disk does.
     CountsEarly,
@@ -122,7 +122,7 @@
     let due = c.t + case.changes * CHANGE_MS;
     c.propose_until(case.changes);
     c.run_until(due, |c| c.accepted_changes() >= case.changes)?;
-    let floor = c.accepted();
+    let target = c.accepted();
     if c.accepted_changes() < case.changes {
         return Err(format!("{} of {} changes were accepted", c.accepted_changes(), case.changes));
     }
@@ -131,9 +131,9 @@
         c.propose_until(u64::MAX);
     }
     let back = c.t;
-    c.run_until(back + GIVE_UP_MS, |c| c.counted(member) >= Some(floor))?;
+    c.run_until(back + GIVE_UP_MS, |c| c.counted(member) >= Some(target))?;
     let ms = c.t - back;
-    let level = |c: &Cluster| c.counted(member) >= Some(floor) && c.behind(member) <= 2;
+    let level = |c: &Cluster| c.counted(member) >= Some(target) && c.behind(member) <= 2;
     c.run_until(back + GIVE_UP_MS, level)?;
     if !level(&c) {
         return Err(format!("not caught up within {GIVE_UP_MS} ms: {}", c.shown(member)));
--- a/crates/simulator/src/sim/catch_up/traffic.rs
+++ b/crates/simulator/src/sim/catch_up/traffic.rs
@@ -7,7 +7,7 @@
 };
 use control_plane::{
     Change, Document,
-    consensus::{Body, Event, Message, Room},
+    consensus::{Body, Event, Message, SizeLimits},
 };
 use rand::{Rng, rngs::SmallRng};
 
@@ -23,7 +23,7 @@
             return Ok(());
         }
         let votes = matches!(msg, Message::PreVoteGranted { .. } | Message::Vote { .. });
-        if votes && self.members[from].voter.as_ref().is_some_and(|s| !s.formed) {
+        if votes && self.members[from].voter.as_ref().is_some_and(|s| !s.initialized) {
             return Err(format!("s{from} votes and holds nothing"));
         }
         if self.broken == Some(BrokenCatchUp::CountsEarly) && self.watched == Some(from) {
@@ -48,7 +48,7 @@
         if self.accepted_changes() >= self.propose_until {
             return Ok(());
         }
-        let current = |m: &Member| !m.cut && m.voter.as_ref().is_some_and(|s| s.current(now));
+        let current = |m: &Member| !m.cut && m.voter.as_ref().is_some_and(|s| s.can_serve_reads(now));
         let Some(n) = (0..VOTERS).find(|n| current(&self.members[*n])) else { return Ok(()) };
         let Some(voter) = self.members[n].voter.as_ref() else { return Ok(()) };
         if self.waiting.is_some_and(|w| w <= voter.last() && w > voter.accepted()) {
@@ -58,7 +58,7 @@
         let size = self.accepted_changes() * self.documents.len() as u64 / self.changes.max(1);
         let text = self.documents[(size as usize).min(self.documents.len() - 1)].clone();
         let op = format!("change-{}", self.proposed).as_str().into();
-        let change = Change::Apply { op, base: voter.ledger.revision, text };
+        let change = Change::Apply { op, base: voter.cluster_state.revision, text };
         self.waiting = Some(voter.last().next());
         self.step(n, Event::Propose(change))
     }
@@ -73,7 +73,7 @@
     match kind {
         Documents::Small => vec![text(SMALL)],
         Documents::Growing => {
-            let longest = Room::default().doc() as u64;
+            let longest = SizeLimits::default().doc() as u64;
             (1..=SIZES).map(|n| text((longest * n / SIZES) as usize)).collect()
         }
     }
--- a/crates/simulator/src/sim/check.rs
+++ b/crates/simulator/src/sim/check.rs
@@ -1,8 +1,8 @@
 //! Invariants from the brief's list, looked at after each step (design 7.1).
 
-use common::{Fence, Index, NodeId, OpId, Revision};
+use common::{FencingToken, Index, NodeId, OpId, Revision};
 use control_plane::{
-    Change, Verdict,
+    ApplyOutcome, Change,
     change::VoterInfo,
     consensus::{DurableState, LogEntry, Message},
 };
@@ -11,20 +11,20 @@
 /// What the operators were told, and what the voters accepted, seen from outside of time.
 #[derive(Debug, Default)]
 pub struct Book {
-    pub order: BTreeMap<Index, (Change, Verdict)>,
+    pub order: BTreeMap<Index, (Change, ApplyOutcome)>,
     pub told_accepted: HashMap<OpId, Index>,
     pub told_refused: HashMap<OpId, ()>,
     /// Newest revision and text by the one order.
     pub newest: (Revision, Option<control_plane::Document>),
     /// Newest accepted voters, once it was changed.
     pub voters: Option<Vec<VoterInfo>>,
-    acts: BTreeMap<Fence, NodeId>,
-    highest_act: Fence,
+    acts: BTreeMap<FencingToken, NodeId>,
+    highest_act: FencingToken,
 }
 
 impl Book {
-    /// All voters accept the same change, with the same verdict, at the same place.
-    pub fn accepted(&mut self, e: &LogEntry, v: &Verdict) -> Result<bool, String> {
+    /// All voters accept the same change, with the same outcome, at the same place.
+    pub fn accepted(&mut self, e: &LogEntry, v: &ApplyOutcome) -> Result<bool, String> {
         if let Some((ch, was)) = self.order.get(&e.index) {
             if ch != &e.change {
                 return Err(format!("two changes were accepted at {}: {ch:?} and {:?}", e.index, e.change));
@@ -39,7 +39,7 @@
         if e.index != due {
             return Err(format!("{} was accepted before {due}", e.index));
         }
-        if let (Change::Apply { op, text, .. }, Verdict::Accepted { revision }) = (&e.change, v) {
+        if let (Change::Apply { op, text, .. }, ApplyOutcome::Accepted { revision }) = (&e.change, v) {
             let again = self.order.values().any(|(c, _)| c.op() == Some(op));
             if !again {
                 if *revision <= self.newest.0 {
@@ -59,21 +59,24 @@
     pub fn told(&mut self, op: &OpId, index: Index, ch: &Change) -> Result<(), String> {
         self.told_accepted.insert(op.clone(), index);
         match self.order.get(&index) {
-            Some((c, Verdict::Accepted { .. })) if c == ch => Ok(()),
+            Some((c, ApplyOutcome::Accepted { .. })) if c == ch => Ok(()),
             other => Err(format!("{op} was told as accepted at {index}, where the order has {other:?}")),
         }
     }
 
-    /// A duty was acted on, and a receiver let it through: one node for each fence, and never
-    /// a lower fence after a higher one.
-    pub fn acted(&mut self, fence: Fence, node: &NodeId) -> Result<(), String> {
-        if fence < self.highest_act {
-            return Err(format!("{node} acted with effect under fence {fence} after {}", self.highest_act));
+    /// A singleton role was acted on, and a receiver let it through: one node for each fencing token, and never
+    /// a lower fencing token after a higher one.
+    pub fn acted(&mut self, fencing_token: FencingToken, node: &NodeId) -> Result<(), String> {
+        if fencing_token < self.highest_act {
+            return Err(format!(
+                "{node} acted with effect under fence {fencing_token} after {}",
+                self.highest_act
+            ));
         }
-        self.highest_act = fence;
-        match self.acts.insert(fence, node.clone()) {
+        self.highest_act = fencing_token;
+        match self.acts.insert(fencing_token, node.clone()) {
             Some(other) if other != *node => {
-                Err(format!("{other} and {node} both acted under fence {fence}"))
+                Err(format!("{other} and {node} both acted under fence {fencing_token}"))
             }
             _ => Ok(()),
         }
@@ -82,14 +85,14 @@
 
 /// What a voter says that it holds or has promised is on its disk at that moment (design 2.4).
 pub fn backed(msg: &Message, kept: Option<&DurableState>) -> Result<(), String> {
-    let Some(kept) = kept.filter(|k| k.formed) else { return Ok(()) };
-    let last = kept.entries.last().map_or(kept.ledger.index, |e| e.index);
-    let holds = |log_term, upto| kept.log_term == log_term && last >= upto;
+    let Some(kept) = kept.filter(|k| k.initialized) else { return Ok(()) };
+    let last = kept.entries.last().map_or(kept.cluster_state.index, |e| e.index);
+    let holds = |log_term, last_sent| kept.log_term == log_term && last >= last_sent;
     let so = match msg {
         Message::AppendReply { term, installed, last, .. } => {
-            kept.promised >= *term && (!installed || holds(*term, *last))
+            kept.current_term >= *term && (!installed || holds(*term, *last))
         }
-        Message::Vote { term, tail, .. } => kept.promised >= *term && holds(tail.log_term, tail.last),
+        Message::Vote { term, tail, .. } => kept.current_term >= *term && holds(tail.log_term, tail.last),
         _ => true,
     };
     if so {
@@ -97,6 +100,6 @@
     }
     Err(format!(
         "a seat says what its disk does not hold: {msg:?}, where it holds promised {}, log view {}, last {last}",
-        kept.promised, kept.log_term
+        kept.current_term, kept.log_term
     ))
 }
--- a/crates/simulator/src/sim/data.rs
+++ b/crates/simulator/src/sim/data.rs
@@ -1,9 +1,9 @@
 //! Placement and lending under virtual time (design 5.3, 5.5, 7.1): the routers' own tables,
-//! lenders and purses, with news that lags, answers that are lost, and owners that move.
+//! lenders and purses, with state updates that lags, answers that are lost, and owners that move.
 
 use super::Violation;
-use common::{Fence, NodeId, Region, Service, Tick};
-use control_plane::{Change, Ledger, Role, change::NodeInfo};
+use common::{FencingToken, NodeId, Region, Service, Tick};
+use control_plane::{Change, ClusterState, Role, change::NodeInfo};
 use data_plane::{
     lend::{Lender, Pass, Purse, Spent},
     tab::{Copy, Tab, UserKey},
@@ -31,7 +31,7 @@
 
 pub(super) struct Node {
     info: NodeInfo,
-    pub ledger: Ledger,
+    pub cluster_state: ClusterState,
     pub tab: Tab,
     pub lender: Lender,
     pub purse: Purse,
@@ -40,15 +40,34 @@
 
 pub(super) enum What {
     Churn,
-    News(usize, Box<Ledger>),
+    StateUpdate(usize, Box<ClusterState>),
     Ask(usize),
-    Settle { to: usize, from: usize, fence: Fence, key: UserKey, stale: Option<u64>, pick: Region },
-    Rows { to: usize, fence: Option<Fence>, shard: u16, rows: Vec<Copy> },
+    Settle {
+        to: usize,
+        from: usize,
+        fencing_token: FencingToken,
+        key: UserKey,
+        stale: Option<u64>,
+        pick: Region,
+    },
+    Rows {
+        to: usize,
+        fencing_token: Option<FencingToken>,
+        shard: u16,
+        rows: Vec<Copy>,
+    },
     Look(usize),
     AskPass(usize),
-    Pass { to: usize, pass: Option<Pass>, asked: Tick },
+    Pass {
+        to: usize,
+        pass: Option<Pass>,
+        asked: Tick,
+    },
     Spend(usize),
-    Redeem { at: usize, spent: Spent },
+    Redeem {
+        at: usize,
+        spent: Spent,
+    },
 }
 
 pub struct Data {
@@ -56,7 +75,7 @@
     pub(super) t: u64,
     pub(super) rng: SmallRng,
     pub(super) broken: Option<BrokenData>,
-    truth: Ledger,
+    truth: ClusterState,
     pub(super) nodes: Vec<Node>,
     queue: BTreeMap<(u64, u64), What>,
     serial: u64,
@@ -101,13 +120,13 @@
 
 impl Data {
     pub fn new(seed: u64, broken: Option<BrokenData>) -> Self {
-        let mut truth = Ledger::founded("sim", vec![]);
+        let mut truth = ClusterState::bootstrapped("sim", vec![]);
         for n in 0..ROUTERS {
             truth.fold(truth.index.next(), &Change::Join(info(n, 1)));
         }
         let node = |n: usize| Node {
             info: info(n, 1),
-            ledger: truth.clone(),
+            cluster_state: truth.clone(),
             tab: Tab::default(),
             lender: Lender::default(),
             purse: Purse::default(),
@@ -173,15 +192,15 @@
     fn one(&mut self, w: What) -> Result<(), String> {
         match w {
             What::Churn => self.churn(),
-            What::News(n, l) => self.news(n, *l),
+            What::StateUpdate(n, l) => self.state_update(n, *l),
             What::Ask(n) => self.ask(n),
-            What::Settle { to, from, fence, key, stale, pick } => {
-                return self.settle(to, from, fence, key, stale, pick);
+            What::Settle { to, from, fencing_token, key, stale, pick } => {
+                return self.settle(to, from, fencing_token, key, stale, pick);
             }
-            What::Rows { to, fence, shard, rows } => {
+            What::Rows { to, fencing_token, shard, rows } => {
                 let now = Tick(self.t);
                 let tab = &mut self.nodes[to].tab;
-                if fence.is_none_or(|f| tab.fence(shard, f).is_ok()) {
+                if fencing_token.is_none_or(|f| tab.fencing_token(shard, f).is_ok()) {
                     rows.into_iter().for_each(|c| tab.copy(c, now));
                 }
             }
@@ -217,19 +236,19 @@
             &Change::Expire { node: old.node, incarnation: old.incarnation, left: true },
         );
         self.truth.fold(self.truth.index.next(), &Change::Join(new.clone()));
-        let ledger = self.truth.clone();
+        let cluster_state = self.truth.clone();
         let (tab, lender, purse, owns) = Default::default();
-        self.nodes[n] = Node { info: new, ledger: ledger.clone(), tab, lender, purse, owns };
+        self.nodes[n] = Node { info: new, cluster_state: cluster_state.clone(), tab, lender, purse, owns };
         for m in (0..ROUTERS).filter(|m| *m != n) {
             let lag = self.lag();
-            self.push(lag, What::News(m, Box::new(ledger.clone())));
+            self.push(lag, What::StateUpdate(m, Box::new(cluster_state.clone())));
         }
         self.gather(n);
     }
 
-    fn news(&mut self, n: usize, l: Ledger) {
-        if l.index > self.nodes[n].ledger.index {
-            self.nodes[n].ledger = l;
+    fn state_update(&mut self, n: usize, l: ClusterState) {
+        if l.index > self.nodes[n].cluster_state.index {
+            self.nodes[n].cluster_state = l;
             self.gather(n);
         }
     }
--- a/crates/simulator/src/sim/disk.rs
+++ b/crates/simulator/src/sim/disk.rs
@@ -1,7 +1,7 @@
 //! A disk that only keeps what was synced (design 7.1).
 
 use super::nodes::fits;
-use control_plane::consensus::{DurableState, Record, Room};
+use control_plane::consensus::{DurableState, Record, SizeLimits};
 use std::collections::VecDeque;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,17 +23,17 @@
     pub mood: Mood,
     /// Bytes in the short log.
     used: usize,
-    room: Room,
+    room: SizeLimits,
 }
 
 impl SimDisk {
-    pub fn new(img: Option<DurableState>, room: Room) -> Self {
-        Self { kept: img, pending: VecDeque::new(), mood: Mood::Well, used: 0, room }
+    pub fn new(image: Option<DurableState>, room: SizeLimits) -> Self {
+        Self { kept: image, pending: VecDeque::new(), mood: Mood::Well, used: 0, room }
     }
 
     /// Takes a record, if it fits where the files of the daemon would have to put it.
-    pub fn write(&mut self, tok: u64, rec: Record) -> Result<(), String> {
-        match &rec {
+    pub fn write(&mut self, token: u64, record: Record) -> Result<(), String> {
+        match &record {
             Record::DurableState(i) => {
                 self.used = 32;
                 fits("a slot", i, self.room.slot())?;
@@ -43,19 +43,19 @@
                 self.used += common::wire::encode(r).map_or(0, |b| b.len() + 32);
             }
         }
-        self.pending.push_back((tok, rec));
+        self.pending.push_back((token, record));
         Ok(())
     }
 
     /// The oldest write is synced; its token.
     pub fn sync_one(&mut self) -> Option<u64> {
-        let (tok, rec) = self.pending.pop_front()?;
-        self.keep(rec);
-        Some(tok)
+        let (token, record) = self.pending.pop_front()?;
+        self.keep(record);
+        Some(token)
     }
 
-    fn keep(&mut self, rec: Record) {
-        match (&mut self.kept, rec) {
+    fn keep(&mut self, record: Record) {
+        match (&mut self.kept, record) {
             (k, Record::DurableState(i)) => *k = Some(*i),
             (Some(k), r) => k.replay(r),
             (None, _) => {}
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -23,7 +23,7 @@
     pub fn crash(&mut self, n: usize) {
         let s = &mut self.voters[n];
         s.voter = None;
-        s.life += 1;
+        s.starts += 1;
         let reached =
             if s.disk.pending.is_empty() { 0 } else { self.rng.random_range(0..=s.disk.pending.len()) };
         let reached = if self.broken == Some(Broken::LyingDisk) { 0 } else { reached };
@@ -43,15 +43,15 @@
     /// All holders of the newest accepted voters hold a whole state, and no swap is under way:
     /// one more machine may be lost.
     pub fn whole(&self) -> bool {
-        let formed = self.voters.iter().filter_map(|s| s.voter.as_ref()).find(|s| s.formed);
-        let Some(first) = formed.map(|s| s.ledger.voters.clone()) else { return false };
+        let initialized = self.voters.iter().filter_map(|s| s.voter.as_ref()).find(|s| s.initialized);
+        let Some(first) = initialized.map(|s| s.cluster_state.voters.clone()) else { return false };
         let newest = self.book.voters.as_ref().unwrap_or(&first);
-        let synced = |s: &SimVoter| s.disk.kept.as_ref().is_some_and(|k| k.formed);
+        let holds_state = |s: &SimVoter| s.disk.kept.as_ref().is_some_and(|k| k.initialized);
         newest.iter().all(|h| {
-            self.voters.iter().filter(|s| synced(s)).filter_map(|s| s.voter.as_ref()).any(|x| {
-                x.formed
+            self.voters.iter().filter(|s| holds_state(s)).filter_map(|s| s.voter.as_ref()).any(|x| {
+                x.initialized
                     && x.me.incarnation == h.incarnation
-                    && !x.dead
+                    && !x.disk_failed
                     && x.voters().iter().all(|r| newest.contains(r))
             })
         })
@@ -156,10 +156,17 @@
         let was = self.voters[n].disk.kept.clone();
         self.crash(n);
         self.voters[n].disk.lose();
-        if let (Some(Broken::BlankVotes), Some(i)) = (self.broken, was.filter(|i| i.formed)) {
-            let ledger = control_plane::Ledger::founded("sim", i.ledger.voters.clone());
-            let img = DurableState { promised: Term(0), log_term: Term(0), ledger, entries: Vec::new(), ..i };
-            self.voters[n].disk.kept = Some(img);
+        if let (Some(Broken::BlankVotes), Some(i)) = (self.broken, was.filter(|i| i.initialized)) {
+            let cluster_state =
+                control_plane::ClusterState::bootstrapped("sim", i.cluster_state.voters.clone());
+            let image = DurableState {
+                current_term: Term(0),
+                log_term: Term(0),
+                cluster_state,
+                entries: Vec::new(),
+                ..i
+            };
+            self.voters[n].disk.kept = Some(image);
         }
         self.push(ms, What::Heal(Box::new(Undo::Start(n))));
     }
@@ -181,7 +188,7 @@
         match u {
             Undo::Start(n) => {
                 // A process with a failed disk is restarted by the platform.
-                if self.voters[n].voter.as_ref().is_some_and(|s| s.dead)
+                if self.voters[n].voter.as_ref().is_some_and(|s| s.disk_failed)
                     || self.voters[n].disk.mood == Mood::Failing
                 {
                     self.crash(n);
--- a/crates/simulator/src/sim/lending.rs
+++ b/crates/simulator/src/sim/lending.rs
@@ -1,15 +1,15 @@
 //! Lending within the simulated data plane (design 5.5), and the last look at its table.
 
 use super::data::{BrokenData, Data, FULL_SET, LIFE, ROOM, ROUTERS, What, number, region, svc};
-use common::{Fence, NodeId, Tick};
-use control_plane::duty;
+use common::{FencingToken, NodeId, Tick};
+use control_plane::singleton;
 use data_plane::{lend::Spent, tab::UserKey};
 use rand::Rng;
 use std::collections::BTreeSet;
 
 impl Data {
     fn lender(&self, n: usize) -> Option<usize> {
-        let line = duty::line(&self.nodes[n].ledger, "lender/quiet", None);
+        let line = singleton::ranked_holders(&self.nodes[n].cluster_state, "lender/quiet", None);
         line.iter().map(|m| number(&m.info.node)).find(|m| region(*m) == region(5))
     }
 
@@ -19,7 +19,7 @@
         let (now, well) = (Tick(self.t), self.well && holds);
         let me = &mut self.nodes[n];
         if holds && self.broken != Some(BrokenData::NoFence) {
-            me.lender.under(Fence(me.ledger.epoch.0));
+            me.lender.under(FencingToken(me.cluster_state.epoch.0));
         }
         me.lender.observe(well, now);
     }
@@ -94,7 +94,7 @@
             for m in self.owners(o, key.shard(&svc())).into_iter().skip(1).take(2) {
                 let copy = self.nodes[m].tab.one(key, &svc(), now);
                 if copy.as_ref().map(|c| &c.region) != Some(&row.region) {
-                    let (shard, own) = (key.shard(&svc()), self.nodes[o].ledger.epoch);
+                    let (shard, own) = (key.shard(&svc()), self.nodes[o].cluster_state.epoch);
                     return Err(format!(
                         "{key:?} of shard {shard} is {row:?} at its owner p{o} of {own} and {copy:?} at its follower p{m}"
                     ));
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -42,11 +42,11 @@
     TimeoutRefused,
     /// A voter whose disk refused a write goes on as if that had been synced.
     UnsyncedBelief,
-    /// A leader logs whatever it is asked to, and feeds it in one piece.
+    /// A leader logs whatever it is asked to, and appends it in one piece.
     Boundless,
     /// A member answers reads by what it holds, without the leader's lease.
     ReadsWithoutLease,
-    /// The verdicts of accepted documents are forgotten.
+    /// The outcomes of accepted documents are forgotten.
     VerdictsByCount,
     /// An order that lost its race is logged on top of the newer version.
     Rebases,
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -3,9 +3,9 @@
 use super::disk::SimDisk;
 use common::{Incarnation, Tick, settings::Timing};
 use control_plane::{
-    Ledger, Role,
+    ClusterState, Role,
     change::{NodeInfo, VoterInfo},
-    consensus::{DurableState, Room, Voter},
+    consensus::{DurableState, SizeLimits, Voter},
     lease::{HeldLease, Leases},
 };
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
     pub clock: SimClock,
     pub leases: Leases,
     /// Rises with each start: events meant for an earlier life are dropped.
-    pub life: u64,
+    pub starts: u64,
     pub frozen_until: u64,
     /// Exists at all: the replacement machine only from when it is put up.
     pub there: bool,
@@ -47,11 +47,11 @@
 pub struct SimRouter {
     pub info: NodeInfo,
     pub held: HeldLease,
-    pub ledger: Ledger,
+    pub cluster_state: ClusterState,
     pub clock: SimClock,
     pub frozen_until: u64,
     pub next_renew: u64,
-    /// A blow struck while valid may land late: when it was decided, and under which fence.
+    /// A blow struck while valid may land late: when it was decided, and under which fencing token.
     pub hint: usize,
 }
 
@@ -60,7 +60,7 @@
 }
 
 /// A small disk and wire: the same ratios as the daemons', so that bounds are met often.
-pub const ROOM: Room = Room { log: 16 << 10 };
+pub const ROOM: SizeLimits = SizeLimits { log: 16 << 10 };
 pub const WIRE: usize = ROOM.log * 4;
 
 /// Whether what is written or sent really fits (design 2.8).
@@ -89,7 +89,7 @@
             me,
             clock,
             leases: Leases::default(),
-            life: 0,
+            starts: 0,
             frozen_until: 0,
             there: n < core,
             core,
@@ -105,21 +105,22 @@
 
     /// Starts from what the disk kept; a blank disk gets a new incarnation first.
     pub fn start(&mut self, t: u64, fresh_inc: u64) {
-        let img: DurableState = match &self.disk.kept {
+        let image: DurableState = match &self.disk.kept {
             Some(i) => i.clone(),
-            None => Voter::blank_image(&self.blank(fresh_inc)),
+            None => Voter::blank_state(&self.blank(fresh_inc)),
         };
-        self.disk.kept = Some(img.clone());
+        self.disk.kept = Some(image.clone());
         let seeds = (0..3).map(addr).collect();
-        let me = VoterInfo { number: img.me.number, incarnation: img.me.incarnation, ..self.me.clone() };
-        let mut voter = Voter::new(me, "sim", seeds, timing(), Some(img), self.clock.at(t));
-        voter.expects = self.core;
+        let me = VoterInfo { number: image.me.number, incarnation: image.me.incarnation, ..self.me.clone() };
+        let mut voter = Voter::new(me, "sim", seeds, timing(), Some(image), self.clock.at(t));
+        voter.expected_voters = self.core;
         // With more voters than seeds, only who starts with all others founds (design 2.5).
-        voter.founds = self.core == 3 || (self.there && !self.lost && self.me.rpc_addr != addr(self.core));
-        voter.room = if self.boundless { Room { log: usize::MAX / 64 } } else { ROOM };
+        voter.may_bootstrap =
+            self.core == 3 || (self.there && !self.lost && self.me.rpc_addr != addr(self.core));
+        voter.room = if self.boundless { SizeLimits { log: usize::MAX / 64 } } else { ROOM };
         self.voter = Some(voter);
         self.leases = Leases::default();
-        self.life += 1;
+        self.starts += 1;
     }
 }
 
@@ -134,10 +135,10 @@
             self.me.node,
             s.me.incarnation,
             s.me.number,
-            s.formed,
-            s.dead,
+            s.initialized,
+            s.disk_failed,
             s.out,
-            s.promised,
+            s.current_term,
             s.log_term,
             s.accepted(),
             s.last(),
@@ -161,7 +162,7 @@
         Self {
             info,
             held: HeldLease::default(),
-            ledger: Ledger::default(),
+            cluster_state: ClusterState::default(),
             clock,
             frozen_until: 0,
             next_renew: 0,
--- a/crates/simulator/src/sim/operate.rs
+++ b/crates/simulator/src/sim/operate.rs
@@ -23,8 +23,8 @@
         let twice = self.rng.random_bool(0.2);
         for _ in 0..=usize::from(twice) {
             let n = self.rng.random_range(0..self.voters.len());
-            let Some(voter) = self.voters[n].voter.as_ref().filter(|s| s.formed) else { continue };
-            let (base, seen) = (voter.ledger.revision, voter.ledger.index);
+            let Some(voter) = self.voters[n].voter.as_ref().filter(|s| s.initialized) else { continue };
+            let (base, seen) = (voter.cluster_state.revision, voter.cluster_state.index);
             let op = OpId::new(format!("op{}", self.number()));
             let change = if self.rng.random_bool(0.7) {
                 Change::Apply { op: op.clone(), base, text: self.document(&op).into() }
@@ -62,8 +62,8 @@
         for f in &effects {
             match f {
                 Effect::Logged { index, .. } => {
-                    let life = self.voters[at].life;
-                    let p = Proposal { op: op.clone(), change: change.clone(), voter: at, life };
+                    let starts = self.voters[at].starts;
+                    let p = Proposal { op: op.clone(), change: change.clone(), voter: at, starts };
                     if self.broken == Some(Broken::EarlyAccept) {
                         self.book.told_accepted.insert(op.clone(), *index);
                     }
--- a/crates/simulator/src/sim/orders.rs
+++ b/crates/simulator/src/sim/orders.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct Logged {
     pub op: OpId,
-    pub life: u64,
+    pub starts: u64,
     pub change: Change,
 }
 
--- a/crates/simulator/src/sim/reads.rs
+++ b/crates/simulator/src/sim/reads.rs
@@ -10,9 +10,9 @@
 };
 use common::{OpId, Revision};
 use control_plane::{
-    Change, Ledger, Verdict,
+    ApplyOutcome, Change, ClusterState,
     consensus::{Effect, Event, LogEntry},
-    operations::{AcceptedOperations, Standing, standing},
+    operations::{AcceptedOperations, OperationStatus, standing},
 };
 use rand::Rng;
 
@@ -61,33 +61,35 @@
         self.send(n)
     }
 
-    /// What the desk of a member does with an order: it decides by the newest state, or refuses.
+    /// What the operator service of a member does with an order: it decides by the newest state, or refuses.
     fn send(&mut self, order: usize) -> Result<(), String> {
         let Some(readers) = &mut self.readers else { return Ok(()) };
         let at = readers.rng.random_range(0..self.voters.len());
         let Order { op, base } = readers.sent[order].clone();
-        let Some((lead, mut ledger)) = self.newest_at(at) else {
+        let Some((lead, mut cluster_state)) = self.newest_at(at) else {
             return self.count_unavailable();
         };
         if self.broken == Some(Broken::VerdictsByCount) {
-            ledger.accepted = AcceptedOperations::default();
+            cluster_state.accepted = AcceptedOperations::default();
         }
         let text = || format!("document of {op}").into();
         let rebases = self.broken == Some(Broken::Rebases);
-        let change = match standing(&ledger, &op, base.0, ledger.revision.0) {
-            Standing::Decided(Verdict::Accepted { .. }) => {
+        let change = match standing(&cluster_state, &op, base.0, cluster_state.revision.0) {
+            OperationStatus::Decided(ApplyOutcome::Accepted { .. }) => {
                 Change::Apply { op, base: Revision(u64::MAX), text: "".into() }
             }
-            Standing::Open => Change::Apply { text: text(), op, base },
-            Standing::Superseded if rebases => Change::Apply { text: text(), op, base: ledger.revision },
-            Standing::Superseded | Standing::Decided(_) => {
+            OperationStatus::Open => Change::Apply { text: text(), op, base },
+            OperationStatus::Superseded if rebases => {
+                Change::Apply { text: text(), op, base: cluster_state.revision }
+            }
+            OperationStatus::Superseded | OperationStatus::Decided(_) => {
                 // The refusal tells the version in place.
                 if let Some(readers) = &mut self.readers {
-                    readers.newest_read = readers.newest_read.max(ledger.revision);
+                    readers.newest_read = readers.newest_read.max(cluster_state.revision);
                 }
                 return self.readers.as_mut().map_or(Ok(()), |r| r.refused(&op));
             }
-            Standing::Forgotten => return Ok(()),
+            OperationStatus::Forgotten => return Ok(()),
         };
         match self.late_way(at, lead) {
             Some(ms) => self.push(ms, What::Forward { to: lead, change: Box::new(change) }),
@@ -113,25 +115,25 @@
             return Ok(());
         }
         let now = self.voters[at].clock.at(self.t);
-        let life = self.voters[at].life;
+        let starts = self.voters[at].starts;
         let Some(voter) = self.voters[at].voter.as_mut() else { return Ok(()) };
         let effects = voter.step(Event::Propose(change), now);
         for f in &effects {
             if let (Effect::Logged { index, change }, Some(readers)) = (f, &mut self.readers)
                 && let Some(op) = change.op().cloned()
             {
-                readers.waiting.insert((at, *index), Logged { op, life, change: change.clone() });
+                readers.waiting.insert((at, *index), Logged { op, starts, change: change.clone() });
             }
         }
         effects.into_iter().try_for_each(|f| self.effect(at, f))
     }
 
     /// A member accepted an entry: the sender is told, unless the answer is lost.
-    pub fn order_decided(&mut self, n: usize, e: &LogEntry, v: &Verdict) -> Result<(), String> {
-        let life = self.voters[n].life;
+    pub fn order_decided(&mut self, n: usize, e: &LogEntry, v: &ApplyOutcome) -> Result<(), String> {
+        let starts = self.voters[n].starts;
         let Some(readers) = &mut self.readers else { return Ok(()) };
         let known = e.change.op().filter(|op| readers.sent.iter().any(|o| o.op == **op));
-        if let (Some(op), Verdict::Accepted { revision }) = (known, v) {
+        if let (Some(op), ApplyOutcome::Accepted { revision }) = (known, v) {
             if readers.told_refused.contains(op) {
                 return Err(format!("{op}, which was told as refused, is in force"));
             }
@@ -139,13 +141,13 @@
         }
         let Some(logged) = readers.waiting.remove(&(n, e.index)) else { return Ok(()) };
         let lost = readers.rng.random_bool(0.2);
-        if lost || logged.life != life || logged.change != e.change {
+        if lost || logged.starts != starts || logged.change != e.change {
             return Ok(());
         }
         let confirms = matches!(&e.change, Change::Apply { base, .. } if *base == Revision(u64::MAX));
         match v {
-            Verdict::Accepted { .. } => readers.acknowledged(&logged.op),
-            Verdict::Conflict { .. } if !confirms => readers.refused(&logged.op),
+            ApplyOutcome::Accepted { .. } => readers.acknowledged(&logged.op),
+            ApplyOutcome::Conflict { .. } if !confirms => readers.refused(&logged.op),
             _ => Ok(()),
         }
     }
@@ -155,31 +157,34 @@
         let Some(readers) = &mut self.readers else { return Ok(()) };
         let at = readers.rng.random_range(0..self.voters.len());
         let before = readers.newest_acknowledged;
-        let Some((_, ledger)) = self.newest_at(at) else {
+        let Some((_, cluster_state)) = self.newest_at(at) else {
             return self.count_unavailable();
         };
         if let Some(readers) = &mut self.readers {
             readers.reads += 1;
-            readers.newest_read = readers.newest_read.max(ledger.revision);
+            readers.newest_read = readers.newest_read.max(cluster_state.revision);
         }
-        if ledger.revision < before {
-            return Err(format!("s{at} read back {} where {before} had been acknowledged", ledger.revision));
+        if cluster_state.revision < before {
+            return Err(format!(
+                "s{at} read back {} where {before} had been acknowledged",
+                cluster_state.revision
+            ));
         }
         Ok(())
     }
 
     /// The newest state as a member can have it, and the leader that it is from.
-    fn newest_at(&self, at: usize) -> Option<(usize, Ledger)> {
+    fn newest_at(&self, at: usize) -> Option<(usize, ClusterState)> {
         let awake = |n: usize| self.voters[n].frozen_until <= self.t;
-        let own = self.voters[at].voter.as_ref().filter(|s| s.formed && awake(at))?;
+        let own = self.voters[at].voter.as_ref().filter(|s| s.initialized && awake(at))?;
         if self.broken == Some(Broken::ReadsWithoutLease) {
-            return Some((at, own.ledger.clone()));
+            return Some((at, own.cluster_state.clone()));
         }
         let lead = own.leader().map_or(at, |h| usize::from(h.rpc_addr.port() - 7000));
         let linked = !self.cut.contains(&(at, lead)) && !self.cut.contains(&(lead, at));
         let voter = self.voters.get(lead)?.voter.as_ref().filter(|_| linked && awake(lead))?;
-        let current = voter.current(self.voters[lead].clock.at(self.t));
-        current.then(|| (lead, voter.ledger.clone()))
+        let current = voter.can_serve_reads(self.voters[lead].clock.at(self.t));
+        current.then(|| (lead, voter.cluster_state.clone()))
     }
 
     fn count_unavailable(&mut self) -> Result<(), String> {
--- a/crates/simulator/src/sim/refusals.rs
+++ b/crates/simulator/src/sim/refusals.rs
@@ -49,7 +49,7 @@
         }
         if self.broken == Some(Broken::UnsyncedBelief) {
             let last = self.voters[n].disk.pending.drain(..).next_back();
-            return last.map_or(Ok(()), |(tok, _)| self.voter_step(n, Event::Synced(tok)));
+            return last.map_or(Ok(()), |(token, _)| self.voter_step(n, Event::Synced(token)));
         }
         let damaged = self.whole() && self.rng.random_bool(DAMAGED);
         let reached = self.rng.random_range(0..=under_way);
@@ -60,25 +60,25 @@
             self.voters[n].disk.kept = None;
         }
         self.voter_step(n, Event::SyncFailed)?;
-        let life = self.voters[n].life;
-        self.push(RETRY_MS, What::Recover { voter: n, life });
+        let starts = self.voters[n].starts;
+        self.push(RETRY_MS, What::Recover { voter: n, starts });
         Ok(())
     }
 
     /// The same process reads its folder again, once its disk takes writes.
-    pub fn recover(&mut self, n: usize, life: u64) -> Result<(), String> {
+    pub fn recover(&mut self, n: usize, starts: u64) -> Result<(), String> {
         let frozen = self.voters[n].frozen_until > self.t;
         let s = &self.voters[n];
-        if s.life != life || s.voter.is_none() {
+        if s.starts != starts || s.voter.is_none() {
             return Ok(());
         }
         if frozen || !matches!(s.disk.mood, Mood::Well | Mood::Slow) {
-            self.push(RETRY_MS, What::Recover { voter: n, life });
+            self.push(RETRY_MS, What::Recover { voter: n, starts });
             return Ok(());
         }
         let fresh = self.number();
         let s = &mut self.voters[n];
-        let blank = Voter::blank_image(&s.blank(fresh));
+        let blank = Voter::blank_state(&s.blank(fresh));
         let image = s.disk.kept.get_or_insert(blank).clone();
         self.note(format!("s{n}'s disk works again"));
         self.voter_step(n, Event::Recovered(Box::new(image)))
--- a/crates/simulator/src/sim/table.rs
+++ b/crates/simulator/src/sim/table.rs
@@ -1,14 +1,14 @@
 //! The placement table within the simulated data plane (design 5.3).
 
 use super::data::{BrokenData, CHURN_END, Data, ROUTERS, TTL, What, number, region, svc};
-use common::{Fence, Region, Tick};
-use control_plane::duty;
+use common::{FencingToken, Region, Tick};
+use control_plane::singleton;
 use data_plane::tab::{Settled, UserKey};
 use rand::Rng;
 
 impl Data {
     pub(super) fn owners(&self, n: usize, shard: u16) -> Vec<usize> {
-        let line = duty::line(&self.nodes[n].ledger, &format!("shard/{shard}"), None);
+        let line = singleton::ranked_holders(&self.nodes[n].cluster_state, &format!("shard/{shard}"), None);
         line.iter().map(|m| number(&m.info.node)).collect()
     }
 
@@ -21,7 +21,7 @@
                 for m in owners.into_iter().skip(1).take(3) {
                     let rows = self.nodes[m].tab.rows_of(shard, Tick(self.t));
                     let lag = self.lag();
-                    self.push(lag, What::Rows { to: n, fence: None, shard, rows });
+                    self.push(lag, What::Rows { to: n, fencing_token: None, shard, rows });
                 }
             }
             self.nodes[n].owns.insert(shard, owns);
@@ -34,13 +34,13 @@
         let key = UserKey(self.rng.random_range(0..12));
         let pick = region(self.rng.random_range(0..ROUTERS));
         let Some(to) = self.owners(n, key.shard(&svc())).first().copied() else { return };
-        let fence = Fence(self.nodes[n].ledger.epoch.0);
+        let fencing_token = FencingToken(self.nodes[n].cluster_state.epoch.0);
         // Now and then a router finds what is stored wanting, and names its version.
         let held = self.nodes[to].tab.one(key, &svc(), Tick(self.t)).map(|c| c.ver);
         let stale = held.filter(|_| self.rng.random_bool(0.02) && self.t < CHURN_END);
         let lag = self.lag();
         if self.rng.random_bool(0.99) {
-            self.push(lag, What::Settle { to, from: n, fence, key, stale, pick });
+            self.push(lag, What::Settle { to, from: n, fencing_token, key, stale, pick });
         }
     }
 
@@ -48,7 +48,7 @@
         &mut self,
         to: usize,
         from: usize,
-        fence: Fence,
+        fencing_token: FencingToken,
         key: UserKey,
         stale: Option<u64>,
         pick: Region,
@@ -59,9 +59,9 @@
             return Ok(());
         }
         let fenced = self.broken != Some(BrokenData::NoFence);
-        let epoch = Fence(self.nodes[to].ledger.epoch.0);
+        let epoch = FencingToken(self.nodes[to].cluster_state.epoch.0);
         let tab = &mut self.nodes[to].tab;
-        if fenced && tab.admit(shard, epoch, fence).is_err() {
+        if fenced && tab.admit(shard, epoch, fencing_token).is_err() {
             return Ok(());
         }
         let last = tab.one(key, &svc(), now).map(|c| c.ver);
@@ -70,7 +70,7 @@
         let row = tab.one(key, &svc(), now);
         for m in owners.into_iter().skip(1).take(2) {
             let (rows, lag) = (row.clone().into_iter().collect(), self.lag());
-            self.push(lag, What::Rows { to: m, fence: Some(fence), shard, rows });
+            self.push(lag, What::Rows { to: m, fencing_token: Some(fencing_token), shard, rows });
         }
         self.told(from, key, res)
     }
--- a/crates/simulator/src/sim/way.rs
+++ b/crates/simulator/src/sim/way.rs
@@ -32,32 +32,32 @@
         self.voter_step(to, Event::Msg(addr(from), msg))
     }
 
-    pub fn synced(&mut self, n: usize, life: u64) -> Result<(), String> {
-        if self.voters[n].life != life {
+    pub fn synced(&mut self, n: usize, starts: u64) -> Result<(), String> {
+        if self.voters[n].starts != starts {
             return Ok(());
         }
         match self.voters[n].disk.mood {
             Mood::Stalled => {
-                self.push(40, What::Synced { voter: n, life });
+                self.push(40, What::Synced { voter: n, starts });
                 Ok(())
             }
             Mood::Failing => self.voter_step(n, Event::SyncFailed),
             Mood::Refusing => self.refused(n),
             _ => match self.voters[n].disk.sync_one() {
-                Some(tok) => self.voter_step(n, Event::Synced(tok)),
+                Some(token) => self.voter_step(n, Event::Synced(token)),
                 None => Ok(()),
             },
         }
     }
 
-    pub fn voter_step(&mut self, n: usize, ev: Event) -> Result<(), String> {
+    pub fn voter_step(&mut self, n: usize, event: Event) -> Result<(), String> {
         let t = self.t;
         let s = &mut self.voters[n];
-        if s.frozen_until > t && !matches!(ev, Event::Synced(_) | Event::SyncFailed) {
+        if s.frozen_until > t && !matches!(event, Event::Synced(_) | Event::SyncFailed) {
             return Ok(());
         }
         let Some(voter) = s.voter.as_mut() else { return Ok(()) };
-        let effects = voter.step(ev, s.clock.at(t));
+        let effects = voter.step(event, s.clock.at(t));
         effects.into_iter().try_for_each(|f| self.effect(n, f))
     }
 
@@ -66,7 +66,7 @@
             Effect::Send { to, msg } => {
                 let to = usize::from(to.port() - 7000);
                 let votes = matches!(msg, Message::PreVoteGranted { .. } | Message::Vote { .. });
-                if votes && self.voters[n].voter.as_ref().is_some_and(|s| !s.formed) {
+                if votes && self.voters[n].voter.as_ref().is_some_and(|s| !s.initialized) {
                     return Err(format!("s{n} votes and holds nothing"));
                 }
                 // A disk that lies is to be caught by what comes of it.
@@ -78,24 +78,24 @@
                     self.push(ms, What::Consensus { to, from: n, msg: Box::new(msg) });
                 }
             }
-            Effect::Persist { tok, rec } => {
-                self.voters[n].disk.write(tok, rec)?;
+            Effect::Persist { token, record } => {
+                self.voters[n].disk.write(token, record)?;
                 if self.broken == Some(Broken::LyingDisk) {
-                    return self.voter_step(n, Event::Synced(tok));
+                    return self.voter_step(n, Event::Synced(token));
                 }
                 let ms = match self.voters[n].disk.mood {
                     Mood::Slow => self.rng.random_range(100..900),
                     _ => self.rng.random_range(1..8),
                 };
-                let life = self.voters[n].life;
-                self.push(ms, What::Synced { voter: n, life });
+                let starts = self.voters[n].starts;
+                self.push(ms, What::Synced { voter: n, starts });
             }
-            Effect::Accepted { entry, verdict } => self.on_accepted(n, &entry, &verdict)?,
+            Effect::Committed { entry, outcome } => self.on_accepted(n, &entry, &outcome)?,
             Effect::BecameLeader { term } => {
                 self.stats.terms += 1;
                 self.note(format!("s{n} leads view {term}"));
                 let now = self.voters[n].clock.at(self.t);
-                self.voters[n].leases = Leases::taken_over(now);
+                self.voters[n].leases = Leases::new_leader(now);
             }
             Effect::Interrupted => {
                 let before = self.waiting.len();
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -5,13 +5,13 @@
     check::Book,
     nodes::{ROUTERS, SimClock, SimRouter, SimVoter},
 };
-use common::{Epoch, Fence, Index, OpId, Tick};
+use common::{Epoch, FencingToken, Index, OpId, Tick};
 use control_plane::{
     Change,
     change::NodeInfo,
     consensus::{Event, Message},
-    duty::Fences,
-    news::News,
+    singleton::FencingTokens,
+    state_update::StateUpdate,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::{
@@ -34,19 +34,19 @@
 pub enum What {
     Wakeup(usize),
     Consensus { to: usize, from: usize, msg: Box<Message> },
-    Synced { voter: usize, life: u64 },
+    Synced { voter: usize, starts: u64 },
     RouterWakeup(usize),
     Renew { voter: usize, router: usize, info: NodeInfo, sent: Tick },
     Renewed { router: usize, incarnation: u64, epoch: Epoch, sent: Tick },
     AskNews { voter: usize, router: usize, have: Index },
-    News { router: usize, news: Box<News> },
-    Act { fence: Fence, node: common::NodeId },
+    StateUpdate { router: usize, state_update: Box<StateUpdate> },
+    Act { fencing_token: FencingToken, node: common::NodeId },
     Operator,
     Reader,
     Forward { to: usize, change: Box<Change> },
     Fault,
     Refuse { voter: usize, for_ms: u64 },
-    Recover { voter: usize, life: u64 },
+    Recover { voter: usize, starts: u64 },
     Heal(Box<super::faults::Undo>),
 }
 
@@ -54,7 +54,7 @@
     pub op: OpId,
     pub change: Change,
     pub voter: usize,
-    pub life: u64,
+    pub starts: u64,
 }
 
 pub struct World {
@@ -68,7 +68,7 @@
     pub book: Book,
     pub stats: Stats,
     pub waiting: BTreeMap<(usize, Index), Proposal>,
-    pub fences: Fences,
+    pub fencing_tokens: FencingTokens,
     pub serial: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, What>,
@@ -102,7 +102,7 @@
             book: Book::default(),
             stats: Stats::default(),
             waiting: BTreeMap::new(),
-            fences: Fences::default(),
+            fencing_tokens: FencingTokens::default(),
             serial: 1000,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
@@ -159,14 +159,14 @@
 
     /// Never two voters that lead at one time.
     fn look(&self) -> Result<(), String> {
-        let leads: Vec<&str> = self
+        let leaders: Vec<&str> = self
             .voters
             .iter()
             .filter(|s| s.frozen_until <= self.t)
-            .filter(|s| s.voter.as_ref().is_some_and(|x| x.leads(s.clock.at(self.t))))
+            .filter(|s| s.voter.as_ref().is_some_and(|x| x.has_leadership(s.clock.at(self.t))))
             .map(|s| s.me.node.as_str())
             .collect();
-        if leads.len() > 1 { Err(format!("two seats lead at once: {leads:?}")) } else { Ok(()) }
+        if leaders.len() > 1 { Err(format!("two seats lead at once: {leaders:?}")) } else { Ok(()) }
     }
 
     /// After the calm: service is back in time, and what is read is the newest accepted.
@@ -178,9 +178,11 @@
                 "no acceptance within {BACK_MS} ms after the faults ended: {back}; {voters:#?}"
             ));
         }
-        let lead =
-            self.voters.iter().find(|s| s.voter.as_ref().is_some_and(|x| x.current(s.clock.at(self.t))));
-        let Some(l) = lead.and_then(|s| s.voter.as_ref()).map(|s| &s.ledger) else {
+        let lead = self
+            .voters
+            .iter()
+            .find(|s| s.voter.as_ref().is_some_and(|x| x.can_serve_reads(s.clock.at(self.t))));
+        let Some(l) = lead.and_then(|s| s.voter.as_ref()).map(|s| &s.cluster_state) else {
             return Err("no seat leads at the end".into());
         };
         let read = (l.revision, l.text.clone());
@@ -195,11 +197,12 @@
                 return Err(format!("{op}, told as accepted at {index}, is gone"));
             }
         }
-        let behind = self.routers.iter().find(|r| r.ledger.revision != l.revision);
+        let behind = self.routers.iter().find(|r| r.cluster_state.revision != l.revision);
         match behind {
-            Some(r) => {
-                Err(format!("{} still has revision {} of {}", r.info.node, r.ledger.revision, l.revision))
-            }
+            Some(r) => Err(format!(
+                "{} still has revision {} of {}",
+                r.info.node, r.cluster_state.revision, l.revision
+            )),
             None => Ok(()),
         }
     }
@@ -212,15 +215,15 @@
                 self.expire(n)
             }
             What::Consensus { to, from, msg } => self.deliver(to, from, *msg),
-            What::Synced { voter, life } => self.synced(voter, life),
+            What::Synced { voter, starts } => self.synced(voter, starts),
             What::RouterWakeup(n) => self.router_wakeup(n),
             What::Renew { voter, router, info, sent } => self.renew(voter, router, info, sent),
             What::Renewed { router, incarnation, epoch, sent } => {
-                self.renewed(router, incarnation, epoch, sent)
+                self.extend(router, incarnation, epoch, sent)
             }
             What::AskNews { voter, router, have } => self.tell_news(voter, router, have),
-            What::News { router, news } => self.take_news(router, *news),
-            What::Act { fence, node } => self.act(fence, node),
+            What::StateUpdate { router, state_update } => self.take_news(router, *state_update),
+            What::Act { fencing_token, node } => self.act(fencing_token, node),
             What::Operator => self.operate(),
             What::Reader => self.reader_acts(),
             What::Forward { to, change } => self.forwarded(to, *change),
@@ -229,7 +232,7 @@
                 self.refuse(voter, for_ms);
                 Ok(())
             }
-            What::Recover { voter, life } => self.recover(voter, life),
+            What::Recover { voter, starts } => self.recover(voter, starts),
             What::Heal(u) => self.undo(*u),
         }
     }
--- a/crates/simulator/src/spare.rs
+++ b/crates/simulator/src/spare.rs
@@ -6,7 +6,7 @@
     sim::disk::SimDisk,
     standin::StandIn,
 };
-use control_plane::consensus::Room;
+use control_plane::consensus::SizeLimits;
 use eyre::Result;
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -37,8 +37,8 @@
             told: spare_ip(old.told),
             cluster: old.cluster,
             seeds: old.seeds.clone(),
-            life: None,
-            disk: Arc::new(Mutex::new(SimDisk::new(None, Room::default()))),
+            process: None,
+            disk: Arc::new(Mutex::new(SimDisk::new(None, SizeLimits::default()))),
         };
         let name = n.name.clone();
         self.nodes.retain(|o| o.name != name);
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -75,7 +75,7 @@
 }
 
 /// Seed, what was violated, and what had happened.
-type Found = (u64, String, Vec<String>);
+type Finding = (u64, String, Vec<String>);
 
 /// Runs many seeds on all cores; the first violation ends it, with its seed and what happened.
 pub fn sweep_worlds(p: &WorldPlan, from: u64, seeds: u64, verbose: bool, all: bool) -> Result<()> {
@@ -116,7 +116,7 @@
     });
     let whole = sum.into_inner().unwrap_or_else(|e| e.into_inner());
     println!("{}", told(&whole));
-    let mut found: Vec<Found> = found.into_inner().unwrap_or_else(|e| e.into_inner());
+    let mut found: Vec<Finding> = found.into_inner().unwrap_or_else(|e| e.into_inner());
     found.sort();
     if all && found.len() > 1 {
         found.iter().for_each(|(seed, what, _)| println!("seed {seed}: {what}"));
--- a/crates/simulator/tests/catch_up.rs
+++ b/crates/simulator/tests/catch_up.rs
@@ -8,7 +8,7 @@
 const MOST_SNAPSHOTS: usize = 4;
 /// A copy may be sent twice: once more where the first was taken as overdue.
 const MOST_COPIES: usize = 2;
-/// Entries that wait for their acceptance beside a snapshot, and the heads of small feeds.
+/// Entries that wait for their acceptance beside a snapshot, and the heads of small appends.
 const BESIDE: usize = 2 << 20;
 
 /// Open: with changes of 1 MiB going on over 150 ms each way, the snapshot travels with one more such
--- a/crates/simulator/tests/scale.rs
+++ b/crates/simulator/tests/scale.rs
@@ -72,7 +72,7 @@
         assert!(span.never == 0 && span.samples > 0, "{span:?}");
     }
     assert!(row.state.placement_rows > 0.0, "users were placed");
-    assert!(row.duties.iter().all(|d| d.count > 0 && d.calls > 0.0), "{:?}", row.duties);
+    assert!(row.singletons.iter().all(|d| d.count > 0 && d.calls > 0.0), "{:?}", row.singletons);
 }
 
 #[test]
