--- a/crates/common/src/fault.rs
+++ b/crates/common/src/fault.rs
@@ -26,6 +26,11 @@
     pub fn new(step: Step, peer: impl fmt::Display, cause: impl fmt::Display) -> Self {
         Self { step, peer: peer.to_string(), cause: cause.to_string(), refused: false }
     }
+
+    /// Whether it arose before anything of a request was sent.
+    pub fn before_sending(&self) -> bool {
+        self.step == "connect" || self.step == "hello"
+    }
 }
 
 /// Adds step and peer to any error.
--- a/crates/common/src/http.rs
+++ b/crates/common/src/http.rs
@@ -129,13 +129,35 @@
     .await
 }
 
-/// Reads a body whole; `Err(true)` says that it was over the limit.
-pub async fn read_body(body: Incoming, max: usize) -> Result<Bytes, bool> {
-    Limited::new(body, max)
-        .collect()
-        .await
-        .map(|b| b.to_bytes())
-        .map_err(|e| e.is::<http_body_util::LengthLimitError>())
+/// Why a body could not be read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BodyError {
+    /// It is longer than allowed.
+    TooLarge,
+    /// It ended before its announced end.
+    Broken,
+}
+
+impl std::fmt::Display for BodyError {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            BodyError::TooLarge => "the body is over the limit",
+            BodyError::Broken => "the body broke off",
+        })
+    }
+}
+
+impl std::error::Error for BodyError {}
+
+/// Reads a whole body of at most `max` bytes.
+///
+/// # Errors
+/// See [`BodyError`].
+pub async fn read_body(body: Incoming, max: usize) -> Result<Bytes, BodyError> {
+    let read = Limited::new(body, max).collect().await;
+    read.map(|body| body.to_bytes()).map_err(|e| {
+        if e.is::<http_body_util::LengthLimitError>() { BodyError::TooLarge } else { BodyError::Broken }
+    })
 }
 
 /// Asks voters in turn until one gives an answer other than 503. What may have been sent and is
--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -12,8 +12,10 @@
 pub mod rendezvous;
 pub mod runtime;
 pub mod settings;
+pub mod sync;
 pub mod wire;
 
 pub use clock::{Clock, Tick};
 pub use fault::{Fault, Step};
 pub use ids::*;
+pub use sync::lock;
--- a/crates/common/src/settings.rs
+++ b/crates/common/src/settings.rs
@@ -228,11 +228,14 @@
         self.http_advertise.unwrap_or(self.http)
     }
 
-    /// Binds both addresses; a taken one is named.
-    pub async fn bind(&self) -> Result<(Listener, Listener)> {
-        let rpc_addr = bind(self.rpc_addr).await.wrap_err_with(|| format!("rail: {}", self.rpc_addr))?;
+    /// Binds both addresses.
+    ///
+    /// # Errors
+    /// Names the address that can't be bound.
+    pub async fn bind(&self) -> Result<Listeners> {
+        let rpc = bind(self.rpc_addr).await.wrap_err_with(|| format!("rpc: {}", self.rpc_addr))?;
         let http = bind(self.http).await.wrap_err_with(|| format!("http: {}", self.http))?;
-        Ok((rpc_addr, http))
+        Ok(Listeners { rpc, http })
     }
 
     pub fn me(&self) -> crate::link::LocalNode {
@@ -245,6 +248,14 @@
     }
 }
 
+/// The addresses of a node, bound.
+pub struct Listeners {
+    /// For other nodes.
+    pub rpc: Listener,
+    /// For clients (router) or operators (control node).
+    pub http: Listener,
+}
+
 /// SIGTERM, or an interrupt from a terminal.
 pub fn shutdown_signal() -> Result<impl Future<Output = ()>> {
     let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
--- a/crates/control-plane/src/consensus/bootstrap.rs
+++ b/crates/control-plane/src/consensus/bootstrap.rs
@@ -1,80 +1,74 @@
-//! First forming and readmission (design 2.5): only blank seeds, all of them, found a cluster, and
-//! nothing that has state is ever overwritten by a blank one.
+//! How a cluster begins (design 2.5): only blank seeds, all of them, bootstrap one, and nothing that has
+//! state is ever overwritten by a blank voter.
 
 use super::*;
 
 impl Voter {
-    /// A blank voter makes its identity durable before it says a word.
-    pub fn blank_state(me: &VoterInfo) -> DurableState {
-        DurableState {
-            me: me.clone(),
-            initialized: false,
-            current_term: Term(0),
-            log_term: Term(0),
-            cluster_state: ClusterState::default(),
-            entries: Vec::new(),
-        }
-    }
-
-    pub(super) fn formation_timer(&mut self, now: Tick, effects: &mut Vec<Effect>) {
-        if now.since(self.last_heartbeat) < self.t.heartbeat_ms() {
+    /// Introduces this blank voter to the seeds, and bootstraps a cluster once that is allowed.
+    pub(super) fn bootstrap_timer(&mut self, now: Tick, effects: &mut Vec<Effect>) {
+        if now.since(self.last_heartbeat) < self.timing.heartbeat_ms() {
             return;
         }
         self.last_heartbeat = now;
+        self.introduce(effects);
+        // What was blank a while ago may hold a whole cluster by now.
+        let fresh_ms = self.timing.election_timeout_ms() / 2;
+        self.discovered_voters.retain(|_, (_, discovered)| now.since(*discovered) <= fresh_ms);
+        if let Some(voters) = self.bootstrap_voters(now) {
+            let initial = ClusterState::bootstrapped(&self.cluster, voters);
+            let cluster_state = ClusterState { secret: self.secret, ..initial };
+            let messages = self.bootstrap_messages(&cluster_state);
+            self.initialize(cluster_state, now, messages, effects);
+        }
+    }
+
+    fn introduce(&self, effects: &mut Vec<Effect>) {
         let msg = Message::Discover {
-            holder: self.me.clone(),
+            voter: self.me.clone(),
             initialized: false,
             voters: Vec::new(),
             index: Index(0),
         };
-        let own = self.me.rpc_addr;
-        for s in self.seeds.clone().into_iter().filter(|s| *s != own) {
-            effects.push(Effect::Send { to: s, msg: msg.clone() });
-        }
-        // What was blank a while ago may hold a whole cluster by now.
-        let fresh = self.t.election_timeout_ms() / 2;
-        self.discovered_voters.retain(|_, c| now.since(c.1) <= fresh);
-        if let Some(voters) = self.bootstrap_voters(now) {
-            let cluster_state =
-                ClusterState { secret: self.secret, ..ClusterState::bootstrapped(&self.cluster, voters) };
-            let then = self.bootstrap_messages(&cluster_state);
-            self.initialize(cluster_state, now, then, effects);
+        for seed in self.seeds.iter().filter(|seed| **seed != self.me.rpc_addr) {
+            effects.push(Effect::Send { to: *seed, msg: msg.clone() });
         }
     }
 
-    /// The lowest seed founds, once it has seen that all seeds are blank; with them those that found
-    /// the seeds, for which it waits no longer than two leases.
+    /// The voter set of a new cluster. The lowest seed bootstraps it, once it knows that all seeds are blank;
+    /// with them those that found the seeds, for which it waits no longer than two leases.
     fn bootstrap_voters(&mut self, now: Tick) -> Option<Vec<VoterInfo>> {
         let own = self.me.rpc_addr;
         let mut seeds = self.seeds.clone();
         seeds.sort();
-        let all = seeds.iter().all(|s| *s == own || self.discovered_voters.contains_key(s));
-        if !(self.may_bootstrap && !self.saw_other_cluster && seeds.first() == Some(&own) && all) {
+        let all_blank = seeds.iter().all(|seed| *seed == own || self.discovered_voters.contains_key(seed));
+        let lowest = seeds.first() == Some(&own);
+        if !(self.may_bootstrap && !self.saw_other_cluster && lowest && all_blank) {
             self.seeds_complete_since = None;
             return None;
         }
         let since = *self.seeds_complete_since.get_or_insert(now);
         self.discovered_voters.insert(own, (self.me.clone(), now));
-        let wanted = self.expected_voters.clamp(seeds.len(), MOST_VOTERS.max(seeds.len()));
-        if self.discovered_voters.len() < wanted && now.since(since) < 2 * self.t.lease_ms {
+        let wanted = self.expected_voters.clamp(seeds.len(), MAX_VOTERS.max(seeds.len()));
+        if self.discovered_voters.len() < wanted && now.since(since) < 2 * self.timing.lease_ms {
             return None;
         }
-        let other_voters =
-            self.discovered_voters.keys().copied().filter(|r| !seeds.contains(r)).take(wanted - seeds.len());
-        let all: Vec<SocketAddr> = seeds.iter().copied().chain(other_voters).collect();
-        let holder = |(n, at): (usize, &SocketAddr)| {
-            Some(VoterInfo { number: n as u8, ..self.discovered_voters.get(at)?.0.clone() })
+        let discovered = self.discovered_voters.keys().copied();
+        let others = discovered.filter(|addr| !seeds.contains(addr)).take(wanted - seeds.len());
+        let numbered = seeds.iter().copied().chain(others).enumerate();
+        let voter = |(number, addr): (usize, SocketAddr)| {
+            let (info, _) = self.discovered_voters.get(&addr)?;
+            Some(VoterInfo { number: number as u8, ..info.clone() })
         };
-        Some(all.iter().enumerate().filter_map(holder).collect())
+        Some(numbered.filter_map(voter).collect())
     }
 
     fn bootstrap_messages(&self, cluster_state: &ClusterState) -> Vec<Effect> {
         let msg = Message::Bootstrap { cluster_state: cluster_state.clone() };
-        let own = self.me.rpc_addr;
-        let other_voters = cluster_state.voters.iter().filter(|h| h.rpc_addr != own);
-        other_voters.map(|h| Effect::Send { to: h.rpc_addr, msg: msg.clone() }).collect()
+        let others = cluster_state.voters.iter().filter(|voter| voter.rpc_addr != self.me.rpc_addr);
+        others.map(|voter| Effect::Send { to: voter.rpc_addr, msg: msg.clone() }).collect()
     }
 
+    /// Takes up the state of a new cluster; the effects in `then` wait until it is synced.
     fn initialize(
         &mut self,
         cluster_state: ClusterState,
@@ -82,14 +76,14 @@
         then: Vec<Effect>,
         effects: &mut Vec<Effect>,
     ) {
-        let mine = cluster_state.voters.iter().find(|h| h.incarnation == self.me.incarnation);
-        let Some(number) = mine.map(|h| h.number) else { return };
+        let own = cluster_state.voters.iter().find(|voter| voter.incarnation == self.me.incarnation);
+        let Some(number) = own.map(|voter| voter.number) else { return };
         self.me.number = number;
         self.initialized = true;
-        self.base = cluster_state.index;
+        self.snapshot_index = cluster_state.index;
         self.cluster_state = cluster_state;
         self.role = VoterRole::Follower { leader: None, last_contact: now };
-        self.slot(now, then, effects);
+        self.write_snapshot(now, then, effects);
     }
 
     pub(super) fn handle_bootstrap(
@@ -98,17 +92,19 @@
         now: Tick,
         effects: &mut Vec<Effect>,
     ) {
-        if !self.initialized && !self.saw_other_cluster && cluster_state.cluster == self.cluster {
+        let own_cluster = cluster_state.cluster == self.cluster;
+        if !self.initialized && !self.saw_other_cluster && own_cluster {
             self.initialize(cluster_state, now, Vec::new(), effects);
         }
     }
 
+    /// Tells a voter who the voters are now.
     pub(super) fn send_membership(&self, to: SocketAddr, effects: &mut Vec<Effect>) {
         let msg = Message::Discover {
-            holder: self.me.clone(),
+            voter: self.me.clone(),
             initialized: true,
             voters: self.cluster_state.voters.clone(),
-            index: self.accepted(),
+            index: self.commit_index(),
         };
         effects.push(Effect::Send { to, msg });
     }
@@ -116,140 +112,61 @@
     pub(super) fn handle_discover(
         &mut self,
         from: SocketAddr,
-        holder: VoterInfo,
+        voter: VoterInfo,
         initialized: bool,
         (voters, index): (Vec<VoterInfo>, Index),
         now: Tick,
         effects: &mut Vec<Effect>,
     ) {
         match (self.initialized, initialized) {
-            // A call lives no longer than `rpc_timeout_ms`: what comes sooner than that after the start of this
-            // process may have been said before it, by a machine that is blank no more.
-            (false, false) if now.since(self.started) > self.t.rpc_timeout_ms => {
-                self.discovered_voters.insert(holder.rpc_addr, (holder, now));
-            }
-            (false, false) => {}
-            // A founder's word that was lost is said again to a blank voter of its voters.
-            (true, false)
-                if self.accepted() == Index(0)
-                    && self.is_voter(&VoterId {
-                        incarnation: holder.incarnation,
-                        number: self.number_of(&holder),
-                    }) =>
-            {
-                effects.push(Effect::Send {
-                    to: from,
-                    msg: Message::Bootstrap { cluster_state: self.cluster_state.clone() },
-                });
-            }
-            (true, false) => self.send_membership(from, effects),
-            (false, true) => {
-                let msg = Message::JoinRequest { holder: self.me.clone() };
-                self.discovered_voters.remove(&holder.rpc_addr);
-                self.saw_other_cluster = !voters.iter().any(|h| h.incarnation == self.me.incarnation);
-                if !voters.iter().any(|h| h.incarnation == self.me.incarnation) {
-                    for h in &voters {
-                        effects.push(Effect::Send { to: h.rpc_addr, msg: msg.clone() });
-                    }
-                }
-            }
-            // Another holds this voter now, and a majority accepted it: this one is out.
-            (true, true) => {
-                let mine = voters.iter().any(|h| h.incarnation == self.me.incarnation);
-                if !mine && index > self.accepted() && !self.out {
-                    self.out = true;
-                    self.role = VoterRole::Follower { leader: None, last_contact: Tick(0) };
-                    effects.push(Effect::Removed);
-                }
-            }
+            (false, false) => self.note_blank_voter(voter, now),
+            (true, false) => self.answer_blank_voter(from, &voter, effects),
+            (false, true) => self.ask_to_join(&voter, &voters, effects),
+            (true, true) => self.check_own_membership(&voters, index, effects),
         }
     }
 
-    fn number_of(&self, h: &VoterInfo) -> u8 {
-        self.cluster_state
-            .voters
-            .iter()
-            .find(|o| o.incarnation == h.incarnation)
-            .map(|o| o.number)
-            .unwrap_or(u8::MAX)
+    /// An RPC lives no longer than its time-out: what arrives sooner than that after the start of this process
+    /// may have been sent before it, by a machine that is blank no more.
+    fn note_blank_voter(&mut self, voter: VoterInfo, now: Tick) {
+        if now.since(self.started) > self.timing.rpc_timeout_ms {
+            self.discovered_voters.insert(voter.rpc_addr, (voter, now));
+        }
     }
 
-    /// The leader readmits a blank voter in place of its own former self at once, and in place
-    /// of another holder once that one has been silent for a lease.
-    pub(super) fn handle_join_request(&mut self, holder: VoterInfo, now: Tick) {
-        let VoterRole::Leader { peers, since, .. } = &self.role else { return };
-        if self.voters().iter().any(|h| h.incarnation == holder.incarnation) {
-            return;
+    fn answer_blank_voter(&self, from: SocketAddr, voter: &VoterInfo, effects: &mut Vec<Effect>) {
+        let same = |own: &&VoterInfo| own.incarnation == voter.incarnation;
+        let number = self.cluster_state.voters.iter().find(same).map_or(u8::MAX, |own| own.number);
+        let id = VoterId { number, incarnation: voter.incarnation };
+        if self.commit_index() == Index(0) && self.is_voter(&id) {
+            // The bootstrap message to one of the first voters was lost.
+            let msg = Message::Bootstrap { cluster_state: self.cluster_state.clone() };
+            return effects.push(Effect::Send { to: from, msg });
         }
-        let silent = self.t.lease_ms + self.t.lease_margin_ms();
-        let expired = |h: &&VoterInfo| {
-            let last_contact = peers.get(&h.number).map(|p| p.sent_at).unwrap_or(*since);
-            now.since(last_contact.max(*since)) > silent
-        };
-        let other_voters = self.other_voters();
-        let own = other_voters.iter().find(|h| h.node == holder.node || h.rpc_addr == holder.rpc_addr);
-        let found = own.or_else(|| other_voters.iter().find(expired)).map(|h| h.number);
-        // It pleads with each heartbeat. Counted from the first time, or over a long line no answer would
-        // ever be newer than the join_request.
-        self.join_requests.retain(|_, p| now.since(p.1) <= silent);
-        let at = self.join_requests.get(&holder.incarnation).map_or(now, |p| p.1);
-        match found {
-            Some(number) => {
-                self.join_requests.insert(holder.incarnation, (VoterInfo { number, ..holder }, at))
-            }
-            None => self.join_requests.remove(&holder.incarnation),
-        };
+        self.send_membership(from, effects);
     }
 
-    /// A swap is accepted by a majority without the old holder or not at all, and from when it is
-    /// logged until then it bars that holder. So it is begun only on the fresh word of so many.
-    pub(super) fn admit_joining_voter(&mut self, now: Tick, effects: &mut Vec<Effect>) {
-        let VoterRole::Leader { peers, .. } = &self.role else { return };
-        let admitted = self.join_requests.values().find(|(h, at)| {
-            let answers =
-                |o: &&VoterInfo| peers.get(&o.number).is_some_and(|p| p.installed && p.sent_at > *at);
-            let other_voters = self.other_voters();
-            other_voters.iter().filter(|o| o.number != h.number).filter(answers).count() + 1 >= self.quorum()
-        });
-        if let Some(h) = admitted.map(|p| p.0.clone()) {
-            // The others plead again, by the voters as it is then.
-            self.join_requests.clear();
-            self.handle_propose(Change::ReplaceVoter(h), now, effects);
+    fn ask_to_join(&mut self, initialized: &VoterInfo, voters: &[VoterInfo], effects: &mut Vec<Effect>) {
+        self.discovered_voters.remove(&initialized.rpc_addr);
+        self.saw_other_cluster = !self.is_among(voters);
+        if self.saw_other_cluster {
+            let msg = Message::JoinRequest { voter: self.me.clone() };
+            for voter in voters {
+                effects.push(Effect::Send { to: voter.rpc_addr, msg: msg.clone() });
+            }
         }
     }
 
-    /// A blank voter takes its first snapshot, from a leader whose voters names it.
-    pub(super) fn first_snapshot(&mut self, f: AppendRequest, now: Tick, effects: &mut Vec<Effect>) {
-        let incarnation = self.me.incarnation;
-        let named = |l: &ClusterState| {
-            l.cluster == self.cluster && l.voters.iter().any(|h| h.incarnation == incarnation)
-        };
-        match f.body {
-            Body::Install { snapshot: Some(l), entries, .. } if named(&l) && f.term >= self.current_term => {
-                self.current_term = f.term;
-                self.log_term = f.term;
-                self.log = entries.into();
-                self.me.number = f.to;
-                self.base = l.index;
-                self.cluster_state = l;
-                self.initialized = true;
-                effects.push(Effect::SnapshotInstalled);
-                self.role = VoterRole::Follower { leader: Some(f.by), last_contact: now };
-                let reply = Effect::Send { to: f.from, msg: self.held(f.sent_at) };
-                self.slot(now, vec![reply], effects);
-            }
-            // Says that it holds nothing, so that the leader sends the snapshot.
-            _ => {
-                let msg = Message::AppendReply {
-                    by: VoterId { number: f.to, incarnation },
-                    term: f.term,
-                    installed: false,
-                    last: Index(0),
-                    accepted: Index(0),
-                    sent_at: f.sent_at,
-                };
-                effects.push(Effect::Send { to: f.from, msg });
-            }
+    /// Another holder was committed in this voter's place: it takes part no more.
+    fn check_own_membership(&mut self, voters: &[VoterInfo], index: Index, effects: &mut Vec<Effect>) {
+        if !self.is_among(voters) && index > self.commit_index() && !self.removed {
+            self.removed = true;
+            self.role = VoterRole::Follower { leader: None, last_contact: Tick(0) };
+            effects.push(Effect::Removed);
         }
     }
+
+    fn is_among(&self, voters: &[VoterInfo]) -> bool {
+        voters.iter().any(|voter| voter.incarnation == self.me.incarnation)
+    }
 }
--- a/crates/control-plane/src/consensus/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -1,41 +1,52 @@
-//! Change of term (design 2.3): pre_vote, stop, gather, trim to the best log, install, go on.
+//! Election of a leader (design 2.3): pre-vote, vote requests, votes with the ends of the logs, then the
+//! newest of these logs is installed in the new term.
 
 use super::*;
 
+/// Leaders that step down set their followers' last contact this many election time-outs back, so that they
+/// stand for election at once.
+const TIMEOUTS_BACK_AT_STEP_DOWN: u64 = 10;
+
 impl Voter {
-    /// Spread by voter, so that two candidates seldom meet.
+    /// Its own election time-out in milliseconds, spread by voter and term so that two candidates seldom meet.
     pub(super) fn election_timeout(&self) -> u64 {
-        let p = self.t.election_timeout_ms();
-        p + p * u64::from(self.me.number) / 4 + p * (self.current_term.0 % 5) / 10
+        let base = self.timing.election_timeout_ms();
+        base + base * u64::from(self.me.number) / 4 + base * (self.current_term.0 % 5) / 10
     }
 
-    /// Whether a live leader was heard too lately for another to be wanted.
+    /// Whether it knows of a leader that was heard too lately for another to be wanted.
     fn hears_leader(&self, now: Tick) -> bool {
-        let p = self.t.election_timeout_ms();
         match &self.role {
-            VoterRole::Follower { last_contact, .. } => now.since(*last_contact) < p,
+            VoterRole::Follower { last_contact, .. } => {
+                now.since(*last_contact) < self.timing.election_timeout_ms()
+            }
             VoterRole::Leader { .. } => self.has_leadership(now),
-            _ => false,
+            VoterRole::PreCandidate { .. } | VoterRole::Candidate { .. } => false,
         }
     }
 
+    /// The next term that belongs to this voter: a term's number names its only possible leader.
     fn next_term(&self) -> Term {
-        let room = MOST_VOTERS as u64 + 1;
-        Term((self.current_term.0 / room + 1) * room + u64::from(self.me.number))
+        let terms_per_round = MAX_VOTERS as u64 + 1;
+        Term((self.current_term.0 / terms_per_round + 1) * terms_per_round + u64::from(self.me.number))
+    }
+
+    /// Whether this process has run for an election time-out. One that just started may have answered a
+    /// leader before it stopped, and must not help to elect another until then.
+    fn may_vote(&self, now: Tick) -> bool {
+        now.since(self.started) >= self.timing.election_timeout_ms()
     }
 
     pub(super) fn election_timer(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         if !self.is_voter(&self.id()) {
-            self.out = true;
+            self.removed = true;
             effects.push(Effect::Removed);
             return;
         }
-        let p = self.t.election_timeout_ms();
-        let ask = match &self.role {
+        let due = match &self.role {
             VoterRole::Leader { since, .. } => {
-                if self.overdue(now) || (now.since(*since) > 2 * p && now >= self.leadership_until()) {
-                    self.role = VoterRole::Follower { leader: None, last_contact: now };
-                }
+                let since = *since;
+                self.check_leadership(since, now);
                 false
             }
             VoterRole::Follower { last_contact, .. } => now.since(*last_contact) >= self.election_timeout(),
@@ -43,19 +54,30 @@
                 now.since(*since) >= self.election_timeout() / 2
             }
         };
-        // A voter that just started waits: it may have answered a leader before it stopped.
-        if ask && !self.overdue(now) && now.since(self.started) >= p {
-            let term = self.next_term();
-            self.role = VoterRole::PreCandidate { term, granted: Vec::new(), since: now };
-            let msg = Message::PreVote { by: self.id(), term };
-            self.broadcast(msg, effects);
-            if self.is_sole_voter() {
-                self.handle_pre_vote_granted(self.id(), term, now, effects);
-            }
+        if due && !self.sync_overdue(now) && self.may_vote(now) {
+            self.become_pre_candidate(now, effects);
+        }
+    }
+
+    /// A leader whose disk is overdue, or that a majority has not answered for long, follows again.
+    fn check_leadership(&mut self, elected: Tick, now: Tick) {
+        let settled = now.since(elected) > 2 * self.timing.election_timeout_ms();
+        let deposed = settled && now >= self.leadership_until();
+        if self.sync_overdue(now) || deposed {
+            self.role = VoterRole::Follower { leader: None, last_contact: now };
+        }
+    }
+
+    fn become_pre_candidate(&mut self, now: Tick, effects: &mut Vec<Effect>) {
+        let term = self.next_term();
+        self.role = VoterRole::PreCandidate { term, granted: Vec::new(), since: now };
+        self.broadcast(Message::PreVote { by: self.id(), term }, effects);
+        if self.is_sole_voter() {
+            self.handle_pre_vote_granted(self.id(), term, now, effects);
         }
     }
 
-    /// A leader steps down before it says so: its lead ends here, whoever hears of it.
+    /// Gives up the term before saying so: the leadership ends here, whoever hears of it.
     pub(super) fn step_down(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         if self.is_leader() {
             self.role = VoterRole::Follower { leader: None, last_contact: now };
@@ -65,19 +87,14 @@
 
     /// Only the leader that is followed, in the term that it gives up, ends the wait for it.
     pub(super) fn handle_step_down(&mut self, by: VoterId, term: Term, now: Tick) {
-        let followed = matches!(&self.role, VoterRole::Follower { leader: Some(l), .. } if *l == by);
+        let followed =
+            matches!(&self.role, VoterRole::Follower { leader: Some(leader), .. } if *leader == by);
         if followed && term == self.current_term {
-            let last_contact = now - 10 * self.t.election_timeout_ms();
+            let last_contact = now - TIMEOUTS_BACK_AT_STEP_DOWN * self.timing.election_timeout_ms();
             self.role = VoterRole::Follower { leader: None, last_contact };
         }
     }
 
-    pub(super) fn broadcast(&self, msg: Message, effects: &mut Vec<Effect>) {
-        effects.extend(
-            self.other_voters().into_iter().map(|h| Effect::Send { to: h.rpc_addr, msg: msg.clone() }),
-        );
-    }
-
     pub(super) fn handle_pre_vote(
         &mut self,
         from: SocketAddr,
@@ -86,159 +103,138 @@
         now: Tick,
         effects: &mut Vec<Effect>,
     ) {
-        let aye = self.initialized
-            && !self.out
-            && self.is_voter(&by)
-            && term > self.current_term
-            && !self.hears_leader(now)
-            && now.since(self.started) >= self.t.election_timeout_ms();
-        if aye {
-            effects.push(Effect::Send { to: from, msg: Message::PreVoteGranted { by: self.id(), term } });
+        if self.would_vote_for(&by, term, now) {
+            let msg = Message::PreVoteGranted { by: self.id(), term };
+            effects.push(Effect::Send { to: from, msg });
         } else if self.initialized && !self.is_voter(&by) {
             self.send_membership(from, effects);
         }
     }
 
+    fn would_vote_for(&self, candidate: &VoterId, term: Term, now: Tick) -> bool {
+        self.initialized
+            && !self.removed
+            && self.is_voter(candidate)
+            && term > self.current_term
+            && !self.hears_leader(now)
+            && self.may_vote(now)
+    }
+
     pub(super) fn handle_pre_vote_granted(
         &mut self,
         by: VoterId,
-        v: Term,
+        asked_term: Term,
         now: Tick,
         effects: &mut Vec<Effect>,
     ) {
-        let (known, need) = (self.is_voter(&by), self.quorum());
+        let (known, quorum) = (self.is_voter(&by), self.quorum());
         let VoterRole::PreCandidate { term, granted, .. } = &mut self.role else { return };
-        if *term != v || !known || granted.contains(&by.number) {
+        if *term != asked_term || !known || granted.contains(&by.number) {
             return;
         }
         granted.push(by.number);
-        if granted.len() + 1 >= need {
-            self.current_term = v;
-            self.role = VoterRole::Candidate { term: v, got: BTreeMap::new(), since: now };
-            let msg = Message::VoteRequest { by: self.id(), term: v, accepted: self.accepted() };
-            let mut then = Vec::new();
-            self.broadcast(msg, &mut then);
-            self.persist(Record::Promise(v), now, then, effects);
+        if granted.len() + 1 >= quorum {
+            self.become_candidate(asked_term, now, effects);
         }
     }
 
-    /// Stop: nothing is accepted in an older term with this voter's help from here on.
+    /// The vote requests wait until the candidate's own promise is synced.
+    fn become_candidate(&mut self, term: Term, now: Tick, effects: &mut Vec<Effect>) {
+        self.current_term = term;
+        self.role = VoterRole::Candidate { term, votes: BTreeMap::new(), since: now };
+        let request = Message::VoteRequest { by: self.id(), term, commit_index: self.commit_index() };
+        let mut then = Vec::new();
+        self.broadcast(request, &mut then);
+        self.persist(Record::Promise(term), now, then, effects);
+    }
+
+    /// With its vote this voter promises that nothing is committed in an older term with its help any more.
     pub(super) fn handle_vote_request(
         &mut self,
         from: SocketAddr,
         by: VoterId,
         term: Term,
-        accepted: Index,
+        commit_index: Index,
         now: Tick,
         effects: &mut Vec<Effect>,
     ) {
-        let fresh = now.since(self.started) >= self.t.election_timeout_ms();
-        if !self.initialized
-            || self.out
-            || !self.is_voter(&by)
-            || term <= self.current_term
-            || self.hears_leader(now)
-            || !fresh
-        {
+        if !self.would_vote_for(&by, term, now) {
             return;
         }
         self.current_term = term;
         self.role = VoterRole::Follower { leader: None, last_contact: now };
-        let tail = self.log_tail_after(accepted);
-        let msg = Message::Vote { by: self.id(), term, tail };
-        self.persist(Record::Promise(term), now, vec![Effect::Send { to: from, msg }], effects);
-    }
-
-    /// The log after `from`; with a snapshot where it no longer reaches back that far, or would be
-    /// longer than one record or message may be.
-    pub(super) fn log_tail_after(&self, from: Index) -> LogTail {
-        let long = self.accepted() > from && self.weight_after(from) > self.room.batch();
-        let snapshot = (self.base > from || from == Index(0) || long).then(|| self.cluster_state.clone());
-        let cut = snapshot.as_ref().map(|f| f.index).unwrap_or(from);
-        LogTail {
-            log_term: self.log_term,
-            last: self.last(),
-            accepted: self.accepted(),
-            snapshot,
-            entries: self.log.iter().filter(|e| e.index > cut).cloned().collect(),
-        }
+        let tail = self.log_tail_after(commit_index);
+        let vote = Message::Vote { by: self.id(), term, tail };
+        self.persist(Record::Promise(term), now, vec![Effect::Send { to: from, msg: vote }], effects);
     }
 
     pub(super) fn handle_vote(
         &mut self,
         by: VoterId,
-        v: Term,
+        asked_term: Term,
         tail: LogTail,
         now: Tick,
         effects: &mut Vec<Effect>,
     ) {
-        let (known, need) = (self.is_voter(&by), self.quorum());
-        let own = (self.log_term, self.last());
-        let VoterRole::Candidate { term, got, .. } = &mut self.role else { return };
-        if *term != v || !known {
+        let (known, quorum) = (self.is_voter(&by), self.quorum());
+        let own_end = (self.log_term, self.last_index());
+        let VoterRole::Candidate { term, votes, .. } = &mut self.role else { return };
+        if *term != asked_term || !known {
             return;
         }
-        got.insert(by.incarnation, tail);
-        if got.len() + 1 < need {
+        votes.insert(by.incarnation, tail);
+        if votes.len() + 1 < quorum {
             return;
         }
-        let best = got.values().max_by_key(|t| (t.log_term, t.last)).filter(|t| (t.log_term, t.last) > own);
-        let (best, granted): (_, Vec<Incarnation>) = (best.cloned(), got.keys().copied().collect());
-        let known = got.values().map(|t| t.accepted).max().unwrap_or_default();
-        if !self.elected_by(&granted, best.as_ref()) {
-            return;
-        }
-        let mut from_snapshot = false;
-        if let Some(t) = best {
-            from_snapshot = t.snapshot.is_some();
-            self.take(self.accepted(), t.snapshot, t.entries, effects);
-        }
-        // Nothing counts as held in the new term until the record below is synced.
-        self.log_term = v;
-        self.durable_index = Index(0);
-        self.join_requests.clear();
-        self.role = VoterRole::Leader { peers: BTreeMap::new(), since: now, term_start: self.last() };
-        // Said at once: the count of leases must start anew before any of them is looked at.
-        effects.push(Effect::BecameLeader { term: v });
-        if from_snapshot {
-            self.slot(now, Vec::new(), effects);
-        } else {
-            let cut = self.accepted();
-            let entries = self.log.iter().filter(|e| e.index > cut).cloned().collect();
-            self.persist(Record::Install { term: v, cut, entries }, now, Vec::new(), effects);
+        let end = |tail: &LogTail| (tail.log_term, tail.last);
+        let newest = votes.values().max_by_key(|tail| end(tail)).filter(|tail| end(tail) > own_end).cloned();
+        let granted: Vec<Incarnation> = votes.keys().copied().collect();
+        let committed = votes.values().map(|tail| tail.commit_index).max().unwrap_or_default();
+        if self.elected_by(&granted, newest.as_ref()) {
+            self.become_leader(asked_term, newest, committed, now, effects);
         }
-        // What a voter knows as accepted is so: a swap among it lets the joining voter be counted.
-        self.commit_to(known.min(self.last()), effects);
-        self.broadcast_append(now, effects);
     }
 
-    /// The log to be taken may name another voters than the one by which votes were asked for: they
+    /// The log to be installed may end with another voter set than the one by which votes were asked for: they
     /// must be a majority of that one, without those who were replaced (design 2.5).
-    fn elected_by(&self, granted: &[Incarnation], best: Option<&LogTail>) -> bool {
-        let voters = best.map_or_else(|| self.voters(), |t| t.voters(&self.cluster_state));
-        let votes = |h: &&VoterInfo| h.incarnation == self.me.incarnation || granted.contains(&h.incarnation);
-        voters.iter().filter(votes).count() > voters.len() / 2
+    fn elected_by(&self, granted: &[Incarnation], newest: Option<&LogTail>) -> bool {
+        let voters = newest.map_or_else(|| self.voters(), |tail| tail.voters(&self.cluster_state));
+        let voted = |voter: &&VoterInfo| {
+            voter.incarnation == self.me.incarnation || granted.contains(&voter.incarnation)
+        };
+        voters.iter().filter(voted).count() > voters.len() / 2
     }
 
-    /// Trim, then hold the given entries; a snapshot replaces the whole state.
-    pub(super) fn take(
+    /// Installs the newest log in the new term; `committed` is what some voter knows to be committed.
+    fn become_leader(
         &mut self,
-        cut: Index,
-        snapshot: Option<ClusterState>,
-        entries: Vec<LogEntry>,
+        term: Term,
+        newest: Option<LogTail>,
+        committed: Index,
+        now: Tick,
         effects: &mut Vec<Effect>,
     ) {
-        match snapshot.filter(|f| f.index >= self.accepted()) {
-            Some(f) => {
-                self.base = f.index;
-                self.cluster_state = f;
-                self.log.clear();
-                effects.push(Effect::SnapshotInstalled);
-            }
-            None => self.log.retain(|e| e.index <= cut),
+        let from_snapshot = newest.as_ref().is_some_and(|tail| tail.snapshot.is_some());
+        if let Some(tail) = newest {
+            self.install_log(self.commit_index(), tail.snapshot, tail.entries, effects);
         }
-        self.durable_index = self.durable_index.min(self.last());
-        let from = self.last();
-        self.log.extend(entries.into_iter().filter(|e| e.index > from));
+        // Nothing counts as held in the new term until the record below is synced.
+        self.log_term = term;
+        self.durable_index = Index(0);
+        self.join_requests.clear();
+        let term_start = self.last_index();
+        self.role = VoterRole::Leader { peers: BTreeMap::new(), since: now, term_start };
+        // Reported at once: the count of leases must begin anew before any of them is looked at.
+        effects.push(Effect::BecameLeader { term });
+        if from_snapshot {
+            self.write_snapshot(now, Vec::new(), effects);
+        } else {
+            let truncate_to = self.commit_index();
+            let entries = self.entries_after(truncate_to);
+            self.persist(Record::Install { term, truncate_to, entries }, now, Vec::new(), effects);
+        }
+        // A replacement among these lets the new voter be counted.
+        self.commit_to(committed.min(self.last_index()), effects);
+        self.broadcast_append(now, effects);
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/consensus/join.rs
@@ -0,0 +1,116 @@
+//! Replacement of voters (design 2.5): a blank voter is admitted in place of its own former self, or of
+//! another holder that was silent for a lease.
+
+use super::*;
+
+/// A blank voter that asks to be admitted.
+#[derive(Clone, Debug)]
+pub(super) struct JoinRequest {
+    /// With the number of the voter that it is to replace.
+    voter: VoterInfo,
+    /// When it first asked.
+    since: Tick,
+}
+
+impl Voter {
+    /// Notes the request of a blank voter, if it may replace someone now. It is repeated with each heartbeat
+    /// and counted from the first time: over a slow link no reply would ever be newer than the last one.
+    pub(super) fn handle_join_request(&mut self, voter: VoterInfo, now: Tick) {
+        if !self.is_leader() || self.voters().iter().any(|known| known.incarnation == voter.incarnation) {
+            return;
+        }
+        let silence_ms = self.timing.lease_ms + self.timing.lease_margin_ms();
+        let replaced = self.replaceable_by(&voter, silence_ms, now);
+        self.join_requests.retain(|_, request| now.since(request.since) <= silence_ms);
+        let since = self.join_requests.get(&voter.incarnation).map_or(now, |request| request.since);
+        match replaced {
+            Some(number) => {
+                let voter = VoterInfo { number, ..voter };
+                self.join_requests.insert(voter.incarnation, JoinRequest { voter, since });
+            }
+            None => drop(self.join_requests.remove(&voter.incarnation)),
+        }
+    }
+
+    /// The number of the voter that a blank one may replace: its own former self at once, another one that has
+    /// been silent for `silence_ms`.
+    fn replaceable_by(&self, blank: &VoterInfo, silence_ms: u64, now: Tick) -> Option<u8> {
+        let VoterRole::Leader { peers, since, .. } = &self.role else { return None };
+        let others = self.other_voters();
+        let former_self = |voter: &&VoterInfo| voter.node == blank.node || voter.rpc_addr == blank.rpc_addr;
+        let silent = |voter: &&VoterInfo| {
+            let last_contact = peers.get(&voter.number).map_or(*since, |progress| progress.sent_at);
+            now.since(last_contact.max(*since)) > silence_ms
+        };
+        let replaced = others.iter().find(former_self).or_else(|| others.iter().find(silent));
+        replaced.map(|voter| voter.number)
+    }
+
+    /// Logs a replacement. It is committed by a majority without the old holder or not at all, and bars that
+    /// holder from the moment that it is logged: so it is begun only once enough others have answered appends
+    /// that were sent after the request.
+    pub(super) fn admit_joining_voter(&mut self, now: Tick, effects: &mut Vec<Effect>) {
+        let VoterRole::Leader { peers, .. } = &self.role else { return };
+        let others = self.other_voters();
+        let quorum = self.quorum();
+        let ready = |request: &&JoinRequest| {
+            let answered = |voter: &&VoterInfo| {
+                let progress = peers.get(&voter.number);
+                progress.is_some_and(|progress| progress.installed && progress.sent_at > request.since)
+            };
+            let staying = others.iter().filter(|voter| voter.number != request.voter.number);
+            staying.filter(answered).count() + 1 >= quorum
+        };
+        let Some(voter) = self.join_requests.values().find(ready).map(|request| request.voter.clone()) else {
+            return;
+        };
+        // The others ask again, by the voter set as it is then.
+        self.join_requests.clear();
+        self.handle_propose(Change::ReplaceVoter(voter), now, effects);
+    }
+
+    /// A blank voter takes its first snapshot, from a leader whose voter set names it.
+    pub(super) fn install_first_snapshot(
+        &mut self,
+        request: AppendRequest,
+        now: Tick,
+        effects: &mut Vec<Effect>,
+    ) {
+        let AppendRequest { from, by, to, term, sent_at, body, .. } = request;
+        match body {
+            Body::Install { snapshot: Some(state), entries, .. }
+                if self.is_admitted_by(&state) && term >= self.current_term =>
+            {
+                self.current_term = term;
+                self.log_term = term;
+                self.log = entries.into();
+                self.me.number = to;
+                self.snapshot_index = state.index;
+                self.cluster_state = state;
+                self.initialized = true;
+                effects.push(Effect::SnapshotInstalled);
+                self.role = VoterRole::Follower { leader: Some(by), last_contact: now };
+                let reply = Effect::Send { to: from, msg: self.append_reply(sent_at) };
+                self.write_snapshot(now, vec![reply], effects);
+            }
+            _ => effects.push(Effect::Send { to: from, msg: self.holds_nothing(to, term, sent_at) }),
+        }
+    }
+
+    fn is_admitted_by(&self, state: &ClusterState) -> bool {
+        let named = state.voters.iter().any(|voter| voter.incarnation == self.me.incarnation);
+        state.cluster == self.cluster && named
+    }
+
+    /// Makes the leader send a snapshot.
+    fn holds_nothing(&self, number: u8, term: Term, sent_at: Tick) -> Message {
+        Message::AppendReply {
+            by: VoterId { number, incarnation: self.me.incarnation },
+            term,
+            installed: false,
+            last: Index(0),
+            commit_index: Index(0),
+            sent_at,
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/consensus/log.rs
@@ -0,0 +1,120 @@
+//! The replicated log of one voter: its end, its truncation, what is committed and what is retained.
+
+use super::*;
+
+/// Committed entries retained behind the snapshot, for state updates and for voters that lag a little.
+const RETAINED_ENTRIES: usize = 256;
+
+impl Voter {
+    /// The log after `from`. A snapshot comes with it where the log no longer reaches back that far, or where
+    /// the entries would be longer than one record or message may be.
+    pub(super) fn log_tail_after(&self, from: Index) -> LogTail {
+        let too_long = self.commit_index() > from && self.log_weight_after(from) > self.size_limits.batch();
+        let needs_snapshot = self.snapshot_index > from || from == Index(0) || too_long;
+        let snapshot = needs_snapshot.then(|| self.cluster_state.clone());
+        let base = snapshot.as_ref().map_or(from, |state| state.index);
+        LogTail {
+            log_term: self.log_term,
+            last: self.last_index(),
+            commit_index: self.commit_index(),
+            snapshot,
+            entries: self.entries_after(base),
+        }
+    }
+
+    pub(super) fn entries_after(&self, index: Index) -> Vec<LogEntry> {
+        self.log.iter().filter(|entry| entry.index > index).cloned().collect()
+    }
+
+    fn log_weight_after(&self, index: Index) -> usize {
+        self.log.iter().filter(|entry| entry.index > index).map(LogEntry::weight).sum()
+    }
+
+    /// Truncates the log, then appends entries; a snapshot that is not older replaces the whole state.
+    pub(super) fn install_log(
+        &mut self,
+        truncate_to: Index,
+        snapshot: Option<ClusterState>,
+        entries: Vec<LogEntry>,
+        effects: &mut Vec<Effect>,
+    ) {
+        match snapshot.filter(|state| state.index >= self.commit_index()) {
+            Some(state) => {
+                self.snapshot_index = state.index;
+                self.cluster_state = state;
+                self.log.clear();
+                effects.push(Effect::SnapshotInstalled);
+            }
+            None => self.log.retain(|entry| entry.index <= truncate_to),
+        }
+        self.durable_index = self.durable_index.min(self.last_index());
+        let last = self.last_index();
+        self.log.extend(entries.into_iter().filter(|entry| entry.index > last));
+    }
+
+    /// Applies the entries up to `index`, which are known to be committed.
+    pub(super) fn commit_to(&mut self, index: Index, effects: &mut Vec<Effect>) {
+        let from = self.commit_index();
+        let committed: Vec<LogEntry> =
+            self.log.iter().filter(|entry| entry.index > from && entry.index <= index).cloned().collect();
+        for entry in committed {
+            let outcome = self.cluster_state.apply(entry.index, &entry.change);
+            if let (VoterRole::Leader { peers, .. }, Change::ReplaceVoter(replacement)) =
+                (&mut self.role, &entry.change)
+            {
+                // Nothing is known of the new voter but that it is blank: its snapshot is sent at once.
+                peers.insert(replacement.number, Progress::default());
+            }
+            effects.push(Effect::Committed { entry, outcome });
+        }
+        self.compact();
+    }
+
+    /// Drops committed entries beyond what is retained, by count and by bytes.
+    fn compact(&mut self) {
+        let commit_index = self.commit_index();
+        let committed = self.log.iter().filter(|entry| entry.index <= commit_index);
+        let mut bytes: usize = committed.map(LogEntry::weight).sum();
+        while self.log.front().is_some_and(|entry| entry.index < commit_index)
+            && (self.log.len() > RETAINED_ENTRIES || bytes > self.size_limits.batch())
+        {
+            if let Some(entry) = self.log.pop_front() {
+                bytes -= entry.weight();
+                self.snapshot_index = entry.index;
+            }
+        }
+    }
+
+    /// Why a change does not fit, in whatever order the pending entries are committed.
+    pub(super) fn exceeds_limits(&self, change: &Change) -> Option<NotLogged> {
+        let document = match change {
+            Change::Apply { text, .. } => text.packed_len(),
+            _ => 0,
+        };
+        let pending = self.log_weight_after(self.commit_index()) + LogEntry::weight_of(change);
+        let uncommitted = self.log.iter().filter(|entry| entry.index > self.commit_index());
+        let growth: usize = uncommitted.map(|entry| entry.change.growth()).sum();
+        let state = self.cluster_state.weight() + pending + growth + change.growth();
+        [
+            (!change.names_fit(), NotLogged::NameTooLong),
+            (document > self.size_limits.document(), NotLogged::DocumentTooLong),
+            (pending > self.size_limits.batch(), NotLogged::TooMuchPending),
+            (state > self.size_limits.snapshot(change.grows()), NotLogged::StateTooLarge),
+        ]
+        .into_iter()
+        .find_map(|(exceeds, why)| exceeds.then_some(why))
+    }
+}
+
+impl LogTail {
+    /// The voter set at its end, if it were taken on top of `base`.
+    pub fn voters(&self, base: &ClusterState) -> Vec<VoterInfo> {
+        let mut voters = self.snapshot.as_ref().unwrap_or(base).voters.clone();
+        for entry in &self.entries {
+            if let Change::ReplaceVoter(replacement) = &entry.change {
+                replace_voter(&mut voters, replacement);
+            }
+        }
+        voters
+    }
+}
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -1,104 +1,120 @@
-//! A voter of the core (design 2.2 to 2.5): no input or output, only `(state, event, now)`.
+//! Consensus on the order of changes (design 2.2 to 2.5): a replicated log with one leader a term.
+//!
+//! [`Voter`] is a state machine without input or output: [`Voter::step`] takes an event and the time and
+//! returns effects, which the caller carries out in their order. The daemon and the simulators drive the
+//! same code.
 
 mod bootstrap;
 mod durability;
+mod durable;
 mod election;
+mod join;
 mod leadership;
+mod log;
 mod message;
-mod replay;
 mod replication;
 mod role;
-mod size_limits;
 mod startup;
 mod validation;
 
+pub use durable::{DurableState, Record};
 pub use leadership::Contact;
+pub use message::{Body, Effect, Event, LogTail, Message, NotLogged, VoterId};
 pub(crate) use role::AppendRequest;
 pub use role::{InFlight, Progress, VoterRole};
-pub use size_limits::{SizeLimits, batch};
 pub use validation::InvalidMessage;
 
-pub use message::{Body, DurableState, Effect, Event, LogEntry, LogTail, Message, Record, VoterId};
-
 use crate::{
-    change::{Change, VoterInfo},
-    cluster_state::ClusterState,
+    state_machine::{ClusterState, cluster_state::replace_voter},
+    types::{Change, LogEntry, MAX_VOTERS, SizeLimits, VoterInfo},
 };
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
+use durability::PendingWrites;
+use join::JoinRequest;
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
     net::SocketAddr,
 };
 
-/// Accepted entries kept past the snapshot, for state updates and for voters that lag a little.
-const KEEP: usize = 256;
-/// Most voters of a core: a term's number has room for one more (design 2.2).
-pub const MOST_VOTERS: usize = 7;
-/// Why a voter whose disk failed logs nothing.
-const DISK_REFUSES: &str = "this seat's disk refuses writes";
-/// Records after which a new slot is written.
-const SLOT_RECS: usize = 512;
-
+/// One voter of a cluster, with everything that it knows.
 #[derive(Clone, Debug)]
 pub struct Voter {
+    /// Its identity.
     pub me: VoterInfo,
-    pub t: Timing,
+    /// Lengths of time-outs.
+    pub timing: Timing,
+    /// Name of the cluster; nothing of another one is taken in.
     pub cluster: String,
+    /// Addresses that its settings name.
     pub seeds: Vec<SocketAddr>,
-    /// Whether it may found a cluster while blank.
+    /// Whether it may bootstrap a cluster while it is blank.
     pub may_bootstrap: bool,
-    /// Voters that a founder waits for; the seeds alone where it is told no more (design 2.5).
+    /// Voters that a bootstrap waits for; the seeds alone where this is no more (design 2.5).
     pub expected_voters: usize,
-    /// Drawn by the daemon; a founder makes it the cluster's own (design 5.6).
+    /// Drawn by the daemon; the voter that bootstraps a cluster makes it the cluster's own (design 5.6).
     pub secret: u128,
+    /// It holds the state of a cluster; without, it is blank.
     pub initialized: bool,
+    /// The newest term that it promised to take part in.
     pub current_term: Term,
+    /// The term in which its log was installed.
     pub log_term: Term,
+    /// Committed changes, applied.
     pub cluster_state: ClusterState,
-    /// Entries after the snapshot; the accepted ones among them are folded into the cluster state.
+    /// Entries after the snapshot; the committed ones among them are applied to the cluster state.
     pub log: VecDeque<LogEntry>,
-    pub base: Index,
+    /// Index of the last entry that the log no longer holds.
+    pub snapshot_index: Index,
+    /// Index up to which its own log is synced.
     pub durable_index: Index,
+    /// Its part in the current term.
     pub role: VoterRole,
     /// A write failed: until the disk works again the voter takes part in nothing (design 2.4).
     pub disk_failed: bool,
-    /// Replaced by another holder (design 2.5).
-    pub out: bool,
+    /// Another holder replaced it (design 2.5).
+    pub removed: bool,
+    /// What fits on disk and on the wire (design 2.8).
+    pub size_limits: SizeLimits,
+    /// From when it waits before it votes; moved back once no wait is needed.
     started: Tick,
-    /// Names this life of the process in what it asks.
+    /// Identifies this run of the process in its leader queries.
     process_started: Tick,
-    /// Addresses at which nobody leads, as was said to this life.
+    /// Addresses of voters that told this run of the process that they do not lead.
     not_leading: BTreeSet<SocketAddr>,
-    token: u64,
-    unsynced: VecDeque<(u64, Tick, Index, Vec<Effect>)>,
-    /// Blank voters as they said themselves, and when.
+    writes: PendingWrites,
+    /// Blank voters that introduced themselves, and when.
     discovered_voters: BTreeMap<SocketAddr, (VoterInfo, Tick)>,
-    /// A cluster without this voter was seen: it may neither found nor be founded.
+    /// A cluster without this voter was seen: it may neither bootstrap one nor be bootstrapped.
     saw_other_cluster: bool,
     /// Since when all seeds are known to be blank.
     seeds_complete_since: Option<Tick>,
-    /// Blank voters' wishes, and when each was first heard.
-    join_requests: BTreeMap<Incarnation, (VoterInfo, Tick)>,
-    log_bytes: usize,
-    log_records: usize,
+    /// Blank voters that ask to be admitted.
+    join_requests: BTreeMap<Incarnation, JoinRequest>,
+    /// When it last sent what is sent with each heartbeat.
     last_heartbeat: Tick,
-    /// What fits on disk and on the wire (design 2.8).
-    pub room: SizeLimits,
 }
 
 impl Voter {
-    /// Takes up a voter from what the disk held; `None` starts it blank.
+    /// A voter that resumes from what its disk held; without that it is blank.
     pub fn new(
         me: VoterInfo,
         cluster: &str,
         seeds: Vec<SocketAddr>,
-        t: Timing,
-        image: Option<DurableState>,
+        timing: Timing,
+        durable: Option<DurableState>,
         now: Tick,
     ) -> Self {
-        let mut s = Self {
+        let mut voter = Self::blank(me, cluster, seeds, timing, now);
+        if let Some(durable) = durable {
+            voter.restore(durable);
+        }
+        voter
+    }
+
+    fn blank(me: VoterInfo, cluster: &str, seeds: Vec<SocketAddr>, timing: Timing, now: Tick) -> Self {
+        Self {
             me,
-            t,
+            timing,
             cluster: cluster.into(),
             seeds,
             may_bootstrap: true,
@@ -109,77 +125,82 @@
             log_term: Term(0),
             cluster_state: ClusterState::default(),
             log: VecDeque::new(),
-            base: Index(0),
+            snapshot_index: Index(0),
             durable_index: Index(0),
             role: VoterRole::Follower { leader: None, last_contact: now },
             disk_failed: false,
-            out: false,
+            removed: false,
+            size_limits: SizeLimits::default(),
             started: now,
             process_started: now,
             not_leading: BTreeSet::new(),
-            token: 0,
-            unsynced: VecDeque::new(),
+            writes: PendingWrites::default(),
             discovered_voters: BTreeMap::new(),
             saw_other_cluster: false,
             seeds_complete_since: None,
             join_requests: BTreeMap::new(),
-            log_bytes: 0,
-            log_records: 0,
             last_heartbeat: Tick(0),
-            room: SizeLimits::default(),
-        };
-        if let Some(i) = image {
-            s.me.incarnation = i.me.incarnation;
-            s.me.number = i.me.number;
-            s.initialized = i.initialized;
-            s.current_term = i.current_term;
-            s.log_term = i.log_term;
-            s.base = i.cluster_state.index;
-            s.cluster_state = i.cluster_state;
-            s.log = i.entries.into();
-            s.durable_index = s.last();
         }
-        s
     }
 
-    pub fn last(&self) -> Index {
-        self.log.back().map(|e| e.index).unwrap_or(self.base)
+    fn restore(&mut self, durable: DurableState) {
+        self.me.incarnation = durable.me.incarnation;
+        self.me.number = durable.me.number;
+        self.initialized = durable.initialized;
+        self.current_term = durable.current_term;
+        self.log_term = durable.log_term;
+        self.snapshot_index = durable.cluster_state.index;
+        self.cluster_state = durable.cluster_state;
+        self.log = durable.entries.into();
+        self.durable_index = self.last_index();
     }
 
-    pub fn accepted(&self) -> Index {
+    /// Index of the last entry of its log.
+    pub fn last_index(&self) -> Index {
+        self.log.back().map_or(self.snapshot_index, |entry| entry.index)
+    }
+
+    /// Index up to which it knows all to be committed.
+    pub fn commit_index(&self) -> Index {
         self.cluster_state.index
     }
 
-    /// The voters with logged changes applied: a replaced holder counts no more from the
-    /// moment that the change is in the log (design 2.5).
+    /// The voter set with logged replacements applied: a replaced holder counts no more from the moment that
+    /// its replacement is in the log (design 2.5).
     pub fn voters(&self) -> Vec<VoterInfo> {
-        let mut r = self.cluster_state.voters.clone();
-        for e in self.log.iter().filter(|e| e.index > self.accepted()) {
-            if let Change::ReplaceVoter(h) = &e.change {
-                r.iter_mut().filter(|o| o.number == h.number).for_each(|o| *o = h.clone());
+        let mut voters = self.cluster_state.voters.clone();
+        for entry in self.log.iter().filter(|entry| entry.index > self.commit_index()) {
+            if let Change::ReplaceVoter(replacement) = &entry.change {
+                replace_voter(&mut voters, replacement);
             }
         }
-        r
+        voters
     }
 
-    pub fn is_voter(&self, v: &VoterId) -> bool {
-        self.voters().iter().any(|h| h.number == v.number && h.incarnation == v.incarnation)
+    /// Whether it holds a place in the voter set.
+    pub fn is_voter(&self, id: &VoterId) -> bool {
+        let holds = |voter: &VoterInfo| voter.number == id.number && voter.incarnation == id.incarnation;
+        self.voters().iter().any(holds)
     }
 
+    /// The voter set without this voter.
     pub fn other_voters(&self) -> Vec<VoterInfo> {
-        let mut r = self.voters();
-        r.retain(|h| h.number != self.me.number);
-        r
+        let mut voters = self.voters();
+        voters.retain(|voter| voter.number != self.me.number);
+        voters
     }
 
+    /// How many voters are a majority.
     pub fn quorum(&self) -> usize {
         self.cluster_state.voters.len() / 2 + 1
     }
 
+    /// Its name in messages.
     pub fn id(&self) -> VoterId {
         VoterId { number: self.me.number, incarnation: self.me.incarnation }
     }
 
+    /// Whether it is the leader of its term. It may have been deposed: see [`Voter::has_leadership`].
     pub fn is_leader(&self) -> bool {
         matches!(self.role, VoterRole::Leader { .. })
     }
@@ -189,62 +210,70 @@
         let mut effects = Vec::new();
         match event {
             Event::SyncFailed => self.handle_sync_failed(now, &mut effects),
-            Event::Recovered(image) => self.handle_recovered(*image, now, &mut effects),
+            Event::Recovered(durable) => self.handle_recovered(*durable, now, &mut effects),
             Event::Synced(token) => self.handle_synced(token, now, &mut effects),
             Event::Propose(change) if self.disk_failed => {
-                effects.push(Effect::NotLogged { change, why: DISK_REFUSES })
+                effects.push(Effect::NotLogged { change, why: NotLogged::DiskFailed });
             }
             _ if self.disk_failed => {}
             Event::Timer => self.tick(now, &mut effects),
-            Event::Propose(ch) => self.handle_propose(ch, now, &mut effects),
+            Event::Propose(change) => self.handle_propose(change, now, &mut effects),
             Event::StepDown => self.step_down(now, &mut effects),
-            Event::Msg(from, m) => self.handle_message(from, m, now, &mut effects),
+            Event::Msg(from, message) => self.handle_message(from, message, now, &mut effects),
         }
         effects
     }
 
     fn tick(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         if !self.initialized {
-            return self.formation_timer(now, effects);
+            return self.bootstrap_timer(now, effects);
         }
-        if self.out {
+        if self.removed {
             return;
         }
-        self.wake(now, effects);
+        self.query_leader(now, effects);
         self.election_timer(now, effects);
-        if self.is_leader() && now.since(self.last_heartbeat) >= self.t.heartbeat_ms() {
+        if self.is_leader() && now.since(self.last_heartbeat) >= self.timing.heartbeat_ms() {
             self.last_heartbeat = now;
             self.broadcast_append(now, effects);
         }
     }
 
-    fn handle_message(&mut self, from: SocketAddr, m: Message, now: Tick, effects: &mut Vec<Effect>) {
-        if let Err(why) = self.check(&m, now) {
+    fn handle_message(&mut self, from: SocketAddr, message: Message, now: Tick, effects: &mut Vec<Effect>) {
+        if let Err(why) = self.validate(&message, now) {
             return effects.push(Effect::Refused { from, why });
         }
-        match m {
-            Message::Discover { holder, initialized, voters, index } => {
-                self.handle_discover(from, holder, initialized, (voters, index), now, effects)
+        match message {
+            Message::Discover { voter, initialized, voters, index } => {
+                self.handle_discover(from, voter, initialized, (voters, index), now, effects);
             }
             Message::Bootstrap { cluster_state } => self.handle_bootstrap(cluster_state, now, effects),
-            Message::LeaderQuery(process_started) => self.handle_leader_query(from, process_started, effects),
+            Message::LeaderQuery(process_started) => {
+                self.handle_leader_query(from, process_started, effects);
+            }
             Message::NotLeading(process_started) => self.handle_not_leading(from, process_started, now),
             Message::StepDown { by, term } => self.handle_step_down(by, term, now),
-            Message::JoinRequest { holder } => self.handle_join_request(holder, now),
+            Message::JoinRequest { voter } => self.handle_join_request(voter, now),
             Message::PreVote { by, term } => self.handle_pre_vote(from, by, term, now, effects),
             Message::PreVoteGranted { by, term } => self.handle_pre_vote_granted(by, term, now, effects),
-            Message::VoteRequest { by, term, accepted } => {
-                self.handle_vote_request(from, by, term, accepted, now, effects)
+            Message::VoteRequest { by, term, commit_index } => {
+                self.handle_vote_request(from, by, term, commit_index, now, effects);
             }
             Message::Vote { by, term, tail } => self.handle_vote(by, term, tail, now, effects),
-            Message::Append { by, to, term, accepted, sent_at, body } => {
-                let f = AppendRequest { from, by, to, term, accepted, sent_at, body };
-                self.handle_append(f, now, effects)
+            Message::Append { by, to, term, commit_index, sent_at, body } => {
+                let request = AppendRequest { from, by, to, term, commit_index, sent_at, body };
+                self.handle_append(request, now, effects);
             }
-            Message::AppendReply { by, term, installed, last, accepted, sent_at } => {
-                let p = Progress { installed, last, accepted, sent_at, in_flight: None };
-                self.handle_append_reply(by, term, p, now, effects)
+            Message::AppendReply { by, term, installed, last, commit_index, sent_at } => {
+                let progress = Progress { installed, last, commit_index, sent_at, in_flight: None };
+                self.handle_append_reply(by, term, progress, now, effects);
             }
         }
     }
+
+    fn broadcast(&self, message: Message, effects: &mut Vec<Effect>) {
+        for voter in self.other_voters() {
+            effects.push(Effect::Send { to: voter.rpc_addr, msg: message.clone() });
+        }
+    }
 }
--- a/crates/control-plane/src/consensus/replication.rs
+++ b/crates/control-plane/src/consensus/replication.rs
@@ -1,171 +1,206 @@
-//! The ordinary run of a term (design 2.3): the leader appends, followers sync and say what they hold.
+//! The ordinary run of a term (design 2.3): the leader appends, followers sync and reply with what they hold.
 
 use super::*;
+use crate::types::take_batch;
+
+/// What a follower must write before it replies.
+enum LogWrite {
+    /// The whole state.
+    Snapshot,
+    Record(Record),
+}
 
 impl Voter {
-    /// A heartbeat to all: what is due to each, else a word that the leader is there.
+    /// To all followers: what each lacks, else a heartbeat.
     pub(super) fn broadcast_append(&mut self, now: Tick, effects: &mut Vec<Effect>) {
-        for h in self.replication_targets() {
-            let body = self.next_body(&h, now).unwrap_or(Body::Ping);
-            self.send_append(&h, body, now, effects);
+        for follower in self.replication_targets() {
+            let body = self.next_body(&follower, now).unwrap_or(Body::Heartbeat);
+            self.send_append(&follower, body, now, effects);
         }
     }
 
-    /// What is due to each, where something is.
+    /// To these followers: what each lacks, if it lacks something.
     fn send_pending_entries(&mut self, to: &[VoterInfo], now: Tick, effects: &mut Vec<Effect>) {
-        for h in to {
-            if let Some(body) = self.next_body(h, now) {
-                self.send_append(h, body, now, effects);
+        for follower in to {
+            if let Some(body) = self.next_body(follower, now) {
+                self.send_append(follower, body, now, effects);
             }
         }
     }
 
-    /// A joining voter is fed only once its readmission is accepted (design 2.5).
+    /// A joining voter is sent nothing before its admission is committed (design 2.5).
     fn replication_targets(&self) -> Vec<VoterInfo> {
-        let mut all = self.other_voters();
-        all.retain(|h| self.cluster_state.voters.contains(h));
-        all
+        let mut targets = self.other_voters();
+        targets.retain(|voter| self.cluster_state.voters.contains(voter));
+        targets
     }
 
-    /// What a follower lacks, once. It is fed again only when the answer is overdue: a long entry on
-    /// a long link would be sent many times over, and hold up the heartbeats (design 2.3).
-    fn next_body(&self, h: &VoterInfo, now: Tick) -> Option<Body> {
+    /// What a follower lacks, once. It is sent again only when the reply is overdue: a long entry on a slow
+    /// link would otherwise be sent many times over, and delay the heartbeats (design 2.3).
+    fn next_body(&self, follower: &VoterInfo, now: Tick) -> Option<Body> {
         let VoterRole::Leader { peers, .. } = &self.role else { return None };
-        let p = peers.get(&h.number)?;
-        if p.in_flight.as_ref().is_some_and(|c| !c.overdue(&self.t, now)) {
+        let progress = peers.get(&follower.number)?;
+        if progress.in_flight.as_ref().is_some_and(|append| !append.overdue(&self.timing, now)) {
             return None;
         }
-        // A follower that lags further than the log reaches takes a snapshot in its term.
-        if !p.installed || p.last < self.base {
-            let t = self.log_tail_after(p.accepted);
-            return Some(Body::Install { cut: p.accepted, snapshot: t.snapshot, entries: t.entries });
+        // A follower that lags further back than the log reaches takes a snapshot.
+        if !progress.installed || progress.last < self.snapshot_index {
+            let truncate_to = progress.commit_index;
+            let LogTail { snapshot, entries, .. } = self.log_tail_after(truncate_to);
+            return Some(Body::Install { truncate_to, snapshot, entries });
         }
-        let entries = batch(self.log.iter().filter(|e| e.index > p.last), self.room.batch());
-        (!entries.is_empty()).then_some(Body::Append { prev: p.last, entries })
+        let missing = self.log.iter().filter(|entry| entry.index > progress.last);
+        let entries = take_batch(missing, self.size_limits.batch());
+        (!entries.is_empty()).then_some(Body::Append { prev: progress.last, entries })
     }
 
-    fn send_append(&mut self, h: &VoterInfo, body: Body, now: Tick, effects: &mut Vec<Effect>) {
+    fn send_append(&mut self, follower: &VoterInfo, body: Body, now: Tick, effects: &mut Vec<Effect>) {
         let last_sent = match &body {
-            Body::Ping => None,
-            Body::Install { .. } => Some(self.last()),
-            Body::Append { entries, .. } => entries.last().map(|e| e.index),
+            Body::Heartbeat => None,
+            Body::Install { .. } => Some(self.last_index()),
+            Body::Append { entries, .. } => entries.last().map(|entry| entry.index),
         };
         let weight = body.weight();
         let msg = Message::Append {
             by: self.id(),
-            to: h.number,
+            to: follower.number,
             term: self.current_term,
-            accepted: self.accepted(),
+            commit_index: self.commit_index(),
             sent_at: now,
             body,
         };
-        effects.push(Effect::Send { to: h.rpc_addr, msg });
+        effects.push(Effect::Send { to: follower.rpc_addr, msg });
         if let (VoterRole::Leader { peers, .. }, Some(last_sent)) = (&mut self.role, last_sent)
-            && let Some(p) = peers.get_mut(&h.number)
+            && let Some(progress) = peers.get_mut(&follower.number)
         {
-            p.in_flight = Some(InFlight::new(now, last_sent, weight));
+            progress.in_flight = Some(InFlight::new(now, last_sent, weight));
         }
     }
 
+    /// Logs a change, if this voter leads for certain and the change fits.
     pub(super) fn handle_propose(&mut self, change: Change, now: Tick, effects: &mut Vec<Effect>) {
-        let swapping = self.voters() != self.cluster_state.voters;
-        let has_leadership = self.has_leadership(now) && self.log_term == self.current_term;
-        let why = [(!has_leadership, "not the leader"), (swapping, "a seat is being swapped")]
-            .into_iter()
-            .find_map(|(no, why)| no.then_some(why))
-            .or_else(|| self.exceeds_limits(&change));
-        if let Some(why) = why {
-            effects.push(Effect::NotLogged { change, why });
-            return;
+        if let Some(why) = self.refuses_proposal(&change, now) {
+            return effects.push(Effect::NotLogged { change, why });
         }
-        let e = LogEntry { index: self.last().next(), change };
-        self.log.push_back(e.clone());
-        effects.push(Effect::Logged { index: e.index, change: e.change.clone() });
-        let accepted = self.accepted();
-        self.persist(Record::Append { accepted, entries: vec![e] }, now, Vec::new(), effects);
+        let entry = LogEntry { index: self.last_index().next(), change };
+        self.log.push_back(entry.clone());
+        effects.push(Effect::Logged { index: entry.index, change: entry.change.clone() });
+        let record = Record::Append { commit_index: self.commit_index(), entries: vec![entry] };
+        self.persist(record, now, Vec::new(), effects);
         self.send_pending_entries(&self.replication_targets(), now, effects);
     }
 
-    pub(super) fn handle_append(&mut self, f: AppendRequest, now: Tick, effects: &mut Vec<Effect>) {
+    fn refuses_proposal(&self, change: &Change, now: Tick) -> Option<NotLogged> {
+        if !self.has_leadership(now) || self.log_term != self.current_term {
+            return Some(NotLogged::NotLeader);
+        }
+        if self.voters() != self.cluster_state.voters {
+            return Some(NotLogged::ReplacingVoter);
+        }
+        self.exceeds_limits(change)
+    }
+
+    pub(super) fn handle_append(&mut self, request: AppendRequest, now: Tick, effects: &mut Vec<Effect>) {
         if !self.initialized {
-            return self.first_snapshot(f, now, effects);
-        }
-        let AppendRequest { from, by, term, accepted, sent_at, body, .. } = f;
-        if !self.is_voter(&by) || term < self.current_term || self.out {
-            // Also tells a leader of an older term that it is one no more.
-            if self.is_voter(&by) && !self.out {
-                self.answer(from, sent_at, effects);
-            } else if self.initialized {
-                self.send_membership(from, effects);
-            }
-            return;
+            return self.install_first_snapshot(request, now, effects);
         }
-        let newer = term > self.current_term;
+        let AppendRequest { from, by, term, commit_index, sent_at, body, .. } = request;
+        let known = self.is_voter(&by) && !self.removed;
+        if !known {
+            return self.send_membership(from, effects);
+        }
+        if term < self.current_term {
+            // The reply tells the leader of an older term that it leads no more.
+            return self.reply_when_durable(from, sent_at, effects);
+        }
+        let newer_term = term > self.current_term;
         self.current_term = term;
         self.role = VoterRole::Follower { leader: Some(by), last_contact: now };
-        let (mut record, mut slot) = (None, false);
-        let ahead = |l: &ClusterState| l.index > self.last();
+        let mut write = self.append_body(term, body, effects);
+        if self.log_term == term {
+            self.commit_to(commit_index.min(self.last_index()), effects);
+        }
+        if let Some(LogWrite::Record(Record::Append { commit_index, .. })) = &mut write {
+            *commit_index = self.commit_index();
+        }
+        // The reply names what is synced once every record up to here is.
+        let reply = Effect::Send { to: from, msg: self.append_reply(sent_at) };
+        match write {
+            Some(LogWrite::Snapshot) => self.write_snapshot(now, vec![reply], effects),
+            Some(LogWrite::Record(record)) => self.persist(record, now, vec![reply], effects),
+            None if newer_term => self.persist(Record::Promise(term), now, vec![reply], effects),
+            None => self.reply_when_durable(from, sent_at, effects),
+        }
+    }
+
+    /// Takes into the log what an append carries, as far as it fits; what must be written for it.
+    fn append_body(&mut self, term: Term, body: Body, effects: &mut Vec<Effect>) -> Option<LogWrite> {
         match body {
-            Body::Install { cut, snapshot, entries }
-                if self.log_term < term || snapshot.as_ref().is_some_and(ahead) =>
-            {
-                let fits =
-                    snapshot.as_ref().is_some_and(|f| f.index >= self.accepted()) || cut == self.accepted();
-                if fits {
-                    slot = snapshot.is_some();
-                    self.take(cut, snapshot, entries, effects);
-                    self.log_term = term;
-                    let entries = self.log.iter().filter(|e| e.index > cut).cloned().collect();
-                    record = (!slot).then_some(Record::Install { term, cut, entries });
-                }
-            }
-            Body::Append { prev, entries } if self.log_term == term && prev <= self.last() => {
-                let from = self.last();
-                let new: Vec<_> = entries.into_iter().filter(|e| e.index > from).collect();
-                if new.first().is_some_and(|e| e.index == from.next()) {
-                    self.log.extend(new.iter().cloned());
-                    record = Some(Record::Append { accepted: self.accepted(), entries: new });
-                }
+            Body::Heartbeat => None,
+            Body::Install { truncate_to, snapshot, entries } => {
+                self.append_install(term, truncate_to, snapshot, entries, effects)
             }
-            _ => {}
+            Body::Append { prev, entries } => self.append_entries(term, prev, entries),
         }
-        if self.log_term == term {
-            self.commit_to(accepted.min(self.last()), effects);
+    }
+
+    fn append_install(
+        &mut self,
+        term: Term,
+        truncate_to: Index,
+        snapshot: Option<ClusterState>,
+        entries: Vec<LogEntry>,
+        effects: &mut Vec<Effect>,
+    ) -> Option<LogWrite> {
+        let ahead = snapshot.as_ref().is_some_and(|state| state.index > self.last_index());
+        if self.log_term >= term && !ahead {
+            return None;
+        }
+        let newer_snapshot = snapshot.as_ref().is_some_and(|state| state.index >= self.commit_index());
+        if !newer_snapshot && truncate_to != self.commit_index() {
+            return None;
         }
-        if let Some(Record::Append { accepted, .. }) = &mut record {
-            *accepted = self.accepted();
+        let from_snapshot = snapshot.is_some();
+        self.install_log(truncate_to, snapshot, entries, effects);
+        self.log_term = term;
+        if from_snapshot {
+            return Some(LogWrite::Snapshot);
         }
-        // The answer names what is synced once every record up to here is.
-        let reply = Effect::Send { to: from, msg: self.held(sent_at) };
-        if slot {
-            self.slot(now, vec![reply], effects);
-        } else if let Some(record) = record {
-            self.persist(record, now, vec![reply], effects);
-        } else if newer {
-            self.persist(Record::Promise(term), now, vec![reply], effects);
-        } else {
-            self.answer(from, sent_at, effects);
+        let entries = self.entries_after(truncate_to);
+        Some(LogWrite::Record(Record::Install { term, truncate_to, entries }))
+    }
+
+    fn append_entries(&mut self, term: Term, prev: Index, entries: Vec<LogEntry>) -> Option<LogWrite> {
+        let last = self.last_index();
+        if self.log_term != term || prev > last {
+            return None;
+        }
+        let new: Vec<_> = entries.into_iter().filter(|entry| entry.index > last).collect();
+        if new.first().is_none_or(|entry| entry.index != last.next()) {
+            return None;
         }
+        self.log.extend(new.iter().cloned());
+        let commit_index = self.commit_index();
+        Some(LogWrite::Record(Record::Append { commit_index, entries: new }))
     }
 
-    /// Says what this voter holds once all of it is synced. Only the newest answer to each asker matters;
-    /// an overdue disk holds it back.
-    fn answer(&mut self, to: SocketAddr, sent_at: Tick, effects: &mut Vec<Effect>) {
-        let reply = Effect::Send { to, msg: self.held(sent_at) };
-        let Some(unsynced) = self.unsynced.back_mut() else { return effects.push(reply) };
-        let older =
-            |f: &Effect| matches!(f, Effect::Send { to: t, msg: Message::AppendReply { .. } } if *t == to);
-        unsynced.3.retain(|f| !older(f));
-        unsynced.3.push(reply);
+    /// Replies once everything that the reply names is synced. Only the newest reply to each leader matters;
+    /// an overdue disk delays it.
+    fn reply_when_durable(&mut self, to: SocketAddr, sent_at: Tick, effects: &mut Vec<Effect>) {
+        let reply = Effect::Send { to, msg: self.append_reply(sent_at) };
+        let Some(write) = self.writes.newest_mut() else { return effects.push(reply) };
+        let older = |effect: &Effect| matches!(effect, Effect::Send { to: other, msg: Message::AppendReply { .. } } if *other == to);
+        write.then.retain(|effect| !older(effect));
+        write.then.push(reply);
     }
 
-    pub(super) fn held(&self, sent_at: Tick) -> Message {
+    pub(super) fn append_reply(&self, sent_at: Tick) -> Message {
         Message::AppendReply {
             by: self.id(),
             term: self.current_term,
             installed: self.log_term == self.current_term,
-            last: self.last(),
-            accepted: self.accepted(),
+            last: self.last_index(),
+            commit_index: self.commit_index(),
             sent_at,
         }
     }
@@ -174,67 +209,60 @@
         &mut self,
         by: VoterId,
         term: Term,
-        p: Progress,
+        reply: Progress,
         now: Tick,
         effects: &mut Vec<Effect>,
     ) {
-        let (known, mine) = (self.is_voter(&by), self.current_term);
+        let (known, current_term) = (self.is_voter(&by), self.current_term);
         let VoterRole::Leader { peers, .. } = &mut self.role else { return };
-        if !known || term < mine {
+        if !known || term < current_term {
             return;
         }
-        if term > mine {
+        if term > current_term {
             self.role = VoterRole::Follower { leader: None, last_contact: now };
             return;
         }
-        let was = peers.get(&by.number).cloned().unwrap_or_default();
-        let stale = was.installed && (!p.installed || p.last < was.last);
-        let mut new = if stale { was.clone() } else { p.clone() };
-        new.sent_at = was.sent_at.max(p.sent_at);
-        new.in_flight = was.in_flight.filter(|c| !c.held_by(&new));
-        peers.insert(by.number, new);
+        let before = peers.remove(&by.number).unwrap_or_default();
+        peers.insert(by.number, before.advanced_by(reply));
         self.advance_commit_index(now, effects);
         self.admit_joining_voter(now, effects);
-        // What is due goes on at once; the rest follows with the heartbeat.
-        let to: Vec<VoterInfo> =
-            self.replication_targets().into_iter().filter(|h| h.number == by.number).collect();
-        self.send_pending_entries(&to, now, effects);
+        // What it still lacks is sent at once; a heartbeat comes with the next tick.
+        let follower: Vec<VoterInfo> =
+            self.replication_targets().into_iter().filter(|voter| voter.number == by.number).collect();
+        self.send_pending_entries(&follower, now, effects);
     }
 
-    /// Accepts what a majority of the voters in force has synced in this term (design 2.3).
+    /// Commits what a majority of the voter set in force has synced in this term (design 2.3).
     pub(super) fn advance_commit_index(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         let VoterRole::Leader { peers, .. } = &self.role else { return };
-        let settled = self.cluster_state.voters.clone();
-        let mut held: Vec<Index> = self
-            .other_voters()
-            .iter()
-            .filter(|h| settled.contains(h))
-            .filter_map(|h| peers.get(&h.number).filter(|p| p.installed).map(|p| p.last))
-            .collect();
-        held.push(self.durable_index);
-        held.sort();
-        let Some(to) = held.iter().rev().nth(self.quorum() - 1).copied() else { return };
-        let before = self.accepted();
-        self.commit_to(to.min(self.last()), effects);
-        if self.accepted() > before {
+        let in_force = &self.cluster_state.voters;
+        let synced_at = |voter: &VoterInfo| {
+            let progress = peers.get(&voter.number).filter(|progress| progress.installed)?;
+            Some(progress.last)
+        };
+        let others = self.other_voters();
+        let counted = others.iter().filter(|voter| in_force.contains(voter));
+        let mut synced: Vec<Index> = counted.filter_map(synced_at).collect();
+        synced.push(self.durable_index);
+        synced.sort();
+        let Some(majority) = synced.iter().rev().nth(self.quorum() - 1).copied() else { return };
+        let before = self.commit_index();
+        self.commit_to(majority.min(self.last_index()), effects);
+        if self.commit_index() > before {
             self.broadcast_append(now, effects);
         }
     }
+}
 
-    pub(super) fn commit_to(&mut self, to: Index, effects: &mut Vec<Effect>) {
-        let from = self.accepted();
-        let due: Vec<LogEntry> =
-            self.log.iter().filter(|e| e.index > from && e.index <= to).cloned().collect();
-        for entry in due {
-            let outcome = self.cluster_state.fold(entry.index, &entry.change);
-            if let (VoterRole::Leader { peers, .. }, Change::ReplaceVoter(h)) =
-                (&mut self.role, &entry.change)
-            {
-                // Nothing is known of the joining voter but that it is blank: its snapshot goes at once.
-                peers.insert(h.number, Progress::default());
-            }
-            effects.push(Effect::Committed { entry, outcome });
-        }
-        self.trim();
+impl Progress {
+    /// What is known after a reply; one that was overtaken on its way changes nothing but the contact.
+    fn advanced_by(self, reply: Progress) -> Progress {
+        let overtaken = self.installed && (!reply.installed || reply.last < self.last);
+        let sent_at = self.sent_at.max(reply.sent_at);
+        let in_flight = self.in_flight;
+        let mut progress = if overtaken { self } else { reply };
+        progress.sent_at = sent_at;
+        progress.in_flight = in_flight.filter(|append| !append.acknowledged_by(&progress));
+        progress
     }
 }
--- a/crates/control-plane/src/consensus/role.rs
+++ b/crates/control-plane/src/consensus/role.rs
@@ -1,77 +1,98 @@
-//! A voter's part in its term (design 2.3).
+//! A voter's part in its term (design 2.3), and what a leader knows of each follower.
 
 use super::{Body, LogTail, VoterId};
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
 use std::{collections::BTreeMap, net::SocketAddr};
 
+/// What a follower holds, as its newest reply says.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
+    /// Its log is the one of the current term.
     pub installed: bool,
+    /// Index of the last entry of its log, synced.
     pub last: Index,
-    pub accepted: Index,
-    /// Send time, on our clock, of the newest feed that it answered.
+    /// What it knows to be committed.
+    pub commit_index: Index,
+    /// Send time, on this leader's clock, of the newest append that it answered.
     pub sent_at: Tick,
-    /// What it was fed and has not said that it holds.
+    /// The append with entries that it has not acknowledged.
     pub in_flight: Option<InFlight>,
 }
 
-/// A feed with entries or a snapshot, on its way.
+/// An append with entries or a snapshot, on its way.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlight {
-    at: Tick,
-    last_sent: Index,
+    sent_at: Tick,
+    last_index: Index,
     weight: usize,
 }
 
-/// Milliseconds over which a long feed may be on its way, as a part of its bytes.
-const BYTES_A_MS: u64 = 1_024;
+/// Slowest rate at which a long append is taken to travel, in bytes a millisecond.
+const BYTES_PER_MS: u64 = 1_024;
 
 impl InFlight {
-    pub(super) fn new(at: Tick, last_sent: Index, weight: usize) -> Self {
-        Self { at, last_sent, weight }
+    pub(super) fn new(sent_at: Tick, last_index: Index, weight: usize) -> Self {
+        Self { sent_at, last_index, weight }
     }
 
-    /// Its answer should have been here.
-    pub(super) fn overdue(&self, t: &Timing, now: Tick) -> bool {
-        now.since(self.at) > 2 * t.heartbeat_ms() + self.weight as u64 / BYTES_A_MS
+    /// Its reply should have arrived: two heartbeats, and the time that its bytes take.
+    pub(super) fn overdue(&self, timing: &Timing, now: Tick) -> bool {
+        let travel_ms = self.weight as u64 / BYTES_PER_MS;
+        now.since(self.sent_at) > 2 * timing.heartbeat_ms() + travel_ms
     }
 
-    pub(super) fn held_by(&self, p: &Progress) -> bool {
-        p.installed && p.last >= self.last_sent
+    pub(super) fn acknowledged_by(&self, progress: &Progress) -> bool {
+        progress.installed && progress.last >= self.last_index
     }
 }
 
-/// A leader's feed as it arrived.
+/// An append as it arrived.
 pub(crate) struct AppendRequest {
     pub from: SocketAddr,
     pub by: VoterId,
     pub to: u8,
     pub term: Term,
-    pub accepted: Index,
+    pub commit_index: Index,
     pub sent_at: Tick,
     pub body: Body,
 }
 
+/// A voter's part in its term.
 #[derive(Clone, Debug)]
 pub enum VoterRole {
+    /// Takes appends from a leader, or waits for one.
     Follower {
+        /// The leader of the current term, once it was heard.
         leader: Option<VoterId>,
+        /// When the leader was last heard.
         last_contact: Tick,
     },
+    /// Asks whether a vote would be granted.
     PreCandidate {
+        /// The term that it would ask for.
         term: Term,
+        /// Numbers of the voters that would grant it.
         granted: Vec<u8>,
+        /// When it began.
         since: Tick,
     },
+    /// Asks for votes.
     Candidate {
+        /// The term that it asks for.
         term: Term,
-        got: BTreeMap<Incarnation, LogTail>,
+        /// Votes, each with the end of the voter's log.
+        votes: BTreeMap<Incarnation, LogTail>,
+        /// When it began.
         since: Tick,
     },
-    /// Speaks for the whole order only once all up to `term_start` is accepted in its own term.
+    /// Appends to the followers' logs.
     Leader {
+        /// What each follower holds, by number.
         peers: BTreeMap<u8, Progress>,
+        /// When it was elected.
         since: Tick,
+        /// End of its log when it was elected: reads are served only once all up to there is committed in its
+        /// own term.
         term_start: Index,
     },
 }
--- /dev/null
+++ b/crates/control-plane/src/control_node/leader_client.rs
@@ -0,0 +1,223 @@
+//! Requests to the leader, wherever it is (design 2.3, 4.6).
+
+use super::{ControlNode, LeaderSighting, OUT_OF_CONTACT, connectivity::Connectivity};
+use crate::{
+    consensus::Contact,
+    rpc::{ControlRequest, ControlResponse, ProposalOutcome},
+    state_machine::ClusterState,
+    types::{Change, MAX_VOTERS, VoterInfo},
+};
+use common::fault::Fault;
+use futures::{StreamExt, future::BoxFuture, stream::FuturesUnordered};
+use std::{collections::VecDeque, fmt, net::SocketAddr, sync::Arc, time::Duration};
+use tokio::time::{Instant, sleep, sleep_until};
+
+/// Voters asked by one search, at most.
+const MAX_ASKED: usize = MAX_VOTERS;
+/// Part of a call's time after which a read is asked for at the other voters as well (a hedged request).
+const HEDGE_AFTER_PART: u32 = 4;
+/// Part of a call's time after which a query ends, once a majority has answered that it does not lead.
+const ENOUGH_AFTER_PART: u32 = 2;
+
+/// Why the newest state could not be read.
+#[derive(Debug)]
+pub enum ReadError {
+    /// This node is out of contact with a majority.
+    OutOfContact,
+    /// A majority answered, and none of them leads for certain.
+    NoLeader,
+    /// No majority answered; the last failure.
+    Unreachable(Fault),
+}
+
+impl fmt::Display for ReadError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ReadError::OutOfContact => f.write_str(OUT_OF_CONTACT),
+            ReadError::NoLeader => f.write_str("no leader under a confirmed term; ask again"),
+            ReadError::Unreachable(fault) => fault.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for ReadError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ReadError::Unreachable(fault) => Some(fault),
+            ReadError::OutOfContact | ReadError::NoLeader => None,
+        }
+    }
+}
+
+/// Where the leader may be: what was learned of it first, then each voter that is known.
+struct LeaderSearch {
+    own: SocketAddr,
+    candidates: VecDeque<SocketAddr>,
+    asked: Vec<SocketAddr>,
+}
+
+impl LeaderSearch {
+    fn add_hint(&mut self, leader: Option<VoterInfo>) {
+        if let Some(leader) = leader {
+            self.candidates.push_front(leader.rpc_addr);
+        }
+    }
+
+    /// The next voter to ask; none is asked twice.
+    fn next(&mut self) -> Option<SocketAddr> {
+        while let Some(to) = self.candidates.pop_front() {
+            if to != self.own && !self.asked.contains(&to) && self.asked.len() < MAX_ASKED {
+                self.asked.push(to);
+                return Some(to);
+            }
+        }
+        None
+    }
+}
+
+/// What came of asking the voters once for the newest state.
+enum QueryResult {
+    Found(Box<ClusterState>),
+    /// A majority answered, and none of them leads.
+    NoLeader,
+    /// No majority answered.
+    Failed(ReadError),
+}
+
+type Answer = (SocketAddr, Result<ControlResponse, Fault>);
+type PendingAnswers<'a> = FuturesUnordered<BoxFuture<'a, Answer>>;
+
+impl ControlNode {
+    /// A search for the leader. Whoever answered as the leader a moment ago is asked first: a blank voter, or one
+    /// that was replaced, knows no leader, but the others may.
+    fn search_leader(&self, hint: Option<VoterInfo>) -> LeaderSearch {
+        let now = self.clock.now();
+        let inner = self.lock();
+        let voters = inner.voter.cluster_state.voters.iter().map(|voter| voter.rpc_addr);
+        let candidates = voters.chain(self.settings.seeds.iter().copied()).collect();
+        let mut search = LeaderSearch { own: self.settings.rpc_addr(), candidates, asked: Vec::new() };
+        search.add_hint(hint);
+        let recent = |seen: &LeaderSighting| now.since(seen.at) < inner.voter.silence_timeout_ms();
+        if let Some(seen) = inner.leader_seen.filter(recent) {
+            search.candidates.push_front(seen.addr);
+        }
+        search
+    }
+
+    /// How many voters are a majority, as far as this node knows.
+    fn majority(&self) -> usize {
+        let voters = self.lock().voter.cluster_state.voters.len();
+        let voters = if voters == 0 { self.settings.seeds.len() } else { voters };
+        voters / 2 + 1
+    }
+
+    /// Proposes at the leader. Only where nothing was sent, or a node said that it logged nothing, is the change
+    /// known not to take effect; so voters are asked one after the other, the next one only once that is known.
+    pub async fn propose(self: &Arc<Self>, change: Change, timeout_ms: u64) -> ProposalOutcome {
+        let (mut search, mut why) = match self.propose_here(change.clone(), timeout_ms).await {
+            ProposalOutcome::NotLogged { leader, why } => (self.search_leader(leader), why),
+            decided => return decided,
+        };
+        if self.connectivity() == Connectivity::CutOff {
+            return ProposalOutcome::NotLogged { leader: None, why: OUT_OF_CONTACT.into() };
+        }
+        while let Some(to) = search.next() {
+            let request = ControlRequest::Propose { change: change.clone() };
+            let (client, travel_ms) = self.client_for(change.weight());
+            match client.call_within(timeout_ms + travel_ms, "propose", to, request).await {
+                Ok(ControlResponse::Proposed(ProposalOutcome::NotLogged { leader, why: refused })) => {
+                    search.add_hint(leader);
+                    why = refused;
+                }
+                Ok(ControlResponse::Proposed(decided)) => return decided,
+                Err(fault) if fault.before_sending() => why = fault.to_string(),
+                _ => return ProposalOutcome::Undetermined,
+            }
+        }
+        ProposalOutcome::NotLogged { leader: None, why }
+    }
+
+    /// The newest committed state, from the leader under a confirmed term. A node that is cut off says so at once;
+    /// while a majority is between two leaders, the next one is waited for.
+    ///
+    /// # Errors
+    /// See [`ReadError`].
+    pub async fn newest_state(&self) -> Result<ClusterState, ReadError> {
+        let until = self.clock.now() + self.settings.timing.election_timeout_ms();
+        loop {
+            if let Ok(state) = self.local_state() {
+                return Ok(state);
+            }
+            if self.connectivity() == Connectivity::CutOff {
+                return Err(ReadError::OutOfContact);
+            }
+            match self.query_voters().await {
+                QueryResult::Found(state) => return Ok(*state),
+                QueryResult::Failed(why) => return Err(why),
+                QueryResult::NoLeader if self.clock.now() >= until => return Err(ReadError::NoLeader),
+                QueryResult::NoLeader => {
+                    sleep(Duration::from_millis(self.settings.timing.heartbeat_ms() / 2)).await;
+                }
+            }
+        }
+    }
+
+    /// Asks whoever was said to lead, and, where that one is silent for a while or none was, all others at once:
+    /// reading changes nothing, so it may be asked for many times.
+    async fn query_voters(&self) -> QueryResult {
+        let mut search = self.search_leader(self.local_state().err().flatten());
+        let timeout = Duration::from_millis(self.settings.timing.rpc_timeout_ms);
+        let began = Instant::now();
+        let mut hedge = std::pin::pin!(sleep_until(began + timeout / HEDGE_AFTER_PART));
+        let mut pending = PendingAnswers::new();
+        let first = if self.connectivity() == Connectivity::InContact { 1 } else { MAX_ASKED };
+        self.ask_next(&mut search, first, &mut pending);
+        let mut enough = std::pin::pin!(sleep_until(began + timeout / ENOUGH_AFTER_PART));
+        // This node's own answer counts where it is one of the voters.
+        let outside = self.lock().voter.contact(self.clock.now()) == Contact::Outside;
+        let mut answered = usize::from(!outside);
+        let (majority, mut hedged) = (self.majority(), false);
+        let mut failure = ReadError::OutOfContact;
+        loop {
+            let answer = tokio::select! {
+                biased;
+                answer = pending.next() => answer,
+                () = &mut hedge, if !hedged => {
+                    hedged = true;
+                    self.ask_next(&mut search, MAX_ASKED, &mut pending);
+                    continue;
+                }
+                () = &mut enough, if answered >= majority => break,
+            };
+            match answer {
+                None => break,
+                Some((addr, Ok(ControlResponse::State(state)))) => {
+                    self.note_leader(addr);
+                    return QueryResult::Found(state);
+                }
+                Some((_, Ok(ControlResponse::NotLeader { leader }))) => {
+                    answered += 1;
+                    search.add_hint(leader);
+                }
+                Some((_, Ok(_))) => {}
+                Some((_, Err(fault))) => failure = ReadError::Unreachable(fault),
+            }
+            // The one that was said to lead does not: all others may be asked.
+            self.ask_next(&mut search, MAX_ASKED, &mut pending);
+        }
+        if answered >= majority { QueryResult::NoLeader } else { QueryResult::Failed(failure) }
+    }
+
+    fn note_leader(&self, addr: SocketAddr) {
+        let at = self.clock.now();
+        self.lock().leader_seen = Some(LeaderSighting { addr, at });
+    }
+
+    fn ask_next<'a>(&'a self, search: &mut LeaderSearch, max: usize, pending: &mut PendingAnswers<'a>) {
+        for to in std::iter::from_fn(|| search.next()).take(max) {
+            pending.push(Box::pin(async move {
+                (to, self.bulk_client.call("state", to, ControlRequest::State).await)
+            }));
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -0,0 +1,264 @@
+//! A control node around its voter (design 2.7): carries out the voter's effects, counts leases while it leads,
+//! and answers other processes.
+
+mod connectivity;
+mod leader_client;
+mod log_writer;
+mod proposals;
+mod rpc_service;
+
+pub use leader_client::ReadError;
+pub use log_writer::{LogWriter, LogWriterFactory, open_data_folder};
+pub use rpc_service::listen;
+
+use crate::{
+    consensus::{DurableState, Effect, Event, Voter},
+    membership::Leases,
+    rpc::{ControlClient, ControlRequest, ProposalOutcome, SERVICE},
+    state_machine::ClusterState,
+    types::{ApplyOutcome, Change, LogEntry, VoterInfo},
+};
+use common::{
+    Clock, Index, NodeId, Revision, Tick, lock, log_event,
+    runtime::{draw, spawn},
+    settings::Settings,
+};
+use std::{
+    collections::BTreeMap,
+    net::SocketAddr,
+    sync::{Arc, Mutex, MutexGuard},
+    time::Duration,
+};
+use tokio::sync::{oneshot, watch};
+
+/// Messages of more bytes than this go over a connection of their own, and have more time.
+const BULK_BYTES: usize = 64 << 10;
+/// Slowest rate at which such a message is taken to travel, in bytes a millisecond.
+const BULK_BYTES_PER_MS: u64 = 512;
+/// Shortest interval between two timer events, in milliseconds.
+const MIN_TICK_MS: u64 = 5;
+
+/// Why a node refuses at once.
+const OUT_OF_CONTACT: &str = "out of contact with a majority of the control nodes; nothing was sent";
+
+/// A proposal that waits for its index to be committed.
+struct PendingProposal {
+    change: Change,
+    outcome: oneshot::Sender<ProposalOutcome>,
+}
+
+/// What a member said with its last renewal.
+struct MemberReport {
+    /// Up to where it holds the cluster state.
+    index: Index,
+    /// The revision in force there.
+    revision: Revision,
+    at: Tick,
+}
+
+/// Who last answered as the leader, and when.
+#[derive(Clone, Copy)]
+struct LeaderSighting {
+    addr: SocketAddr,
+    at: Tick,
+}
+
+struct Inner {
+    voter: Voter,
+    leases: Leases,
+    pending: BTreeMap<Index, PendingProposal>,
+    reports: BTreeMap<NodeId, MemberReport>,
+    /// When this voter was last in contact with its leader, or with a majority as the leader.
+    last_contact: Tick,
+    leader_seen: Option<LeaderSighting>,
+}
+
+/// A running control node.
+pub struct ControlNode {
+    /// Its settings.
+    pub settings: Settings,
+    /// Its clock.
+    pub clock: Clock,
+    client: ControlClient,
+    /// For long messages: heartbeats must not wait behind them on their connection (design 2.3).
+    bulk_client: ControlClient,
+    inner: Mutex<Inner>,
+    log_writer: Box<dyn LogWriter>,
+    /// The commit index; changes when it does.
+    committed: watch::Sender<Index>,
+}
+
+/// What a control node starts from.
+pub enum Start {
+    /// What its disk holds.
+    Ready(Box<DurableState>),
+    /// Its disk can't be read or written yet: it takes part in nothing until its log writer recovers.
+    AwaitingDisk(Box<VoterInfo>),
+}
+
+impl From<DurableState> for Start {
+    fn from(state: DurableState) -> Self {
+        Start::Ready(Box::new(state))
+    }
+}
+
+impl Start {
+    fn into_state(self) -> DurableState {
+        match self {
+            Start::Ready(state) => *state,
+            Start::AwaitingDisk(voter) => DurableState::blank(&voter),
+        }
+    }
+}
+
+/// What operators are shown of a control node.
+pub struct Status {
+    /// Its copy of the cluster state.
+    pub cluster_state: ClusterState,
+    /// Its identity as a voter.
+    pub me: VoterInfo,
+    /// The leader, as far as it is known.
+    pub leader: Option<VoterInfo>,
+    /// It holds the state of a cluster.
+    pub initialized: bool,
+    /// It takes part in elections and commits.
+    pub voting: bool,
+    /// Its current term.
+    pub term: u64,
+    /// What members said lately: up to where they hold the state, and the revision in force there.
+    pub reports: BTreeMap<NodeId, (Index, Revision)>,
+}
+
+impl ControlNode {
+    /// Starts a control node. A bootstrap waits for `expected_voters`, where they are more than the seeds;
+    /// `log_writer` makes what writes its records.
+    pub fn start(
+        settings: Settings,
+        expected_voters: usize,
+        start: impl Into<Start>,
+        log_writer: LogWriterFactory,
+    ) -> Arc<ControlNode> {
+        let clock = Clock::default();
+        let voter = new_voter(&settings, expected_voters, start.into(), clock.now());
+        let (committed, _) = watch::channel(voter.commit_index());
+        let inner = Inner {
+            voter,
+            leases: Leases::default(),
+            pending: BTreeMap::new(),
+            reports: BTreeMap::new(),
+            last_contact: clock.now(),
+            leader_seen: None,
+        };
+        let client = || ControlClient::new(settings.me(), SERVICE);
+        let (client, bulk_client) = (client(), client());
+        let node = Arc::new_cyclic(|me| ControlNode {
+            settings,
+            clock,
+            client,
+            bulk_client,
+            inner: Mutex::new(inner),
+            log_writer: log_writer(me.clone()),
+            committed,
+        });
+        spawn(node.clone().run_timer());
+        node
+    }
+
+    async fn run_timer(self: Arc<Self>) {
+        let tick_ms = (self.settings.timing.heartbeat_ms() / 2).max(MIN_TICK_MS);
+        let mut ticks = tokio::time::interval(Duration::from_millis(tick_ms));
+        loop {
+            ticks.tick().await;
+            self.step(Event::Timer);
+            self.connectivity();
+            self.expire_leases();
+        }
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        lock(&self.inner)
+    }
+
+    /// Hands an event to the voter and carries out what comes of it.
+    pub fn step(self: &Arc<Self>, event: Event) {
+        let mut inner = self.lock();
+        let effects = inner.voter.step(event, self.clock.now());
+        self.carry_out(&mut inner, effects);
+    }
+
+    /// The client for a message of that weight, and how long the call may take in milliseconds.
+    fn client_for(&self, weight: usize) -> (&ControlClient, u64) {
+        let timeout_ms = self.settings.timing.rpc_timeout_ms;
+        if weight <= BULK_BYTES {
+            return (&self.client, timeout_ms);
+        }
+        (&self.bulk_client, 4 * timeout_ms + weight as u64 / BULK_BYTES_PER_MS)
+    }
+
+    /// Hands the leadership over before a planned stop, and waits for another node to take it.
+    pub async fn hand_over_leadership(self: &Arc<Self>) {
+        self.step(Event::StepDown);
+        let heartbeat_ms = self.settings.timing.heartbeat_ms();
+        tokio::time::sleep(Duration::from_millis(heartbeat_ms * 3)).await;
+    }
+
+    fn carry_out(self: &Arc<Self>, inner: &mut Inner, effects: Vec<Effect>) {
+        for effect in effects {
+            match effect {
+                Effect::Send { to, msg } => self.send(to, msg),
+                Effect::Persist { token, record } => self.log_writer.write(token, record),
+                Effect::Committed { entry, outcome } => self.report_committed(inner, entry, outcome),
+                Effect::SnapshotInstalled | Effect::Interrupted => self.abandon_pending(inner),
+                Effect::BecameLeader { term } => {
+                    inner.leases = Leases::new_leader(self.clock.now());
+                    log_event!(Info, "became leader", "term" => term.0);
+                }
+                Effect::Removed => {
+                    log_event!(Error, "removed", "cause" => "another holder was committed in this voter's place");
+                }
+                Effect::Refused { from, why } => {
+                    log_event!(Warn, "consensus message", "peer" => from, "cause" => why.to_string());
+                }
+                Effect::Logged { .. } | Effect::NotLogged { .. } => {}
+            }
+        }
+    }
+
+    fn send(self: &Arc<Self>, to: SocketAddr, msg: crate::consensus::Message) {
+        let (node, from, weight) = (self.clone(), self.settings.rpc_addr(), msg.weight());
+        spawn(async move {
+            let (client, timeout_ms) = node.client_for(weight);
+            let request = ControlRequest::Consensus { from, msg: Box::new(msg) };
+            let _ = client.call_within(timeout_ms, "consensus", to, request).await;
+        });
+    }
+
+    fn report_committed(&self, inner: &mut Inner, entry: LogEntry, outcome: ApplyOutcome) {
+        if let Some(proposal) = inner.pending.remove(&entry.index) {
+            let same = proposal.change == entry.change;
+            let committed = ProposalOutcome::Committed { index: entry.index, outcome };
+            let _ = proposal.outcome.send(if same { committed } else { ProposalOutcome::Undetermined });
+        }
+        self.committed.send_replace(inner.voter.commit_index());
+    }
+
+    /// Entries that were passed over are not reported one by one.
+    fn abandon_pending(&self, inner: &mut Inner) {
+        for proposal in std::mem::take(&mut inner.pending).into_values() {
+            let _ = proposal.outcome.send(ProposalOutcome::Undetermined);
+        }
+        self.committed.send_replace(inner.voter.commit_index());
+    }
+}
+
+fn new_voter(settings: &Settings, expected_voters: usize, start: Start, now: Tick) -> Voter {
+    let awaiting_disk = matches!(start, Start::AwaitingDisk(_));
+    let state = start.into_state();
+    let (me, seeds, timing) = (state.me.clone(), settings.seeds.clone(), settings.timing.clone());
+    let mut voter = Voter::new(me, &settings.cluster, seeds, timing, Some(state), now);
+    voter.secret = draw();
+    voter.may_bootstrap = settings.may_bootstrap;
+    voter.expected_voters = expected_voters;
+    voter.disk_failed = awaiting_disk;
+    voter
+}
--- a/crates/control-plane/src/daemon.rs
+++ b/crates/control-plane/src/daemon.rs
@@ -1,16 +1,15 @@
-//! A control node from its start to its planned stop (design 1.1): the same in the program and under
-//! virtual time.
+//! A control node from its start to its planned stop (design 1.1): the same in the program and under virtual
+//! time.
 
 use crate::{
-    change::{NodeInfo, Role},
-    core::{Core, LogWriterFactory, Start},
-    member::Member,
-    rpc,
+    control_node::{self, ControlNode, LogWriterFactory, Start},
+    membership::Member,
+    types::{NodeInfo, Role},
 };
 use common::{
     Clock, http, log_event,
-    runtime::{Listener, spawn},
-    settings::Settings,
+    runtime::spawn,
+    settings::{Listeners, Settings},
 };
 use hyper::{Request, Response, body::Incoming};
 use std::{
@@ -20,47 +19,56 @@
 };
 use tokio::sync::watch;
 
-/// `handler` answers on the HTTP address: the product's own interface is `api::handle`. A founder waits
-/// for `voters`, where they are more than the seeds (design 2.5).
+/// RPC time-outs for which a stop waits for open requests.
+const STOP_TIMEOUTS: u64 = 4;
+/// How often a stop looks whether requests are still open.
+const STOP_POLL: Duration = Duration::from_millis(20);
+
+/// Runs a control node until `stop` ends, then stops it in good order.
+///
+/// `handler` answers on the HTTP address: the product's own API is [`crate::operator::api::handle`]. A bootstrap
+/// waits for `expected_voters`, where they are more than the seeds (design 2.5).
 pub async fn run<F, Fut>(
-    set: Settings,
-    voters: usize,
-    (rpc_listener, http_listener): (Listener, Listener),
-    (start, drive): (impl Into<Start>, LogWriterFactory),
+    settings: Settings,
+    expected_voters: usize,
+    listeners: Listeners,
+    (start, log_writer): (impl Into<Start>, LogWriterFactory),
     handler: F,
     stop: impl Future<Output = ()>,
 ) where
-    F: Fn(Arc<Core>, SocketAddr, Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
+    F: Fn(Arc<ControlNode>, SocketAddr, Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
     Fut: Future<Output = Result<Response<http::Body>, http::BoxErr>> + Send + 'static,
 {
-    let core = Core::start(set.clone(), voters, start, drive);
-    let info = NodeInfo::of(&set, Role::Core, core.status().me.incarnation);
-    let member = Member::new(set.clone(), info, Clock::default());
-    // The core follows its own state updates, so that its lease names what governs here.
-    let m = member.clone();
-    let mut moved = member.moved.subscribe();
-    spawn(async move {
-        while moved.changed().await.is_ok() {
-            m.governs.store(m.cluster_state.load().revision.0, Ordering::Release);
-        }
-    });
+    let node = ControlNode::start(settings.clone(), expected_voters, start, log_writer);
+    let info = NodeInfo::of(&settings, Role::Control, node.status().me.incarnation);
+    let member = Member::new(settings.clone(), info, Clock::default());
+    spawn(report_revision(member.clone()));
     member.start();
-    spawn(rpc::listen(rpc_listener, set.me(), core.clone()));
-    let (tell, told) = watch::channel(false);
-    let (open_count, c) = (Arc::new(http::OpenCount::default()), core.clone());
-    let serving =
-        http::serve(http_listener, open_count.clone(), told, move |peer, req| handler(c.clone(), peer, req));
-    log_event!(Info, "started", "rail" => set.rpc_addr, "http" => set.http);
-    let serving = spawn(serving);
+    spawn(control_node::listen(listeners.rpc, settings.me(), node.clone()));
+    let (stop_serving, stopped) = watch::channel(false);
+    let open = Arc::new(http::OpenCount::default());
+    let handler_node = node.clone();
+    let handle = move |peer, request| handler(handler_node.clone(), peer, request);
+    let serving = spawn(http::serve(listeners.http, open.clone(), stopped, handle));
+    log_event!(Info, "started", "rpc" => settings.rpc_addr, "http" => settings.http);
     stop.await;
     log_event!(Info, "stopping");
     member.leave().await;
-    core.hand_over_leadership().await;
-    // What waits to be accepted is taken, and answered, before the end.
-    let _ = tell.send(true);
+    node.hand_over_leadership().await;
+    // Connections that wait to be accepted are accepted, and answered, before the end.
+    let _ = stop_serving.send(true);
     let _ = serving.await;
-    let end = core.clock.now() + set.timing.rpc_timeout_ms * 4;
-    while open_count.open() > 0 && core.clock.now() < end {
-        tokio::time::sleep(Duration::from_millis(20)).await;
+    let end = node.clock.now() + settings.timing.rpc_timeout_ms * STOP_TIMEOUTS;
+    while open.open() > 0 && node.clock.now() < end {
+        tokio::time::sleep(STOP_POLL).await;
+    }
+}
+
+/// A control node follows its own state, so that its lease reports the revision that is in force here.
+async fn report_revision(member: Arc<Member>) {
+    let mut applied = member.applied.subscribe();
+    while applied.changed().await.is_ok() {
+        let revision = member.cluster_state.load().revision;
+        member.revision_in_force.store(revision.0, Ordering::Release);
     }
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,26 +1,29 @@
-//! The control plane (design 2 and 3): protocols as state machines without input or output,
-//! and the daemon that drives them.
+//! The control plane (design 2 and 3): one replicated order of changes, the cluster state that they make, and the
+//! nodes that keep, lease and change it.
+//!
+//! Layers, each depending only on those above it:
+//!
+//! - [`types`]: changes, nodes, documents, log entries, size limits
+//! - [`state_machine`]: the cluster state and pure questions about it
+//! - [`consensus`]: the replicated log, without input or output
+//! - [`storage`]: a voter's disk
+//! - [`rpc`]: requests to a control node
+//! - [`membership`]: leases, and a node's own side of its membership
+//! - [`control_node`]: the running node; [`daemon`] starts and stops it
+//! - [`operator`]: the operators' service and HTTP API
+
+#![warn(missing_docs)]
 
-pub mod api;
-pub mod change;
-pub mod cluster_state;
 pub mod consensus;
-pub mod core;
+pub mod control_node;
 pub mod daemon;
-pub mod disk;
-pub mod document;
-pub mod lease;
-pub mod member;
-pub mod operations;
-pub mod operator_service;
-pub mod partition_risk;
-pub mod patch;
+pub mod membership;
+pub mod operator;
 pub mod rpc;
-pub mod singleton;
-pub mod state_update;
-pub mod store;
+pub mod state_machine;
+pub mod storage;
+pub mod types;
 
-pub use change::{ApplyOutcome, Change, Replica, ReplicaMove, Role};
-pub use cluster_state::{ClusterState, Member};
 pub use configuration::LANG;
-pub use document::{Document, MAX_DOC};
+pub use state_machine::ClusterState;
+pub use types::{ApplyOutcome, Change, Document, MAX_DOCUMENT_BYTES, Member, Replica, ReplicaChange, Role};
--- /dev/null
+++ b/crates/control-plane/src/membership/mod.rs
@@ -0,0 +1,7 @@
+//! Membership (design 3.1): leases as the leader counts them, and a node's own side of its membership.
+
+pub mod lease;
+pub mod member;
+
+pub use lease::{HeldLease, Leases, Renewal};
+pub use member::Member;
--- /dev/null
+++ b/crates/control-plane/src/operator/api/document.rs
@@ -0,0 +1,125 @@
+//! The document: shown, replaced, patched (design 4.1, 4.2, 4.7).
+
+use super::{ApiResponse, Call, Early, early, error};
+use crate::{
+    operator::patch::{self, Patch},
+    state_machine::ClusterState,
+    types::{ApplyOutcome, Change, Document, MAX_DOCUMENT_BYTES},
+};
+use bytes::Bytes;
+use common::{
+    Revision, Service, Zone,
+    http::{json, text},
+};
+use configuration::{Flaw, Table};
+use hyper::StatusCode;
+use serde_json::json as j;
+
+impl Call<'_> {
+    pub(super) async fn show_document(&self) -> Early<ApiResponse> {
+        let state = self.newest_state().await?;
+        let Some(document) = state.text else {
+            return early(error(StatusCode::NOT_FOUND, "no document was accepted yet; base revision 0"));
+        };
+        let mut response = text(StatusCode::OK, document.to_string());
+        if let Ok(tag) = format!("\"{}\"", state.revision).parse() {
+            response.headers_mut().insert("etag", tag);
+        }
+        Ok(response)
+    }
+
+    /// The revision that the call builds on.
+    fn base_revision(&self) -> Early<Revision> {
+        let raw = self.base.clone().unwrap_or_default();
+        match raw.trim().trim_matches('"').parse() {
+            Ok(revision) => Ok(Revision(revision)),
+            Err(_) => early(error(
+                StatusCode::PRECONDITION_REQUIRED,
+                format!(
+                    "If-Match: {raw:?}; allowed: the revision that this change is based on, such as \"7\" (\"0\" for the first)"
+                ),
+            )),
+        }
+    }
+
+    pub(super) async fn replace_document(&self, body: &[u8]) -> Early<ApiResponse> {
+        let base = self.base_revision()?;
+        let Ok(source) = std::str::from_utf8(body) else {
+            return early(error(StatusCode::UNPROCESSABLE_ENTITY, "the document is not UTF-8"));
+        };
+        let text = Document::from(source);
+        // A patch may lengthen what it changes.
+        if !text.fits() {
+            return early(error(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                format!(
+                    "the document: {} bytes, packed {}; allowed: {MAX_DOCUMENT_BYTES}, packed a quarter",
+                    text.len(),
+                    text.packed_len()
+                ),
+            ));
+        }
+        let state = self.newest_state().await?;
+        if state.outcome(&self.op).is_none() {
+            self.refuse_flawed(source, &state)?;
+        }
+        self.propose(Change::Apply { op: self.op.clone(), base, text }).await
+    }
+
+    /// Reports all flaws at once; nothing was logged, so nothing can take effect (design 4.2).
+    fn refuse_flawed(&self, source: &str, state: &ClusterState) -> Early<()> {
+        let flaws = check_document(&self.node.settings.cluster, source, state);
+        if flaws.is_empty() {
+            return Ok(());
+        }
+        early(json(StatusCode::UNPROCESSABLE_ENTITY, &j!({"outcome": "refused", "flaws": flaws})))
+    }
+
+    pub(super) async fn patch_document(&self, body: &Bytes) -> Early<ApiResponse> {
+        let base = self.base_revision()?;
+        let patch: Patch = super::parse(body)?;
+        let state = self.newest_state().await?;
+        if let Some(outcome) = state.outcome(&self.op) {
+            return Ok(self.answer(&outcome));
+        }
+        if base != state.revision {
+            return Ok(self.answer(&ApplyOutcome::Conflict { current: state.revision }));
+        }
+        let current = state.text.as_deref().unwrap_or("");
+        match patch::apply(current, &patch) {
+            Ok(source) => self.replace_document(source.as_bytes()).await,
+            Err(why) => early(error(StatusCode::UNPROCESSABLE_ENTITY, why.to_string())),
+        }
+    }
+}
+
+/// Why a document must not be logged on top of the state as it is; none where it may be.
+pub fn check_document(cluster: &str, source: &str, state: &ClusterState) -> Vec<Flaw> {
+    let table = match configuration::compile(source) {
+        Ok(table) => table,
+        Err(flaws) => return flaws,
+    };
+    if table.cluster != cluster {
+        let message = format!("cluster: {:?}; allowed: {cluster:?}", table.cluster);
+        return vec![Flaw { line: 1, column: 1, message }];
+    }
+    let replicas = state.replicas.values().filter(|replica| !replica.draining);
+    let listed: Vec<(Service, Zone)> =
+        replicas.map(|replica| (replica.service.clone(), replica.zone.clone())).collect();
+    let mut flaws = configuration::check_fleet(source, &table, &listed);
+    flaws.extend(outdated_members(&table, state));
+    flaws
+}
+
+/// Members that can't compile the document.
+fn outdated_members(table: &Table, state: &ClusterState) -> impl Iterator<Item = Flaw> {
+    let outdated = state.members.values().filter(|member| member.info.lang < table.lang);
+    outdated.map(|member| Flaw {
+        line: 1,
+        column: 1,
+        message: format!(
+            "{} reads language version {}; this document needs {}",
+            member.info.node, member.info.lang, table.lang
+        ),
+    })
+}
--- /dev/null
+++ b/crates/control-plane/src/operator/api/mod.rs
@@ -0,0 +1,168 @@
+//! The operators' and the platform's HTTP API (design 4.6), the same at each control node.
+//!
+//! Paths, fields and metrics have standard names; the names of earlier releases stay beside them.
+
+mod changes;
+mod document;
+mod status;
+
+pub use document::check_document;
+
+use crate::{
+    control_node::ControlNode,
+    state_machine::ClusterState,
+    types::{MAX_DOCUMENT_BYTES, ReplicaChange},
+};
+use bytes::Bytes;
+use common::{
+    OpId,
+    http::{Body, BodyError, BoxErr, json, read_body, text},
+    is_valid_name, log_event,
+};
+use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri, body::Incoming};
+use serde::Deserialize;
+use serde_json::json as j;
+use std::{net::SocketAddr, sync::Arc};
+
+type ApiResponse = Response<Body>;
+/// An answer, or one that ends the work early.
+type Early<T> = Result<T, Box<ApiResponse>>;
+
+/// Longest that a call may ask to wait, in milliseconds.
+const MAX_WAIT_MS: u64 = 60_000;
+/// What is allowed as a name.
+const NAME_RULE: &str = "allowed: 1 to 64 letters, digits, '-', '_' or '.'";
+
+fn early<T>(response: ApiResponse) -> Early<T> {
+    Err(Box::new(response))
+}
+
+fn error(code: StatusCode, why: impl Into<String>) -> ApiResponse {
+    json(code, &j!({"error": why.into()}))
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct ReplicaBody {
+    id: String,
+    service: String,
+    #[serde(alias = "area")]
+    zone: String,
+    addr: SocketAddr,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct ZoneBody {
+    #[serde(alias = "area")]
+    zone: String,
+}
+
+/// A name for a call that has none of its own. It is drawn: two operators in the same moment must never share an
+/// outcome.
+pub fn draw_operation() -> OpId {
+    OpId::new(format!("drawn-{:032x}", common::runtime::draw::<u128>()))
+}
+
+/// One operator's call, with what its headers and query say.
+struct Call<'a> {
+    node: &'a Arc<ControlNode>,
+    op: OpId,
+    /// `If-Match`.
+    base: Option<String>,
+    wait_ms: u64,
+}
+
+/// Answers one call.
+///
+/// # Errors
+/// None; the type is that of a server's handler.
+pub async fn handle(
+    node: Arc<ControlNode>,
+    _peer: SocketAddr,
+    request: Request<Incoming>,
+) -> Result<ApiResponse, BoxErr> {
+    let (head, body) = request.into_parts();
+    let call = Call::new(&node, &head.headers, &head.uri);
+    if !is_valid_name(call.op.as_str()) {
+        return Ok(error(StatusCode::BAD_REQUEST, format!("foldshunt-op: {NAME_RULE}")));
+    }
+    let body = match read_body(body, MAX_DOCUMENT_BYTES).await {
+        Ok(body) => body,
+        Err(BodyError::TooLarge) => {
+            let why = format!("body: over {MAX_DOCUMENT_BYTES} bytes");
+            return Ok(error(StatusCode::PAYLOAD_TOO_LARGE, why));
+        }
+        Err(BodyError::Broken) => return Ok(error(StatusCode::BAD_REQUEST, "body: broke off")),
+    };
+    let path: Vec<&str> = head.uri.path().trim_matches('/').split('/').collect();
+    let response = call.route(&head.method, &path, &body).await;
+    Ok(response.unwrap_or_else(|early| *early))
+}
+
+fn parse<'a, T: Deserialize<'a>>(body: &'a Bytes) -> Early<T> {
+    serde_json::from_slice(body).or_else(|e| early(error(StatusCode::BAD_REQUEST, format!("body: {e}"))))
+}
+
+/// The path of the document, under its name or the one of earlier releases.
+fn is_document(name: &str) -> bool {
+    if name == "timetable" {
+        log_event!(Warn, "deprecated path", "path" => "/v1/timetable", "use" => "/v1/configuration");
+    }
+    matches!(name, "configuration" | "timetable")
+}
+
+impl<'a> Call<'a> {
+    fn new(node: &'a Arc<ControlNode>, headers: &HeaderMap, uri: &Uri) -> Self {
+        let header = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
+        let query = uri.query().unwrap_or("").split('&');
+        let wait_ms = query.filter_map(|field| field.strip_prefix("wait_ms=")).find_map(|v| v.parse().ok());
+        Self {
+            node,
+            op: header("foldshunt-op").map_or_else(draw_operation, OpId::new),
+            base: header("if-match"),
+            wait_ms: wait_ms.unwrap_or(0u64).min(MAX_WAIT_MS),
+        }
+    }
+
+    async fn route(&self, method: &Method, path: &[&str], body: &Bytes) -> Early<ApiResponse> {
+        match (method, path) {
+            (&Method::GET, ["healthz"]) => Ok(text(StatusCode::OK, "ok\n")),
+            (&Method::GET, ["readyz"]) => Ok(self.ready()),
+            (&Method::GET, ["metrics"]) => Ok(text(StatusCode::OK, self.metrics())),
+            (&Method::GET, ["v1", "status"]) => Ok(json(StatusCode::OK, &self.status())),
+            (&Method::GET, ["v1", name]) if is_document(name) => self.show_document().await,
+            (&Method::PUT, ["v1", name]) if is_document(name) => self.replace_document(body).await,
+            (&Method::PATCH, ["v1", name]) if is_document(name) => self.patch_document(body).await,
+            (&Method::GET, ["v1", "ops", op]) => self.operation(&OpId::new(op)).await,
+            _ => self.route_fleet(method, path, body).await,
+        }
+    }
+
+    async fn route_fleet(&self, method: &Method, path: &[&str], body: &Bytes) -> Early<ApiResponse> {
+        match (method, path) {
+            (&Method::GET, ["v1", "evacuations"]) => {
+                Ok(json(StatusCode::OK, &self.newest_state().await?.evacuated))
+            }
+            (&Method::POST, ["v1", "evacuations"]) => {
+                self.evacuate(&parse::<ZoneBody>(body)?.zone, true).await
+            }
+            (&Method::DELETE, ["v1", "evacuations", zone]) => self.evacuate(zone, false).await,
+            (&Method::GET, ["v1", "replicas"]) => {
+                Ok(json(StatusCode::OK, &self.newest_state().await?.replicas))
+            }
+            (&Method::POST, ["v1", "replicas"]) => self.list_replica(parse(body)?).await,
+            (&Method::POST, ["v1", "replicas", id, "drain"]) => {
+                self.change_replica(id, ReplicaChange::Drain).await
+            }
+            (&Method::DELETE, ["v1", "replicas", id]) => self.change_replica(id, ReplicaChange::Remove).await,
+            (&Method::POST, ["v1", "members", node, "down"]) => self.confirm_down(node).await,
+            _ => Ok(error(StatusCode::NOT_FOUND, "no such call; see the operators' page")),
+        }
+    }
+
+    async fn newest_state(&self) -> Early<ClusterState> {
+        let state = self.node.newest_state().await;
+        state.or_else(|why| early(error(StatusCode::SERVICE_UNAVAILABLE, why.to_string())))
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/operator/mod.rs
@@ -0,0 +1,7 @@
+//! Operators' access to a control node (design 4): changes of the document, evacuations and replicas.
+
+pub mod api;
+pub mod patch;
+pub mod service;
+
+pub use service::{OperationOutcome, OperatorService};
--- /dev/null
+++ b/crates/control-plane/src/state_machine/cluster_state.rs
@@ -0,0 +1,233 @@
+//! The cluster state: committed changes applied in their order, alike on every node (design 2.1).
+
+use super::AcceptedOperations;
+use crate::types::{
+    ApplyOutcome, Change, Document, LostMember, Member, NodeInfo, Replica, ReplicaChange, Role, VoterInfo,
+};
+use common::{Epoch, Incarnation, Index, NodeId, OpId, ReplicaId, Revision, Zone};
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Outcomes retained of operations other than accepted documents, so that a repeated one is answered as it
+/// was at first.
+pub const RECENT_OPERATIONS_KEPT: usize = 512;
+
+/// Everything that the nodes of a cluster agree on.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ClusterState {
+    /// Name of the cluster.
+    pub cluster: String,
+    /// Known to members only: signs requests that one router forwards to another (design 5.6).
+    pub secret: u128,
+    /// Index of the last change that was applied.
+    #[serde(rename = "idx")]
+    pub index: Index,
+    /// Revision of the document in force.
+    pub revision: Revision,
+    /// The document in force.
+    pub text: Option<Document>,
+    /// Zones that get nothing new.
+    pub evacuated: BTreeSet<Zone>,
+    /// Where each zone's evacuation was last begun or ended.
+    pub evacuation_changes: BTreeMap<Zone, Index>,
+    /// The listed replicas.
+    pub replicas: BTreeMap<ReplicaId, Replica>,
+    /// Nodes that hold a membership.
+    pub members: BTreeMap<NodeId, Member>,
+    /// Index of the last join or expiry: the fencing token of every singleton role (design 3.2).
+    pub epoch: Epoch,
+    /// The voter set.
+    pub voters: Vec<VoterInfo>,
+    /// Lost members that may be serving on, in the order of their loss (design 3.7).
+    pub lost: Vec<LostMember>,
+    /// Outcomes of the newest operations other than accepted documents.
+    #[serde(rename = "ops")]
+    pub recent_operations: VecDeque<(OpId, ApplyOutcome)>,
+    /// Operations of accepted documents, kept apart so that nothing else pushes them out.
+    #[serde(rename = "accepted")]
+    pub accepted_operations: AcceptedOperations,
+}
+
+impl ClusterState {
+    /// The state of a cluster in which nothing was changed yet.
+    pub fn bootstrapped(cluster: &str, voters: Vec<VoterInfo>) -> Self {
+        Self { cluster: cluster.into(), voters, ..Self::default() }
+    }
+
+    /// The outcome of an operation, if it is known.
+    pub fn outcome(&self, op: &OpId) -> Option<ApplyOutcome> {
+        let accepted = self.accepted_operations.revision_of(op, self.revision);
+        let other = || self.recent_operations.iter().find(|(known, _)| known == op).map(|(_, o)| o.clone());
+        accepted.map(|revision| ApplyOutcome::Accepted { revision }).or_else(other)
+    }
+
+    /// Applies a committed change. An operation whose outcome is known changes nothing again.
+    pub fn apply(&mut self, index: Index, change: &Change) -> ApplyOutcome {
+        self.index = index;
+        if let Some(outcome) = change.op().and_then(|op| self.outcome(op)) {
+            return outcome;
+        }
+        let outcome = self.change(index, change);
+        if let Some(op) = change.op() {
+            self.record(op, change, &outcome);
+        }
+        outcome
+    }
+
+    fn record(&mut self, op: &OpId, change: &Change, outcome: &ApplyOutcome) {
+        let made_a_revision =
+            matches!((change, outcome), (Change::Apply { .. }, ApplyOutcome::Accepted { .. }));
+        if made_a_revision && !common::runtime::broken("verdicts-by-count") {
+            return self.accepted_operations.record(op);
+        }
+        self.recent_operations.push_back((op.clone(), outcome.clone()));
+        if self.recent_operations.len() > RECENT_OPERATIONS_KEPT {
+            self.recent_operations.pop_front();
+        }
+    }
+
+    fn change(&mut self, index: Index, change: &Change) -> ApplyOutcome {
+        match change {
+            Change::Apply { base, text, .. } => return self.replace_document(*base, text),
+            Change::Evacuate { zone, on, seen, .. } => return self.evacuate(index, zone, *on, *seen),
+            Change::Replica { id, what, .. } => return self.change_replica(id, what),
+            Change::ConfirmDown { node, .. } => return self.confirm_down(node),
+            Change::Join(info) => self.join(index, info),
+            Change::Expire { node, incarnation, left } => self.expire(index, node, *incarnation, *left),
+            Change::ReplaceVoter(voter) => replace_voter(&mut self.voters, voter),
+        }
+        self.accepted()
+    }
+
+    fn accepted(&self) -> ApplyOutcome {
+        ApplyOutcome::Accepted { revision: self.revision }
+    }
+
+    fn conflict(&self) -> ApplyOutcome {
+        ApplyOutcome::Conflict { current: self.revision }
+    }
+
+    fn replace_document(&mut self, base: Revision, text: &Document) -> ApplyOutcome {
+        if base != self.revision {
+            return self.conflict();
+        }
+        self.revision = self.revision.next();
+        self.text = Some(text.clone());
+        self.accepted()
+    }
+
+    /// One that changes nothing is accepted; one that is overtaken by a newer one is not.
+    fn evacuate(&mut self, index: Index, zone: &Zone, on: bool, seen: Index) -> ApplyOutcome {
+        if self.evacuated.contains(zone) == on {
+            return self.accepted();
+        }
+        let overtaken = self.evacuation_changes.get(zone).is_some_and(|at| *at > seen);
+        if overtaken && !common::runtime::broken("late-evacuations") {
+            return self.conflict();
+        }
+        if on {
+            self.evacuated.insert(zone.clone());
+        } else {
+            self.evacuated.remove(zone);
+        }
+        self.evacuation_changes.insert(zone.clone(), index);
+        self.accepted()
+    }
+
+    fn change_replica(&mut self, id: &ReplicaId, what: &ReplicaChange) -> ApplyOutcome {
+        match (what, self.replicas.get_mut(id)) {
+            (ReplicaChange::List { service, zone, addr }, _) => {
+                let (service, zone) = (service.clone(), zone.clone());
+                let replica = Replica { service, zone, addr: *addr, draining: false };
+                self.replicas.insert(id.clone(), replica);
+            }
+            (ReplicaChange::Drain, Some(replica)) => replica.draining = true,
+            (ReplicaChange::Remove, Some(_)) => {
+                self.replicas.remove(id);
+            }
+            (_, None) => {
+                return ApplyOutcome::Rejected { reason: format!("no replica '{id}' is listed") };
+            }
+        }
+        self.accepted()
+    }
+
+    fn confirm_down(&mut self, node: &NodeId) -> ApplyOutcome {
+        if !self.lost.iter().any(|lost| lost.node == *node) {
+            return ApplyOutcome::Rejected { reason: format!("'{node}' is not among the lost") };
+        }
+        self.lost.retain(|lost| lost.node != *node);
+        self.accepted()
+    }
+
+    fn join(&mut self, index: Index, info: &NodeInfo) {
+        self.epoch = Epoch(index.0);
+        self.lost.retain(|lost| lost.node != info.node);
+        let member = Member { info: info.clone(), epoch: self.epoch };
+        self.members.insert(info.node.clone(), member);
+    }
+
+    fn expire(&mut self, index: Index, node: &NodeId, incarnation: Incarnation, left: bool) {
+        if self.members.get(node).is_none_or(|member| member.info.incarnation != incarnation) {
+            return;
+        }
+        if !left {
+            let members_before = self.members.len() as u32;
+            self.lost.push(LostMember { node: node.clone(), members_before });
+        }
+        self.members.remove(node);
+        self.epoch = Epoch(index.0);
+    }
+
+    /// Members that carry traffic.
+    pub fn routers(&self) -> Vec<&Member> {
+        self.members.values().filter(|member| member.info.role == Role::Router).collect()
+    }
+
+    /// Whether anything that the cluster knows of is in a zone.
+    pub fn knows_zone(&self, zone: &Zone) -> bool {
+        self.members.values().any(|member| member.info.zone == *zone)
+            || self.voters.iter().any(|voter| voter.zone == *zone)
+            || self.replicas.values().any(|replica| replica.zone == *zone)
+            || self.evacuated.contains(zone)
+    }
+
+    /// Upper bound on its encoded length, in bytes.
+    pub fn weight(&self) -> usize {
+        let length = |name: &str, overhead: usize| name.len() + overhead;
+        let text = self.text.as_ref().map_or(0, Document::packed_len);
+        let evacuated: usize = self.evacuated.iter().map(|zone| length(zone.as_str(), 16)).sum();
+        let changes: usize = self.evacuation_changes.keys().map(|zone| length(zone.as_str(), 24)).sum();
+        let replica = |(id, r): (&ReplicaId, &Replica)| {
+            id.as_str().len() + r.service.as_str().len() + r.zone.as_str().len() + 96
+        };
+        let member = |m: &Member| 2 * m.info.node.as_str().len() + m.info.zone.as_str().len() + 160;
+        let operation = |(op, outcome): &(OpId, ApplyOutcome)| length(op.as_str(), 16) + outcome.weight();
+        256 + self.cluster.len()
+            + text
+            + evacuated
+            + changes
+            + self.lost.iter().map(|lost| length(lost.node.as_str(), 16)).sum::<usize>()
+            + self.replicas.iter().map(replica).sum::<usize>()
+            + self.members.values().map(member).sum::<usize>()
+            + self.voters.iter().map(VoterInfo::weight).sum::<usize>()
+            + self.recent_operations.iter().map(operation).sum::<usize>()
+            + self.accepted_operations.weight()
+    }
+}
+
+impl ApplyOutcome {
+    fn weight(&self) -> usize {
+        match self {
+            ApplyOutcome::Rejected { reason } => reason.len() + 32,
+            ApplyOutcome::Accepted { .. } | ApplyOutcome::Conflict { .. } => 32,
+        }
+    }
+}
+
+/// Puts a new holder in the place of the one that has the same number.
+pub fn replace_voter(voters: &mut [VoterInfo], replacement: &VoterInfo) {
+    for voter in voters.iter_mut().filter(|voter| voter.number == replacement.number) {
+        *voter = replacement.clone();
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/storage/log_reader.rs
@@ -0,0 +1,73 @@
+//! Reading the short log that follows a snapshot (design 2.6).
+
+use super::{
+    Corruption, LoadResult,
+    file_store::Unreadable,
+    layout::{HEADER_BYTES, Header, MAGIC, PIECE_BYTES, read_body, read_piece, record_position},
+};
+use crate::consensus::{DurableState, Record};
+use common::wire;
+use std::{fs::File, io, path::Path};
+
+/// Furthest that a leftover header may be ahead and still count as one of the same log.
+const MAX_POSITION_JUMP: u64 = 1 << 20;
+
+/// A record that is whole, and where it ends.
+struct ReadRecord {
+    record: Result<Record, Unreadable>,
+    end: u64,
+}
+
+/// Reads the record with that position of a slot's log; `None` where it is not whole, or is left over from an
+/// older log.
+fn read_record(log: &File, offset: u64, slot: u64, position: u64) -> io::Result<Option<ReadRecord>> {
+    let Some(header) = Header::parse(&read_piece(log, offset, HEADER_BYTES)?) else { return Ok(None) };
+    if record_position(slot, header.sequence) != Some(position) {
+        return Ok(None);
+    }
+    let Some(body) = read_body(log, offset, &header)? else { return Ok(None) };
+    let record = wire::decode::<Record>(&body).map_err(|_| Unreadable::IncompatibleFormat);
+    Ok(Some(ReadRecord { record, end: offset + HEADER_BYTES as u64 + header.number }))
+}
+
+/// Brings a snapshot forward by the log that follows it.
+pub(super) fn replay_log(
+    path: &Path,
+    slot: u64,
+    synced_records: u64,
+    mut state: DurableState,
+) -> io::Result<LoadResult> {
+    let log = File::open(path)?;
+    let (mut position, mut offset) = (0, HEADER_BYTES as u64);
+    while let Some(read) = read_record(&log, offset, slot, position)? {
+        let Ok(record) = read.record else { return Ok(LoadResult::IncompatibleFormat) };
+        if !state.leads_to(&record) {
+            return Ok(LoadResult::Corrupt(Corruption::Gap { record: position, slot }));
+        }
+        state.replay(record);
+        (position, offset) = (position + 1, read.end);
+    }
+    if position < synced_records || has_later_record(&log, offset, slot, position)? {
+        return Ok(LoadResult::Corrupt(Corruption::DamagedLog { record: position, slot }));
+    }
+    Ok(LoadResult::State(Box::new(state)))
+}
+
+/// Whether the header of a record behind that position is found anywhere from an offset on.
+fn has_later_record(log: &File, from: u64, slot: u64, position: u64) -> io::Result<bool> {
+    let later = |bytes: &[u8]| {
+        let header = bytes.starts_with(MAGIC).then(|| Header::parse(bytes)).flatten();
+        let found = header.and_then(|header| record_position(slot, header.sequence));
+        found.is_some_and(|found| found > position && found < position + MAX_POSITION_JUMP)
+    };
+    let mut offset = from;
+    loop {
+        let piece = read_piece(log, offset, PIECE_BYTES)?;
+        let found = piece.windows(HEADER_BYTES).any(later);
+        if found || piece.len() < PIECE_BYTES {
+            return Ok(found);
+        }
+        // A header may lie across the end of a piece.
+        offset += (PIECE_BYTES - HEADER_BYTES + 1) as u64;
+    }
+}
--- a/crates/control-plane/src/document.rs
+++ b/crates/control-plane/src/types/document.rs
@@ -1,12 +1,11 @@
-//! The text of a document: shared by all that hold it, and packed wherever it is written or sent
-//! (design 2.8).
+//! The operator's document: one shared text, compressed wherever it is written or sent (design 2.8).
 
-use crate::consensus::SizeLimits;
+use super::SizeLimits;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Visitor};
 use std::{borrow::Cow, fmt, ops::Deref, sync::Arc};
 
-/// The longest text; packed, it may have a quarter of that (design 2.8).
-pub const MAX_DOC: usize = 4 << 20;
+/// The longest text, in bytes; compressed, it may have a quarter of that (design 2.8).
+pub const MAX_DOCUMENT_BYTES: usize = 4 << 20;
 
 struct Inner {
     text: Box<str>,
@@ -14,6 +13,7 @@
     packed: Vec<u8>,
 }
 
+/// The text of a document. Clones share it.
 #[derive(Clone)]
 pub struct Document(Arc<Inner>);
 
@@ -28,44 +28,44 @@
         Self(Arc::new(Inner { text, packed }))
     }
 
-    /// Its length on disk and on the wire, but for a few bytes.
+    /// Its encoded length in bytes, but for a few.
     pub fn packed_len(&self) -> usize {
-        self.sent().1.len()
+        self.encoded().1.len()
     }
 
     /// Whether it may be logged at all.
     pub fn fits(&self) -> bool {
-        self.len() <= MAX_DOC && self.packed_len() <= SizeLimits::default().doc()
+        self.len() <= MAX_DOCUMENT_BYTES && self.packed_len() <= SizeLimits::default().document()
     }
 
-    /// Whether it is packed, and the bytes that go to disk and wire.
-    fn sent(&self) -> (bool, &[u8]) {
+    /// Whether it is compressed, and the bytes that are written and sent.
+    fn encoded(&self) -> (bool, &[u8]) {
         match self.0.packed.as_slice() {
             [] => (false, self.0.text.as_bytes()),
             packed => (true, packed),
         }
     }
 
-    fn taken(packed: bool, bytes: Vec<u8>) -> Result<Self, String> {
+    fn from_encoded(packed: bool, bytes: Vec<u8>) -> Result<Self, String> {
         if !packed {
             let text = String::from_utf8(bytes).map_err(|e| e.to_string())?;
             return Ok(Self(Arc::new(Inner { text: text.into(), packed: Vec::new() })));
         }
-        // What is broken must not make this reserve whatever it says.
+        // Damaged bytes must not make this reserve whatever length they claim.
         let (len, _) = lz4_flex::block::uncompressed_size(&bytes).map_err(|e| e.to_string())?;
-        if len > MAX_DOC {
-            return Err(format!("a document of {len} bytes; allowed: {MAX_DOC}"));
+        if len > MAX_DOCUMENT_BYTES {
+            return Err(format!("a document of {len} bytes; allowed: {MAX_DOCUMENT_BYTES}"));
         }
         let text = lz4_flex::block::decompress_size_prepended(&bytes).map_err(|e| e.to_string())?;
         if text.len() != len {
-            return Err(format!("a document of {} bytes where {len} were told", text.len()));
+            return Err(format!("a document of {} bytes where {len} were announced", text.len()));
         }
         let text = String::from_utf8(text).map_err(|e| e.to_string())?;
         Ok(Self(Arc::new(Inner { text: text.into(), packed: bytes })))
     }
 }
 
-/// Bytes in one piece, not one by one.
+/// Serializes as one byte string, not as a sequence of numbers.
 struct Bytes<'a>(Cow<'a, [u8]>);
 
 impl Serialize for Bytes<'_> {
@@ -95,7 +95,7 @@
 
 impl Serialize for Document {
     fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        let (packed, bytes) = self.sent();
+        let (packed, bytes) = self.encoded();
         (packed, Bytes(bytes.into())).serialize(s)
     }
 }
@@ -103,7 +103,7 @@
 impl<'de> Deserialize<'de> for Document {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let (packed, bytes) = <(bool, Bytes)>::deserialize(d)?;
-        Document::taken(packed, bytes.0.into_owned()).map_err(serde::de::Error::custom)
+        Document::from_encoded(packed, bytes.0.into_owned()).map_err(serde::de::Error::custom)
     }
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// For bodies that hold it as it is.
+/// For response bodies that hold the text without a copy.
 impl AsRef<[u8]> for Document {
     fn as_ref(&self) -> &[u8] {
         self.0.text.as_bytes()
@@ -141,7 +141,7 @@
     }
 }
 
-/// Texts are long: what is shown of one is its length.
+/// Shows the length only: texts are long.
 impl fmt::Debug for Document {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "document of {} bytes", self.len())
--- /dev/null
+++ b/crates/control-plane/src/types/log.rs
@@ -0,0 +1,44 @@
+//! Entries of the replicated log.
+
+use super::Change;
+use common::Index;
+use serde::{Deserialize, Serialize};
+
+/// What an entry takes besides its change, at most.
+const ENTRY_OVERHEAD_BYTES: usize = 16;
+
+/// A change at its position in the log.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct LogEntry {
+    /// Position; the first entry has index 1.
+    #[serde(rename = "idx")]
+    pub index: Index,
+    /// What is applied to the cluster state once the entry is committed.
+    pub change: Change,
+}
+
+impl LogEntry {
+    /// Upper bound on its encoded length, in bytes.
+    pub fn weight(&self) -> usize {
+        Self::weight_of(&self.change)
+    }
+
+    /// Upper bound on the encoded length of an entry with that change, in bytes.
+    pub fn weight_of(change: &Change) -> usize {
+        change.weight() + ENTRY_OVERHEAD_BYTES
+    }
+}
+
+/// The first entries, as many as `max_bytes` hold, and one at least.
+pub fn take_batch<'a>(entries: impl Iterator<Item = &'a LogEntry>, max_bytes: usize) -> Vec<LogEntry> {
+    let mut bytes_left = max_bytes;
+    let mut first = true;
+    entries
+        .take_while(|entry| {
+            let fits = std::mem::take(&mut first) || entry.weight() <= bytes_left;
+            bytes_left = bytes_left.saturating_sub(entry.weight());
+            fits
+        })
+        .cloned()
+        .collect()
+}
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -12,12 +12,14 @@
 use configuration::{Flaw, Notation, RequestLimits, RouteMap};
 use control_plane::{
     Change, Role,
-    change::NodeInfo,
-    consensus::{Event, Record, Voter},
-    core::{Core, LogWriter, LogWriterFactory, Start, blank},
-    member::Member,
-    operator_service::{OperatorService, Told},
-    rpc::{self, ProposalOutcome},
+    consensus::DurableState,
+    consensus::{Event, Record},
+    control_node::{ControlNode, LogWriter, LogWriterFactory, Start},
+    membership::Member,
+    operator::service::{OperationOutcome, OperatorService},
+    rpc::ProposalOutcome,
+    storage::blank_voter,
+    types::NodeInfo,
 };
 use std::{
     net::{IpAddr, SocketAddr},
@@ -45,7 +47,7 @@
 }
 
 struct MemDrive {
-    core: Weak<Core>,
+    core: Weak<ControlNode>,
     ip: IpAddr,
 }
 
@@ -63,7 +65,7 @@
 
 #[derive(Clone)]
 pub struct Stand {
-    pub core: Arc<Core>,
+    pub core: Arc<ControlNode>,
     operator_service: Arc<OperatorService>,
     host: Arc<Host>,
     pub ip: IpAddr,
@@ -100,13 +102,13 @@
     let make: LogWriterFactory = Box::new(move |core| Box::new(MemDrive { core, ip }));
     let rpc_listener = bind(set.rpc_addr).await.unwrap();
     let start = match waits {
-        true => Start::Waiting(Box::new(blank(&set))),
-        false => Start::from(Voter::blank_state(&blank(&set))),
+        true => Start::AwaitingDisk(Box::new(blank_voter(&set))),
+        false => Start::from(DurableState::blank(&blank_voter(&set))),
     };
-    let core = Core::start(set.clone(), voters, start, make);
-    let info = NodeInfo::of(&set, Role::Core, core.status().me.incarnation);
+    let core = ControlNode::start(set.clone(), voters, start, make);
+    let info = NodeInfo::of(&set, Role::Control, core.status().me.incarnation);
     Member::new(set.clone(), info, Clock::default()).start();
-    spawn(rpc::listen(rpc_listener, set.me(), core.clone()));
+    spawn(control_plane::control_node::listen(rpc_listener, set.me(), core.clone()));
     let zones = ["a0", "far"].map(Into::into).into_iter().collect();
     let operator_service = Arc::new(OperatorService::new(core.clone(), Arc::new(RpcClient), zones));
     Stand { core, operator_service, host, ip }
@@ -121,24 +123,25 @@
         self.host.spawn(f(self.operator_service.clone())).await.unwrap()
     }
 
-    pub async fn replace(&self, expected_voters: u64, text: &str) -> Told {
+    pub async fn replace(&self, base_version: u64, text: &str) -> OperationOutcome {
         let text = text.to_string();
-        self.on(move |d| Box::pin(async move { d.replace(expected_voters, &text).await })).await
+        self.on(move |d| Box::pin(async move { d.replace(base_version, &text).await })).await
     }
 
-    pub async fn amend(&self, expected_voters: u64, change: &str) -> Told {
+    pub async fn amend(&self, base_version: u64, change: &str) -> OperationOutcome {
         let change = change.to_string();
-        self.on(move |d| Box::pin(async move { d.amend(expected_voters, &change).await })).await
+        self.on(move |d| Box::pin(async move { d.amend(base_version, &change).await })).await
     }
 
-    pub async fn evacuate(&self, zone: &str, on: bool) -> Told {
+    pub async fn evacuate(&self, zone: &str, on: bool) -> OperationOutcome {
         let zone = zone.to_string();
         self.on(move |d| Box::pin(async move { d.evacuate(&zone, on).await })).await
     }
 
     pub async fn read(&self) -> Result<Option<(u64, String)>, String> {
         let read = self.on(|d| Box::pin(async move { d.read().await })).await;
-        read.map(|r| r.map(|(version, text)| (version, text.to_string())))
+        let read = read.map_err(|why| why.to_string())?;
+        Ok(read.map(|(version, text)| (version, text.to_string())))
     }
 
     /// A change as it reaches the leader from another node.
@@ -159,7 +162,7 @@
     /// Names of the zones that are evacuated by the newest accepted state.
     pub async fn evacuated(&self) -> Vec<String> {
         let core = self.core.clone();
-        let state = self.host.spawn(async move { core.state().await }).await.unwrap().unwrap();
+        let state = self.host.spawn(async move { core.newest_state().await }).await.unwrap().unwrap();
         state.evacuated.iter().map(|a| a.to_string()).collect()
     }
 
--- a/crates/control-plane/tests/compatibility/main.rs
+++ b/crates/control-plane/tests/compatibility/main.rs
@@ -5,11 +5,12 @@
 use common::{Epoch, Index, Revision};
 use control_plane::{
     Role,
-    consensus::{DurableState, Record, Voter},
-    disk::{LoadResult, RecordWriter},
+    consensus::{DurableState, Record},
     rpc::{ControlRequest, ControlResponse, ProposalOutcome},
-    state_update::StateUpdate,
-    store::{FileStore, LOG_LEN, SLOT_LEN},
+    state_machine::state_update::StateUpdate,
+    storage::FileStore,
+    storage::{LoadResult, RecordWriter},
+    types::{SHORT_LOG_BYTES, SLOT_BYTES},
 };
 use rstest::rstest;
 use std::{fs, path::Path};
@@ -17,7 +18,7 @@
 
 /// Files of a store, and their full lengths in bytes.
 const STORE_FILES: [(&str, u64); 4] =
-    [("slot-0", SLOT_LEN), ("slot-1", SLOT_LEN), ("log-0", LOG_LEN), ("log-1", LOG_LEN)];
+    [("slot-0", SLOT_BYTES), ("slot-1", SLOT_BYTES), ("log-0", SHORT_LOG_BYTES), ("log-1", SHORT_LOG_BYTES)];
 
 fn fixtures() -> Fixtures {
     Fixtures::of_crate(env!("CARGO_MANIFEST_DIR"))
@@ -76,7 +77,7 @@
         ("renewed", ControlResponse::Renewed { epoch: Epoch(4), index: Index(5) }),
         ("not-yet", ControlResponse::Pending),
         ("elsewhere", ControlResponse::NotLeader { leader: leader() }),
-        ("updates-none", ControlResponse::StateUpdate(StateUpdate::Same)),
+        ("updates-none", ControlResponse::StateUpdate(StateUpdate::Unchanged)),
         ("updates-snapshot", ControlResponse::StateUpdate(StateUpdate::Snapshot(Box::new(samples::state())))),
         ("updates-changes", ControlResponse::StateUpdate(StateUpdate::Changes(samples::entries()))),
         ("settled", ControlResponse::Proposed(ProposalOutcome::Committed { index: Index(41), outcome })),
@@ -108,7 +109,7 @@
 
 /// Writes a folder as a voter does: a blank identity, what `write` adds.
 fn write_store(folder: &Path, write: impl FnOnce(&mut FileStore)) {
-    let mut store = FileStore::open(folder, &Voter::blank_state(&samples::voter(1))).unwrap();
+    let mut store = FileStore::open(folder, &DurableState::blank(&samples::voter(1))).unwrap();
     write(&mut store);
 }
 
@@ -163,7 +164,7 @@
     let old = tempfile::tempdir().unwrap();
     restore(name, old.path());
     let found = FileStore::load(old.path()).unwrap();
-    assert!(matches!(found, LoadResult::DurableState(_)), "{name}: {found:?}");
+    assert!(matches!(found, LoadResult::State(_)), "{name}: {found:?}");
     assert_eq!(found, FileStore::load(folder.path()).unwrap());
 }
 
@@ -177,5 +178,5 @@
     bytes[100] ^= 1;
     fs::write(&path, bytes).unwrap();
     let LoadResult::Corrupt(why) = FileStore::load(folder.path()).unwrap() else { panic!("taken as whole") };
-    assert_eq!(why, "slot 2 was synced and is damaged");
+    assert_eq!(why.to_string(), "slot 2 was synced and is damaged");
 }
--- a/crates/control-plane/tests/compatibility/samples.rs
+++ b/crates/control-plane/tests/compatibility/samples.rs
@@ -2,11 +2,11 @@
 
 use common::{Epoch, Incarnation, Index, NodeId, OpId, ReplicaId, Revision, Service, Term, Tick, Zone};
 use control_plane::{
-    ApplyOutcome, Change, ClusterState, Member, Replica, ReplicaMove, Role,
-    change::{NodeInfo, VoterInfo},
-    consensus::{Body, DurableState, LogEntry, LogTail, Message, Record, VoterId},
-    operations::AcceptedOperations,
-    partition_risk::LostMember,
+    ApplyOutcome, Change, ClusterState, Member, Replica, ReplicaChange, Role,
+    consensus::{Body, DurableState, LogTail, Message, Record, VoterId},
+    state_machine::AcceptedOperations,
+    types::LostMember,
+    types::{LogEntry, NodeInfo, VoterInfo},
 };
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -50,17 +50,17 @@
     let long = "limits = 4096\n".repeat(64);
     let replica = |what| Change::Replica { op: op(), id: ReplicaId::new("r-1"), what };
     let list =
-        ReplicaMove::List { service: Service::new("verdict"), zone: "centro-1".into(), addr: address(50) };
+        ReplicaChange::List { service: Service::new("verdict"), zone: "centro-1".into(), addr: address(50) };
     vec![
         ("apply", Change::Apply { op: op(), base: Revision(6), text: "version = 7\n".into() }),
         ("apply-packed", Change::Apply { op: op(), base: Revision(7), text: long.as_str().into() }),
         ("evacuate", Change::Evacuate { op: op(), zone: "norte-1".into(), on: true, seen: Index(3) }),
         ("replica-list", replica(list)),
-        ("replica-drain", replica(ReplicaMove::Drain)),
-        ("replica-remove", replica(ReplicaMove::Remove)),
+        ("replica-drain", replica(ReplicaChange::Drain)),
+        ("replica-remove", replica(ReplicaChange::Remove)),
         ("join", Change::Join(node_info(Role::Router))),
         ("expire", Change::Expire { node: NodeId::new("p2"), incarnation: Incarnation(5), left: true }),
-        ("down", Change::Down { op: op(), node: NodeId::new("p2") }),
+        ("down", Change::ConfirmDown { op: op(), node: NodeId::new("p2") }),
         ("replace-voter", Change::ReplaceVoter(voter(2))),
     ]
 }
@@ -83,12 +83,12 @@
 
 /// A state with every part in use.
 pub fn state() -> ClusterState {
-    let mut accepted = AcceptedOperations::default();
-    accepted.record(&OpId::new("op-a"));
-    accepted.record(&OpId::new("op-b"));
+    let mut accepted_operations = AcceptedOperations::default();
+    accepted_operations.record(&OpId::new("op-a"));
+    accepted_operations.record(&OpId::new("op-b"));
     let replica =
         Replica { service: "verdict".into(), zone: "centro-1".into(), addr: address(50), draining: true };
-    let member = Member { info: node_info(Role::Core), epoch: Epoch(12) };
+    let member = Member { info: node_info(Role::Control), epoch: Epoch(12) };
     ClusterState {
         cluster: "bitacora".into(),
         secret: 0x0123_4567_89ab_cdef_0011_2233_4455_6677,
@@ -101,12 +101,12 @@
         members: BTreeMap::from([(NodeId::new("p1"), member)]),
         epoch: Epoch(33),
         voters: (0..3).map(voter).collect(),
-        lost: vec![LostMember { node: NodeId::new("p4"), of: 12 }],
+        lost: vec![LostMember { node: NodeId::new("p4"), members_before: 12 }],
         recent_operations: outcomes()
             .into_iter()
             .map(|(name, v)| (OpId::new(name), v))
             .collect::<VecDeque<_>>(),
-        accepted,
+        accepted_operations,
     }
 }
 
@@ -126,8 +126,8 @@
     vec![
         ("state", Record::DurableState(Box::new(durable_state()))),
         ("promise", Record::Promise(Term(33))),
-        ("append", Record::Append { accepted: Index(40), entries: entries() }),
-        ("install", Record::Install { term: Term(33), cut: Index(40), entries: entries() }),
+        ("append", Record::Append { commit_index: Index(40), entries: entries() }),
+        ("install", Record::Install { term: Term(33), truncate_to: Index(40), entries: entries() }),
     ]
 }
 
@@ -137,14 +137,14 @@
         by: id(1),
         to: 2,
         term: Term(25),
-        accepted: Index(40),
+        commit_index: Index(40),
         sent_at: Tick(86_400_123),
         body,
     };
     let tail = LogTail {
         log_term: Term(17),
         last: Index(50),
-        accepted: Index(40),
+        commit_index: Index(40),
         snapshot: Some(state()),
         entries: entries(),
     };
@@ -152,7 +152,7 @@
         (
             "discover",
             Message::Discover {
-                holder: voter(0),
+                voter: voter(0),
                 initialized: true,
                 voters: vec![voter(0), voter(1)],
                 index: Index(4),
@@ -162,17 +162,20 @@
             "bootstrap",
             Message::Bootstrap { cluster_state: ClusterState::bootstrapped("bitacora", vec![voter(0)]) },
         ),
-        ("join-request", Message::JoinRequest { holder: voter(2) }),
+        ("join-request", Message::JoinRequest { voter: voter(2) }),
         ("leader-query", Message::LeaderQuery(Tick(7))),
         ("not-leading", Message::NotLeading(Tick(7))),
         ("step-down", Message::StepDown { by: id(1), term: Term(25) }),
         ("pre-vote", Message::PreVote { by: id(1), term: Term(25) }),
         ("pre-vote-granted", Message::PreVoteGranted { by: id(2), term: Term(25) }),
-        ("vote-request", Message::VoteRequest { by: id(1), term: Term(25), accepted: Index(40) }),
+        ("vote-request", Message::VoteRequest { by: id(1), term: Term(25), commit_index: Index(40) }),
         ("vote", Message::Vote { by: id(2), term: Term(25), tail }),
-        ("heartbeat", append(Body::Ping)),
+        ("heartbeat", append(Body::Heartbeat)),
         ("append", append(Body::Append { prev: Index(40), entries: entries() })),
-        ("install", append(Body::Install { cut: Index(40), snapshot: Some(state()), entries: entries() })),
+        (
+            "install",
+            append(Body::Install { truncate_to: Index(40), snapshot: Some(state()), entries: entries() }),
+        ),
         (
             "append-reply",
             Message::AppendReply {
@@ -180,7 +183,7 @@
                 term: Term(25),
                 installed: true,
                 last: Index(50),
-                accepted: Index(40),
+                commit_index: Index(40),
                 sent_at: Tick(86_400_123),
             },
         ),
--- a/crates/control-plane/tests/consensus.rs
+++ b/crates/control-plane/tests/consensus.rs
@@ -3,8 +3,8 @@
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
 use control_plane::{
     Change, ClusterState,
-    change::VoterInfo,
     consensus::{Body, DurableState, Effect, Event, LogTail, Message, Voter, VoterId},
+    types::VoterInfo,
 };
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 }
 
 fn blank(n: u8) -> Voter {
-    let image = Voter::blank_state(&holder(n, 90 + u64::from(n)));
+    let image = DurableState::blank(&holder(n, 90 + u64::from(n)));
     Voter::new(holder(n, 0), "c", (0..3).map(addr).collect(), Timing::default(), Some(image), Tick(10_000))
 }
 
@@ -74,7 +74,7 @@
         term,
         installed,
         last: Index(last),
-        accepted: Index(0),
+        commit_index: Index(0),
         sent_at,
     };
     Event::Msg(addr(n), m)
@@ -90,8 +90,13 @@
     assert!(sent(&effects).is_empty(), "stop is not said before the own promise is synced");
     let out = durable_index(&mut s, &effects, now);
     assert!(matches!(sent(&out)[0], Message::VoteRequest { .. }));
-    let tail =
-        LogTail { log_term: Term(0), last: Index(0), accepted: Index(0), snapshot: None, entries: vec![] };
+    let tail = LogTail {
+        log_term: Term(0),
+        last: Index(0),
+        commit_index: Index(0),
+        snapshot: None,
+        entries: vec![],
+    };
     let effects = s.step(Event::Msg(addr(1), Message::Vote { by: voter(1), term, tail }), now);
     assert!(
         effects.iter().any(|f| matches!(f, Effect::BecameLeader { .. })),
@@ -107,20 +112,20 @@
     s.step(held(1, Term(8), 0, now, true), now);
     let effects = s.step(Event::Propose(evac("a")), now);
     let fx2 = durable_index(&mut s, &effects, now);
-    let accepted = |effects: &[Effect]| effects.iter().any(|f| matches!(f, Effect::Committed { .. }));
-    assert!(!accepted(&effects) && !accepted(&fx2) && s.accepted() == Index(0));
+    let committed = |effects: &[Effect]| effects.iter().any(|f| matches!(f, Effect::Committed { .. }));
+    assert!(!committed(&effects) && !committed(&fx2) && s.commit_index() == Index(0));
     // Neither a holder that is no more in the voters nor an older term's answer counts.
     let saw_other_cluster = Message::AppendReply {
         by: VoterId { number: 2, incarnation: Incarnation(99) },
         term: Term(8),
         installed: true,
         last: Index(1),
-        accepted: Index(0),
+        commit_index: Index(0),
         sent_at: now,
     };
-    assert!(!accepted(&s.step(Event::Msg(addr(2), saw_other_cluster), now)));
-    assert!(!accepted(&s.step(held(2, Term(0), 1, now, true), now)));
-    assert!(accepted(&s.step(held(1, Term(8), 1, now, true), now)));
+    assert!(!committed(&s.step(Event::Msg(addr(2), saw_other_cluster), now)));
+    assert!(!committed(&s.step(held(2, Term(0), 1, now, true), now)));
+    assert!(committed(&s.step(held(1, Term(8), 1, now, true), now)));
 }
 
 fn evac(a: &str) -> Change {
@@ -155,7 +160,7 @@
 #[case::long_silent(12_500, true)]
 fn promises_wait(#[case] now: u64, #[case] want: bool) {
     let mut s = initialized(1);
-    let stop = Message::VoteRequest { by: voter(0), term: Term(8), accepted: Index(0) };
+    let stop = Message::VoteRequest { by: voter(0), term: Term(8), commit_index: Index(0) };
     let effects = s.step(Event::Msg(addr(0), stop), Tick(now));
     assert!(sent(&effects).is_empty());
     assert_eq!(effects.iter().any(|f| matches!(f, Effect::Persist { .. })), want);
@@ -171,7 +176,7 @@
     s.step(held(1, Term(8), 0, now, true), now);
     let later = now + 500;
     s.step(held(1, Term(8), 0, later, true), later);
-    let join_request = Message::JoinRequest { holder: holder(2, 77) };
+    let join_request = Message::JoinRequest { voter: holder(2, 77) };
     let swap = |effects: &[Effect]| {
         effects.iter().any(|f| matches!(f, Effect::Logged { change: Change::ReplaceVoter(_), .. }))
     };
@@ -190,7 +195,7 @@
 fn only_fresh_word_of_three_blank_seats_founds(#[case] gap: u64, #[case] want: bool) {
     let mut s = blank(0);
     let discovered_voters = |n: u8| Message::Discover {
-        holder: holder(n, 90 + u64::from(n)),
+        voter: holder(n, 90 + u64::from(n)),
         initialized: false,
         voters: vec![],
         index: Index(0),
@@ -211,7 +216,7 @@
     // A blank voter that has seen a cluster without it is not founded either.
     let mut b = blank(0);
     let seen =
-        Message::Discover { holder: holder(1, 11), initialized: true, voters: voters(), index: Index(4) };
+        Message::Discover { voter: holder(1, 11), initialized: true, voters: voters(), index: Index(4) };
     b.step(Event::Msg(addr(1), seen), Tick(12_000));
     b.step(Event::Msg(addr(1), Message::Bootstrap { cluster_state: other }), Tick(12_001));
     assert!(!b.initialized);
@@ -223,16 +228,16 @@
     let mut s = blank(2);
     let now = Tick(20_000);
     let pre_vote = Message::PreVote { by: voter(1), term: Term(9) };
-    let stop = Message::VoteRequest { by: voter(1), term: Term(9), accepted: Index(0) };
+    let stop = Message::VoteRequest { by: voter(1), term: Term(9), commit_index: Index(0) };
     assert!(s.step(Event::Msg(addr(1), pre_vote), now).is_empty());
     assert!(s.step(Event::Msg(addr(1), stop), now).is_empty());
     let send_append = Message::Append {
         by: voter(1),
         to: 2,
         term: Term(9),
-        accepted: Index(3),
+        commit_index: Index(3),
         sent_at: now,
-        body: Body::Ping,
+        body: Body::Heartbeat,
     };
     let effects = s.step(Event::Msg(addr(1), send_append), now);
     assert!(matches!(sent(&effects)[..], [Message::AppendReply { installed: false, last: Index(0), .. }]));
@@ -255,9 +260,9 @@
             by: voter(0),
             to: 1,
             term: Term(8),
-            accepted: Index(0),
+            commit_index: Index(0),
             sent_at: now,
-            body: Body::Ping,
+            body: Body::Heartbeat,
         };
         f.step(Event::Msg(addr(0), send_append), now);
         f.step(Event::Msg(addr(0), Message::StepDown { by: voter(0), term }), now);
@@ -274,7 +279,7 @@
 fn what_was_said_before_a_process_started_founds_nothing() {
     let discovered_voters = |n: u8| {
         let (holder, voters) = (holder(n, 90 + u64::from(n)), Vec::new());
-        Event::Msg(addr(n), Message::Discover { holder, initialized: false, voters, index: Index(0) })
+        Event::Msg(addr(n), Message::Discover { voter: holder, initialized: false, voters, index: Index(0) })
     };
     let mut s = blank(0);
     let start = Tick(10_000);
--- a/crates/control-plane/tests/damage.rs
+++ b/crates/control-plane/tests/damage.rs
@@ -5,10 +5,11 @@
 use common::{Incarnation, Index, Term};
 use control_plane::{
     Change, ClusterState,
-    change::VoterInfo,
-    consensus::{DurableState, LogEntry, Record, Voter},
-    disk::{LoadResult, RecordWriter},
-    store::{FileStore, LOG_LEN, SLOT_LEN},
+    consensus::{DurableState, Record},
+    storage::FileStore,
+    storage::{LoadResult, RecordWriter},
+    types::{LogEntry, VoterInfo},
+    types::{SHORT_LOG_BYTES, SLOT_BYTES},
 };
 use rstest::rstest;
 use std::{
@@ -35,7 +36,7 @@
     DurableState {
         initialized: true,
         cluster_state: ClusterState::bootstrapped("c", vec![me.clone()]),
-        ..Voter::blank_state(&me)
+        ..DurableState::blank(&me)
     }
 }
 
@@ -46,7 +47,7 @@
         on: true,
         seen: Index(u64::MAX),
     };
-    Record::Append { accepted: Index(n - 1), entries: vec![LogEntry { index: Index(n), change }] }
+    Record::Append { commit_index: Index(n - 1), entries: vec![LogEntry { index: Index(n), change }] }
 }
 
 /// A folder with so many slots, each followed by three records; its states after each record of the
@@ -76,7 +77,7 @@
 }
 
 fn newest(states: &[DurableState]) -> LoadResult {
-    LoadResult::DurableState(Box::new(states.last().unwrap().clone()))
+    LoadResult::State(Box::new(states.last().unwrap().clone()))
 }
 
 fn told(found: &LoadResult) -> bool {
@@ -133,7 +134,7 @@
         for bit in bits {
             f.write_all_at(&[was[0] ^ 1 << bit], at).unwrap();
             let found = load(dir.path());
-            let cut = in_last_log && found == LoadResult::DurableState(Box::new(last_record.clone()));
+            let cut = in_last_log && found == LoadResult::State(Box::new(last_record.clone()));
             assert!(
                 told(&found) || found == newest(&states) || cut,
                 "{name} with {slots} slots: bit {bit} of byte {at}: {found:?}"
@@ -201,7 +202,7 @@
         }
         let found = load(dir.path());
         // With all that was written gone it is a lost disk: blank, and so without a vote.
-        let blank = !begun_log_stays && !slot_stays && found == LoadResult::Nothing;
+        let blank = !begun_log_stays && !slot_stays && found == LoadResult::Empty;
         assert!(told(&found) || blank, "{lost:?} of {slots} slots lost: {found:?}");
     }
 }
@@ -247,7 +248,7 @@
         let mixed: Vec<u8> = written[..reached].iter().chain(&was[reached..]).copied().collect();
         file(torn.path(), &name.to_string_lossy()).write_all_at(&mixed[..len.max(1_000)], 0).unwrap();
         let found = load(torn.path());
-        let whole = found == LoadResult::DurableState(Box::new(newer.clone()));
+        let whole = found == LoadResult::State(Box::new(newer.clone()));
         let (whole_only_when_whole, older) = (whole && reached == len, found == newest(&states));
         assert!(older || whole_only_when_whole, "{reached} of {len} bytes: {found:?}");
     }
@@ -256,7 +257,7 @@
 /// The store of a folder as it stands, without the slot that opening it writes.
 fn reopened(dir: &TempDir, image: &DurableState) -> FileStore {
     let store = FileStore::open(dir.path(), image).unwrap();
-    assert_eq!(load(dir.path()), LoadResult::DurableState(Box::new(image.clone())));
+    assert_eq!(load(dir.path()), LoadResult::State(Box::new(image.clone())));
     store
 }
 
@@ -283,11 +284,11 @@
     }
     let len = content_of(&stale);
     for from in [HEAD, 100, 200] {
-        let zeros = vec![0; LOG_LEN as usize - HEAD];
+        let zeros = vec![0; SHORT_LOG_BYTES as usize - HEAD];
         f.write_all_at(&zeros, HEAD as u64).unwrap();
         f.write_all_at(&stale[from..len], from as u64).unwrap();
         let found = load(dir.path());
-        let snapshot = LoadResult::DurableState(Box::new(states[0].clone()));
+        let snapshot = LoadResult::State(Box::new(states[0].clone()));
         assert!(if marked { told(&found) } else { found == snapshot }, "from {from}: {found:?}");
     }
 }
@@ -352,13 +353,13 @@
 ) {
     let dir = tempdir().unwrap();
     for (n, name) in ["slot-0", "log-0", "slot-1", "log-1"].iter().enumerate().take(made) {
-        let len = if name.starts_with("slot") { SLOT_LEN } else { LOG_LEN } as usize;
+        let len = if name.starts_with("slot") { SLOT_BYTES } else { SHORT_LOG_BYTES } as usize;
         let len = if n + 1 == made { part.min(len) } else { len };
         fs::write(dir.path().join(name), vec![0; len]).unwrap();
     }
-    assert_eq!(load(dir.path()), LoadResult::Nothing);
+    assert_eq!(load(dir.path()), LoadResult::Empty);
     FileStore::open(dir.path(), &image()).unwrap();
-    assert_eq!(load(dir.path()), LoadResult::DurableState(Box::new(image())));
+    assert_eq!(load(dir.path()), LoadResult::State(Box::new(image())));
 }
 
 /// What can't be read at all is an error of the start, not a blank folder.
@@ -383,7 +384,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let (dir, states) = filled(rng.random_range(1..4));
         let last_log = current_name(dir.path());
-        let last_record = LoadResult::DurableState(Box::new(states[states.len() - 2].clone()));
+        let last_record = LoadResult::State(Box::new(states[states.len() - 2].clone()));
         let name = FILES[rng.random_range(0..4)];
         let len = hears_leader(&dir.path().join(name)).max(64) as u64;
         let f = file(dir.path(), name);
--- a/crates/control-plane/tests/desk.rs
+++ b/crates/control-plane/tests/desk.rs
@@ -2,8 +2,7 @@
 
 use common::runtime::World;
 use control_plane::{
-    cluster_state::OPS_KEPT,
-    operator_service::{MAX_DOC, Told},
+    MAX_DOCUMENT_BYTES, operator::OperationOutcome, state_machine::cluster_state::RECENT_OPERATIONS_KEPT,
 };
 use rstest::rstest;
 use std::time::Duration;
@@ -18,9 +17,9 @@
     Ok(Some((version, text.to_string())))
 }
 
-fn invalid(t: &Told) -> &str {
+fn invalid(t: &OperationOutcome) -> &str {
     match t {
-        Told::Invalid(f) => &f[0].message,
+        OperationOutcome::Invalid(f) => &f[0].message,
         other => panic!("{other:?}"),
     }
 }
@@ -35,7 +34,7 @@
             assert_eq!(s.core.status().cluster_state.voters.len(), voters);
             assert_eq!(s.read().await, Ok(None));
         }
-        assert_eq!(c.at[voters - 1].replace(0, "3\nfirst").await, Told::Accepted);
+        assert_eq!(c.at[voters - 1].replace(0, "3\nfirst").await, OperationOutcome::Accepted);
         for s in &c.at {
             assert_eq!(s.read().await, held(3, "3\nfirst"));
         }
@@ -59,7 +58,7 @@
         let c = Cluster::initialized(w, 2).await;
         let at = c.leader();
         c.cut_off(1 - at);
-        assert_ne!(c.at[at].replace(0, "1\nalone").await, Told::Accepted);
+        assert_ne!(c.at[at].replace(0, "1\nalone").await, OperationOutcome::Accepted);
         assert_eq!(c.at[at].core.status().cluster_state.revision.0, 0, "nothing came into force");
         c.mend(1 - at);
         c.until("both are led again", |c| c.at.iter().all(|s| s.core.status().leader.is_some())).await;
@@ -72,10 +71,10 @@
     Amend,
 }
 
-async fn send(s: &cluster::Stand, kind: Kind, expected_voters: u64, text: &str) -> Told {
+async fn send(s: &cluster::Stand, kind: Kind, base_version: u64, text: &str) -> OperationOutcome {
     match kind {
-        Kind::Replace => s.replace(expected_voters, text).await,
-        Kind::Amend => s.amend(expected_voters, text).await,
+        Kind::Replace => s.replace(base_version, text).await,
+        Kind::Amend => s.amend(base_version, text).await,
     }
 }
 
@@ -90,14 +89,14 @@
 ) {
     World::run(seed, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[0].replace(0, "2\nbase").await, Told::Accepted);
+        assert_eq!(c.at[0].replace(0, "2\nbase").await, OperationOutcome::Accepted);
         let (a, b) = (&c.at[at.0], &c.at[at.1]);
         let (texts, kinds) = (["5\n, one", "6\n, two"], [first, second]);
         let told = tokio::join!(send(a, kinds[0], 2, texts[0]), send(b, kinds[1], 2, texts[1]));
         let told = [told.0, told.1];
-        let won = told.iter().position(|t| *t == Told::Accepted).expect("one is accepted");
+        let won = told.iter().position(|t| *t == OperationOutcome::Accepted).expect("one is accepted");
         let version = 5 + won as u64;
-        assert_eq!(told[1 - won], Told::Conflict { current: Some(version) }, "{told:?}");
+        assert_eq!(told[1 - won], OperationOutcome::Conflict { current: Some(version) }, "{told:?}");
         let text = match kinds[won] {
             Kind::Replace => texts[won].to_string(),
             Kind::Amend => texts[won].replacen('\n', "\nbase", 1),
@@ -105,7 +104,7 @@
         for s in &c.at {
             assert_eq!(s.read().await, held(version, &text));
             let again = send(s, kinds[1 - won], 2, texts[1 - won]).await;
-            assert_eq!(again, Told::Conflict { current: Some(version) });
+            assert_eq!(again, OperationOutcome::Conflict { current: Some(version) });
         }
     });
 }
@@ -117,18 +116,18 @@
     World::run(11, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         let all = [(0, "1\na"), (1, "4\nb"), (4, "9\nc")];
-        for (n, (expected_voters, text)) in all.iter().enumerate() {
-            assert_eq!(c.at[n].replace(*expected_voters, text).await, Told::Accepted);
-            assert_eq!(c.at[n].replace(*expected_voters, text).await, Told::Accepted);
+        for (n, (base_version, text)) in all.iter().enumerate() {
+            assert_eq!(c.at[n].replace(*base_version, text).await, OperationOutcome::Accepted);
+            assert_eq!(c.at[n].replace(*base_version, text).await, OperationOutcome::Accepted);
         }
-        assert_eq!(c.at[1].amend(9, "10\n, d").await, Told::Accepted);
+        assert_eq!(c.at[1].amend(9, "10\n, d").await, OperationOutcome::Accepted);
         for s in &c.at {
-            for (expected_voters, text) in all {
-                assert_eq!(s.replace(expected_voters, text).await, Told::Accepted);
+            for (base_version, text) in all {
+                assert_eq!(s.replace(base_version, text).await, OperationOutcome::Accepted);
             }
-            assert_eq!(s.amend(9, "10\n, d").await, Told::Accepted);
+            assert_eq!(s.amend(9, "10\n, d").await, OperationOutcome::Accepted);
             // The same bytes on top of another version are another change.
-            assert_eq!(s.replace(0, "9\nc").await, Told::Conflict { current: Some(10) });
+            assert_eq!(s.replace(0, "9\nc").await, OperationOutcome::Conflict { current: Some(10) });
             assert_eq!(s.read().await, held(10, "10\nc, d"));
         }
     });
@@ -140,14 +139,14 @@
     World::run(12, None, |w| async move {
         let c = Cluster::initialized(w, 1).await;
         let s = &c.at[0];
-        assert_eq!(s.replace(0, "1\na").await, Told::Accepted);
-        for n in 0..OPS_KEPT + 1 {
-            assert_eq!(s.evacuate("far", n % 2 == 0).await, Told::Accepted);
+        assert_eq!(s.replace(0, "1\na").await, OperationOutcome::Accepted);
+        for n in 0..RECENT_OPERATIONS_KEPT + 1 {
+            assert_eq!(s.evacuate("far", n % 2 == 0).await, OperationOutcome::Accepted);
         }
-        assert_eq!(s.outcomes(), OPS_KEPT);
-        assert_eq!(s.replace(0, "1\na").await, Told::Accepted);
-        assert_eq!(s.replace(1, "2\nb").await, Told::Accepted);
-        assert_eq!(s.replace(0, "1\na").await, Told::Accepted);
+        assert_eq!(s.outcomes(), RECENT_OPERATIONS_KEPT);
+        assert_eq!(s.replace(0, "1\na").await, OperationOutcome::Accepted);
+        assert_eq!(s.replace(1, "2\nb").await, OperationOutcome::Accepted);
+        assert_eq!(s.replace(0, "1\na").await, OperationOutcome::Accepted);
     });
 }
 
@@ -156,25 +155,32 @@
     World::run(13, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         let s = &c.at[1];
-        assert_eq!(s.replace(3, "4\n").await, Told::Conflict { current: Some(0) });
+        assert_eq!(s.replace(3, "4\n").await, OperationOutcome::Conflict { current: Some(0) });
         assert!(invalid(&s.replace(0, "0\n").await).contains("allowed: above 0"));
-        assert_eq!(s.replace(0, "6\nkept").await, Told::Accepted);
+        assert_eq!(s.replace(0, "6\nkept").await, OperationOutcome::Accepted);
         for old in ["6\nother", "5\nother"] {
             assert!(invalid(&s.replace(6, old).await).contains("allowed: above 6"));
             assert!(invalid(&s.amend(6, old).await).contains("allowed: above 6"));
         }
-        assert_eq!(s.replace(0, "7\n").await, Told::Conflict { current: Some(6) });
-        assert_eq!(s.replace(7, "8\n").await, Told::Conflict { current: Some(6) });
+        assert_eq!(s.replace(0, "7\n").await, OperationOutcome::Conflict { current: Some(6) });
+        assert_eq!(s.replace(7, "8\n").await, OperationOutcome::Conflict { current: Some(6) });
         assert_eq!(invalid(&s.replace(6, "not a version").await), "no version");
         let long = |n: usize| format!("7\n{}", "x".repeat(n - 2));
-        assert_eq!(s.replace(6, &long(MAX_DOC + 1)).await, Told::TooLarge);
-        assert_eq!(s.replace(6, &format!("7\n{}", noise(1, MAX_DOC / 4))).await, Told::TooLarge);
-        assert_eq!(s.amend(6, &long(MAX_DOC)).await, Told::TooLarge, "what comes of it is too long");
+        assert_eq!(s.replace(6, &long(MAX_DOCUMENT_BYTES + 1)).await, OperationOutcome::TooLarge);
+        assert_eq!(
+            s.replace(6, &format!("7\n{}", noise(1, MAX_DOCUMENT_BYTES / 4))).await,
+            OperationOutcome::TooLarge
+        );
+        assert_eq!(
+            s.amend(6, &long(MAX_DOCUMENT_BYTES)).await,
+            OperationOutcome::TooLarge,
+            "what comes of it is too long"
+        );
         assert_eq!(s.read().await, held(6, "6\nkept"));
         // The longest one is taken, from a node that has to send it to the leader.
         let far = (c.leader() + 1) % 3;
-        assert_eq!(c.at[far].replace(6, &long(MAX_DOC)).await, Told::Accepted);
-        assert_eq!(s.read().await, held(7, &long(MAX_DOC)));
+        assert_eq!(c.at[far].replace(6, &long(MAX_DOCUMENT_BYTES)).await, OperationOutcome::Accepted);
+        assert_eq!(s.read().await, held(7, &long(MAX_DOCUMENT_BYTES)));
     });
 }
 
@@ -184,28 +190,34 @@
     World::run(seed, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         let old = c.leader();
-        assert_eq!(c.at[old].replace(0, "1\na").await, Told::Accepted);
+        assert_eq!(c.at[old].replace(0, "1\na").await, OperationOutcome::Accepted);
         c.cut_off(old);
-        assert_eq!(c.at[old].replace(1, "2\nb").await, Told::Undetermined);
-        assert!(matches!(c.at[old].replace(1, "2\nb").await, Told::Undetermined | Told::Unavailable(_)));
+        assert_eq!(c.at[old].replace(1, "2\nb").await, OperationOutcome::Undetermined);
+        assert!(matches!(
+            c.at[old].replace(1, "2\nb").await,
+            OperationOutcome::Undetermined | OperationOutcome::Unavailable(_)
+        ));
         c.until("another leads", |c| {
             let v = c.at[(old + 1) % 3].core.status();
             v.leader.is_some_and(|l| l.node.as_str() != format!("s{old}"))
         })
         .await;
         c.mend(old);
-        let mut told = Told::Undetermined;
+        let mut told = OperationOutcome::Undetermined;
         for _ in 0..100 {
             told = c.at[old].replace(1, "2\nb").await;
-            if told == Told::Accepted {
+            if told == OperationOutcome::Accepted {
                 break;
             }
-            assert!(matches!(told, Told::Undetermined | Told::Unavailable(_)), "{told:?}");
+            assert!(
+                matches!(told, OperationOutcome::Undetermined | OperationOutcome::Unavailable(_)),
+                "{told:?}"
+            );
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        assert_eq!(told, Told::Accepted);
+        assert_eq!(told, OperationOutcome::Accepted);
         for s in &c.at {
-            assert_eq!(s.replace(1, "2\nb").await, Told::Accepted);
+            assert_eq!(s.replace(1, "2\nb").await, OperationOutcome::Accepted);
             assert_eq!(s.read().await, held(2, "2\nb"));
             assert_eq!(s.core.status().cluster_state.revision.0, 2, "each was taken once");
         }
@@ -221,7 +233,7 @@
     let text = text.to_string();
     World::run(21, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[2].replace(0, &text).await, Told::Accepted);
+        assert_eq!(c.at[2].replace(0, &text).await, OperationOutcome::Accepted);
         for s in &c.at {
             assert_eq!(s.read().await, held(1, &text));
         }
@@ -232,17 +244,17 @@
 fn areas_are_evacuated_and_taken_back() {
     World::run(31, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[0].replace(0, "1\na").await, Told::Accepted);
+        assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
         // "far" is known by name only; in "a2" a voter stands.
         for (at, zone) in [(0, "far"), (1, "a2"), (2, "a2")] {
-            assert_eq!(c.at[at].evacuate(zone, true).await, Told::Accepted);
+            assert_eq!(c.at[at].evacuate(zone, true).await, OperationOutcome::Accepted);
         }
         assert_eq!(c.at[2].evacuated().await, ["a2", "far"]);
         // A document takes none back.
-        assert_eq!(c.at[1].replace(1, "2\nb").await, Told::Accepted);
+        assert_eq!(c.at[1].replace(1, "2\nb").await, OperationOutcome::Accepted);
         assert_eq!(c.at[0].evacuated().await, ["a2", "far"]);
         for at in 0..2 {
-            assert_eq!(c.at[at].evacuate("far", false).await, Told::Accepted);
+            assert_eq!(c.at[at].evacuate("far", false).await, OperationOutcome::Accepted);
         }
         assert_eq!(c.at[0].evacuated().await, ["a2"]);
         assert!(invalid(&c.at[0].evacuate("nowhere", true).await).contains("known to no node"));
--- a/crates/control-plane/tests/disk_faults.rs
+++ b/crates/control-plane/tests/disk_faults.rs
@@ -6,11 +6,11 @@
 use common::{Incarnation, Index, Term, settings::Settings, settings::Timing};
 use control_plane::{
     Change, ClusterState,
-    change::VoterInfo,
-    consensus::{DurableState, LogEntry, Record, Voter},
-    core::{DataFolder, Recorder, RecoveryBackoff},
-    disk::{LoadResult, OpenError, RecordWriter},
-    store::FileStore,
+    consensus::{DurableState, Record},
+    storage::FileStore,
+    storage::{DataFolder, Recorder, RecoveryBackoff},
+    storage::{LoadResult, OpenError, RecordWriter},
+    types::{LogEntry, VoterInfo},
 };
 use medium::{FaultyMedium, Plan, Trouble};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -54,7 +54,7 @@
     DurableState {
         initialized: true,
         cluster_state: ClusterState::bootstrapped("c", vec![me.clone()]),
-        ..Voter::blank_state(&me)
+        ..DurableState::blank(&me)
     }
 }
 
@@ -88,10 +88,10 @@
 fn record(held: &DurableState, n: u64) -> Record {
     if n.is_multiple_of(3) {
         let mut whole = held.clone();
-        whole.replay(Record::Append { accepted: Index(0), entries: vec![entry(n)] });
+        whole.replay(Record::Append { commit_index: Index(0), entries: vec![entry(n)] });
         return Record::DurableState(Box::new(whole));
     }
-    Record::Append { accepted: Index(0), entries: vec![entry(n)] }
+    Record::Append { commit_index: Index(0), entries: vec![entry(n)] }
 }
 
 struct Run {
@@ -159,7 +159,7 @@
 
 fn starts_with(path: &Path, told: &DurableState) -> Result<(), String> {
     match FileStore::load(path).map_err(|e| e.to_string())? {
-        LoadResult::DurableState(image) => holds(&image, told),
+        LoadResult::State(image) => holds(&image, told),
         other => Err(format!("{other:?}")),
     }
 }
@@ -249,7 +249,7 @@
     }
     let image = recorder.recover().unwrap();
     assert!(!image.initialized);
-    assert_eq!(FileStore::load(&data).unwrap(), LoadResult::DurableState(Box::new(image)));
+    assert_eq!(FileStore::load(&data).unwrap(), LoadResult::State(Box::new(image)));
 }
 
 /// A folder that turns out damaged is moved aside, and the voter comes up blank under another name.
--- a/crates/control-plane/tests/document.rs
+++ b/crates/control-plane/tests/document.rs
@@ -2,7 +2,7 @@
 //! and never longer than they are weighed.
 
 use common::wire;
-use control_plane::{Document, MAX_DOC, consensus::SizeLimits};
+use control_plane::{Document, MAX_DOCUMENT_BYTES, types::SizeLimits};
 use rstest::rstest;
 
 mod noise;
@@ -16,7 +16,7 @@
 #[case::none("")]
 #[case::short("a")]
 #[case::letters(&"ñandú 东 \u{1F682} \u{0} ".repeat(50))]
-#[case::alike(&"x".repeat(MAX_DOC))]
+#[case::alike(&"x".repeat(MAX_DOCUMENT_BYTES))]
 #[case::unlike(&noise(3, 1 << 20))]
 #[case::half_and_half(&(noise(4, 70_000) + &"y".repeat(70_000)))]
 fn texts_come_back_as_they_were(#[case] text: &str) {
@@ -52,14 +52,14 @@
 /// The longest document of routes takes no more room than the log has for one.
 #[test]
 fn four_mebibytes_of_routes_fit() {
-    let d = Document::from(routes(MAX_DOC));
-    assert!(d.fits() && d.packed_len() < SizeLimits::default().doc(), "{}", d.packed_len());
-    assert!(!Document::from(routes(MAX_DOC + 1)).fits());
+    let d = Document::from(routes(MAX_DOCUMENT_BYTES));
+    assert!(d.fits() && d.packed_len() < SizeLimits::default().document(), "{}", d.packed_len());
+    assert!(!Document::from(routes(MAX_DOCUMENT_BYTES + 1)).fits());
 }
 
 #[rstest]
-#[case(SizeLimits::default().doc(), true)]
-#[case(SizeLimits::default().doc() + 1, false)]
+#[case(SizeLimits::default().document(), true)]
+#[case(SizeLimits::default().document() + 1, false)]
 fn what_can_not_be_packed_has_less_room(#[case] len: usize, #[case] fits: bool) {
     assert_eq!(Document::from(noise(5, len)).fits(), fits);
 }
@@ -67,7 +67,7 @@
 /// Broken bytes are an error, and reserve no more memory than a document may take.
 #[rstest]
 #[case::longer_than_any(0, &[0xff, 0xff, 0xff, 0x7f], "allowed: 4194304")]
-#[case::longer_than_it_is(0, &[0x59, 2, 0, 0], "601 were told")]
+#[case::longer_than_it_is(0, &[0x59, 2, 0, 0], "601 were announced")]
 #[case::shorter_than_it_is(0, &[1, 0, 0, 0], "")]
 #[case::no_text(5, &[0xff], "utf-8")]
 fn what_is_broken_is_an_error(#[case] at: usize, #[case] bytes: &[u8], #[case] why: &str) {
--- a/crates/control-plane/tests/drawn.rs
+++ b/crates/control-plane/tests/drawn.rs
@@ -1,7 +1,7 @@
 //! What must never be alike by chance of time or process (design 2.5, 4.6).
 
 use common::settings::{Settings, Timing};
-use control_plane::{api::drawn_op, core::blank};
+use control_plane::{operator::api::draw_operation, storage::blank_voter};
 use std::collections::BTreeSet;
 
 fn settings() -> Settings {
@@ -25,14 +25,14 @@
 /// Folders that begin in the same millisecond and process, as after a restart with a reset clock.
 #[test]
 fn no_two_incarnations_are_alike() {
-    let all: BTreeSet<_> = (0..1_000).map(|_| blank(&settings()).incarnation).collect();
+    let all: BTreeSet<_> = (0..1_000).map(|_| blank_voter(&settings()).incarnation).collect();
     assert_eq!(all.len(), 1_000);
 }
 
 /// Two operators at one voter in one millisecond: the second was answered with the first one's outcome.
 #[test]
 fn no_two_operations_share_a_name() {
-    let all: BTreeSet<_> = (0..1_000).map(|_| drawn_op()).collect();
+    let all: BTreeSet<_> = (0..1_000).map(|_| draw_operation()).collect();
     assert_eq!(all.len(), 1_000);
-    assert!(all.iter().all(|o| common::is_valid_name(o)));
+    assert!(all.iter().all(|o| common::is_valid_name(o.as_str())));
 }
--- a/crates/control-plane/tests/feed.rs
+++ b/crates/control-plane/tests/feed.rs
@@ -61,15 +61,15 @@
     let dir = tempfile::tempdir().unwrap();
     let (mut r, _) = rig(dir.path());
     let at = r.leader();
-    let before = r.voters[at].last();
+    let before = r.voters[at].last_index();
     for n in 0..20 {
         r.apply(n, 10);
     }
-    assert_eq!(r.voters[at].last(), Index(before.0 + 20));
+    assert_eq!(r.voters[at].last_index(), Index(before.0 + 20));
     // Once there for the first, there with it and the rest, and there for the last acceptance.
     r.run(75);
     for s in &r.voters {
-        assert_eq!(s.last(), r.voters[at].last());
+        assert_eq!(s.last_index(), r.voters[at].last_index());
     }
     r.run(200);
     r.well();
--- a/crates/control-plane/tests/larger.rs
+++ b/crates/control-plane/tests/larger.rs
@@ -3,8 +3,8 @@
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
 use control_plane::{
     Change, ClusterState,
-    change::VoterInfo,
-    consensus::{DurableState, Effect, Event, LogEntry, LogTail, MOST_VOTERS, Message, Voter, VoterId},
+    consensus::{DurableState, Effect, Event, LogTail, Message, Voter, VoterId},
+    types::{LogEntry, MAX_VOTERS, VoterInfo},
 };
 use rstest::rstest;
 use std::{collections::BTreeMap, net::SocketAddr};
@@ -35,7 +35,7 @@
         initialized: true,
         current_term: Term(current_term),
         cluster_state: ClusterState::bootstrapped("c", voters),
-        ..Voter::blank_state(&holder(n, 10 + u64::from(n)))
+        ..DurableState::blank(&holder(n, 10 + u64::from(n)))
     };
     Voter::new(
         image.me.clone(),
@@ -59,8 +59,8 @@
 fn views_are_their_candidates_own() {
     let mut whose: BTreeMap<Term, u8> = BTreeMap::new();
     for current_term in 0..60 {
-        for n in 0..MOST_VOTERS as u8 {
-            let mut s = initialized(n, MOST_VOTERS as u8, current_term);
+        for n in 0..MAX_VOTERS as u8 {
+            let mut s = initialized(n, MAX_VOTERS as u8, current_term);
             let term = pre_vote_granted(&mut s, Tick(60_000)).expect("it stands");
             assert!(term > Term(current_term));
             assert_eq!(*whose.entry(term).or_insert(n), n, "{term} is another's too");
@@ -76,7 +76,7 @@
 #[case::none_comes(0, 4_500, Some(3))]
 fn a_founder_waits_for_the_others(#[case] other_voters: u8, #[case] ms: u64, #[case] voters: Option<usize>) {
     let me = holder(0, 90);
-    let image = Voter::blank_state(&me);
+    let image = DurableState::blank(&me);
     let mut s = Voter::new(me, "c", (0..3).map(addr).collect(), Timing::default(), Some(image), Tick(10_000));
     s.expected_voters = 5;
     let mut now = Tick(11_000);
@@ -86,7 +86,7 @@
         for n in (1..3).chain(3..3 + other_voters) {
             let holder = holder(n, 90 + u64::from(n));
             let discovered_voters =
-                Message::Discover { holder, initialized: false, voters: vec![], index: Index(0) };
+                Message::Discover { voter: holder, initialized: false, voters: vec![], index: Index(0) };
             s.step(Event::Msg(addr(n), discovered_voters), now);
         }
         s.step(Event::Timer, now);
@@ -116,7 +116,7 @@
         let tail = LogTail {
             log_term: Term(u64::from(is_voter)),
             last: Index(u64::from(is_voter)),
-            accepted: Index(0),
+            commit_index: Index(0),
             snapshot: None,
             entries: if is_voter { vec![swap.clone()] } else { vec![] },
         };
