--- a/crates/control-plane/tests/malformed.rs
+++ b/crates/control-plane/tests/malformed.rs
@@ -8,10 +8,8 @@
 };
 use control_plane::{
     Change, ClusterState,
-    change::VoterInfo,
-    consensus::{
-        Body, DurableState, Effect, Event, InvalidMessage, LogEntry, LogTail, Message, Voter, VoterId,
-    },
+    consensus::{Body, DurableState, Effect, Event, InvalidMessage, LogTail, Message, Voter, VoterId},
+    types::{LogEntry, VoterInfo},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
@@ -56,7 +54,7 @@
 fn state(index: u64) -> ClusterState {
     let mut cluster_state = ClusterState::bootstrapped("c", voters());
     (1..=index.min(5)).for_each(|n| {
-        cluster_state.fold(Index(n), &entry(n).change);
+        let _ = cluster_state.apply(Index(n), &entry(n).change);
     });
     cluster_state.index = Index(index);
     cluster_state
@@ -68,12 +66,12 @@
 }
 
 fn blank() -> Voter {
-    voter(Voter::blank_state(&VoterInfo { number: u8::MAX, incarnation: Incarnation(90), ..holder(2) }))
+    voter(DurableState::blank(&VoterInfo { number: u8::MAX, incarnation: Incarnation(90), ..holder(2) }))
 }
 
 /// Voter 0 with five accepted changes, in the term 8 that it leads or once led.
 fn initialized() -> Voter {
-    let blank = Voter::blank_state(&holder(0));
+    let blank = DurableState::blank(&holder(0));
     voter(DurableState {
         initialized: true,
         current_term: Term(8),
@@ -93,7 +91,7 @@
     let tail = LogTail {
         log_term: Term(8),
         last: Index(5),
-        accepted: Index(5),
+        commit_index: Index(5),
         snapshot: None,
         entries: Vec::new(),
     };
@@ -102,7 +100,7 @@
     s.step(Event::Msg(address(1), holds(16, 5, 5, NOW)), NOW);
     assert!(s.can_serve_reads(NOW), "{:?}", s.role);
     s.step(Event::Propose(entry(6).change), NOW);
-    assert_eq!(s.last(), Index(6));
+    assert_eq!(s.last_index(), Index(6));
     s
 }
 
@@ -115,18 +113,18 @@
     s
 }
 
-fn holds(term: u64, last: u64, accepted: u64, sent_at: Tick) -> Message {
-    let (last, accepted) = (Index(last), Index(accepted));
-    Message::AppendReply { by: voter_id(1), term: Term(term), installed: true, last, accepted, sent_at }
+fn holds(term: u64, last: u64, commit_index: u64, sent_at: Tick) -> Message {
+    let (last, commit_index) = (Index(last), Index(commit_index));
+    Message::AppendReply { by: voter_id(1), term: Term(term), installed: true, last, commit_index, sent_at }
 }
 
-fn send_append(term: u64, accepted: u64, body: Body) -> Message {
-    let (term, accepted) = (Term(term), Index(accepted));
-    Message::Append { by: voter_id(1), to: 0, term, accepted, sent_at: NOW, body }
+fn send_append(term: u64, commit_index: u64, body: Body) -> Message {
+    let (term, commit_index) = (Term(term), Index(commit_index));
+    Message::Append { by: voter_id(1), to: 0, term, commit_index, sent_at: NOW, body }
 }
 
 fn install(cut: u64, snapshot: Option<ClusterState>, entries: &[u64]) -> Body {
-    Body::Install { cut: Index(cut), snapshot, entries: entries.iter().copied().map(entry).collect() }
+    Body::Install { truncate_to: Index(cut), snapshot, entries: entries.iter().copied().map(entry).collect() }
 }
 
 fn append(prev: u64, entries: &[u64]) -> Body {
@@ -136,13 +134,18 @@
 fn stopped(
     log_term: u64,
     last: u64,
-    accepted: u64,
+    commit_index: u64,
     snapshot: Option<ClusterState>,
     entries: &[u64],
 ) -> Message {
     let entries = entries.iter().copied().map(entry).collect();
-    let tail =
-        LogTail { log_term: Term(log_term), last: Index(last), accepted: Index(accepted), snapshot, entries };
+    let tail = LogTail {
+        log_term: Term(log_term),
+        last: Index(last),
+        commit_index: Index(commit_index),
+        snapshot,
+        entries,
+    };
     Message::Vote { by: voter_id(1), term: Term(16), tail }
 }
 
@@ -155,7 +158,7 @@
 }
 
 fn discovered_voters(voters: Vec<VoterInfo>, index: u64) -> Message {
-    Message::Discover { holder: holder(1), initialized: true, voters, index: Index(index) }
+    Message::Discover { voter: holder(1), initialized: true, voters, index: Index(index) }
 }
 
 /// All of a voter that a message could change and that must outlive it.
@@ -167,11 +170,11 @@
         s.log_term,
         s.cluster_state,
         s.log,
-        s.base,
+        s.snapshot_index,
         s.durable_index,
         s.disk_failed,
-        s.out,
-        s.last(),
+        s.removed,
+        s.last_index(),
         s.role
     )
 }
@@ -186,9 +189,9 @@
 }
 
 #[rstest]
-#[case::feed_of_a_view_out_of_reach(send_append(MOST - 6, 5, Body::Ping), InvalidMessage::TermOutOfRange)]
-#[case::feed_in_the_view_of_another(send_append(18, 5, Body::Ping), InvalidMessage::TermOfAnother)]
-#[case::feed_of_a_place_out_of_reach(send_append(17, MOST, Body::Ping), InvalidMessage::IndexOutOfRange)]
+#[case::feed_of_a_view_out_of_reach(send_append(MOST - 6, 5, Body::Heartbeat), InvalidMessage::TermOutOfRange)]
+#[case::feed_in_the_view_of_another(send_append(18, 5, Body::Heartbeat), InvalidMessage::TermOfAnother)]
+#[case::feed_of_a_place_out_of_reach(send_append(17, MOST, Body::Heartbeat), InvalidMessage::IndexOutOfRange)]
 #[case::state_of_another_cluster(send_append(17, 9, install(0, Some(saw_other_cluster(9)), &[])), InvalidMessage::ForeignCluster)]
 #[case::state_at_a_place_out_of_reach(send_append(17, 9, install(0, Some(state(MOST)), &[])), InvalidMessage::IndexOutOfRange)]
 #[case::state_without_a_roster(send_append(17, 9, install(0, Some(with_roster(vec![])), &[])), InvalidMessage::InvalidVoterSet)]
@@ -201,9 +204,9 @@
 #[case::appended_with_a_gap(send_append(17, 5, append(5, &[6, 9])), InvalidMessage::Gap)]
 #[case::appended_elsewhere(send_append(17, 5, append(5, &[9])), InvalidMessage::Gap)]
 #[case::stop_of_a_view_out_of_reach(
-    Message::VoteRequest { by: voter_id(1), term: Term(MOST - 6), accepted: Index(0) }, InvalidMessage::TermOutOfRange)]
+    Message::VoteRequest { by: voter_id(1), term: Term(MOST - 6), commit_index: Index(0) }, InvalidMessage::TermOutOfRange)]
 #[case::stop_in_the_view_of_another(
-    Message::VoteRequest { by: voter_id(1), term: Term(24), accepted: Index(0) }, InvalidMessage::TermOfAnother)]
+    Message::VoteRequest { by: voter_id(1), term: Term(24), commit_index: Index(0) }, InvalidMessage::TermOfAnother)]
 #[case::canvass_of_a_view_out_of_reach(
     Message::PreVote { by: voter_id(1), term: Term(MOST - 6) }, InvalidMessage::TermOutOfRange)]
 #[case::roster_of_nobody(discovered_voters(vec![], 99), InvalidMessage::InvalidVoterSet)]
@@ -221,11 +224,11 @@
 
 #[rstest]
 #[case::send_append(Message::Append {
-    by: voter_id(0), to: 0, term: Term(24), accepted: Index(5), sent_at: NOW, body: Body::Ping })]
-#[case::stop(Message::VoteRequest { by: voter_id(0), term: Term(24), accepted: Index(5) })]
+    by: voter_id(0), to: 0, term: Term(24), commit_index: Index(5), sent_at: NOW, body: Body::Heartbeat })]
+#[case::stop(Message::VoteRequest { by: voter_id(0), term: Term(24), commit_index: Index(5) })]
 #[case::vote(Message::PreVoteGranted { by: voter_id(0), term: Term(16) })]
 #[case::held(Message::AppendReply {
-    by: voter_id(0), term: Term(16), installed: true, last: Index(6), accepted: Index(5), sent_at: NOW })]
+    by: voter_id(0), term: Term(16), installed: true, last: Index(6), commit_index: Index(5), sent_at: NOW })]
 fn its_own_name_is_no_sender(
     #[case] msg: Message,
     #[values(initialized, candidate, leader)] at: fn() -> Voter,
@@ -258,17 +261,17 @@
 
 /// Sound messages of those who have no say: an older term, a removed member, nobody it knows.
 #[rstest]
-#[case::stop_of_an_older_view(Message::VoteRequest { by: voter_id(1), term: Term(1), accepted: Index(0) })]
+#[case::stop_of_an_older_view(Message::VoteRequest { by: voter_id(1), term: Term(1), commit_index: Index(0) })]
 #[case::vote_for_an_older_view(Message::PreVoteGranted { by: voter_id(1), term: Term(8) })]
 #[case::feed_of_an_older_view(send_append(1, 5, append(5, &[6, 7])))]
 #[case::stop_of_a_removed_member(
-    Message::VoteRequest { by: VoterId { number: 1, incarnation: Incarnation(1) }, term: Term(25), accepted: Index(0) })]
+    Message::VoteRequest { by: VoterId { number: 1, incarnation: Incarnation(1) }, term: Term(25), commit_index: Index(0) })]
 #[case::feed_of_a_removed_member(Message::Append {
-    by: VoterId { number: 1, incarnation: Incarnation(1) }, to: 0, term: Term(25), accepted: Index(5), sent_at: NOW,
+    by: VoterId { number: 1, incarnation: Incarnation(1) }, to: 0, term: Term(25), commit_index: Index(5), sent_at: NOW,
     body: append(5, &[6, 7]) })]
 #[case::held_by_a_removed_member(Message::AppendReply {
     by: VoterId { number: 1, incarnation: Incarnation(1) }, term: Term(16), installed: true, last: Index(6),
-    accepted: Index(5), sent_at: NOW })]
+    commit_index: Index(5), sent_at: NOW })]
 #[case::yield_of_a_removed_member(
     Message::StepDown { by: VoterId { number: 1, incarnation: Incarnation(1) }, term: Term(17) })]
 fn who_has_no_say_changes_nothing(
@@ -294,7 +297,9 @@
 #[test]
 fn a_leader_goes_on_behind_all_of_it() {
     let mut s = leader();
-    for msg in [holds(16, MOST, 5, NOW), holds(16, 6, 5, NOW + 9_999), send_append(MOST - 6, 5, Body::Ping)] {
+    for msg in
+        [holds(16, MOST, 5, NOW), holds(16, 6, 5, NOW + 9_999), send_append(MOST - 6, 5, Body::Heartbeat)]
+    {
         s.step(Event::Msg(address(1), msg), NOW);
     }
     s.step(Event::Synced(3), NOW);
@@ -310,7 +315,7 @@
     let mut s = initialized();
     let effects = s.step(Event::Msg(address(1), send_append(17, 5, install(5, None, &[6, 7]))), NOW);
     assert!(matches!(effects.as_slice(), [Effect::Persist { .. }]), "{effects:?}");
-    let late = s.step(Event::Msg(address(1), send_append(9, 5, Body::Ping)), NOW);
+    let late = s.step(Event::Msg(address(1), send_append(9, 5, Body::Heartbeat)), NOW);
     let held = |f: &Effect| matches!(f, Effect::Send { msg: Message::AppendReply { .. }, .. });
     assert!(!late.iter().any(held), "{late:?}");
     let told = s.step(Event::Synced(1), NOW);
@@ -329,9 +334,9 @@
         stopped(8, 9, 9, Some(state(9)), &[]),
         holds(16, 6, 5, NOW),
         discovered_voters(voters(), 9),
-        Message::VoteRequest { by: voter_id(1), term: Term(17), accepted: Index(5) },
+        Message::VoteRequest { by: voter_id(1), term: Term(17), commit_index: Index(5) },
         Message::PreVote { by: voter_id(1), term: Term(17) },
-        Message::JoinRequest { holder: holder(2) },
+        Message::JoinRequest { voter: holder(2) },
         Message::Bootstrap { cluster_state: state(0) },
     ];
     let mut rng = SmallRng::seed_from_u64(7);
@@ -351,11 +356,11 @@
             read += 1;
             for at in [blank, initialized, candidate, leader] {
                 let mut s = at();
-                let accepted = s.accepted();
+                let commit_index = s.commit_index();
                 s.step(Event::Msg(address(1), msg.clone()), NOW);
                 s.step(Event::Synced(9), NOW);
                 (0..80).for_each(|n| drop(s.step(Event::Timer, NOW + n * 50)));
-                assert!(s.accepted() >= accepted, "{msg:?}");
+                assert!(s.commit_index() >= commit_index, "{msg:?}");
                 assert!(!s.initialized || s.cluster_state.cluster == "c", "{msg:?}");
             }
         }
--- a/crates/control-plane/tests/medium/mod.rs
+++ b/crates/control-plane/tests/medium/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use control_plane::store::Medium;
+use control_plane::storage::Medium;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::{
     collections::BTreeMap,
--- a/crates/control-plane/tests/model/describe.rs
+++ b/crates/control-plane/tests/model/describe.rs
@@ -60,8 +60,8 @@
                 voter.me.incarnation,
                 voter.current_term,
                 voter.log_term,
-                voter.accepted(),
-                voter.last(),
+                voter.commit_index(),
+                voter.last_index(),
                 voter.role
             ),
         };
@@ -77,15 +77,19 @@
         Message::Vote { term, tail, .. } => {
             format!("vote for term {term} (log term {}, last {})", tail.log_term, tail.last)
         }
-        Message::Append { term, accepted, body, .. } => {
+        Message::Append { term, commit_index, body, .. } => {
             let what = match body {
-                Body::Ping => "heartbeat".into(),
-                Body::Install { cut, snapshot, entries } => {
-                    format!("install after {cut}, snapshot {}, {} entries", snapshot.is_some(), entries.len())
+                Body::Heartbeat => "heartbeat".into(),
+                Body::Install { truncate_to, snapshot, entries } => {
+                    format!(
+                        "install after {truncate_to}, snapshot {}, {} entries",
+                        snapshot.is_some(),
+                        entries.len()
+                    )
                 }
                 Body::Append { prev, entries } => format!("append after {prev}, {} entries", entries.len()),
             };
-            format!("{what} of term {term}, accepted {accepted}")
+            format!("{what} of term {term}, accepted {commit_index}")
         }
         Message::AppendReply { term, installed, last, .. } => {
             format!("reply in term {term}, installed {installed}, last {last}")
@@ -93,7 +97,7 @@
         Message::LeaderQuery(_) => "question whether it leads".into(),
         Message::NotLeading(_) => "answer that it does not lead".into(),
         Message::StepDown { term, .. } => format!("hand-over of term {term}"),
-        Message::JoinRequest { holder } => format!("join request of {}", holder.incarnation),
+        Message::JoinRequest { voter } => format!("join request of {}", voter.incarnation),
         Message::Discover { initialized, .. } => format!("discovery, formed {initialized}"),
         Message::Bootstrap { .. } => "founding".into(),
     }
--- a/crates/control-plane/tests/model/history.rs
+++ b/crates/control-plane/tests/model/history.rs
@@ -4,8 +4,8 @@
 use common::{Incarnation, Index, OpId, Revision, Term};
 use control_plane::{
     ApplyOutcome, Change, ClusterState,
-    change::VoterInfo,
-    consensus::{DurableState, LogEntry, Message, VoterId},
+    consensus::{DurableState, Message, VoterId},
+    types::{LogEntry, VoterInfo},
 };
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/control-plane/tests/model/main.rs
+++ b/crates/control-plane/tests/model/main.rs
@@ -15,7 +15,7 @@
 mod world;
 
 use common::{Incarnation, Index, Revision, Term};
-use control_plane::{ApplyOutcome, ClusterState, consensus::LogEntry};
+use control_plane::{ApplyOutcome, ClusterState, types::LogEntry};
 use history::History;
 use rstest::rstest;
 use scenario::Scenario;
@@ -148,7 +148,7 @@
     println!("{scenario:?}: {runs} runs come back, the longest after {longest} ms");
     assert!(report.complete && runs >= 10, "{report}, {runs} samples");
     let reached = report.reached;
-    assert!(reached.terms > 8 && reached.accepted > 0 && reached.told > 0 && reached.replaced, "{report}");
+    assert!(reached.terms > 8 && reached.committed > 0 && reached.told > 0 && reached.replaced, "{report}");
 }
 
 #[rstest]
--- a/crates/control-plane/tests/model/scenario.rs
+++ b/crates/control-plane/tests/model/scenario.rs
@@ -122,7 +122,7 @@
                 world.changes = changes(1, &["c", "d"]);
                 world.wipe(follower);
                 world.restart(follower);
-                let logged = |w: &World| w.voter(leader).is_some_and(|s| s.last() > s.accepted());
+                let logged = |w: &World| w.voter(leader).is_some_and(|s| s.last_index() > s.commit_index());
                 match self {
                     Self::WipedVoterJoins => world.quiet_until_join(leader)?,
                     Self::ReplacementLogged => {
@@ -185,13 +185,13 @@
 
     fn all_accepted(&self, machines: &[usize]) -> bool {
         let newest = self.history.value.newest();
-        machines.iter().all(|n| self.voter(*n).is_some_and(|voter| voter.accepted() == newest))
+        machines.iter().all(|n| self.voter(*n).is_some_and(|voter| voter.commit_index() == newest))
             && newest.0 > 0
     }
 
     /// It counts as a voter and has a state of its own.
     fn is_voter(&self, machine: usize) -> bool {
-        let me = self.machine(machine).disk.durable_index.me.incarnation;
+        let me = self.machine(machine).disk.synced.me.incarnation;
         self.is_whole() && self.history.value.voters.iter().any(|holder| holder.incarnation == me)
     }
 
@@ -300,7 +300,8 @@
         }
         let newest = world.history.value.newest();
         world.quiet_to(&[], |w| {
-            let reads = w.leader().and_then(|n| w.voter(n)).is_some_and(|voter| voter.accepted() >= newest);
+            let reads =
+                w.leader().and_then(|n| w.voter(n)).is_some_and(|voter| voter.commit_index() >= newest);
             reads && w.is_whole()
         })?;
         Ok(Tick(world.now.since(begin)))
--- a/crates/control-plane/tests/model/search.rs
+++ b/crates/control-plane/tests/model/search.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reached {
     pub terms: u64,
-    pub accepted: u64,
+    pub committed: u64,
     pub told: usize,
     pub replaced: bool,
 }
@@ -108,7 +108,7 @@
         let history = &world.history.value;
         let term = world.voters().map(|voter| voter.log_term.0).max().unwrap_or(0);
         self.terms = self.terms.max(term);
-        self.accepted = self.accepted.max(history.newest().0);
+        self.committed = self.committed.max(history.newest().0);
         self.told = self.told.max(history.told_accepted.len());
         self.replaced |= history.voters.iter().any(|holder| holder.incarnation.0 > 12);
     }
--- a/crates/control-plane/tests/model/world.rs
+++ b/crates/control-plane/tests/model/world.rs
@@ -9,8 +9,8 @@
 use common::{Incarnation, Index, OpId, Revision, Term, Tick, settings::Timing};
 use control_plane::{
     ApplyOutcome, Change, ClusterState,
-    change::VoterInfo,
-    consensus::{DurableState, Effect, Event, LogEntry, LogTail, Message, Record, Voter, VoterId, VoterRole},
+    consensus::{DurableState, Effect, Event, LogTail, Message, Record, Voter, VoterId, VoterRole},
+    types::{LogEntry, VoterInfo},
 };
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -46,14 +46,14 @@
 /// What a machine's disk holds: what is synced, and the writes that are not, oldest first.
 #[derive(Clone, Debug)]
 pub struct RecordWriter {
-    pub durable_index: DurableState,
+    pub synced: DurableState,
     pub unsynced: VecDeque<(u64, Record)>,
 }
 
 impl RecordWriter {
     fn sync_oldest(&mut self) -> Option<u64> {
         let (token, record) = self.unsynced.pop_front()?;
-        self.durable_index.replay(record);
+        self.synced.replay(record);
         Some(token)
     }
 
@@ -239,7 +239,7 @@
 
     /// Three blank machines that start together, and a blank spare that is down.
     pub fn blank(variant: Option<Variant>) -> Self {
-        let image = |n: usize| Voter::blank_state(&holder(n, u8::MAX, incarnation(n)));
+        let image = |n: usize| DurableState::blank(&holder(n, u8::MAX, incarnation(n)));
         Self::started((0..VOTERS).map(image), History::default(), variant)
     }
 
@@ -249,10 +249,10 @@
         variant: Option<Variant>,
     ) -> Self {
         let now = Tick(100_000);
-        let spare = Voter::blank_state(&holder(SPARE, u8::MAX, incarnation(SPARE)));
+        let spare = DurableState::blank(&holder(SPARE, u8::MAX, incarnation(SPARE)));
         let machine = |image: DurableState| Machine {
             process: None,
-            disk: RecordWriter { durable_index: image, unsynced: VecDeque::new() },
+            disk: RecordWriter { synced: image, unsynced: VecDeque::new() },
             started: now,
             waiting: BTreeMap::new(),
         };
@@ -311,7 +311,7 @@
         if self.variant != Some(Variant::ReadsWithoutLease) {
             return voter.can_serve_reads(self.now);
         }
-        matches!(&voter.role, VoterRole::Leader { term_start, .. } if voter.accepted() >= *term_start)
+        matches!(&voter.role, VoterRole::Leader { term_start, .. } if voter.commit_index() >= *term_start)
     }
 
     pub fn timing(&self) -> Timing {
@@ -382,8 +382,7 @@
 
     /// It is down; a blank spare is put up by the scenario, not by the search.
     pub fn may_restart(&self, machine: usize) -> bool {
-        self.voter(machine).is_none()
-            && (machine != SPARE || self.machine(machine).disk.durable_index.initialized)
+        self.voter(machine).is_none() && (machine != SPARE || self.machine(machine).disk.synced.initialized)
     }
 
     /// Losses of power, with each number of unsynced writes kept, and of the disk.
@@ -396,12 +395,8 @@
                 all.extend(kept.map(|kept| Action::FailSync { machine, kept }));
             }
         }
-        let votes = self
-            .history
-            .value
-            .voters
-            .iter()
-            .any(|holder| holder.incarnation == disk.durable_index.me.incarnation);
+        let votes =
+            self.history.value.voters.iter().any(|holder| holder.incarnation == disk.synced.me.incarnation);
         if self.budget.wipes > 0 && votes && self.is_whole() && self.all_in_touch() {
             all.push(Action::Wipe { machine });
         }
@@ -412,7 +407,7 @@
         // A founder's word may still be on its way to a machine that never lost anything.
         let first = |holder: &VoterInfo| holder.incarnation.0 < incarnation(VOTERS);
         let has_state = |holder: &VoterInfo| {
-            let mut disks = self.machines.iter().map(|machine| &machine.value.disk.durable_index);
+            let mut disks = self.machines.iter().map(|machine| &machine.value.disk.synced);
             disks.any(|image| {
                 image.me.incarnation == holder.incarnation && (image.initialized || first(holder))
             })
@@ -434,7 +429,8 @@
         let election_timeout = timing.election_timeout_ms();
         let mut times = Vec::new();
         for machine in self.machines.iter().map(|machine| &machine.value) {
-            let Some(voter) = machine.process.as_ref().filter(|voter| voter.initialized && !voter.out) else {
+            let Some(voter) = machine.process.as_ref().filter(|voter| voter.initialized && !voter.removed)
+            else {
                 continue;
             };
             let stands = election_timeout
@@ -545,14 +541,14 @@
 
     pub fn wipe(&mut self, machine: usize) {
         self.crash(machine, 0);
-        let image = &self.machine(machine).disk.durable_index;
+        let image = &self.machine(machine).disk.synced;
         let lost = image.clone();
         let fresh = VoterInfo {
             number: u8::MAX,
             incarnation: Incarnation(lost.me.incarnation.0 + NEXT_INCARNATION),
             ..image.me.clone()
         };
-        let mut blank = Voter::blank_state(&fresh);
+        let mut blank = DurableState::blank(&fresh);
         if self.variant == Some(Variant::BlankVotesAsFormerSelf) {
             let voters = (0..VOTERS).map(|n| holder(n, n as u8, 10 + n as u64)).collect();
             blank = DurableState {
@@ -562,7 +558,7 @@
                 ..blank
             };
         }
-        self.edit(machine, |here| here.disk.durable_index = blank);
+        self.edit(machine, |here| here.disk.synced = blank);
         self.record(|history| history.lost.insert(lost.me.incarnation, lost));
     }
 
@@ -571,7 +567,7 @@
         if self.variant == Some(Variant::VotesRightAfterRestart) {
             started = started - self.timing().election_timeout_ms();
         }
-        let mut image = self.machine(machine).disk.durable_index.clone();
+        let mut image = self.machine(machine).disk.synced.clone();
         if self.variant == Some(Variant::ForgetsPromise) {
             image.current_term = image.log_term;
         }
@@ -605,7 +601,7 @@
                 *tail = LogTail {
                     log_term: Term(0),
                     last: Index(0),
-                    accepted: Index(0),
+                    commit_index: Index(0),
                     snapshot: None,
                     entries: Vec::new(),
                 };
@@ -613,11 +609,11 @@
             // A reply that tells of more than the leader logged would be refused as malformed.
             (
                 Some(Variant::IgnoresVotersLogsAndReplies),
-                Message::AppendReply { installed: true, last, accepted, .. },
+                Message::AppendReply { installed: true, last, commit_index, .. },
             ) => {
-                let known = self.voter(packet.to).map_or(Index(0), Voter::last);
+                let known = self.voter(packet.to).map_or(Index(0), Voter::last_index);
                 *last = (*last).min(known);
-                *accepted = (*accepted).min(known);
+                *commit_index = (*commit_index).min(known);
             }
             (Some(Variant::IgnoresJoinRequests), Message::JoinRequest { .. }) => return Ok(()),
             (Some(Variant::KnowsVotersBySeatOnly), message) => {
@@ -661,7 +657,7 @@
 
     fn raw_step(&mut self, machine: usize, event: Event) -> Result<(), Broken> {
         let Some(before) = self.voter(machine) else { return Ok(()) };
-        let (accepted_before, led_before) = (before.accepted(), before.is_leader());
+        let (accepted_before, led_before) = (before.commit_index(), before.is_leader());
         let formed_before = before.initialized;
         let voters = voters_of(before, &event);
         let now = self.now;
@@ -683,7 +679,7 @@
             self.record(|history| history.voters = bootstrapped);
         }
         let Some(voter) = self.voter(machine) else { return Ok(()) };
-        if voter.accepted() != accepted_before {
+        if voter.commit_index() != accepted_before {
             let cluster_state = voter.cluster_state.clone();
             self.record(|history| history.holds(&cluster_state))?;
         }
@@ -723,9 +719,9 @@
                     _ => Ok(()),
                 }
             }
-            Effect::Committed { entry, outcome } => self.accepted(machine, &entry, &outcome),
+            Effect::Committed { entry, outcome } => self.committed(machine, &entry, &outcome),
             Effect::BecameLeader { term } => {
-                let leader = self.machine(machine).disk.durable_index.me.incarnation;
+                let leader = self.machine(machine).disk.synced.me.incarnation;
                 self.record(|history| history.has_leadership(term, leader))?;
                 self.history.value.elected_by(voters)
             }
@@ -741,7 +737,7 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, message: Message) -> Result<(), Broken> {
-        let initialized = self.machine(from).disk.durable_index.initialized;
+        let initialized = self.machine(from).disk.synced.initialized;
         if self.history.value.sends(&message, initialized)?
             && let Message::Vote { by, term, .. } = &message
         {
@@ -760,7 +756,7 @@
     }
 
     /// Invariant `acknowledged-is-durable`, at the moment of the first acceptance.
-    fn accepted(&mut self, machine: usize, entry: &LogEntry, outcome: &ApplyOutcome) -> Result<(), Broken> {
+    fn committed(&mut self, machine: usize, entry: &LogEntry, outcome: &ApplyOutcome) -> Result<(), Broken> {
         let first = self.record(|history| history.accepts(entry, outcome))?;
         if first {
             let mut voters = self.history.value.voters.clone();
@@ -790,7 +786,7 @@
     /// Voters of a voters that hold an accepted change on disk, or held it when their disk was lost:
     /// an answer in flight outlives the disk that it speaks of.
     fn copies(&self, voters: &[VoterInfo], index: Index, change: &Change) -> usize {
-        let disks = self.machines.iter().map(|machine| &machine.value.disk.durable_index);
+        let disks = self.machines.iter().map(|machine| &machine.value.disk.synced);
         let images: Vec<&DurableState> = disks.chain(self.history.value.lost.values()).collect();
         let holds = |holder: &VoterInfo| {
             images
@@ -808,8 +804,8 @@
         if serving.len() > 1 || leading > 1 {
             return Err(format!("one-lease: {leading} lead and {} serve at one time", serving.len()));
         }
-        if let Some(stale) = serving.iter().find(|voter| voter.accepted() < history.newest()) {
-            let (reads, newest) = (stale.accepted(), history.newest());
+        if let Some(stale) = serving.iter().find(|voter| voter.commit_index() < history.newest()) {
+            let (reads, newest) = (stale.commit_index(), history.newest());
             return Err(format!("reads-are-newest: {} serves {reads}, {newest} is accepted", stale.me.node));
         }
         let Some((newest, (change, _))) = history.order.last_key_value() else { return Ok(()) };
@@ -826,7 +822,7 @@
         let machines = &self.machines;
         self.packets.retain(|packet| {
             let to = &machines[packet.value.to].value;
-            let current_term = to.disk.durable_index.current_term;
+            let current_term = to.disk.synced.current_term;
             let has_leadership = to.process.as_ref().is_some_and(Voter::is_leader);
             let candidate =
                 matches!(to.process.as_ref().map(|voter| &voter.role), Some(VoterRole::Candidate { .. }));
@@ -846,8 +842,8 @@
 /// Those whose votes a candidate counts when it takes in this event.
 fn voters_of(voter: &Voter, event: &Event) -> Vec<Incarnation> {
     let mut voters = vec![voter.me.incarnation];
-    if let VoterRole::Candidate { got, .. } = &voter.role {
-        voters.extend(got.keys());
+    if let VoterRole::Candidate { votes, .. } = &voter.role {
+        voters.extend(votes.keys());
     }
     if let Event::Msg(_, Message::Vote { by, .. }) = event {
         voters.push(by.incarnation);
@@ -873,8 +869,8 @@
             tail.snapshot = None;
             tail.entries.clear();
             tail.log_term = Term(0);
-            tail.last = voter.accepted();
-            tail.accepted = tail.accepted.min(tail.last);
+            tail.last = voter.commit_index();
+            tail.commit_index = tail.commit_index.min(tail.last);
         }
         _ => {}
     }
@@ -885,11 +881,11 @@
     let Event::Msg(_, Message::AppendReply { by, .. }) = event else { return };
     let replaced = voter.cluster_state.voters.iter().any(|holder| holder.incarnation == by.incarnation)
         && !voter.is_voter(by);
-    let due = voter.log.iter().find(|entry| entry.index == voter.accepted().next()).cloned();
+    let due = voter.log.iter().find(|entry| entry.index == voter.commit_index().next()).cloned();
     if let Some(entry) =
         due.filter(|entry| voter.is_leader() && replaced && voter.durable_index >= entry.index)
     {
-        let outcome = voter.cluster_state.fold(entry.index, &entry.change);
+        let outcome = voter.cluster_state.apply(entry.index, &entry.change);
         effects.push(Effect::Committed { entry, outcome });
     }
 }
--- a/crates/control-plane/tests/modules/lease.rs
+++ b/crates/control-plane/tests/modules/lease.rs
@@ -1,7 +1,11 @@
-//! Tests of `control_plane::lease`.
+//! Tests of `control_plane::membership::lease`.
 
 use common::{Epoch, Incarnation, Index, Tick, settings::Timing};
-use control_plane::{Change, ClusterState, Role, change::NodeInfo, lease::Leases};
+use control_plane::{
+    Change, ClusterState, Role,
+    membership::{Leases, Renewal},
+    types::NodeInfo,
+};
 
 /// Found by the simulator (seed 53): a expire waited in the log behind a slow disk while the
 /// node, thawed, had its lease renewed; the expire then took effect under a valid lease.
@@ -19,15 +23,15 @@
         http: addr,
     };
     let mut l = ClusterState::bootstrapped("c", vec![]);
-    l.fold(Index(1), &Change::Join(info.clone()));
+    let _ = l.apply(Index(1), &Change::Join(info.clone()));
     let t = Timing::default();
     let mut ten = Leases::new_leader(Tick(0));
-    assert_eq!(ten.renew(&l, &t, &info, Tick(100)), Ok(Epoch(1)));
+    assert_eq!(ten.renew(&l, &t, &info, Tick(100)), Renewal::Extended(Epoch(1)));
     let late = Tick(101 + t.lease_ms + t.lease_margin_ms());
     assert_eq!(ten.expired_members(&l, &t, late).len(), 1);
-    assert_eq!(ten.renew(&l, &t, &info, late + 1), Err(None));
-    l.fold(Index(2), &Change::Expire { node: "n".into(), incarnation, left: false });
-    assert_eq!(ten.renew(&l, &t, &info, late + 600), Err(Some(Change::Join(info.clone()))));
-    l.fold(Index(3), &Change::Join(info.clone()));
-    assert_eq!(ten.renew(&l, &t, &info, late + 1100), Ok(Epoch(3)));
+    assert_eq!(ten.renew(&l, &t, &info, late + 1), Renewal::Pending(None));
+    let _ = l.apply(Index(2), &Change::Expire { node: "n".into(), incarnation, left: false });
+    assert_eq!(ten.renew(&l, &t, &info, late + 600), Renewal::Pending(Some(Change::Join(info.clone()))));
+    let _ = l.apply(Index(3), &Change::Join(info.clone()));
+    assert_eq!(ten.renew(&l, &t, &info, late + 1100), Renewal::Extended(Epoch(3)));
 }
--- a/crates/control-plane/tests/modules/partition_risk.rs
+++ b/crates/control-plane/tests/modules/partition_risk.rs
@@ -2,9 +2,8 @@
 
 use common::{Epoch, Incarnation, NodeId};
 use control_plane::{
-    ClusterState, Member, Role,
-    change::NodeInfo,
-    partition_risk::{LostMember, stale_majority},
+    ClusterState, Member, Role, state_machine::partition_risk::stale_majority, types::LostMember,
+    types::NodeInfo,
 };
 use rstest::rstest;
 
@@ -26,7 +25,7 @@
     l.lost = lost
         .iter()
         .enumerate()
-        .map(|(n, of)| LostMember { node: format!("x{n}").as_str().into(), of: *of })
+        .map(|(n, of)| LostMember { node: format!("x{n}").as_str().into(), members_before: *of })
         .collect();
     l
 }
--- a/crates/control-plane/tests/modules/patch.rs
+++ b/crates/control-plane/tests/modules/patch.rs
@@ -1,6 +1,6 @@
-//! Tests of `control_plane::patch`.
+//! Tests of `control_plane::operator::patch`.
 
-use control_plane::patch::{Patch, Swap, apply};
+use control_plane::operator::patch::{Patch, Replacement, apply};
 use std::collections::BTreeMap;
 
 #[test]
@@ -12,6 +12,7 @@
     .unwrap();
     let want = "# held\ncluster = 'c'\n[tuning]\nlend_share = 0.25 # why\n[[areas]]\nname = \"b\"\n";
     assert_eq!(apply(src, &p).unwrap(), want);
-    let twice = Patch { set: BTreeMap::new(), replace: vec![Swap { find: "a".into(), with: "b".into() }] };
-    assert!(apply(src, &twice).unwrap_err().contains("exactly once"));
+    let twice =
+        Patch { set: BTreeMap::new(), replace: vec![Replacement { find: "a".into(), with: "b".into() }] };
+    assert!(apply(src, &twice).unwrap_err().to_string().contains("exactly once"));
 }
--- a/crates/control-plane/tests/operator/cut_off.rs
+++ b/crates/control-plane/tests/operator/cut_off.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{Cluster, Stand};
 use common::runtime::World;
-use control_plane::operator_service::Told;
+use control_plane::operator::service::OperationOutcome;
 use rstest::rstest;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -63,10 +63,13 @@
     let base = s.read().await.ok().flatten().map_or(version - 1, |r| r.0);
     for _ in 0..100 {
         let told = s.replace(base, &format!("{version}\n")).await;
-        if told == Told::Accepted {
+        if told == OperationOutcome::Accepted {
             return;
         }
-        assert!(matches!(told, Told::Unavailable(_) | Told::Undetermined), "{told:?}");
+        assert!(
+            matches!(told, OperationOutcome::Unavailable(_) | OperationOutcome::Undetermined),
+            "{told:?}"
+        );
         sleep(Duration::from_millis(100)).await;
     }
     panic!("version {version} was not taken");
@@ -106,9 +109,15 @@
             left_open.push(version + 1_000);
             let took_order = w.ms() - asked_order;
             assert!(took_order <= SILENCE_MS, "an order took {took_order} ms");
-            assert!(matches!(told, Told::Unavailable(_) | Told::Undetermined), "{told:?}");
+            assert!(
+                matches!(told, OperationOutcome::Unavailable(_) | OperationOutcome::Undetermined),
+                "{told:?}"
+            );
             if asked > began + how.knows_ms() {
-                assert!(read.is_err() && matches!(told, Told::Unavailable(_)), "{read:?} {told:?}");
+                assert!(
+                    read.is_err() && matches!(told, OperationOutcome::Unavailable(_)),
+                    "{read:?} {told:?}"
+                );
                 let at_once = took == 0 && took_order == 0;
                 assert!(at_once, "{took} ms and {took_order} ms, {} ms after the cut", asked - began);
                 version = version_at(&c.at[other]).await + 1;
@@ -190,7 +199,7 @@
         let n = if whom == Whom::Leader { lead } else { (lead + 1) % 3 };
         c.cut_off(n);
         sleep(Duration::from_millis(How::Silent.knows_ms())).await;
-        assert_eq!(c.at[(lead + 2) % 3].replace(1, "2\n").await, Told::Accepted);
+        assert_eq!(c.at[(lead + 2) % 3].replace(1, "2\n").await, OperationOutcome::Accepted);
         c.at[n].read().await
     })
 }
@@ -198,7 +207,7 @@
 #[rstest]
 fn reads_without_a_lease_are_caught(#[values(Whom::Leader, Whom::Follower)] whom: Whom) {
     let told = read_while_cut_off(whom, None);
-    assert!(told.as_ref().is_err_and(|why| why.contains("out of touch")), "{told:?}");
+    assert!(told.as_ref().is_err_and(|why| why.contains("out of contact")), "{told:?}");
     let stale = read_while_cut_off(whom, Some("reads-without-lease"));
     assert_eq!(stale, Ok(Some((1, "1\n".into()))), "the variant tells what was gone past");
 }
--- a/crates/control-plane/tests/operator/orders.rs
+++ b/crates/control-plane/tests/operator/orders.rs
@@ -4,37 +4,40 @@
 use common::{Index, OpId, Revision, runtime::World, wire};
 use control_plane::{
     ApplyOutcome, Change, ClusterState,
-    cluster_state::OPS_KEPT,
-    operations::{ACCEPTED_KEPT, OPERATION_BYTES, OperationStatus, standing},
-    operator_service::Told,
+    operator::OperationOutcome,
     rpc::ProposalOutcome,
+    state_machine::cluster_state::RECENT_OPERATIONS_KEPT,
+    state_machine::{
+        OperationStatus, operation_status,
+        operations::{ACCEPTED_KEPT, OPERATION_BYTES},
+    },
 };
 use rstest::rstest;
 
-async fn send(s: &Stand, kind: &str, expected_voters: u64, text: &str) -> Told {
+async fn send(s: &Stand, kind: &str, base_version: u64, text: &str) -> OperationOutcome {
     match kind {
-        "replace" => s.replace(expected_voters, text).await,
-        _ => s.amend(expected_voters, text).await,
+        "replace" => s.replace(base_version, text).await,
+        _ => s.amend(base_version, text).await,
     }
 }
 
 /// Whether an order is accepted again after as many evacuations as outcomes are kept, and then more
 /// changes than that.
-fn resend_after_hundreds_of_changes(kind: &'static str, broken: Option<&str>) -> Vec<Told> {
+fn resend_after_hundreds_of_changes(kind: &'static str, broken: Option<&str>) -> Vec<OperationOutcome> {
     World::run(12, broken.map(Into::into), |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[0].replace(0, "1\na").await, Told::Accepted);
-        assert_eq!(send(&c.at[1], kind, 1, "2\nb").await, Told::Accepted);
+        assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
+        assert_eq!(send(&c.at[1], kind, 1, "2\nb").await, OperationOutcome::Accepted);
         let mut told = Vec::new();
-        for n in 0..OPS_KEPT {
-            assert_eq!(c.at[n % 3].evacuate("far", n % 2 == 0).await, Told::Accepted);
+        for n in 0..RECENT_OPERATIONS_KEPT {
+            assert_eq!(c.at[n % 3].evacuate("far", n % 2 == 0).await, OperationOutcome::Accepted);
         }
         for s in &c.at {
             told.push(send(s, kind, 1, "2\nb").await);
         }
-        for version in 2..OPS_KEPT as u64 + 20 {
+        for version in 2..RECENT_OPERATIONS_KEPT as u64 + 20 {
             let text = format!("{}\n{version}", version + 1);
-            assert_eq!(c.at[version as usize % 3].replace(version, &text).await, Told::Accepted);
+            assert_eq!(c.at[version as usize % 3].replace(version, &text).await, OperationOutcome::Accepted);
         }
         for s in &c.at {
             told.push(send(s, kind, 1, "2\nb").await);
@@ -46,13 +49,13 @@
 #[rstest]
 fn an_accepted_order_is_accepted_again(#[values("replace", "amend")] kind: &'static str) {
     let told = resend_after_hundreds_of_changes(kind, None);
-    assert!(told.iter().all(|t| *t == Told::Accepted), "{told:?}");
+    assert!(told.iter().all(|t| *t == OperationOutcome::Accepted), "{told:?}");
 }
 
 #[rstest]
 fn verdicts_kept_by_count_alone_are_caught(#[values("replace", "amend")] kind: &'static str) {
     let told = resend_after_hundreds_of_changes(kind, Some("verdicts-by-count"));
-    assert!(told.iter().any(|t| matches!(t, Told::Conflict { .. })), "{told:?}");
+    assert!(told.iter().any(|t| matches!(t, OperationOutcome::Conflict { .. })), "{told:?}");
 }
 
 /// Eight at once, at all nodes: all have the same answer, and the order was taken once.
@@ -63,10 +66,10 @@
 ) {
     World::run(seed, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[0].replace(0, "1\na").await, Told::Accepted);
+        assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
         let all = (0..8).map(|n| send(&c.at[n % 3], kind, 1, "2\nb"));
         let told = futures::future::join_all(all).await;
-        assert!(told.iter().all(|t| *t == Told::Accepted), "{told:?}");
+        assert!(told.iter().all(|t| *t == OperationOutcome::Accepted), "{told:?}");
         assert_eq!(c.at[0].read().await.unwrap().unwrap().0, 2);
         assert_eq!(c.at[c.leader()].core.status().cluster_state.revision, Revision(2), "taken once");
     });
@@ -77,14 +80,17 @@
 fn another_order_is_not_taken_for_an_accepted_one() {
     World::run(5, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[0].replace(0, "1\na").await, Told::Accepted);
-        assert_eq!(c.at[0].replace(1, "2\nb").await, Told::Accepted);
+        assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
+        assert_eq!(c.at[0].replace(1, "2\nb").await, OperationOutcome::Accepted);
         for s in &c.at {
-            assert_eq!(s.replace(1, "2\nb ").await, Told::Conflict { current: Some(2) });
-            assert_eq!(s.replace(0, "2\nb").await, Told::Conflict { current: Some(2) });
-            assert!(matches!(s.replace(2, "2\nb").await, Told::Invalid(_)), "its version is the current one");
-            assert_eq!(s.amend(1, "2\nb").await, Told::Conflict { current: Some(2) });
-            assert_eq!(s.replace(1, "2\nb").await, Told::Accepted);
+            assert_eq!(s.replace(1, "2\nb ").await, OperationOutcome::Conflict { current: Some(2) });
+            assert_eq!(s.replace(0, "2\nb").await, OperationOutcome::Conflict { current: Some(2) });
+            assert!(
+                matches!(s.replace(2, "2\nb").await, OperationOutcome::Invalid(_)),
+                "its version is the current one"
+            );
+            assert_eq!(s.amend(1, "2\nb").await, OperationOutcome::Conflict { current: Some(2) });
+            assert_eq!(s.replace(1, "2\nb").await, OperationOutcome::Accepted);
         }
     });
 }
@@ -100,10 +106,10 @@
     let mut l = ClusterState::bootstrapped("c", vec![]);
     let all = ACCEPTED_KEPT as u64 + 10;
     for n in 0..all {
-        assert_eq!(l.fold(Index(n + 1), &apply(n)), ApplyOutcome::Accepted { revision: Revision(n + 1) });
+        assert_eq!(l.apply(Index(n + 1), &apply(n)), ApplyOutcome::Accepted { revision: Revision(n + 1) });
     }
     let current = 2 * all;
-    let ask = |op: &str, expected_voters: u64| standing(&l, &OpId::new(op), expected_voters, current);
+    let ask = |op: &str, base_version: u64| operation_status(&l, &OpId::new(op), base_version, current);
     let taken = OperationStatus::Decided(ApplyOutcome::Accepted { revision: Revision(11) });
     assert_eq!(ask("op10", 20), taken, "the oldest that is kept");
     assert_eq!(ask("op9", 18), OperationStatus::Forgotten);
@@ -118,9 +124,9 @@
 fn a_short_history_leaves_nothing_open() {
     let mut l = ClusterState::bootstrapped("c", vec![]);
     for n in 0..3 {
-        l.fold(Index(n + 1), &apply(n));
+        let _ = l.apply(Index(n + 1), &apply(n));
     }
-    assert_eq!(standing(&l, &OpId::new("other"), 0, 1_000_000_000), OperationStatus::Superseded);
+    assert_eq!(operation_status(&l, &OpId::new("other"), 0, 1_000_000_000), OperationStatus::Superseded);
 }
 
 /// Thousands of operations take tens of KiB in a snapshot, within what is reckoned for them.
@@ -129,14 +135,14 @@
     let mut l = ClusterState::bootstrapped("c", vec![]);
     let empty = wire::encode(&l).unwrap().len();
     for n in 0..2 * ACCEPTED_KEPT as u64 {
-        l.fold(Index(n + 1), &apply(n));
+        let _ = l.apply(Index(n + 1), &apply(n));
     }
     let encoded = wire::encode(&l).unwrap();
     assert!(encoded.len() - empty <= ACCEPTED_KEPT * OPERATION_BYTES, "{} bytes", encoded.len());
     assert!(encoded.len() <= l.weight());
     assert_eq!(l.recent_operations.len(), 0, "accepted documents push no other verdict out");
     assert_eq!(wire::decode::<ClusterState>(&encoded).unwrap(), l);
-    println!("{} operations: {} bytes", l.accepted.len(), encoded.len() - empty);
+    println!("{} operations: {} bytes", l.accepted_operations.len(), encoded.len() - empty);
 }
 
 /// An order to evacuate that was decided at one node reaches the leader only after it was sent again
@@ -147,8 +153,8 @@
         let s = &c.at[c.leader()];
         let seen = s.core.status().cluster_state.index;
         let late = Change::Evacuate { op: "late".into(), zone: "far".into(), on: true, seen };
-        assert_eq!(c.at[0].evacuate("far", true).await, Told::Accepted);
-        assert_eq!(c.at[1].evacuate("far", false).await, Told::Accepted);
+        assert_eq!(c.at[0].evacuate("far", true).await, OperationOutcome::Accepted);
+        assert_eq!(c.at[1].evacuate("far", false).await, OperationOutcome::Accepted);
         assert!(matches!(s.propose(late).await, ProposalOutcome::Committed { .. }));
         c.at[2].evacuated().await
     })
@@ -168,8 +174,8 @@
         let c = Cluster::initialized(w, 3).await;
         let all = (0..8).map(|n| c.at[n % 3].evacuate("far", n % 2 == 0));
         let told = futures::future::join_all(all).await;
-        assert!(told.iter().all(|t| *t == Told::Accepted), "{told:?}");
-        assert_eq!(c.at[0].evacuate("far", false).await, Told::Accepted);
+        assert!(told.iter().all(|t| *t == OperationOutcome::Accepted), "{told:?}");
+        assert_eq!(c.at[0].evacuate("far", false).await, OperationOutcome::Accepted);
         assert!(c.at[1].evacuated().await.is_empty());
     });
 }
--- a/crates/control-plane/tests/outlived.rs
+++ b/crates/control-plane/tests/outlived.rs
@@ -1,7 +1,11 @@
 //! A killed node that is back at its address does not wait for its former self (design 3.1).
 
 use common::{Incarnation, Index, NodeId, Tick, settings::Timing};
-use control_plane::{Change, ClusterState, Role, change::NodeInfo, lease::Leases};
+use control_plane::{
+    Change, ClusterState, Role,
+    membership::{Leases, Renewal},
+    types::NodeInfo,
+};
 use rstest::rstest;
 
 fn info(incarnation: u64, port: u16) -> NodeInfo {
@@ -20,19 +24,19 @@
 fn who_outlives_a_tenure(#[case] port: u16, #[case] silent: u64, #[case] joins: bool) {
     let (t, old, new) = (Timing::default(), info(1, 7000), info(2, port));
     let mut l = ClusterState::bootstrapped("c", vec![]);
-    l.fold(Index(1), &Change::Join(old.clone()));
+    let _ = l.apply(Index(1), &Change::Join(old.clone()));
     let mut ten = Leases::new_leader(Tick(0));
-    assert!(ten.renew(&l, &t, &old, Tick(1_000)).is_ok());
+    assert!(matches!(ten.renew(&l, &t, &old, Tick(1_000)), Renewal::Extended(_)));
     let told = ten.renew(&l, &t, &new, Tick(1_000 + silent));
-    assert_eq!(told, Err(joins.then(|| Change::Join(new.clone()))));
+    assert_eq!(told, Renewal::Pending(joins.then(|| Change::Join(new.clone()))));
 }
 
 /// A new leader has heard nobody: whoever stands at a member's address joins at once.
 #[test]
 fn a_new_leader_lets_it_in_at_once() {
     let mut l = ClusterState::bootstrapped("c", vec![]);
-    l.fold(Index(1), &Change::Join(info(1, 7000)));
+    let _ = l.apply(Index(1), &Change::Join(info(1, 7000)));
     let mut ten = Leases::new_leader(Tick(5_000));
     let told = ten.renew(&l, &Timing::default(), &info(2, 7000), Tick(5_001));
-    assert_eq!(told, Err(Some(Change::Join(info(2, 7000)))));
+    assert_eq!(told, Renewal::Pending(Some(Change::Join(info(2, 7000)))));
 }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -33,7 +33,7 @@
 
 fn stop(voter: &Voter, by: VoterId) -> Event {
     let term = Term(voter.current_term.0 + 80);
-    Event::Msg(rig::addr(usize::from(by.number)), Message::VoteRequest { by, term, accepted: Index(0) })
+    Event::Msg(rig::addr(usize::from(by.number)), Message::VoteRequest { by, term, commit_index: Index(0) })
 }
 
 /// Before: a leader whose write failed said nothing, and the others waited out its silence.
@@ -62,8 +62,14 @@
     let at = (lead + 1) % 3;
     r.voters[at].step(Event::SyncFailed, r.now);
     let (by, term) = (r.voters[lead].id(), r.voters[lead].current_term);
-    let send_append =
-        Message::Append { by, to: at as u8, term, accepted: Index(1), sent_at: r.now, body: Body::Ping };
+    let send_append = Message::Append {
+        by,
+        to: at as u8,
+        term,
+        commit_index: Index(1),
+        sent_at: r.now,
+        body: Body::Heartbeat,
+    };
     let from = rig::addr(lead);
     let late = r.now + 20 * Timing::default().election_timeout_ms();
     let events = [
@@ -156,9 +162,9 @@
     let dir = tempdir().unwrap();
     let mut r = settled(dir.path());
     let me =
-        control_plane::change::VoterInfo { incarnation: Incarnation(incarnation), ..r.voters[0].me.clone() };
+        control_plane::types::VoterInfo { incarnation: Incarnation(incarnation), ..r.voters[0].me.clone() };
     r.voters[0].step(Event::SyncFailed, r.now);
-    r.voters[0].step(Event::Recovered(Box::new(Voter::blank_state(&me))), r.now);
+    r.voters[0].step(Event::Recovered(Box::new(DurableState::blank(&me))), r.now);
     assert_eq!(r.voters[0].may_bootstrap, may_bootstrap);
     assert!(!r.voters[0].initialized);
 }
@@ -202,8 +208,14 @@
     let effects = r.voters[at].step(event, late);
     let token =
         effects.iter().find_map(|f| if let Effect::Persist { token, .. } = f { Some(*token) } else { None });
-    let send_append =
-        Message::Append { by, to: at as u8, term, accepted: Index(1), sent_at: late, body: Body::Ping };
+    let send_append = Message::Append {
+        by,
+        to: at as u8,
+        term,
+        commit_index: Index(1),
+        sent_at: late,
+        body: Body::Heartbeat,
+    };
     assert!(sent(&r.voters[at].step(Event::Msg(rig::addr(lead), send_append), late)).is_empty());
     let said = r.voters[at].step(Event::Synced(token.unwrap()), late);
     let held = |m: &&&Message| matches!(m, Message::AppendReply { term: v, .. } if *v > term);
--- a/crates/control-plane/tests/refusing.rs
+++ b/crates/control-plane/tests/refusing.rs
@@ -2,8 +2,8 @@
 
 use common::runtime::World;
 use control_plane::{
-    consensus::{Event, Voter},
-    operator_service::Told,
+    consensus::{DurableState, Event},
+    operator::OperationOutcome,
     rpc::{ControlRequest, ControlResponse},
 };
 
@@ -15,20 +15,20 @@
 fn an_order_at_a_seat_that_refuses_is_taken_elsewhere() {
     World::run(3, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[0].replace(0, "1\nfirst").await, Told::Accepted);
+        assert_eq!(c.at[0].replace(0, "1\nfirst").await, OperationOutcome::Accepted);
         let lead = c.leader();
         let (core, me) = (c.at[lead].core.clone(), c.at[lead].core.status().me);
         core.step(Event::SyncFailed);
         assert!(!core.status().voting && core.status().leader.is_none());
-        c.until("another lead", |c| c.at.iter().any(|s| s.core.state_here().is_ok())).await;
+        c.until("another lead", |c| c.at.iter().any(|s| s.core.local_state().is_ok())).await;
         // The new leader takes it once it has heard the members.
         let end = c.world.ms() + 10_000;
         let mut told = c.at[lead].replace(1, "2\nsecond").await;
-        while matches!(told, Told::Unavailable(_)) && c.world.ms() < end {
+        while matches!(told, OperationOutcome::Unavailable(_)) && c.world.ms() < end {
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             told = c.at[lead].replace(1, "2\nsecond").await;
         }
-        assert_eq!(told, Told::Accepted);
+        assert_eq!(told, OperationOutcome::Accepted);
         assert_eq!(c.at[lead].read().await, Ok(Some((2, "2\nsecond".into()))));
         let wait_ms = 400;
         let asked = c.world.ms();
@@ -42,8 +42,8 @@
         );
         // Its folder turns out damaged: it comes back blank and is readmitted.
         let blank =
-            control_plane::change::VoterInfo { incarnation: common::Incarnation(77), number: u8::MAX, ..me };
-        core.step(Event::Recovered(Box::new(Voter::blank_state(&blank))));
+            control_plane::types::VoterInfo { incarnation: common::Incarnation(77), number: u8::MAX, ..me };
+        core.step(Event::Recovered(Box::new(DurableState::blank(&blank))));
         c.until("its vote", |c| c.at[lead].core.status().voting).await;
         assert_eq!(
             c.at[lead].core.status().cluster_state.revision,
@@ -64,7 +64,7 @@
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         let failed = w.ms();
         c.at[lead].core.step(Event::SyncFailed);
-        assert_eq!(order.await.unwrap(), Told::Undetermined);
+        assert_eq!(order.await.unwrap(), OperationOutcome::Undetermined);
         assert_eq!(w.ms(), failed);
     });
 }
@@ -82,8 +82,8 @@
         );
         let core = &c.at[2].core;
         let me = core.status().me;
-        core.step(Event::Recovered(Box::new(Voter::blank_state(&me))));
+        core.step(Event::Recovered(Box::new(DurableState::blank(&me))));
         c.until("a leader", |c| c.at.iter().all(|s| s.core.status().leader.is_some())).await;
-        assert_eq!(c.at[2].replace(0, "1\nfirst").await, Told::Accepted);
+        assert_eq!(c.at[2].replace(0, "1\nfirst").await, OperationOutcome::Accepted);
     });
 }
--- a/crates/control-plane/tests/rig/mod.rs
+++ b/crates/control-plane/tests/rig/mod.rs
@@ -8,10 +8,10 @@
 use common::{Incarnation, Revision, Tick, settings::Timing, wire};
 use control_plane::{
     Change, ClusterState,
-    change::VoterInfo,
     consensus::{DurableState, Effect, Event, Message, Voter},
-    disk::{LoadResult, RecordWriter},
-    store::FileStore,
+    storage::FileStore,
+    storage::{LoadResult, RecordWriter},
+    types::VoterInfo,
 };
 use noise::noise;
 use std::{collections::VecDeque, net::SocketAddr, path::Path};
@@ -54,7 +54,7 @@
     let (mut voters, mut disks) = (vec![], vec![]);
     for n in 0..3 {
         let cluster_state = ClusterState::bootstrapped("c", (0..3).map(holder).collect());
-        let image = DurableState { initialized: true, cluster_state, ..Voter::blank_state(&holder(n)) };
+        let image = DurableState { initialized: true, cluster_state, ..DurableState::blank(&holder(n)) };
         let dir = dir.join(format!("s{n}"));
         disks.push(FileStore::open(&dir, &image).unwrap());
         let seeds = (0..3).map(addr).collect();
@@ -138,7 +138,7 @@
     /// What the disk of a voter holds.
     pub fn held(&self, n: usize) -> DurableState {
         match FileStore::load(&self.dir.join(format!("s{n}"))).unwrap() {
-            LoadResult::DurableState(image) => *image,
+            LoadResult::State(image) => *image,
             other => panic!("s{n}: {other:?}"),
         }
     }
@@ -161,8 +161,8 @@
             std::fs::remove_dir_all(&dir).unwrap();
         }
         let image = match FileStore::load(&dir).unwrap() {
-            LoadResult::DurableState(i) => *i,
-            LoadResult::Nothing => Voter::blank_state(&me),
+            LoadResult::State(i) => *i,
+            LoadResult::Empty => DurableState::blank(&me),
             other => panic!("s{n}: {other:?}"),
         };
         self.disks[n] = FileStore::open(&dir, &image).unwrap();
--- a/crates/control-plane/tests/size.rs
+++ b/crates/control-plane/tests/size.rs
@@ -3,12 +3,12 @@
 
 use common::{Incarnation, Index, Revision, Term, wire};
 use control_plane::{
-    Change, ClusterState, ReplicaMove, Role,
-    change::{NodeInfo, VoterInfo},
-    consensus::{Event, LogEntry, Record},
-    disk::LoadResult,
-    state_update,
-    store::FileStore,
+    Change, ClusterState, ReplicaChange, Role,
+    consensus::{Event, Record},
+    state_machine::state_update,
+    storage::FileStore,
+    storage::LoadResult,
+    types::{LogEntry, NodeInfo, VoterInfo},
 };
 use rstest::rstest;
 use std::collections::VecDeque;
@@ -41,8 +41,14 @@
     let s = &r.voters[at];
     assert_eq!(s.cluster_state.revision, Revision(count), "each was accepted");
     for have in [1, s.cluster_state.index.0 / 2, s.cluster_state.index.0 - 1] {
-        let told = wire::encode(&state_update::since(Index(have), &s.cluster_state, &s.log, s.base, s.room))
-            .unwrap();
+        let told = wire::encode(&state_update::update_since(
+            Index(have),
+            &s.cluster_state,
+            &s.log,
+            s.snapshot_index,
+            s.size_limits,
+        ))
+        .unwrap();
         assert!(told.len() < wire::MAX_FRAME, "news of {} bytes after {have}", told.len());
     }
     let kept: usize = s.log.iter().map(|e| wire::encode(e).unwrap().len()).sum();
@@ -94,12 +100,12 @@
     r.well();
 }
 
-fn named(op: &str, id: &str, what: ReplicaMove) -> Change {
+fn named(op: &str, id: &str, what: ReplicaChange) -> Change {
     Change::Replica { op: op.into(), id: id.into(), what }
 }
 
-fn list() -> ReplicaMove {
-    ReplicaMove::List {
+fn list() -> ReplicaChange {
+    ReplicaChange::List {
         service: "s".repeat(60).as_str().into(),
         zone: "a".repeat(60).as_str().into(),
         addr: addr(9),
@@ -119,7 +125,7 @@
     let before = r.rejected;
     for n in 0..3 {
         let long = format!("{n}{}", "r".repeat(50_000));
-        r.step(at, Event::Propose(named(&format!("x{n}"), &long, ReplicaMove::Drain)));
+        r.step(at, Event::Propose(named(&format!("x{n}"), &long, ReplicaChange::Drain)));
     }
     assert_eq!(r.rejected, before + 3, "such names are not logged");
     let mut n = 0;
@@ -134,13 +140,13 @@
     assert!((1_000..20_000).contains(&n), "{n} replicas fill a slot");
     r.run(3_000);
     let (at, rejected) = (r.leader(), r.rejected);
-    r.step(at, Event::Propose(named("gone", &format!("{:0>60}", 1), ReplicaMove::Remove)));
+    r.step(at, Event::Propose(named("gone", &format!("{:0>60}", 1), ReplicaChange::Remove)));
     assert_eq!(r.rejected, rejected);
     r.run(3_000);
     r.well();
     // What is on disk is read back whole.
     let back = FileStore::load(&dir.path().join("s0")).unwrap();
-    assert!(matches!(back, LoadResult::DurableState(i) if i.cluster_state.replicas.len() > 900));
+    assert!(matches!(back, LoadResult::State(i) if i.cluster_state.replicas.len() > 900));
 }
 
 /// Weights bound the real lengths: all room is reckoned by them.
@@ -171,10 +177,10 @@
         Change::Evacuate { op: op(), zone: zone(), on: true, seen: common::Index(u64::MAX) },
         Change::Join(info.clone()),
         Change::Expire { node: info.node.clone(), incarnation: info.incarnation, left: false },
-        Change::Down { op: op(), node: info.node.clone() },
+        Change::ConfirmDown { op: op(), node: info.node.clone() },
         Change::ReplaceVoter(holder.clone()),
         named(&"p".repeat(64), &"r".repeat(64), list()),
-        named(&"q".repeat(64), &"w".repeat(64), ReplicaMove::Drain),
+        named(&"q".repeat(64), &"w".repeat(64), ReplicaChange::Drain),
         Change::Apply { op: "z".into(), base: Revision(0), text: "".into() },
     ];
     let mut l = ClusterState::bootstrapped(&"c".repeat(64), vec![holder.clone(), holder.clone(), holder]);
@@ -182,10 +188,10 @@
     for (n, change) in all.into_iter().enumerate() {
         let e = LogEntry { index: Index(u64::MAX - 100 + n as u64), change };
         assert!(wire::encode(&e).unwrap().len() <= e.weight(), "{e:?}");
-        l.fold(e.index, &e.change);
+        let _ = l.apply(e.index, &e.change);
         assert!(wire::encode(&l).unwrap().len() <= l.weight(), "{l:?}");
         told.push(e);
     }
-    let record = Record::Install { term: Term(u64::MAX), cut: Index(u64::MAX), entries: told };
+    let record = Record::Install { term: Term(u64::MAX), truncate_to: Index(u64::MAX), entries: told };
     assert!(wire::encode(&record).unwrap().len() + 32 <= record.weight());
 }
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -3,10 +3,10 @@
 use common::{Incarnation, Index, Term};
 use control_plane::{
     Change, ClusterState,
-    change::VoterInfo,
-    consensus::{DurableState, LogEntry, Record, Voter},
-    disk::{LoadResult, RecordWriter},
-    store::FileStore,
+    consensus::{DurableState, Record},
+    storage::FileStore,
+    storage::{LoadResult, RecordWriter},
+    types::{LogEntry, VoterInfo},
 };
 use rstest::rstest;
 use std::{fs, path::Path};
@@ -24,7 +24,7 @@
     DurableState {
         initialized: true,
         cluster_state: ClusterState::bootstrapped("c", vec![me.clone()]),
-        ..Voter::blank_state(&me)
+        ..DurableState::blank(&me)
     }
 }
 
@@ -35,12 +35,12 @@
         on: true,
         seen: common::Index(u64::MAX),
     };
-    Record::Append { accepted: Index(0), entries: vec![LogEntry { index: Index(n), change }] }
+    Record::Append { commit_index: Index(0), entries: vec![LogEntry { index: Index(n), change }] }
 }
 
 fn last(f: LoadResult) -> Option<u64> {
     match f {
-        LoadResult::DurableState(i) => Some(i.entries.last().map(|e| e.index.0).unwrap_or(0)),
+        LoadResult::State(i) => Some(i.entries.last().map(|e| e.index.0).unwrap_or(0)),
         _ => None,
     }
 }
@@ -79,7 +79,7 @@
 #[test]
 fn what_was_synced_comes_back_over_many_slots() {
     let d = tempfile::tempdir().unwrap();
-    assert_eq!(FileStore::load(d.path()).unwrap(), LoadResult::Nothing);
+    assert_eq!(FileStore::load(d.path()).unwrap(), LoadResult::Empty);
     let mut image = image();
     for round in 0..5u64 {
         let mut s = FileStore::open(d.path(), &image).unwrap();
@@ -87,7 +87,7 @@
         s.write(&append(round + 1)).unwrap();
         image.replay(Record::Promise(Term(round + 1)));
         image.replay(append(round + 1));
-        assert_eq!(FileStore::load(d.path()).unwrap(), LoadResult::DurableState(Box::new(image.clone())));
+        assert_eq!(FileStore::load(d.path()).unwrap(), LoadResult::State(Box::new(image.clone())));
     }
 }
 
--- a/crates/data-plane/src/answer.rs
+++ b/crates/data-plane/src/answer.rs
@@ -6,7 +6,7 @@
     rpc::{RouterRequest, RouterResponse},
 };
 use common::{FencingToken, Service, Zone, log_event, settings::Settings};
-use control_plane::{consensus::SizeLimits, state_update};
+use control_plane::{state_machine::state_update, types::SizeLimits};
 use std::{
     collections::VecDeque,
     sync::{Arc, atomic::Ordering},
@@ -25,7 +25,7 @@
             RouterRequest::FetchState { have } => {
                 let l = self.cluster_state();
                 let base = l.index;
-                RouterResponse::StateUpdate(state_update::since(
+                RouterResponse::StateUpdate(state_update::update_since(
                     have,
                     &l,
                     &VecDeque::new(),
--- a/crates/data-plane/src/away.rs
+++ b/crates/data-plane/src/away.rs
@@ -57,7 +57,7 @@
         let h = Hop {
             job: p.job.clone(),
             from: self.node().clone(),
-            epoch: self.member.held().epoch,
+            epoch: self.member.lease().epoch,
             number: self.hops.fetch_add(1, Ordering::Relaxed) + 1,
             to: peer.info.node.clone(),
             to_epoch: peer.epoch,
--- a/crates/data-plane/src/cut.rs
+++ b/crates/data-plane/src/cut.rs
@@ -84,9 +84,9 @@
                                 _ => None,
                             }
                         }
-                        Role::Core => {
+                        Role::Control => {
                             let ask = signal::ControlRequest::Heartbeat { index };
-                            match me.member.lines.call("hail", to, ask).await {
+                            match me.member.control.call("hail", to, ask).await {
                                 Ok(signal::ControlResponse::HeartbeatAck { index }) => Some(index),
                                 _ => None,
                             }
@@ -117,7 +117,7 @@
 
     /// Changes of the own standing go into the journal.
     fn note_standing(&self) {
-        let (cut, epoch) = (self.cut_off(), self.member.held().epoch);
+        let (cut, epoch) = (self.cut_off(), self.member.lease().epoch);
         let d = self.journal.with(|d| (d.cut_off, d.epoch));
         if d.0 != cut {
             self.happened(Happened::CutOff(cut));
@@ -136,7 +136,7 @@
         if let Ok(RouterResponse::StateUpdate(n)) =
             self.lines.call("news", peer, RouterRequest::FetchState { have }).await
         {
-            self.member.install(n, &peer.to_string());
+            let _ = self.member.install(n, &peer.to_string());
         }
     }
 
@@ -155,7 +155,7 @@
         .filter_map(|(no, why)| no.then_some(why))
         .collect();
         let code = if why.is_empty() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        let revision = self.member.governs.load(Ordering::Acquire);
+        let revision = self.member.revision_in_force.load(Ordering::Acquire);
         common::http::json(
             code,
             &serde_json::json!({"ready": why.is_empty(), "why": why, "revision": revision, "idx": l.index}),
@@ -170,7 +170,7 @@
             ("lags", i64::from(self.member.lags())),
             ("unreadable", i64::from(self.standing() == Some("document not readable"))),
             ("index", l.index.0 as i64),
-            ("revision", self.member.governs.load(Ordering::Acquire) as i64),
+            ("revision", self.member.revision_in_force.load(Ordering::Acquire) as i64),
             ("open_jobs", self.open_count.open() as i64),
             ("waitlist", lock(&self.waitlist).len() as i64),
             ("table_rows", lock(&self.tab).len() as i64),
--- a/crates/data-plane/src/daemon.rs
+++ b/crates/data-plane/src/daemon.rs
@@ -4,26 +4,26 @@
 use crate::router::Router;
 use common::{
     Clock, Incarnation, http, log_event,
-    runtime::{Listener, draw, spawn},
-    settings::Settings,
+    runtime::{draw, spawn},
+    settings::{Listeners, Settings},
 };
-use control_plane::{Role, change::NodeInfo, member::Member};
+use control_plane::{Role, membership::Member, types::NodeInfo};
 use std::{
     sync::{Arc, atomic::Ordering},
     time::Duration,
 };
 use tokio::sync::watch;
 
-pub async fn run(set: Settings, (rpc_addr, callers): (Listener, Listener), stop: impl Future<Output = ()>) {
+pub async fn run(set: Settings, listeners: Listeners, stop: impl Future<Output = ()>) {
     let info = NodeInfo::of(&set, Role::Router, Incarnation(draw::<u64>() >> 1));
     let clock = Clock::default();
     let member = Member::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock.clone());
-    router.start(&set, rpc_addr);
+    router.start(&set, listeners.rpc);
     let (tell, told) = watch::channel(false);
     let (conns, r) = (Arc::new(http::OpenCount::default()), router.clone());
     let serving =
-        spawn(http::serve(callers, conns.clone(), told, move |peer, req| r.clone().handle(peer, req)));
+        spawn(http::serve(listeners.http, conns.clone(), told, move |peer, req| r.clone().handle(peer, req)));
     log_event!(Info, "started", "rail" => set.rpc_addr, "http" => set.http);
     stop.await;
     // Not ready first, and singleton roles given back, so that callers and the other routers go
--- a/crates/data-plane/src/edge.rs
+++ b/crates/data-plane/src/edge.rs
@@ -8,7 +8,7 @@
 };
 use common::{
     Fault, JobId,
-    http::{Body, BoxErr, OpenGuard, json, read_body, text},
+    http::{Body, BodyError, BoxErr, OpenGuard, json, read_body, text},
     log_event,
 };
 use control_plane::Member;
@@ -135,8 +135,10 @@
         let left = Duration::from_millis(plan.deadline.since(self.now()));
         let bytes = match tokio::time::timeout(left, read_body(body, plan.entry.limit)).await {
             Ok(Ok(b)) => b,
-            Ok(Err(true)) => return no(StatusCode::PAYLOAD_TOO_LARGE, "body over the entry's limit", 0),
-            Ok(Err(false)) => return no(StatusCode::BAD_REQUEST, "body broke off", 0),
+            Ok(Err(BodyError::TooLarge)) => {
+                return no(StatusCode::PAYLOAD_TOO_LARGE, "body over the entry's limit", 0);
+            }
+            Ok(Err(BodyError::Broken)) => return no(StatusCode::BAD_REQUEST, "body broke off", 0),
             Err(_) => return no(StatusCode::REQUEST_TIMEOUT, "body not here in time", 0),
         };
         let plan = if inner.is_none() { plan.with_key(&head, &bytes) } else { plan };
--- a/crates/data-plane/src/heir.rs
+++ b/crates/data-plane/src/heir.rs
@@ -5,7 +5,7 @@
     rpc::{RouterRequest, RouterResponse},
 };
 use common::{Service, Zone};
-use control_plane::singleton;
+use control_plane::state_machine::singleton;
 
 impl Router {
     /// Whether no router of the zone outlived the last figures: then the zone was lost, and what is
@@ -24,7 +24,7 @@
             let told = self.lines.call("hail", m.info.rpc_addr, ask).await;
             matches!(told, Ok(RouterResponse::Hailed { incarnation, .. }) if incarnation == m.info.incarnation)
         });
-        let mine = self.member.held().epoch.0 <= s.fig.fencing_token.0 && self.zone() == zone;
+        let mine = self.member.lease().epoch.0 <= s.fig.fencing_token.0 && self.zone() == zone;
         !mine && !futures::future::join_all(asks).await.into_iter().any(|up| up)
     }
 }
--- a/crates/data-plane/src/hop.rs
+++ b/crates/data-plane/src/hop.rs
@@ -92,7 +92,7 @@
 /// A hop that was captured and is sent again must not run again: it counts as used from here on,
 /// whatever comes of it.
 fn taken_once(r: &Router, h: &Hop) -> Result<(), &'static str> {
-    if h.to != *r.node() || h.to_epoch != r.member.held().epoch {
+    if h.to != *r.node() || h.to_epoch != r.member.lease().epoch {
         return Err("hop for another router");
     }
     let l = r.cluster_state();
--- a/crates/data-plane/src/lending.rs
+++ b/crates/data-plane/src/lending.rs
@@ -7,7 +7,7 @@
 };
 use common::{NodeId, Region, Service};
 use configuration::Table;
-use control_plane::{Member, singleton};
+use control_plane::{Member, state_machine::singleton};
 use std::{sync::Arc, time::Duration};
 
 impl Router {
--- a/crates/data-plane/src/place.rs
+++ b/crates/data-plane/src/place.rs
@@ -9,7 +9,7 @@
     tab::{Copy, Settled, UserKey},
 };
 use common::{Region, Service, Tick};
-use control_plane::{Member, singleton};
+use control_plane::{Member, state_machine::singleton};
 use std::{collections::BTreeSet, sync::Arc};
 
 /// Where a job is to go, and whether it needs a pass to be there.
@@ -183,7 +183,7 @@
     /// A new owner gathers what the others hold of the shards that came to it.
     pub async fn gather(self: Arc<Self>) {
         let mut known: Vec<Option<String>> = vec![None; crate::tab::SHARDS as usize];
-        let mut moved = self.member.moved.subscribe();
+        let mut moved = self.member.applied.subscribe();
         loop {
             for shard in 0..crate::tab::SHARDS {
                 let owners = self.owners(shard);
--- a/crates/data-plane/src/probe.rs
+++ b/crates/data-plane/src/probe.rs
@@ -11,7 +11,7 @@
 };
 use common::{FencingToken, NodeId, ReplicaId, Service, Tick, Zone, http::ask, log_event};
 use configuration::Table;
-use control_plane::{Member, Replica, singleton};
+use control_plane::{Member, Replica, state_machine::singleton};
 use hyper::Method;
 use std::{collections::BTreeMap, sync::Arc, sync::atomic::Ordering, time::Duration};
 use tokio::{sync::watch, task::JoinHandle};
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -18,7 +18,7 @@
     link::RpcClient, log_event, settings::Settings,
 };
 use configuration::Table;
-use control_plane::{ClusterState, Member, member};
+use control_plane::{ClusterState, Member, membership};
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
     sync::{
@@ -55,7 +55,7 @@
 pub struct Router {
     pub set: Settings,
     pub clock: Clock,
-    pub member: Arc<member::Member>,
+    pub member: Arc<membership::Member>,
     pub lines: RpcClient<RouterRequest, RouterResponse>,
     pub governing: ArcSwapOption<Governing>,
     pub pressure: Pressure,
@@ -90,7 +90,7 @@
 }
 
 impl Router {
-    pub fn new(set: Settings, member: Arc<member::Member>, clock: Clock) -> Arc<Self> {
+    pub fn new(set: Settings, member: Arc<membership::Member>, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
             lines: RpcClient::new(set.me(), crate::rpc::SERVICE),
             set,
@@ -143,7 +143,7 @@
 
     /// Compiles the newest document as soon as it is there; an older one never comes back.
     pub async fn govern(self: Arc<Self>) {
-        let mut moved = self.member.moved.subscribe();
+        let mut moved = self.member.applied.subscribe();
         loop {
             let l = self.cluster_state();
             let have = self.governing.load().as_ref().map(|g| g.revision).unwrap_or_default();
@@ -154,7 +154,7 @@
                         self.governing.store(Some(Arc::new(Governing { revision, table })));
                         let _ =
                             self.since.compare_exchange(0, self.now().0, Ordering::AcqRel, Ordering::Acquire);
-                        self.member.governs.store(revision.0, Ordering::Release);
+                        self.member.revision_in_force.store(revision.0, Ordering::Release);
                         log_event!(Info, "governs", "revision" => revision.0);
                         self.happened(Happened::Governs(revision));
                     }
--- a/crates/data-plane/src/rpc.rs
+++ b/crates/data-plane/src/rpc.rs
@@ -7,7 +7,7 @@
     tab::{Copy, Settled, UserKey},
 };
 use common::{FencingToken, Incarnation, Index, NodeId, Region, Service, Zone};
-use control_plane::state_update::StateUpdate;
+use control_plane::state_machine::state_update::StateUpdate;
 use serde::{Deserialize, Serialize};
 
 pub const SERVICE: &str = "points";
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -8,11 +8,11 @@
 use crate::router::Router;
 use common::{
     Clock, Incarnation, http, log_event,
-    runtime::{Listener, bind, draw, spawn},
-    settings::Settings,
+    runtime::{bind, draw, spawn},
+    settings::{Listeners, Settings},
 };
 use configuration::Notation;
-use control_plane::{Role, change::NodeInfo, member::Member};
+use control_plane::{Role, membership::Member, types::NodeInfo};
 use std::{
     sync::{Arc, atomic::Ordering},
     time::Duration,
@@ -28,7 +28,7 @@
 
 pub async fn run(
     set: Settings,
-    (rpc_addr, clients): (Listener, Listener),
+    listeners: Listeners,
     parts: Parts,
     stop: impl Future<Output = ()>,
 ) -> eyre::Result<()> {
@@ -41,7 +41,7 @@
     let grace_ms = site.bounds.grace_ms;
     let keep_ms = site.bounds.keep_ms;
     let s = Serving::new(router.clone(), dialect, notation, site);
-    router.start_serving(&set, rpc_addr);
+    router.start_serving(&set, listeners.rpc);
     spawn(s.clone().govern());
     s.watch_all();
     let (tell, told) = watch::channel(false);
@@ -54,7 +54,7 @@
         }));
     }
     let conns = Arc::new(http::OpenCount::default());
-    let serving = spawn(s.clone().listen(clients, conns.clone(), told));
+    let serving = spawn(s.clone().listen(listeners.http, conns.clone(), told));
     let me = s.clone();
     spawn(async move {
         loop {
--- a/crates/data-plane/src/serving/front.rs
+++ b/crates/data-plane/src/serving/front.rs
@@ -8,7 +8,7 @@
 };
 use crate::{go::strip, router::lock};
 use common::{
-    http::{Body, BoxErr, ConnectionLimits, LimitsInForce, OpenCount, read_body, serve_within},
+    http::{Body, BodyError, BoxErr, ConnectionLimits, LimitsInForce, OpenCount, read_body, serve_within},
     log_event,
     runtime::Listener,
 };
@@ -123,11 +123,11 @@
         let left = Duration::from_millis(deadline.since(self.now()).max(1));
         let body = match tokio::time::timeout(left, read_body(body, map.limits.max_body_bytes)).await {
             Ok(Ok(b)) => b,
-            Ok(Err(true)) => {
+            Ok(Err(BodyError::TooLarge)) => {
                 return no(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit", None)
                     .map_err(|r| Box::new(close(*r)));
             }
-            Ok(Err(false)) => {
+            Ok(Err(BodyError::Broken)) => {
                 log_event!(Debug, "read body", "peer" => peer, "cause" => "it broke off");
                 return no(StatusCode::BAD_REQUEST, "body broke off", None).map_err(|r| Box::new(close(*r)));
             }
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -97,7 +97,7 @@
 
     /// Reads the newest document as soon as it is there; an older one never comes back.
     pub async fn govern(self: Arc<Self>) {
-        let mut moved = self.router.member.moved.subscribe();
+        let mut moved = self.router.member.applied.subscribe();
         let (mut evacuated, mut have) = (BTreeSet::new(), common::Revision(0));
         loop {
             let l = self.router.cluster_state();
@@ -110,7 +110,7 @@
                     Ok(m) => {
                         have = l.revision;
                         self.map.store(Some(Arc::new(m)));
-                        self.router.member.governs.store(have.0, Ordering::Release);
+                        self.router.member.revision_in_force.store(have.0, Ordering::Release);
                         log_event!(Info, "governs", "revision" => have.0);
                     }
                     Err(f) => {
--- a/crates/data-plane/src/serving/watch.rs
+++ b/crates/data-plane/src/serving/watch.rs
@@ -13,7 +13,7 @@
     rpc::{RouterRequest, RouterResponse},
 };
 use common::{FencingToken, NodeId, ReplicaId, Tick, Zone, fault::Fault, http::ask, log_event};
-use control_plane::{Member, singleton};
+use control_plane::{Member, state_machine::singleton};
 use hyper::Method;
 use std::{
     collections::{BTreeMap, HashMap},
--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -3,7 +3,7 @@
 use common::{
     Epoch, FencingToken, Incarnation, Index, JobId, NodeId, ReplicaId, Revision, Service, Tenant, Tick,
 };
-use control_plane::state_update::StateUpdate;
+use control_plane::state_machine::state_update::StateUpdate;
 use data_plane::{
     digest::{Digest, Event, Happened},
     hop::{self, Hop},
@@ -175,7 +175,7 @@
     };
     let replies = [
         ("heartbeat", RouterResponse::Hailed { index: Index(4), incarnation: Incarnation(77), fit: true }),
-        ("updates", RouterResponse::StateUpdate(StateUpdate::Same)),
+        ("updates", RouterResponse::StateUpdate(StateUpdate::Unchanged)),
         ("placed-empty", RouterResponse::Settled(Settled::Empty)),
         ("placed", RouterResponse::Settled(Settled::Held { region: "norte".into(), ver: 3, won: true })),
         ("rows", RouterResponse::Rows(rows())),
--- a/crates/data-plane/tests/kit/mod.rs
+++ b/crates/data-plane/tests/kit/mod.rs
@@ -6,7 +6,8 @@
     settings::{Settings, Timing},
 };
 use control_plane::{
-    Change, ClusterState, ReplicaMove, Role, change::NodeInfo, member::Member, state_update::StateUpdate,
+    Change, ClusterState, ReplicaChange, Role, membership::Member, state_machine::state_update::StateUpdate,
+    types::NodeInfo,
 };
 use data_plane::{
     pressure::{Figures, Gauge},
@@ -87,18 +88,18 @@
 pub async fn router_at(clock: Clock, service: &str, backs: &[Back]) -> (Arc<Router>, SocketAddr) {
     let member = Member::new(settings(), info("p1", "centro-1"), clock.clone());
     let mut l = ClusterState::bootstrapped("bitacora", vec![]);
-    let mut add = |ch: Change| l.fold(l.index.next(), &ch);
+    let mut add = |change: Change| drop(l.apply(l.index.next(), &change));
     add(Change::Apply { op: "a".into(), base: Default::default(), text: DOC.into() });
     for (n, b) in backs.iter().enumerate() {
-        let what = ReplicaMove::List { service: service.into(), zone: "centro-1".into(), addr: b.at };
+        let what = ReplicaChange::List { service: service.into(), zone: "centro-1".into(), addr: b.at };
         let id = format!("r{n}");
         add(Change::Replica { op: id.as_str().into(), id: id.as_str().into(), what });
     }
     add(Change::Join(info("p9", "norte-1")));
     add(Change::Join(info("p1", "centro-1")));
     let fencing_token = FencingToken(l.epoch.0);
-    member.hold(Epoch(l.index.0), clock.now());
-    member.install(StateUpdate::Snapshot(Box::new(l)), "test");
+    member.extend_lease(Epoch(l.index.0), clock.now());
+    let _ = member.install(StateUpdate::Snapshot(Box::new(l)), "test");
     let r = Router::new(settings(), member, clock);
     tokio::spawn(r.clone().govern());
     while r.governing.load().is_none() {
--- a/crates/data-plane/tests/lag.rs
+++ b/crates/data-plane/tests/lag.rs
@@ -3,7 +3,9 @@
 mod kit;
 
 use common::{Clock, Revision};
-use control_plane::{Change, ClusterState, api::flaws, state_update::StateUpdate};
+use control_plane::{
+    Change, ClusterState, operator::api::check_document, state_machine::state_update::StateUpdate,
+};
 use kit::{Back, DOC, back, post, router_at, say};
 use rstest::rstest;
 use std::sync::{Arc, atomic::AtomicU64, atomic::Ordering};
@@ -24,7 +26,7 @@
 
 fn evacuated(l: &ClusterState) -> ClusterState {
     let mut l = l.clone();
-    l.fold(
+    let _ = l.apply(
         l.index.next(),
         &Change::Evacuate { op: "e".into(), zone: "norte-1".into(), on: true, seen: common::Index(u64::MAX) },
     );
@@ -39,14 +41,14 @@
 async fn what_the_leader_spoke_of_must_come(#[case] ms: u64, #[case] comes: bool, #[case] serves: bool) {
     let b = back(WHOLE).await;
     let (r, at, hand) = one(&b).await;
-    r.member.told_of(r.cluster_state().index.next(), r.now());
+    r.member.note_announced(r.cluster_state().index.next(), r.now());
     hand.fetch_add(ms, Ordering::AcqRel);
-    r.member.hold(r.member.held().epoch, r.now());
+    r.member.extend_lease(r.member.lease().epoch, r.now());
     if comes {
-        r.member.install(StateUpdate::Snapshot(Box::new(evacuated(&r.cluster_state()))), "test");
+        let _ = r.member.install(StateUpdate::Snapshot(Box::new(evacuated(&r.cluster_state()))), "test");
     }
     // Later words of the same place do not start the count anew.
-    r.member.told_of(r.cluster_state().index.next(), r.now());
+    r.member.note_announced(r.cluster_state().index.next(), r.now());
     let (job, ready, numbers) = asked(at).await;
     assert_eq!(job.contains("outcome: done"), serves, "{job}");
     assert_eq!(job.contains("lags behind the core"), !serves, "{job}");
@@ -59,7 +61,7 @@
 async fn an_outage_of_the_core_is_no_lag() {
     let b = back(WHOLE).await;
     let (r, _, hand) = one(&b).await;
-    r.member.told_of(r.cluster_state().index.next(), r.now());
+    r.member.note_announced(r.cluster_state().index.next(), r.now());
     hand.fetch_add(61_000, Ordering::AcqRel);
     kit::hears_p9(&r);
     assert_eq!(r.standing(), None);
@@ -71,8 +73,8 @@
     let (r, at, _hand) = one(&b).await;
     let mut l = (*r.cluster_state()).clone();
     let later = Change::Apply { op: "b".into(), base: Revision(1), text: "cluster = what".into() };
-    l.fold(l.index.next(), &later);
-    r.member.install(StateUpdate::Snapshot(Box::new(l)), "test");
+    let _ = l.apply(l.index.next(), &later);
+    let _ = r.member.install(StateUpdate::Snapshot(Box::new(l)), "test");
     while r.unreadable.load(Ordering::Acquire) == 0 {
         tokio::task::yield_now().await;
     }
@@ -91,7 +93,7 @@
     let mut l = (*r.cluster_state()).clone();
     let list = |zone: &str, service: &str| {
         let what =
-            control_plane::ReplicaMove::List { service: service.into(), zone: zone.into(), addr: b.at };
+            control_plane::ReplicaChange::List { service: service.into(), zone: zone.into(), addr: b.at };
         Change::Replica {
             op: format!("{zone}{service}").as_str().into(),
             id: format!("{zone}{service}").as_str().into(),
@@ -101,11 +103,11 @@
     for (zone, service) in
         [("centro-1", "contacts"), ("norte-1", "contacts"), ("norte-1", "verdict"), ("centro-1", "verdict")]
     {
-        l.fold(l.index.next(), &list(zone, service));
+        let _ = l.apply(l.index.next(), &list(zone, service));
     }
-    assert_eq!(flaws("bitacora", DOC, &l), vec![]);
+    assert_eq!(check_document("bitacora", DOC, &l), vec![]);
     l.members.get_mut(&"p9".into()).unwrap().info.lang = 0;
-    let found = flaws("bitacora", DOC, &l);
+    let found = check_document("bitacora", DOC, &l);
     assert_eq!(found.len(), 1);
     assert!(found[0].message.contains("p9 reads language version 0"), "{found:?}");
 }
--- a/crates/data-plane/tests/leap.rs
+++ b/crates/data-plane/tests/leap.rs
@@ -4,7 +4,7 @@
 mod kit;
 
 use common::{Clock, FencingToken, Tick};
-use control_plane::state_update::StateUpdate;
+use control_plane::state_machine::state_update::StateUpdate;
 use data_plane::{
     pressure::Figures,
     rpc::{RouterRequest, RouterResponse},
@@ -97,7 +97,7 @@
     let at = listener.local_addr().unwrap();
     l.members.values_mut().for_each(|m| m.info.rpc_addr = at);
     l.index = l.index.next();
-    r.member.install(StateUpdate::Snapshot(Box::new(l)), "test");
+    let _ = r.member.install(StateUpdate::Snapshot(Box::new(l)), "test");
     let (asked, asks) = (Arc::new(AtomicUsize::new(0)), hand.clone());
     let count = asked.clone();
     tokio::spawn(common::link::listen(
--- a/crates/data-plane/tests/serving/stage.rs
+++ b/crates/data-plane/tests/serving/stage.rs
@@ -13,7 +13,7 @@
 };
 use configuration::{Backend, Notation, RequestLimits, Route, RouteMap, place::Flaw};
 use control_plane::{
-    Change, ClusterState, Role, change::NodeInfo, member::Member, state_update::StateUpdate,
+    Change, ClusterState, Role, membership::Member, state_machine::state_update::StateUpdate, types::NodeInfo,
 };
 use data_plane::{
     router::{Router, lock},
@@ -353,15 +353,15 @@
         let (set, clock) = (settings(), Clock::default());
         let info = NodeInfo::of(&set, Role::Router, Incarnation(1));
         let mut l = ClusterState::bootstrapped("line", vec![]);
-        let mut add = |ch: Change| l.fold(l.index.next(), &ch);
+        let mut add = |change: Change| drop(l.apply(l.index.next(), &change));
         add(Change::Apply { op: "a".into(), base: Default::default(), text: "kept elsewhere".into() });
         add(Change::Join(info.clone()));
         if let Some(a) = cast.evacuated {
             add(Change::Evacuate { op: "e".into(), zone: a.into(), on: true, seen: common::Index(u64::MAX) });
         }
         let member = Member::new(set.clone(), info, clock.clone());
-        member.hold(Epoch(l.index.0), clock.now());
-        member.install(StateUpdate::Snapshot(Box::new(l.clone())), "test");
+        member.extend_lease(Epoch(l.index.0), clock.now());
+        let _ = member.install(StateUpdate::Snapshot(Box::new(l.clone())), "test");
         let site = Site {
             region: Region::new("north"),
             zones: zones(),
@@ -422,7 +422,7 @@
     /// From now on a zone is evacuated.
     pub fn evacuate(&self, zone: &str) {
         let mut l = self.cluster_state.clone();
-        l.fold(
+        let _ = l.apply(
             l.index.next(),
             &Change::Evacuate {
                 op: "later".into(),
@@ -431,7 +431,7 @@
                 seen: common::Index(u64::MAX),
             },
         );
-        self.s.router.member.install(StateUpdate::Snapshot(Box::new(l)), "test");
+        let _ = self.s.router.member.install(StateUpdate::Snapshot(Box::new(l)), "test");
     }
 
     pub async fn send(&self, path: &str, more: &[(&str, &str)], body: Body) -> Told {
--- a/crates/foldshunt-control/src/main.rs
+++ b/crates/foldshunt-control/src/main.rs
@@ -1,14 +1,14 @@
-//! The core daemon (design 1.1): one on each of the three disk machines.
+//! The control daemon (design 1.1): one on each machine that keeps the cluster state on disk.
 
 use bpaf::Bpaf;
 use common::{
     logging,
     settings::{Flags, Settings, flags, shutdown_signal},
 };
-use control_plane::{api, core::files, daemon};
+use control_plane::{control_node::open_data_folder, daemon, operator::api};
 use eyre::Result;
 
-/// Core of a foldshunt cluster: keeps the order of changes on disk and serves operators.
+/// Control node of a foldshunt cluster: keeps the replicated log on disk and serves operators
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Opts {
@@ -25,7 +25,7 @@
     let set = Settings::read(&opts().run().flags)?;
     logging::start(&set.node, &set.log);
     let bound = set.bind().await?;
-    let folder = files(&set)?;
+    let folder = open_data_folder(&set)?;
     daemon::run(set, 0, bound, folder, api::handle, shutdown_signal()?).await;
     Ok(())
 }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -11,7 +11,7 @@
     timeline::Scene,
 };
 use common::{http::ask, runtime::World};
-use control_plane::consensus::SizeLimits;
+use control_plane::types::SizeLimits;
 use eyre::{Result, eyre};
 use hyper::Method;
 use std::{
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -5,10 +5,14 @@
     node::Node,
     sim::disk::{Mood, SimDisk},
 };
-use common::runtime::{Host, World, bind, spawn_at};
+use common::{
+    runtime::{Host, World, bind, spawn_at},
+    settings::Listeners,
+};
 use control_plane::{
-    consensus::{DurableState, Event, Record, Voter},
-    core::{Core, LogWriter, RecoveryBackoff, blank},
+    consensus::{DurableState, Event, Record},
+    control_node::{ControlNode, LogWriter},
+    storage::{RecoveryBackoff, blank_voter},
 };
 use rand::Rng;
 use std::{
@@ -37,7 +41,7 @@
         let told = async move { drop(told.await) };
         let task = w.host(n.ip).spawn(async move {
             let bound = match (bind(set.rpc_addr).await, bind(set.http).await) {
-                (Ok(r), Ok(h)) => (r, h),
+                (Ok(rpc), Ok(http)) => Listeners { rpc, http },
                 _ => return,
             };
             if core {
@@ -45,8 +49,15 @@
                 let drive = Box::new(move |core| -> Box<dyn LogWriter> {
                     Box::new(WorldDrive { core, disk, ip, world })
                 });
-                control_plane::daemon::run(set, 0, bound, (image, drive), control_plane::api::handle, told)
-                    .await
+                control_plane::daemon::run(
+                    set,
+                    0,
+                    bound,
+                    (image, drive),
+                    control_plane::operator::api::handle,
+                    told,
+                )
+                .await
             } else {
                 data_plane::daemon::run(set, bound, told).await
             }
@@ -86,14 +97,14 @@
 
 fn take_up(set: &common::settings::Settings, disk: &Mutex<SimDisk>) -> DurableState {
     let mut d = lock(disk);
-    let image = d.kept.clone().unwrap_or_else(|| Voter::blank_state(&blank(set)));
+    let image = d.kept.clone().unwrap_or_else(|| DurableState::blank(&blank_voter(set)));
     d.kept = Some(image.clone());
     image
 }
 
 /// Tries until the disk takes writes again, as the daemon's own drive does.
-async fn recover(core: Weak<Core>, disk: Arc<Mutex<SimDisk>>) {
-    let Some(timing) = core.upgrade().map(|c| c.set.timing.clone()) else { return };
+async fn recover(core: Weak<ControlNode>, disk: Arc<Mutex<SimDisk>>) {
+    let Some(timing) = core.upgrade().map(|c| c.settings.timing.clone()) else { return };
     let mut retry = RecoveryBackoff::new(&timing);
     let image = loop {
         sleep(retry.wait()).await;
@@ -109,7 +120,7 @@
 }
 
 struct WorldDrive {
-    core: Weak<Core>,
+    core: Weak<ControlNode>,
     disk: Arc<Mutex<SimDisk>>,
     ip: IpAddr,
     world: Arc<World>,
--- a/crates/simulator/src/scale/hollow.rs
+++ b/crates/simulator/src/scale/hollow.rs
@@ -8,7 +8,7 @@
     runtime::{Host, World, bind, draw, random_in},
     settings::Settings,
 };
-use control_plane::{Role, change::NodeInfo, member::Member};
+use control_plane::{Role, membership::Member, types::NodeInfo};
 use data_plane::{plan::Plan, router::Router, tab::UserKey};
 use eyre::{Result, WrapErr};
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
--- a/crates/simulator/src/scale/layout.rs
+++ b/crates/simulator/src/scale/layout.rs
@@ -6,7 +6,7 @@
     sim::disk::SimDisk,
     standin::{Shape, StandIn},
 };
-use control_plane::consensus::SizeLimits;
+use control_plane::types::SizeLimits;
 use std::{
     fmt::Write,
     net::{IpAddr, Ipv4Addr, SocketAddr},
--- a/crates/simulator/src/scale/rows.rs
+++ b/crates/simulator/src/scale/rows.rs
@@ -93,7 +93,7 @@
         .map(|m| m.info.node.to_string())
         .collect();
     let shards = (0..data_plane::tab::SHARDS)
-        .filter_map(|n| control_plane::singleton::holder_of(&l, &format!("shard/{n}"), None))
+        .filter_map(|n| control_plane::state_machine::singleton::holder_of(&l, &format!("shard/{n}"), None))
         .map(|d| d.holder.info.node.to_string())
         .collect();
     [("home", "watch", homes), ("shard owner", "settle", shards), ("lender", "passes", lenders)]
--- a/crates/simulator/src/scale/run.rs
+++ b/crates/simulator/src/scale/run.rs
@@ -125,7 +125,7 @@
             }
         }
         let whole = |h: &Hollow| {
-            h.router.member.governs.load(Ordering::Acquire) > 0
+            h.router.member.revision_in_force.load(Ordering::Acquire) > 0
                 && h.router.member.cluster_state.load().members.len() == nodes
         };
         let (_, never) = until(&hollow, Instant::now(), whole).await;
--- a/crates/simulator/src/scale/times.rs
+++ b/crates/simulator/src/scale/times.rs
@@ -69,8 +69,9 @@
             let res = op.apply(&text, base, &id).await;
             res.is_some_and(|r| r.0 == 200)
         };
-        let governs =
-            until(nodes, at, |h| h.router.member.governs.load(std::sync::atomic::Ordering::Acquire) > base);
+        let governs = until(nodes, at, |h| {
+            h.router.member.revision_in_force.load(std::sync::atomic::Ordering::Acquire) > base
+        });
         let (ok, (ms, out)) = tokio::join!(told, governs);
         made += usize::from(ok);
         all.extend(ms);
--- a/crates/simulator/src/sim/acts.rs
+++ b/crates/simulator/src/sim/acts.rs
@@ -8,10 +8,11 @@
 use common::{Epoch, FencingToken, Index, NodeId, Revision, Tick};
 use control_plane::{
     ApplyOutcome, Change,
-    change::NodeInfo,
-    consensus::{Event, LogEntry},
-    singleton,
-    state_update::{self, InstallResult, StateUpdate},
+    consensus::Event,
+    membership::Renewal,
+    state_machine::singleton,
+    state_machine::state_update::{self, InstallResult, StateUpdate},
+    types::{LogEntry, NodeInfo},
 };
 use rand::Rng;
 
@@ -126,14 +127,14 @@
             return Ok(());
         };
         match s.leases.renew(&voter.cluster_state, &timing(), &info, now) {
-            Ok(epoch) => {
+            Renewal::Extended(epoch) => {
                 if let Some(ms) = self.transit(n, self.voters.len() + r) {
                     self.push(ms, What::Renewed { router: r, incarnation: info.incarnation.0, epoch, sent });
                 }
                 Ok(())
             }
-            Err(Some(ch)) => self.voter_step(n, Event::Propose(ch)),
-            Err(None) => Ok(()),
+            Renewal::Pending(Some(ch)) => self.voter_step(n, Event::Propose(ch)),
+            Renewal::Pending(None) => Ok(()),
         }
     }
 
@@ -157,7 +158,13 @@
         let state_update = if back {
             StateUpdate::Snapshot(Box::new(voter.cluster_state.clone()))
         } else {
-            state_update::since(have, &voter.cluster_state, &voter.log, voter.base, voter.room)
+            state_update::update_since(
+                have,
+                &voter.cluster_state,
+                &voter.log,
+                voter.snapshot_index,
+                voter.size_limits,
+            )
         };
         fits("news", &state_update, WIRE)?;
         if let Some(ms) = self.transit(n, self.voters.len() + r) {
@@ -173,7 +180,7 @@
             me.cluster_state = (**f).clone();
         } else {
             let mut own = me.cluster_state.clone();
-            if state_update::take(&mut own, "sim", state_update) == InstallResult::Advanced {
+            if state_update::install(&mut own, "sim", state_update) == InstallResult::Advanced {
                 me.cluster_state = own;
             }
         }
--- a/crates/simulator/src/sim/catch_up/checks.rs
+++ b/crates/simulator/src/sim/catch_up/checks.rs
@@ -1,7 +1,10 @@
 //! The invariants looked at after each step, and the variants that break them.
 
 use super::{cluster::Cluster, member::counted};
-use control_plane::consensus::{Message, SizeLimits, VoterRole};
+use control_plane::{
+    consensus::{Message, VoterRole},
+    types::SizeLimits,
+};
 
 impl Cluster {
     /// Nobody counts for more than its disk holds, nobody leads without all that was accepted, and
@@ -13,7 +16,7 @@
             if !matches!(voter.role, VoterRole::Leader { .. }) {
                 continue;
             }
-            if voter.last() < self.highest {
+            if voter.last_index() < self.highest {
                 return Err(format!("s{n} leads without {}", self.highest));
             }
             for (other, held) in counted(voter) {
@@ -41,7 +44,7 @@
     pub(super) fn claim_all(&self, msg: &mut Message) {
         if let (Message::AppendReply { installed, last, .. }, Some(leader)) = (msg, self.leader()) {
             *installed = true;
-            *last = leader.last();
+            *last = leader.last_index();
         }
     }
 }
--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -10,7 +10,8 @@
 use common::{Index, Tick};
 use control_plane::{
     Change, Document,
-    consensus::{Effect, Event, Message, SizeLimits, Voter},
+    consensus::{Effect, Event, Message, Voter},
+    types::SizeLimits,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -106,12 +107,12 @@
 
     pub fn shown(&self, n: usize) -> String {
         let shown = |s: &Voter| {
-            let last = s.last();
+            let last = s.last_index();
             format!(
                 "formed {} promised {} accepted {} last {last} {:?}",
                 s.initialized,
                 s.current_term,
-                s.accepted(),
+                s.commit_index(),
                 s.role
             )
         };
--- a/crates/simulator/src/sim/catch_up/member.rs
+++ b/crates/simulator/src/sim/catch_up/member.rs
@@ -4,9 +4,9 @@
 use common::{Incarnation, Index, Tick};
 use control_plane::{
     ClusterState,
-    change::VoterInfo,
-    consensus::{DurableState, LogEntry, Record, SizeLimits, Voter, VoterRole},
-    store::LOG_LEN,
+    consensus::{DurableState, Record, Voter, VoterRole},
+    types::SHORT_LOG_BYTES,
+    types::{LogEntry, SizeLimits, VoterInfo},
 };
 use std::{collections::VecDeque, net::SocketAddr};
 
@@ -56,7 +56,7 @@
         let kept = DurableState {
             initialized: true,
             cluster_state,
-            ..Voter::blank_state(&holder(n, 10 + n as u64))
+            ..DurableState::blank(&holder(n, 10 + n as u64))
         };
         let mut member = Self {
             voter: None,
@@ -76,7 +76,7 @@
         let image = self.kept.clone();
         let seeds = (0..VOTERS).map(address).collect();
         let mut voter = Voter::new(image.me.clone(), CLUSTER, seeds, timing(), Some(image), now);
-        voter.room = self.room;
+        voter.size_limits = self.room;
         self.voter = Some(voter);
         self.starts += 1;
         self.log_bytes = 0;
@@ -90,7 +90,7 @@
     /// Its disk is blank from here on: it starts as another holder.
     pub fn wipe(&mut self, n: usize) {
         let blank = VoterInfo { number: u8::MAX, ..holder(n, 100 + self.starts) };
-        self.kept = Voter::blank_state(&blank);
+        self.kept = DurableState::blank(&blank);
     }
 
     /// Takes a record, and says when it will be synced; an error where it does not fit (design 2.8).
@@ -101,11 +101,11 @@
                 let entries: usize = image.entries.iter().map(LogEntry::weight).sum();
                 let bytes = image.cluster_state.weight() + entries;
                 fits("a slot", bytes, SizeLimits::default().slot())?;
-                bytes + LOG_LEN as usize
+                bytes + SHORT_LOG_BYTES as usize
             }
             record => {
                 self.log_bytes += record.weight();
-                fits("the short log", self.log_bytes, LOG_LEN as usize)?;
+                fits("the short log", self.log_bytes, SHORT_LOG_BYTES as usize)?;
                 record.weight()
             }
         };
--- a/crates/simulator/src/sim/catch_up/mod.rs
+++ b/crates/simulator/src/sim/catch_up/mod.rs
@@ -146,14 +146,14 @@
     fn counted(&self, member: usize) -> Option<Index> {
         let leader = self.leader()?;
         if usize::from(leader.me.number) == member {
-            return Some(leader.last());
+            return Some(leader.last_index());
         }
         member::counted(leader).into_iter().find(|c| usize::from(c.0) == member).map(|c| c.1)
     }
 
     /// Changes in the leader's log for which the member does not count.
     fn behind(&self, member: usize) -> u64 {
-        let last = self.leader().map_or(Index(u64::MAX), Voter::last);
+        let last = self.leader().map_or(Index(u64::MAX), Voter::last_index);
         last.0 - self.counted(member).unwrap_or_default().0
     }
 }
--- a/crates/simulator/src/sim/catch_up/traffic.rs
+++ b/crates/simulator/src/sim/catch_up/traffic.rs
@@ -7,7 +7,8 @@
 };
 use control_plane::{
     Change, Document,
-    consensus::{Body, Event, Message, SizeLimits},
+    consensus::{Body, Event, Message},
+    types::SizeLimits,
 };
 use rand::{Rng, rngs::SmallRng};
 
@@ -51,7 +52,7 @@
         let current = |m: &Member| !m.cut && m.voter.as_ref().is_some_and(|s| s.can_serve_reads(now));
         let Some(n) = (0..VOTERS).find(|n| current(&self.members[*n])) else { return Ok(()) };
         let Some(voter) = self.members[n].voter.as_ref() else { return Ok(()) };
-        if self.waiting.is_some_and(|w| w <= voter.last() && w > voter.accepted()) {
+        if self.waiting.is_some_and(|w| w <= voter.last_index() && w > voter.commit_index()) {
             return Ok(());
         }
         self.proposed += 1;
@@ -59,7 +60,7 @@
         let text = self.documents[(size as usize).min(self.documents.len() - 1)].clone();
         let op = format!("change-{}", self.proposed).as_str().into();
         let change = Change::Apply { op, base: voter.cluster_state.revision, text };
-        self.waiting = Some(voter.last().next());
+        self.waiting = Some(voter.last_index().next());
         self.step(n, Event::Propose(change))
     }
 }
@@ -73,7 +74,7 @@
     match kind {
         Documents::Small => vec![text(SMALL)],
         Documents::Growing => {
-            let longest = SizeLimits::default().doc() as u64;
+            let longest = SizeLimits::default().document() as u64;
             (1..=SIZES).map(|n| text((longest * n / SIZES) as usize)).collect()
         }
     }
--- a/crates/simulator/src/sim/check.rs
+++ b/crates/simulator/src/sim/check.rs
@@ -3,8 +3,8 @@
 use common::{FencingToken, Index, NodeId, OpId, Revision};
 use control_plane::{
     ApplyOutcome, Change,
-    change::VoterInfo,
-    consensus::{DurableState, LogEntry, Message},
+    consensus::{DurableState, Message},
+    types::{LogEntry, VoterInfo},
 };
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/simulator/src/sim/data.rs
+++ b/crates/simulator/src/sim/data.rs
@@ -3,7 +3,7 @@
 
 use super::Violation;
 use common::{FencingToken, NodeId, Region, Service, Tick};
-use control_plane::{Change, ClusterState, Role, change::NodeInfo};
+use control_plane::{Change, ClusterState, Role, types::NodeInfo};
 use data_plane::{
     lend::{Lender, Pass, Purse, Spent},
     tab::{Copy, Tab, UserKey},
@@ -122,7 +122,7 @@
     pub fn new(seed: u64, broken: Option<BrokenData>) -> Self {
         let mut truth = ClusterState::bootstrapped("sim", vec![]);
         for n in 0..ROUTERS {
-            truth.fold(truth.index.next(), &Change::Join(info(n, 1)));
+            let _ = truth.apply(truth.index.next(), &Change::Join(info(n, 1)));
         }
         let node = |n: usize| Node {
             info: info(n, 1),
@@ -231,11 +231,11 @@
         let old = self.nodes[n].info.clone();
         let new = info(n, old.incarnation.0 + 1);
         self.trace.push(format!("{} restart p{n}", self.t));
-        self.truth.fold(
+        let _ = self.truth.apply(
             self.truth.index.next(),
             &Change::Expire { node: old.node, incarnation: old.incarnation, left: true },
         );
-        self.truth.fold(self.truth.index.next(), &Change::Join(new.clone()));
+        let _ = self.truth.apply(self.truth.index.next(), &Change::Join(new.clone()));
         let cluster_state = self.truth.clone();
         let (tab, lender, purse, owns) = Default::default();
         self.nodes[n] = Node { info: new, cluster_state: cluster_state.clone(), tab, lender, purse, owns };
--- a/crates/simulator/src/sim/disk.rs
+++ b/crates/simulator/src/sim/disk.rs
@@ -1,7 +1,10 @@
 //! A disk that only keeps what was synced (design 7.1).
 
 use super::nodes::fits;
-use control_plane::consensus::{DurableState, Record, SizeLimits};
+use control_plane::{
+    consensus::{DurableState, Record},
+    types::SizeLimits,
+};
 use std::collections::VecDeque;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/simulator/src/sim/lending.rs
+++ b/crates/simulator/src/sim/lending.rs
@@ -2,7 +2,7 @@
 
 use super::data::{BrokenData, Data, FULL_SET, LIFE, ROOM, ROUTERS, What, number, region, svc};
 use common::{FencingToken, NodeId, Tick};
-use control_plane::singleton;
+use control_plane::state_machine::singleton;
 use data_plane::{lend::Spent, tab::UserKey};
 use rand::Rng;
 use std::collections::BTreeSet;
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -4,9 +4,9 @@
 use common::{Incarnation, Tick, settings::Timing};
 use control_plane::{
     ClusterState, Role,
-    change::{NodeInfo, VoterInfo},
-    consensus::{DurableState, SizeLimits, Voter},
-    lease::{HeldLease, Leases},
+    consensus::{DurableState, Voter},
+    membership::{HeldLease, Leases},
+    types::{NodeInfo, SizeLimits, VoterInfo},
 };
 use std::net::SocketAddr;
 
@@ -107,7 +107,7 @@
     pub fn start(&mut self, t: u64, fresh_inc: u64) {
         let image: DurableState = match &self.disk.kept {
             Some(i) => i.clone(),
-            None => Voter::blank_state(&self.blank(fresh_inc)),
+            None => DurableState::blank(&self.blank(fresh_inc)),
         };
         self.disk.kept = Some(image.clone());
         let seeds = (0..3).map(addr).collect();
@@ -117,7 +117,7 @@
         // With more voters than seeds, only who starts with all others founds (design 2.5).
         voter.may_bootstrap =
             self.core == 3 || (self.there && !self.lost && self.me.rpc_addr != addr(self.core));
-        voter.room = if self.boundless { SizeLimits { log: usize::MAX / 64 } } else { ROOM };
+        voter.size_limits = if self.boundless { SizeLimits { log: usize::MAX / 64 } } else { ROOM };
         self.voter = Some(voter);
         self.leases = Leases::default();
         self.starts += 1;
@@ -137,11 +137,11 @@
             s.me.number,
             s.initialized,
             s.disk_failed,
-            s.out,
+            s.removed,
             s.current_term,
             s.log_term,
-            s.accepted(),
-            s.last(),
+            s.commit_index(),
+            s.last_index(),
             self.disk.pending.len(),
             s.role,
         )
--- a/crates/simulator/src/sim/operate.rs
+++ b/crates/simulator/src/sim/operate.rs
@@ -39,7 +39,7 @@
 
     /// A good part of the documents is about as long as they may be, and can't be packed.
     fn document(&mut self, op: &OpId) -> String {
-        let len = if self.rng.random_bool(0.3) { self.rng.random_range(0..ROOM.doc()) } else { 0 };
+        let len = if self.rng.random_bool(0.3) { self.rng.random_range(0..ROOM.document()) } else { 0 };
         let text = format!("document of {op}");
         let mut own = SmallRng::seed_from_u64(self.serial);
         let rest = len.saturating_sub(text.len());
--- a/crates/simulator/src/sim/reads.rs
+++ b/crates/simulator/src/sim/reads.rs
@@ -11,8 +11,9 @@
 use common::{OpId, Revision};
 use control_plane::{
     ApplyOutcome, Change, ClusterState,
-    consensus::{Effect, Event, LogEntry},
-    operations::{AcceptedOperations, OperationStatus, standing},
+    consensus::{Effect, Event},
+    state_machine::{AcceptedOperations, OperationStatus, operation_status},
+    types::LogEntry,
 };
 use rand::Rng;
 
@@ -70,11 +71,11 @@
             return self.count_unavailable();
         };
         if self.broken == Some(Broken::VerdictsByCount) {
-            cluster_state.accepted = AcceptedOperations::default();
+            cluster_state.accepted_operations = AcceptedOperations::default();
         }
         let text = || format!("document of {op}").into();
         let rebases = self.broken == Some(Broken::Rebases);
-        let change = match standing(&cluster_state, &op, base.0, cluster_state.revision.0) {
+        let change = match operation_status(&cluster_state, &op, base.0, cluster_state.revision.0) {
             OperationStatus::Decided(ApplyOutcome::Accepted { .. }) => {
                 Change::Apply { op, base: Revision(u64::MAX), text: "".into() }
             }
--- a/crates/simulator/src/sim/refusals.rs
+++ b/crates/simulator/src/sim/refusals.rs
@@ -7,7 +7,7 @@
     faults::Undo,
     world::{CALM_AT, What, World},
 };
-use control_plane::consensus::{Event, Voter};
+use control_plane::consensus::{DurableState, Event};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 /// Longest refusal; both fit before the calm.
@@ -78,7 +78,7 @@
         }
         let fresh = self.number();
         let s = &mut self.voters[n];
-        let blank = Voter::blank_state(&s.blank(fresh));
+        let blank = DurableState::blank(&s.blank(fresh));
         let image = s.disk.kept.get_or_insert(blank).clone();
         self.note(format!("s{n}'s disk works again"));
         self.voter_step(n, Event::Recovered(Box::new(image)))
--- a/crates/simulator/src/sim/table.rs
+++ b/crates/simulator/src/sim/table.rs
@@ -2,7 +2,7 @@
 
 use super::data::{BrokenData, CHURN_END, Data, ROUTERS, TTL, What, number, region, svc};
 use common::{FencingToken, Region, Tick};
-use control_plane::singleton;
+use control_plane::state_machine::singleton;
 use data_plane::tab::{Settled, UserKey};
 use rand::Rng;
 
--- a/crates/simulator/src/sim/way.rs
+++ b/crates/simulator/src/sim/way.rs
@@ -9,7 +9,7 @@
 };
 use control_plane::{
     consensus::{Effect, Event, Message},
-    lease::Leases,
+    membership::Leases,
 };
 use rand::Rng;
 
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -8,10 +8,10 @@
 use common::{Epoch, FencingToken, Index, OpId, Tick};
 use control_plane::{
     Change,
-    change::NodeInfo,
     consensus::{Event, Message},
-    singleton::FencingTokens,
-    state_update::StateUpdate,
+    state_machine::singleton::FencingTokens,
+    state_machine::state_update::StateUpdate,
+    types::NodeInfo,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::{
--- a/crates/simulator/src/spare.rs
+++ b/crates/simulator/src/spare.rs
@@ -6,7 +6,7 @@
     sim::disk::SimDisk,
     standin::StandIn,
 };
-use control_plane::consensus::SizeLimits;
+use control_plane::types::SizeLimits;
 use eyre::Result;
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
