--- a/crates/common/src/clock.rs
+++ b/crates/common/src/clock.rs
@@ -16,6 +16,7 @@
 pub struct Tick(pub u64);
 
 impl Tick {
+    /// Milliseconds since `past`; 0 where that is later.
     pub fn since(self, past: Tick) -> u64 {
         self.0.saturating_sub(past.0)
     }
@@ -45,8 +46,8 @@
 enum Source {
     /// Linux counts suspension on this clock, and not on the one behind `Instant`.
     Boot,
-    /// Moved by hand, for tests.
-    Hand(Arc<AtomicU64>),
+    /// Moved by tests.
+    Manual(Arc<AtomicU64>),
 }
 
 const HEAD_START_MS: u64 = 86_400_000;
@@ -58,18 +59,19 @@
 }
 
 impl Clock {
+    /// The time now.
     pub fn now(&self) -> Tick {
         let ms = match &self.0 {
             Source::Boot => crate::runtime::virtual_ms().unwrap_or_else(boot_ms),
-            Source::Hand(ms) => ms.load(Ordering::Acquire),
+            Source::Manual(ms) => ms.load(Ordering::Acquire),
         };
         Tick(HEAD_START_MS + ms)
     }
 
-    /// A clock that stands still until its hand is moved.
-    pub fn hand() -> (Self, Arc<AtomicU64>) {
+    /// A clock that stands still until the returned milliseconds are changed.
+    pub fn manual() -> (Self, Arc<AtomicU64>) {
         let ms = Arc::new(AtomicU64::new(0));
-        (Self(Source::Hand(ms.clone())), ms)
+        (Self(Source::Manual(ms.clone())), ms)
     }
 }
 
--- a/crates/common/src/connection/mod.rs
+++ b/crates/common/src/connection/mod.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// The limits in force at the moment; they may change while connections are open.
+/// Tells the limits in force at the moment; they may change while connections are open.
 pub type LimitsInForce = Arc<dyn Fn() -> ConnectionLimits + Send + Sync>;
 
 /// Serves under the default limits until `stop` turns true.
--- a/crates/common/src/connection/timing.rs
+++ b/crates/common/src/connection/timing.rs
@@ -4,6 +4,7 @@
 use crate::{
     http::{Body, BoxErr},
     runtime::Stream,
+    sync::lock,
 };
 use bytes::Bytes;
 use hyper::body::{Frame, SizeHint};
@@ -19,7 +20,7 @@
     time::Instant,
 };
 
-/// Where a connection stands between two requests.
+/// Where a connection is between two requests.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
     /// Nothing of a request is here.
@@ -30,63 +31,63 @@
     OpenCount,
 }
 
-struct Standing {
+struct State {
     phase: Phase,
     since: Instant,
-    /// How long a rest may last by the newest answer.
-    told_idle_ms: u64,
+    /// How long it may stay idle by the newest response, in milliseconds.
+    announced_idle_ms: u64,
 }
 
 /// Shared by a connection's stream, its requests and its timer.
-pub(super) struct Progress(Mutex<Standing>);
+pub(super) struct Progress(Mutex<State>);
 
 impl Progress {
     pub(super) fn new() -> Self {
-        Self(Mutex::new(Standing { phase: Phase::Idle, since: Instant::now(), told_idle_ms: 0 }))
+        Self(Mutex::new(State { phase: Phase::Idle, since: Instant::now(), announced_idle_ms: 0 }))
     }
 
-    fn standing(&self) -> MutexGuard<'_, Standing> {
-        self.0.lock().unwrap_or_else(|e| e.into_inner())
+    fn state(&self) -> MutexGuard<'_, State> {
+        lock(&self.0)
     }
 
     fn received(&self) {
-        let mut standing = self.standing();
-        if standing.phase == Phase::Idle {
-            (standing.phase, standing.since) = (Phase::Head, Instant::now());
+        let mut state = self.state();
+        if state.phase == Phase::Idle {
+            (state.phase, state.since) = (Phase::Head, Instant::now());
         }
     }
 
     /// The last bytes of an answer may leave after its body has ended: the rest begins behind them.
     fn sent(&self, written: &Poll<io::Result<usize>>) {
-        let mut standing = self.standing();
-        if matches!(written, Poll::Ready(Ok(n)) if *n > 0) && standing.phase == Phase::Idle {
-            standing.since = Instant::now();
+        let mut state = self.state();
+        if matches!(written, Poll::Ready(Ok(n)) if *n > 0) && state.phase == Phase::Idle {
+            state.since = Instant::now();
         }
     }
 
     pub(super) fn request_begins(&self) {
-        self.standing().phase = Phase::OpenCount;
+        self.state().phase = Phase::OpenCount;
     }
 
     pub(super) fn answer_begins(&self, idle_ms: u64) {
-        self.standing().told_idle_ms = idle_ms;
+        self.state().announced_idle_ms = idle_ms;
     }
 
     fn answer_ended(&self) {
-        let mut standing = self.standing();
-        (standing.phase, standing.since) = (Phase::Idle, Instant::now());
+        let mut state = self.state();
+        (state.phase, state.since) = (Phase::Idle, Instant::now());
     }
 
     /// When the connection is to be closed, unless something happens before. A rest that was told to the
     /// client is kept to, also when the limit has been lowered since.
     pub(super) fn due(&self, limits: &ConnectionLimits) -> Option<Instant> {
-        let standing = self.standing();
-        let most_ms = match standing.phase {
-            Phase::Idle => limits.idle_ms.max(standing.told_idle_ms),
+        let state = self.state();
+        let most_ms = match state.phase {
+            Phase::Idle => limits.idle_ms.max(state.announced_idle_ms),
             Phase::Head => limits.head_ms,
             Phase::OpenCount => return None,
         };
-        Some(standing.since + Duration::from_millis(most_ms))
+        Some(state.since + Duration::from_millis(most_ms))
     }
 }
 
--- a/crates/common/src/http.rs
+++ b/crates/common/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 by hyper on both sides (design 1.9).
 
 use crate::{
-    fault::{At, Fault, within},
+    error::{AtPeer, CONNECT, HANDSHAKE, PeerError, within},
     runtime::{Stream, dial, spawn},
 };
 use bytes::Bytes;
@@ -22,17 +22,22 @@
 
 pub use crate::connection::{ConnectionLimits, LimitsInForce, serve, serve_within};
 
+/// Any error of a body or handler.
 pub type BoxErr = Box<dyn std::error::Error + Send + Sync>;
+/// A response or request body.
 pub type Body = BoxBody<Bytes, BoxErr>;
 
+/// A body that is all there.
 pub fn full(b: impl Into<Bytes>) -> Body {
     Full::new(b.into()).map_err(|e| match e {}).boxed()
 }
 
+/// A text response.
 pub fn text(code: StatusCode, s: impl Into<String>) -> Response<Body> {
     with_type(code, "text/plain; charset=utf-8", s.into())
 }
 
+/// A JSON response.
 pub fn json(code: StatusCode, v: &impl Serialize) -> Response<Body> {
     let s = serde_json::to_string(v).unwrap_or_else(|e| format!("{{\"error\":\"{e}\"}}"));
     with_type(code, "application/json", s)
@@ -47,17 +52,20 @@
     r
 }
 
-/// Counts open jobs, so that a drain knows when it is done.
+/// Counts what is open (requests, connections), so that a graceful shutdown knows when it is done.
 #[derive(Debug, Default)]
 pub struct OpenCount(AtomicUsize);
 
+/// Counts as open while it lives.
 pub struct OpenGuard(Arc<OpenCount>);
 
 impl OpenCount {
+    /// Counts one more until the guard is dropped.
     pub fn enter(self: &Arc<Self>) -> OpenGuard {
         self.0.fetch_add(1, Ordering::AcqRel);
         OpenGuard(self.clone())
     }
+    /// How many are open.
     pub fn open(&self) -> usize {
         self.0.load(Ordering::Acquire)
     }
@@ -72,17 +80,20 @@
 /// An open client connection: the sender, and the task that drives it.
 pub type Sender = SendRequest<Body>;
 
-/// Opens a connection; whether it was refused is told apart from all else that may fail.
-pub async fn connect(ip: IpAddr, to: SocketAddr) -> Result<Stream, Fault> {
-    dial(ip, to).await.map_err(|e| {
-        let refused = e.kind() == std::io::ErrorKind::ConnectionRefused;
-        Fault { refused, ..Fault::new("connect", to, e) }
-    })
+/// Opens a connection from the node's own address.
+///
+/// # Errors
+/// The connection could not be opened; the kind of the error tells whether it was refused.
+pub async fn connect(ip: IpAddr, to: SocketAddr) -> Result<Stream, PeerError> {
+    dial(ip, to).await.map_err(|error| PeerError::connecting(to, error))
 }
 
-/// A fresh connection to a back end or a peer, bound to the node's own address.
-pub async fn open(ip: IpAddr, to: SocketAddr, ms: u64) -> Result<Sender, Fault> {
-    within(ms, "connect", to, async {
+/// A new client connection to a replica or a peer, from the node's own address.
+///
+/// # Errors
+/// The connection could not be opened within `ms`.
+pub async fn open(ip: IpAddr, to: SocketAddr, ms: u64) -> Result<Sender, PeerError> {
+    within(ms, CONNECT, to, async {
         let io = connect(ip, to).await?;
         client_on(io, to).await
     })
@@ -90,18 +101,27 @@
 }
 
 /// A client connection over a stream that is open already.
-pub async fn client_on<I>(io: I, to: SocketAddr) -> Result<Sender, Fault>
+///
+/// # Errors
+/// The HTTP handshake failed.
+pub async fn client_on<I>(io: I, to: SocketAddr) -> Result<Sender, PeerError>
 where
     I: AsyncRead + AsyncWrite + Send + Unpin + 'static,
 {
-    let (tx, conn) = http1::handshake(TokioIo::new(io)).await.at("handshake", to)?;
+    let (tx, conn) = http1::handshake(TokioIo::new(io)).await.at_peer(HANDSHAKE, to)?;
     spawn(async move {
         let _ = conn.await;
     });
     Ok(tx)
 }
 
-/// A small exchange with a known peer: the answer is read whole, up to `max` bytes.
+/// Longest answer that [`ask`] reads, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
+
+/// A small exchange with a known peer; the answer is read whole.
+///
+/// # Errors
+/// No whole answer came within `ms`.
 pub async fn ask(
     ip: IpAddr,
     to: SocketAddr,
@@ -110,8 +130,7 @@
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
     ms: u64,
-) -> Result<(StatusCode, hyper::HeaderMap, Bytes), Fault> {
-    const MAX: usize = 16 << 20;
+) -> Result<(StatusCode, hyper::HeaderMap, Bytes), PeerError> {
     let step = "exchange";
     within(ms, step, to, async {
         let mut tx = open(ip, to, ms).await?;
@@ -120,11 +139,11 @@
             .fold(Request::builder().method(method).uri(path), |b, (k, v)| b.header(*k, *v))
             .header("host", to.to_string())
             .body(full(body))
-            .at(step, to)?;
-        let res = tx.send_request(req).await.at(step, to)?;
+            .at_peer(step, to)?;
+        let res = tx.send_request(req).await.at_peer(step, to)?;
         let (head, body) = res.into_parts();
-        let bytes = Limited::new(body, MAX).collect().await.at(step, to)?.to_bytes();
-        Ok::<_, Fault>((head.status, head.headers, bytes))
+        let bytes = Limited::new(body, MAX_ANSWER_BYTES).collect().await.at_peer(step, to)?.to_bytes();
+        Ok::<_, PeerError>((head.status, head.headers, bytes))
     })
     .await
 }
@@ -160,10 +179,13 @@
     })
 }
 
-/// Asks voters in turn until one gives an answer other than 503. What may have been sent and is
-/// not a mere question is not sent to another: that is undetermined.
+/// Asks control nodes in turn until one gives an answer other than 503. A change that may have been sent is not sent to
+/// another node: its outcome is undetermined.
+///
+/// # Errors
+/// No node answered, or the outcome is undetermined.
 pub async fn ask_in_turn(
-    seats: &[SocketAddr],
+    nodes: &[SocketAddr],
     method: Method,
     path: &str,
     headers: &[(&str, &str)],
@@ -171,19 +193,19 @@
     ms: u64,
 ) -> eyre::Result<(StatusCode, hyper::HeaderMap, Bytes)> {
     eyre::ensure!(
-        !seats.is_empty(),
+        !nodes.is_empty(),
         "--core: missing; allowed: the HTTP address of a control node, up to three times"
     );
     let (ip, mut last) = (IpAddr::V4(Ipv4Addr::UNSPECIFIED), String::new());
-    for to in seats {
+    for to in nodes {
         match ask(ip, *to, method.clone(), path, headers, body.clone(), ms).await {
             Ok((code, _, b)) if code == StatusCode::SERVICE_UNAVAILABLE => {
                 last = format!("{to}: {}", String::from_utf8_lossy(&b));
             }
-            Ok(told) => return Ok(told),
-            Err(e) if e.step == "connect" || method == Method::GET => last = e.to_string(),
+            Ok(answer) => return Ok(answer),
+            Err(e) if e.step == CONNECT || method == Method::GET => last = e.to_string(),
             Err(e) => eyre::bail!("undetermined: {e}"),
         }
     }
-    eyre::bail!("no seat could answer; last: {last}")
+    eyre::bail!("no control node could answer; last: {last}")
 }
--- a/crates/common/src/ids.rs
+++ b/crates/common/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for everything that is named or numbered (design 1.2).
+//! Newtypes for identifiers and numbers (design 1.2).
 
 use serde::{Deserialize, Serialize};
 use std::{fmt, sync::Arc};
@@ -11,9 +11,11 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            pub fn new(s: impl AsRef<str>) -> Self {
-                Self(Arc::from(s.as_ref()))
+            /// The identifier of that text.
+            pub fn new(text: impl AsRef<str>) -> Self {
+                Self(Arc::from(text.as_ref()))
             }
+            /// Its text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -44,6 +46,7 @@
         pub struct $name(pub u64);
 
         impl $name {
+            /// The number that follows.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -62,42 +65,45 @@
 }
 
 names! {
-    /// One process of the system.
+    /// A node: one process of the system.
     NodeId,
-    /// A zone: machines that fail together.
+    /// A failure domain: machines that fail together.
     Zone,
     /// A group of zones that shares warm replicas.
     Region,
     /// A model, or an application that callers reach through an entry.
     Service,
-    /// One back end.
+    /// One replica of a service.
     ReplicaId,
-    /// Who a job belongs to.
+    /// Who a request belongs to.
     Tenant,
-    /// One job, from the caller's edge to the replica's log.
+    /// One request, from the client's router to the replica's log.
     JobId,
-    /// An operator's own name for one change, so that it can be repeated safely.
+    /// An operator's own name for one change, so that sending it again is idempotent.
     OpId,
 }
 
 numbers! {
-    /// Number of a term of the core (design 2.2).
+    /// Number of a consensus term (design 2.2).
     Term,
-    /// Place of a change in the one order of changes.
+    /// Position of an entry in the replicated log.
     Index,
     /// Number of an accepted document (design 4.1).
     Revision,
     /// Number of a membership; rises with each join and expire (design 3.1).
     Epoch,
-    /// Guards a singleton role: the higher one wins at each receiver (design 3.2).
+    /// Fencing token of a singleton role: the higher one wins at each receiver (design 3.2).
     FencingToken,
     /// Drawn anew for each data folder and each start of a router.
     Incarnation,
 }
 
-/// Checks a name as it may stand in settings and documents.
+/// Longest name in settings and documents, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+
+/// Whether a name may be used in settings and documents.
 pub fn is_valid_name(s: &str) -> bool {
     !s.is_empty()
-        && s.len() <= 64
+        && s.len() <= MAX_NAME_BYTES
         && s.chars().all(|c| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.'))
 }
--- a/crates/common/src/logging.rs
+++ b/crates/common/src/logging.rs
@@ -2,6 +2,7 @@
 
 use simplelog::{ConfigBuilder, LevelFilter, WriteLogger};
 
+/// Target of all log lines of the product.
 pub const TARGET: &str = "foldshunt";
 
 /// Sends log lines to standard error; only lines written by `log_event!` pass.
@@ -21,6 +22,7 @@
 
 static NODE: std::sync::OnceLock<String> = std::sync::OnceLock::new();
 
+/// Name of this node, as set by [`start`].
 pub fn node() -> &'static str {
     NODE.get().map(String::as_str).unwrap_or("-")
 }
@@ -42,5 +44,7 @@
     };
 }
 
+#[doc(hidden)]
 pub use log;
+#[doc(hidden)]
 pub use serde_json::json;
--- a/crates/common/src/metrics.rs
+++ b/crates/common/src/metrics.rs
@@ -2,34 +2,42 @@
 
 use prometheus::{IntCounterVec, IntGaugeVec, Opts, Registry, TextEncoder};
 
-/// All numbers of one process.
-#[derive(Clone, Debug)]
+/// All metrics of one process. Names get the prefix `foldshunt_`.
+#[derive(Clone, Debug, Default)]
 pub struct Metrics {
-    reg: Registry,
+    registry: Registry,
 }
 
-impl Default for Metrics {
-    fn default() -> Self {
-        Self { reg: Registry::new() }
-    }
-}
+/// Why making a metric can't fail.
+const FIXED: &str = "a metric's name and labels are fixed in the code";
 
 impl Metrics {
+    /// Makes and registers a counter.
+    ///
+    /// # Panics
+    /// If the name or a label is not valid.
     pub fn counter(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
-        let c = IntCounterVec::new(Opts::new(format!("foldshunt_{name}"), help), labels)
-            .expect("a metric's name and labels are fixed in the code");
-        let _ = self.reg.register(Box::new(c.clone()));
-        c
+        let counter = IntCounterVec::new(options(name, help), labels).expect(FIXED);
+        let _ = self.registry.register(Box::new(counter.clone()));
+        counter
     }
 
+    /// Makes and registers a gauge.
+    ///
+    /// # Panics
+    /// If the name or a label is not valid.
     pub fn gauge(&self, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
-        let g = IntGaugeVec::new(Opts::new(format!("foldshunt_{name}"), help), labels)
-            .expect("a metric's name and labels are fixed in the code");
-        let _ = self.reg.register(Box::new(g.clone()));
-        g
+        let gauge = IntGaugeVec::new(options(name, help), labels).expect(FIXED);
+        let _ = self.registry.register(Box::new(gauge.clone()));
+        gauge
     }
 
+    /// All metrics in the text format.
     pub fn text(&self) -> String {
-        TextEncoder::new().encode_to_string(&self.reg.gather()).unwrap_or_default()
+        TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
+
+fn options(name: &str, help: &str) -> Opts {
+    Opts::new(format!("foldshunt_{name}"), help)
+}
--- a/crates/common/src/runtime/host.rs
+++ b/crates/common/src/runtime/host.rs
@@ -1,6 +1,7 @@
-//! A host of the world: its tasks stand still while it is frozen and end when it is killed.
+//! A simulated host: its tasks stand still while it is frozen and end when it is killed.
 
-use super::{pipe::SimulatedStream, world::lock};
+use super::pipe::SimulatedStream;
+use crate::sync::lock;
 use std::{
     cell::RefCell,
     net::IpAddr,
@@ -19,17 +20,22 @@
     CURRENT.with(|c| c.borrow().clone())
 }
 
+/// Tasks after which finished ones are first swept.
+const TASKS_BEFORE_SWEEP: usize = 64;
+
 #[derive(Default)]
 struct Inner {
     frozen: bool,
     powered_off: bool,
     parked: Vec<Waker>,
     tasks: Vec<AbortHandle>,
+    /// Tasks left after the last sweep of finished ones.
     swept: usize,
-    /// Ends of connections that were open when the power went: the others do not know yet.
+    /// Ends of connections that were open when it lost power: the peers do not know yet.
     orphans: Vec<SimulatedStream>,
 }
 
+/// A machine of a simulation.
 pub struct Host {
     ip: IpAddr,
     inner: Mutex<Inner>,
@@ -58,17 +64,19 @@
         let t = tokio::spawn(Gate { fut: Box::pin(fut), host: self.clone() });
         let mut g = lock(&self.inner);
         g.tasks.push(t.abort_handle());
-        if g.tasks.len() > 2 * g.swept + 64 {
+        if g.tasks.len() > 2 * g.swept + TASKS_BEFORE_SWEEP {
             g.tasks.retain(|t| !t.is_finished());
             g.swept = g.tasks.len();
         }
         t
     }
 
+    /// Its tasks stand still until it thaws.
     pub fn freeze(&self) {
         lock(&self.inner).frozen = true;
     }
 
+    /// Its tasks go on.
     pub fn thaw(&self) {
         let due = {
             let mut g = lock(&self.inner);
@@ -85,7 +93,7 @@
         self.thaw();
     }
 
-    /// The power goes: nothing is closed, and nothing answers until it is back.
+    /// It loses power: nothing is closed, and nothing answers until it is back.
     pub fn power_off(&self) {
         lock(&self.inner).powered_off = true;
         self.kill();
@@ -146,7 +154,7 @@
     F: Future + Send + 'static,
     F::Output: Send + 'static,
 {
-    match super::world() {
+    match super::simulation() {
         Some(w) => w.host(ip).spawn(fut),
         None => tokio::spawn(fut),
     }
--- a/crates/common/src/runtime/mod.rs
+++ b/crates/common/src/runtime/mod.rs
@@ -1,59 +1,55 @@
-//! The ground that a process stands on (design 7.2): network, tasks, chance and time. A daemon
-//! stands on the machine's. Under a world in memory the same code stands on that instead: one
-//! thread, virtual time, a seeded network, and hosts that freeze, die and go dark.
+//! The seam to network, tasks, chance and time (design 7.2). A daemon uses the machine's. Under a [`Simulation`] the
+//! same code runs on one thread, in virtual time, over a seeded network, on hosts that freeze, die and lose power.
 
 mod host;
 mod net;
 mod pipe;
+mod simulation;
 mod traffic;
-mod world;
 
 pub use host::{Host, spawn, spawn_at};
-pub use net::{Listener, Stream, bind, dial};
-pub use traffic::{Calls, Kind, Traffic, TrafficCounter};
-pub use world::{LatencyModel, World};
+pub use net::{Listener, SimulatedListener, Stream, bind, dial};
+pub use pipe::SimulatedStream;
+pub use simulation::{LatencyModel, Simulation};
+pub use traffic::{CallKind, Calls, Traffic, TrafficCounter};
 
 use rand::{Rng, distr::StandardUniform, distr::uniform::SampleRange, prelude::Distribution};
 use std::{cell::RefCell, sync::Arc};
 
 thread_local! {
-    static WORLD: RefCell<Option<Arc<World>>> = const { RefCell::new(None) };
+    static SIMULATION: RefCell<Option<Arc<Simulation>>> = const { RefCell::new(None) };
 }
 
-/// The world of this thread, where there is one.
-pub fn world() -> Option<Arc<World>> {
-    WORLD.with(|w| w.borrow().clone())
+/// The simulation of this thread, if it runs in one.
+pub fn simulation() -> Option<Arc<Simulation>> {
+    SIMULATION.with(|current| current.borrow().clone())
 }
 
-fn put(w: Option<Arc<World>>) {
-    WORLD.with(|at| *at.borrow_mut() = w);
+fn install(simulation: Option<Arc<Simulation>>) {
+    SIMULATION.with(|current| *current.borrow_mut() = simulation);
 }
 
-/// Milliseconds since the world began, on its virtual clock, shifted by host so that no two nodes'
-/// ticks can be compared by mistake.
+/// Milliseconds since the simulation began, on its virtual clock, shifted by host so that no two nodes' ticks can be
+/// compared by mistake.
 pub(crate) fn virtual_ms() -> Option<u64> {
-    world().map(|w| w.ms() + host::current().map_or(0, |h| h.offset_ms()))
+    simulation().map(|simulation| simulation.ms() + host::current().map_or(0, |host| host.offset_ms()))
 }
 
-/// A random value: the machine's own, or the world's next one.
-pub fn draw<T>() -> T
+/// A random value: the machine's own, or the simulation's next one.
+pub fn random<T>() -> T
 where
     StandardUniform: Distribution<T>,
 {
-    match world() {
-        Some(w) => w.chance().random(),
+    match simulation() {
+        Some(simulation) => simulation.rng().random(),
         None => rand::random(),
     }
 }
 
-pub fn random_in(r: impl SampleRange<usize>) -> usize {
-    match world() {
-        Some(w) => w.chance().random_range(r),
-        None => rand::random_range(r),
+/// A random value within a range.
+pub fn random_in(range: impl SampleRange<usize>) -> usize {
+    match simulation() {
+        Some(simulation) => simulation.rng().random_range(range),
+        None => rand::random_range(range),
     }
 }
-
-/// Whether the world wants this deliberately broken variant (design 7.6); a daemon never does.
-pub fn broken(name: &str) -> bool {
-    WORLD.with(|w| w.borrow().as_ref().is_some_and(|w| w.broken.as_deref() == Some(name)))
-}
--- a/crates/common/src/runtime/net.rs
+++ b/crates/common/src/runtime/net.rs
@@ -1,9 +1,10 @@
-//! The one seam to the network: the machine's TCP, or the world's.
+//! Connections: the machine's TCP, or the simulation's.
 
 use super::{
     pipe::{SimulatedStream, pair},
-    world::{World, lock},
+    simulation::Simulation,
 };
+use crate::sync::lock;
 use std::{
     io,
     net::{IpAddr, SocketAddr},
@@ -18,28 +19,35 @@
     time::sleep,
 };
 
-/// How long a peer may leave bytes or probes without a sign before its connection ends.
-const SILENT: std::time::Duration = std::time::Duration::from_secs(2);
+/// How long a peer may leave bytes or keep-alive probes unanswered before its connection ends.
+const PEER_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 
+/// A connection.
 pub enum Stream {
+    /// The machine's own.
     Tcp(TcpStream),
-    Mem(SimulatedStream),
+    /// One of a simulation.
+    Simulated(SimulatedStream),
 }
 
+/// An address that accepts connections.
 pub enum Listener {
+    /// The machine's own.
     Tcp(TcpListener),
-    Mem(SimulatedListener),
+    /// One of a simulation.
+    Simulated(SimulatedListener),
 }
 
+/// A listener of a simulation.
 pub struct SimulatedListener {
-    world: Arc<World>,
+    simulation: Arc<Simulation>,
     at: SocketAddr,
     backlog: Mutex<mpsc::UnboundedReceiver<(SimulatedStream, SocketAddr)>>,
 }
 
 impl Drop for SimulatedListener {
     fn drop(&mut self) {
-        lock(&self.world.listeners).remove(&self.at);
+        lock(&self.simulation.listeners).remove(&self.at);
     }
 }
 
@@ -50,6 +58,10 @@
 }
 
 impl Listener {
+    /// The next connection, with the address of the peer.
+    ///
+    /// # Errors
+    /// What the system answered.
     pub async fn accept(&self) -> io::Result<(Stream, SocketAddr)> {
         match self {
             Listener::Tcp(l) => {
@@ -57,33 +69,40 @@
                 let _ = s.set_nodelay(true);
                 Ok((Stream::Tcp(s), peer))
             }
-            Listener::Mem(l) => {
+            Listener::Simulated(l) => {
                 let got = l.backlog.lock().await.recv().await;
                 let (s, peer) = got.ok_or(io::ErrorKind::ConnectionAborted)?;
-                Ok((Stream::Mem(s), peer))
+                Ok((Stream::Simulated(s), peer))
             }
         }
     }
 }
 
+/// Binds an address.
+///
+/// # Errors
+/// What the system answered.
 pub async fn bind(at: SocketAddr) -> io::Result<Listener> {
-    let Some(world) = super::world() else {
+    let Some(simulation) = super::simulation() else {
         return Ok(Listener::Tcp(TcpListener::bind(at).await?));
     };
     let (tx, rx) = mpsc::unbounded_channel();
-    let mut all = lock(&world.listeners);
+    let mut all = lock(&simulation.listeners);
     if all.contains_key(&at) {
         return Err(io::ErrorKind::AddrInUse.into());
     }
     all.insert(at, tx);
     drop(all);
-    Ok(Listener::Mem(SimulatedListener { world, at, backlog: Mutex::new(rx) }))
+    Ok(Listener::Simulated(SimulatedListener { simulation, at, backlog: Mutex::new(rx) }))
 }
 
-/// Opens a connection bound to the node's own address.
+/// Opens a connection from the node's own address.
+///
+/// # Errors
+/// What the system answered.
 pub async fn dial(ip: IpAddr, to: SocketAddr) -> io::Result<Stream> {
-    if let Some(w) = super::world() {
-        return simulated_dial(w, ip, to).await.map(Stream::Mem);
+    if let Some(w) = super::simulation() {
+        return simulated_dial(w, ip, to).await.map(Stream::Simulated);
     }
     let sock = if to.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     if !ip.is_unspecified() && ip.is_ipv4() == to.is_ipv4() {
@@ -91,16 +110,19 @@
     }
     let s = sock.connect(to).await?;
     s.set_nodelay(true)?;
-    // A peer that lost its power, or is cut off, answers nothing: what waits for it must end.
+    // A peer that lost power, or is cut off, answers nothing: what waits for it must end.
     let opts = socket2::SockRef::from(&s);
-    let _ = opts.set_tcp_user_timeout(Some(SILENT));
-    let alive = socket2::TcpKeepalive::new().with_time(SILENT / 2).with_interval(SILENT / 4).with_retries(2);
+    let _ = opts.set_tcp_user_timeout(Some(PEER_TIMEOUT));
+    let alive = socket2::TcpKeepalive::new()
+        .with_time(PEER_TIMEOUT / 2)
+        .with_interval(PEER_TIMEOUT / 4)
+        .with_retries(2);
     let _ = opts.set_tcp_keepalive(&alive);
     Ok(Stream::Tcp(s))
 }
 
-/// What asks for a connection is sent again until it gets through.
-async fn through(w: &World, from: IpAddr, to: IpAddr) {
+/// Packets that open a connection are sent again until they get through.
+async fn through(w: &Simulation, from: IpAddr, to: IpAddr) {
     futures::future::poll_fn(|cx| {
         if w.blocked(from, to) {
             w.park(cx.waker());
@@ -109,10 +131,10 @@
         Poll::Ready(())
     })
     .await;
-    sleep(w.travel()).await;
+    sleep(w.draw_latency()).await;
 }
 
-async fn simulated_dial(w: Arc<World>, ip: IpAddr, to: SocketAddr) -> io::Result<SimulatedStream> {
+async fn simulated_dial(w: Arc<Simulation>, ip: IpAddr, to: SocketAddr) -> io::Result<SimulatedStream> {
     through(&w, ip, to.ip()).await;
     let backlog = lock(&w.listeners).get(&to).cloned();
     let from = SocketAddr::new(ip, 40_000);
@@ -130,7 +152,7 @@
     ) -> Poll<io::Result<()>> {
         match &mut *self {
             Stream::Tcp(s) => Pin::new(s).poll_read(cx, buf),
-            Stream::Mem(s) => Pin::new(s).poll_read(cx, buf),
+            Stream::Simulated(s) => Pin::new(s).poll_read(cx, buf),
         }
     }
 }
@@ -139,7 +161,7 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         match &mut *self {
             Stream::Tcp(s) => Pin::new(s).poll_write(cx, buf),
-            Stream::Mem(s) => Pin::new(s).poll_write(cx, buf),
+            Stream::Simulated(s) => Pin::new(s).poll_write(cx, buf),
         }
     }
 
@@ -150,7 +172,7 @@
     ) -> Poll<io::Result<usize>> {
         match &mut *self {
             Stream::Tcp(s) => Pin::new(s).poll_write_vectored(cx, bufs),
-            Stream::Mem(s) => {
+            Stream::Simulated(s) => {
                 let b = bufs.iter().find(|b| !b.is_empty()).map_or(&[][..], |b| &**b);
                 Pin::new(s).poll_write(cx, b)
             }
@@ -164,14 +186,14 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         match &mut *self {
             Stream::Tcp(s) => Pin::new(s).poll_flush(cx),
-            Stream::Mem(s) => Pin::new(s).poll_flush(cx),
+            Stream::Simulated(s) => Pin::new(s).poll_flush(cx),
         }
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         match &mut *self {
             Stream::Tcp(s) => Pin::new(s).poll_shutdown(cx),
-            Stream::Mem(s) => Pin::new(s).poll_shutdown(cx),
+            Stream::Simulated(s) => Pin::new(s).poll_shutdown(cx),
         }
     }
 }
--- a/crates/common/src/runtime/pipe.rs
+++ b/crates/common/src/runtime/pipe.rs
@@ -1,10 +1,8 @@
-//! A connection of the world: two pipes whose bytes travel for a while, in order, and wait where
-//! the link is cut, as TCP's do.
+//! A simulated connection: two pipes whose bytes travel for a while, in order, and wait where the link is partitioned,
+//! as TCP's do.
 
-use super::{
-    host::Host,
-    world::{World, lock},
-};
+use super::{host::Host, simulation::Simulation};
+use crate::sync::lock;
 use bytes::{Buf, Bytes};
 use futures::FutureExt;
 use std::{
@@ -21,7 +19,7 @@
 };
 
 /// Bytes on their way or unread, over which a writer waits.
-const MOST: usize = 256 << 10;
+const MAX_IN_FLIGHT_BYTES: usize = 256 << 10;
 
 pub(super) struct Pipe {
     from: IpAddr,
@@ -51,8 +49,9 @@
     }
 }
 
+/// One end of a simulated connection.
 pub struct SimulatedStream {
-    world: Arc<World>,
+    simulation: Arc<Simulation>,
     host: Arc<Host>,
     rx: Arc<Mutex<Pipe>>,
     tx: Arc<Mutex<Pipe>>,
@@ -60,10 +59,14 @@
 }
 
 /// The two ends of a new connection.
-pub(super) fn pair(w: &Arc<World>, near: SocketAddr, far: SocketAddr) -> (SimulatedStream, SimulatedStream) {
+pub(super) fn pair(
+    w: &Arc<Simulation>,
+    near: SocketAddr,
+    far: SocketAddr,
+) -> (SimulatedStream, SimulatedStream) {
     let (out, back) = (Pipe::new(near.ip(), far.ip()), Pipe::new(far.ip(), near.ip()));
     let end = |ip: IpAddr, rx: &Arc<Mutex<Pipe>>, tx: &Arc<Mutex<Pipe>>| SimulatedStream {
-        world: w.clone(),
+        simulation: w.clone(),
         host: w.host(ip),
         rx: rx.clone(),
         tx: tx.clone(),
@@ -81,8 +84,8 @@
         let me = &mut *self;
         let mut p = lock(&me.rx);
         p.reader = Some(cx.waker().clone());
-        if me.world.blocked(p.from, p.to) {
-            me.world.park(cx.waker());
+        if me.simulation.blocked(p.from, p.to) {
+            me.simulation.park(cx.waker());
             return Poll::Pending;
         }
         let now = Instant::now();
@@ -116,19 +119,19 @@
 
 impl AsyncWrite for SimulatedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let travel = self.world.travel();
+        let draw_latency = self.simulation.draw_latency();
         let mut p = lock(&self.tx);
         if p.gone || p.end.is_some() {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        if p.bytes >= MOST {
+        if p.bytes >= MAX_IN_FLIGHT_BYTES {
             p.writer = Some(cx.waker().clone());
             return Poll::Pending;
         }
-        let at = p.last.max(Instant::now() + travel);
+        let at = p.last.max(Instant::now() + draw_latency);
         p.last = at;
         p.bytes += buf.len();
-        self.world.traffic.bytes(p.from, p.to, buf.len());
+        self.simulation.traffic.bytes(p.from, p.to, buf.len());
         p.chunks.push_back((at, Bytes::copy_from_slice(buf)));
         p.reader.take().into_iter().for_each(Waker::wake);
         Poll::Ready(Ok(buf.len()))
@@ -157,8 +160,8 @@
     fn drop(&mut self) {
         if self.host.is_powered_off() {
             let due = Box::pin(sleep_until(Instant::now()));
-            let (world, host) = (self.world.clone(), self.host.clone());
-            let left = SimulatedStream { world, host, rx: self.rx.clone(), tx: self.tx.clone(), due };
+            let (simulation, host) = (self.simulation.clone(), self.host.clone());
+            let left = SimulatedStream { simulation, host, rx: self.rx.clone(), tx: self.tx.clone(), due };
             return self.host.orphan(left);
         }
         let unread = {
--- /dev/null
+++ b/crates/common/src/runtime/simulation.rs
@@ -0,0 +1,163 @@
+//! A simulated network in memory: who listens where, which links are partitioned, and the random numbers (design 7.2).
+
+use super::{host::Host, pipe::SimulatedStream, traffic::TrafficCounter};
+use crate::sync::lock;
+use rand::{Rng, SeedableRng, rngs::SmallRng};
+use std::{
+    collections::{BTreeMap, BTreeSet},
+    net::{IpAddr, SocketAddr},
+    sync::{Arc, Mutex, MutexGuard},
+    task::Waker,
+    time::Duration,
+};
+use tokio::{sync::mpsc, time::Instant};
+
+pub(super) type Backlog = mpsc::UnboundedSender<(SimulatedStream, SocketAddr)>;
+
+/// One way, from one address to another.
+type Link = (IpAddr, IpAddr);
+
+/// How long bytes travel, in microseconds, and how often much longer.
+#[derive(Clone, Copy, Debug)]
+pub struct LatencyModel {
+    /// Shortest time.
+    pub least_us: u64,
+    /// Longest time without a spike.
+    pub most_us: u64,
+    /// Probability of a spike.
+    pub spike: f64,
+    /// Longest time with a spike.
+    pub spike_us: u64,
+}
+
+impl Default for LatencyModel {
+    fn default() -> Self {
+        Self { least_us: 100, most_us: 2_000, spike: 0.01, spike_us: 60_000 }
+    }
+}
+
+/// A simulated network with its hosts.
+pub struct Simulation {
+    began: Instant,
+    rng: Mutex<SmallRng>,
+    pub(super) listeners: Mutex<BTreeMap<SocketAddr, Backlog>>,
+    hosts: Mutex<BTreeMap<IpAddr, Arc<Host>>>,
+    partitions: Mutex<BTreeSet<Link>>,
+    /// Tasks that wait for a link to heal or a host to come back.
+    parked: Mutex<Vec<Waker>>,
+    latency: Mutex<LatencyModel>,
+    /// Name of the deliberately broken variant that runs; see [`crate::mutation`].
+    pub mutation: Option<String>,
+    /// Counts what travels.
+    pub traffic: TrafficCounter,
+}
+
+impl Simulation {
+    /// Runs a future on this thread within a simulation of this seed: time stands still while anything can be done,
+    /// and jumps to the next timer otherwise.
+    ///
+    /// # Panics
+    /// If the runtime can't be built.
+    pub fn run<F: Future>(
+        seed: u64,
+        mutation: Option<String>,
+        start: impl FnOnce(Arc<Simulation>) -> F,
+    ) -> F::Output {
+        let mut builder = tokio::runtime::Builder::new_current_thread();
+        #[cfg(tokio_unstable)]
+        builder.rng_seed(tokio::runtime::RngSeed::from_bytes(&seed.to_le_bytes()));
+        let runtime =
+            builder.enable_time().start_paused(true).build().expect("a runtime without input or output");
+        let output = runtime.block_on(async {
+            let simulation = Arc::new(Self::new(seed, mutation));
+            super::install(Some(simulation.clone()));
+            start(simulation).await
+        });
+        // What still uses the network is dropped while there is one.
+        drop(runtime);
+        super::install(None);
+        output
+    }
+
+    fn new(seed: u64, mutation: Option<String>) -> Self {
+        Self {
+            began: Instant::now(),
+            rng: Mutex::new(SmallRng::seed_from_u64(seed)),
+            listeners: Mutex::default(),
+            hosts: Mutex::default(),
+            partitions: Mutex::default(),
+            parked: Mutex::default(),
+            latency: Mutex::default(),
+            mutation,
+            traffic: TrafficCounter::default(),
+        }
+    }
+
+    /// Milliseconds since the simulation began.
+    pub fn ms(&self) -> u64 {
+        self.began.elapsed().as_millis() as u64
+    }
+
+    /// The random numbers of this seed.
+    pub fn rng(&self) -> MutexGuard<'_, SmallRng> {
+        lock(&self.rng)
+    }
+
+    /// Changes how long bytes travel from now on.
+    pub fn set_latency(&self, latency: LatencyModel) {
+        *lock(&self.latency) = latency;
+    }
+
+    pub(super) fn draw_latency(&self) -> Duration {
+        let latency = *lock(&self.latency);
+        let mut rng = self.rng();
+        let us = if rng.random_bool(latency.spike) {
+            rng.random_range(latency.most_us..=latency.spike_us)
+        } else {
+            rng.random_range(latency.least_us..=latency.most_us)
+        };
+        Duration::from_micros(us)
+    }
+
+    /// The host at an address; it is made when it is first asked for.
+    pub fn host(&self, ip: IpAddr) -> Arc<Host> {
+        lock(&self.hosts).entry(ip).or_insert_with(|| Host::new(ip)).clone()
+    }
+
+    /// Whether bytes do not flow this way: the link is partitioned, or one of the two is powered off.
+    pub(super) fn blocked(&self, from: IpAddr, to: IpAddr) -> bool {
+        let hosts = lock(&self.hosts);
+        let powered_off = |ip: &IpAddr| hosts.get(ip).is_some_and(|host| host.is_powered_off());
+        lock(&self.partitions).contains(&(from, to)) || powered_off(&from) || powered_off(&to)
+    }
+
+    /// Cuts links, one way each.
+    pub fn partition(&self, links: impl IntoIterator<Item = Link>) {
+        lock(&self.partitions).extend(links);
+    }
+
+    /// Restores links.
+    pub fn heal(&self, links: &BTreeSet<Link>) {
+        lock(&self.partitions).retain(|link| !links.contains(link));
+        self.wake();
+    }
+
+    /// Wakes a task when a link heals or a host comes back.
+    pub(super) fn park(&self, waker: &Waker) {
+        let mut parked = lock(&self.parked);
+        if !parked.iter().any(|other| other.will_wake(waker)) {
+            parked.push(waker.clone());
+        }
+    }
+
+    pub(super) fn wake(&self) {
+        let parked = std::mem::take(&mut *lock(&self.parked));
+        parked.into_iter().for_each(Waker::wake);
+    }
+
+    /// The power of a host comes back: whoever still waits for a response from before learns that it is gone.
+    pub fn power_on(&self, ip: IpAddr) {
+        self.host(ip).restore_power();
+        self.wake();
+    }
+}
--- a/crates/common/src/wire.rs
+++ b/crates/common/src/wire.rs
@@ -1,4 +1,4 @@
-//! musli over length-delimited frames, and the handshake that opens each connection (design 1.8).
+//! The encoding of messages and stored data: musli over length-delimited frames (design 1.8).
 
 use bytes::{Bytes, BytesMut};
 use musli::{Decode, Encode};
@@ -6,49 +6,58 @@
 use std::{io, marker::PhantomData};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Largest message between own processes: a whole frame with a document fits well.
+/// Largest message between nodes, in bytes: a whole cluster state with a document fits well.
 pub const MAX_FRAME: usize = 8 << 20;
-/// Largest message of a connection that has not said yet who it is: a handshake and its answer.
+/// Largest message of a connection that has not introduced itself yet, in bytes.
 pub const MAX_HANDSHAKE: usize = 4 << 10;
+/// Version of the protocol between nodes; nodes of other versions are refused.
 pub const PROTOCOL_VERSION: u32 = 4;
 
 #[derive(Encode, Decode)]
 #[musli(bound = {T: Serialize + DeserializeOwned}, decode_bound<'de, A> = {T: Serialize + DeserializeOwned})]
-struct Boxed<T> {
+struct Owned<T> {
     #[musli(with = musli::serde)]
     v: T,
 }
 
 #[derive(Encode)]
 #[musli(bound = {T: Serialize})]
-struct Lent<'a, T> {
+struct Borrowed<'a, T> {
     #[musli(with = musli::serde)]
     v: &'a T,
 }
 
-fn bad(e: impl std::fmt::Display) -> io::Error {
+fn invalid_data(e: impl std::fmt::Display) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, e.to_string())
 }
 
+/// The encoded form of a value, for the wire and the disk.
+///
+/// # Errors
+/// The value can't be encoded.
 pub fn encode<T: Serialize>(v: &T) -> io::Result<Vec<u8>> {
     let mut out = Vec::new();
-    musli::storage::encode(&mut out, &Lent { v }).map_err(bad)?;
+    musli::storage::encode(&mut out, &Borrowed { v }).map_err(invalid_data)?;
     Ok(out)
 }
 
+/// The value that these bytes encode.
+///
+/// # Errors
+/// They encode no such value.
 pub fn decode<T: Serialize + DeserializeOwned>(b: &[u8]) -> io::Result<T> {
-    let v: Boxed<T> = musli::storage::decode::<_, Boxed<T>>(b).map_err(bad)?;
+    let v: Owned<T> = musli::storage::decode::<_, Owned<T>>(b).map_err(invalid_data)?;
     Ok(v.v)
 }
 
-/// tokio-util codec: frames of at most `MAX_FRAME` bytes, each one musli value.
+/// A codec of frames, each one encoded value.
 pub struct Codec<In, Out> {
     frames: LengthDelimitedCodec,
     kinds: PhantomData<fn(Out) -> In>,
 }
 
 impl<In, Out> Codec<In, Out> {
-    /// For the handshake of a connection: a stranger makes no process reserve more than that.
+    /// For handshakes, of at most [`MAX_HANDSHAKE`] bytes: a stranger makes no process reserve more.
     pub fn handshake() -> Self {
         Self::with_most(MAX_HANDSHAKE)
     }
--- a/crates/common/tests/compatibility.rs
+++ b/crates/common/tests/compatibility.rs
@@ -1,6 +1,6 @@
 //! The first messages of a connection keep the form in which an earlier version sent them.
 
-use common::link::{Handshake, HandshakeReply};
+use common::rpc::{Handshake, HandshakeReply};
 use test_fixtures::Fixtures;
 
 #[test]
--- a/crates/common/tests/far.rs
+++ b/crates/common/tests/far.rs
@@ -2,8 +2,8 @@
 //! goes on behind a call that gave up waiting.
 
 use common::{
-    link::{LocalNode, RpcClient, listen},
-    runtime::{LatencyModel, World, bind, spawn_at},
+    rpc::{LocalNode, RpcClient, listen},
+    runtime::{LatencyModel, Simulation, bind, spawn_at},
 };
 use rstest::rstest;
 use serde::{Deserialize, Serialize};
@@ -29,7 +29,7 @@
 /// Calls that are sent with each heartbeat are answered within a second of the first, however long the line.
 #[rstest]
 fn a_call_over_a_long_line_is_answered(#[values(1, 35, 80, 110, 150, 200)] one_way_ms: u64) {
-    let answered_at = World::run(3, None, |world| async move {
+    let answered_at = Simulation::run(3, None, |world| async move {
         let way = one_way_ms * 1_000;
         world.set_latency(LatencyModel { least_us: way, most_us: way, spike: 0.0, spike_us: way });
         let (near, far): (IpAddr, IpAddr) = ("127.1.0.1".parse().unwrap(), "127.1.0.2".parse().unwrap());
--- a/crates/common/tests/junk.rs
+++ b/crates/common/tests/junk.rs
@@ -2,7 +2,7 @@
 //! messages that are cut short or too long close their own connection, and the next call is answered.
 
 use common::{
-    link::{Handshake, LocalNode, RpcClient, listen},
+    rpc::{Handshake, LocalNode, RpcClient, listen},
     wire::{MAX_FRAME, MAX_HANDSHAKE, PROTOCOL_VERSION, encode},
 };
 use rstest::rstest;
@@ -123,5 +123,5 @@
     let (at, _) = numbers().await;
     let err = RpcClient::<Number, Number>::new(me("another"), SERVICE).call("ask", at, Number(1)).await;
     let err = err.unwrap_err();
-    assert!(err.step == "hello" && err.cause.contains("is foreign"), "{err}");
+    assert!(err.step == common::error::HANDSHAKE && err.cause().contains("is foreign"), "{err}");
 }
--- a/crates/common/tests/modules/journal.rs
+++ b/crates/common/tests/modules/event_log.rs
@@ -1,18 +1,18 @@
-//! Tests of `common::journal`.
+//! Tests of `common::event_log`.
 
-use common::journal::{Fold, Journal};
+use common::event_log::{EventLog, View};
 
 #[derive(Clone, Default)]
 struct Sum(u64);
-impl Fold<u64> for Sum {
-    fn fold(&mut self, ev: &u64) {
+impl View<u64> for Sum {
+    fn apply(&mut self, ev: &u64) {
         self.0 += ev;
     }
 }
 
 #[test]
 fn view_outlives_the_tail() {
-    let j = Journal::new(Sum::default(), 2);
+    let j = EventLog::new(Sum::default(), 2);
     (1..=4).for_each(|n| {
         j.append(n);
     });
--- a/crates/common/tests/modules/main.rs
+++ b/crates/common/tests/modules/main.rs
@@ -1,4 +1,4 @@
 //! One binary for the tests of single modules: linking is what takes the time.
 
-mod journal;
+mod event_log;
 mod wire;
--- a/crates/common/tests/settings.rs
+++ b/crates/common/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Bad settings: one message that names the field, its value and what is allowed (design 1.10).
 
-use common::settings::{Flags, Settings};
+use common::settings::{DEPRECATED, Flags, Settings, deprecated_names};
 use rstest::rstest;
 use std::path::PathBuf;
 
@@ -38,12 +38,7 @@
 #[case::unknown("unknown", "area =", "speed = 1\narea =", "unknown field: found `speed`")]
 #[case::address("address", "127.0.0.1:7100", "here", "invalid socket address")]
 #[case::told_nowhere("told", "\"127.0.0.1:8080\"", "\"0.0.0.0:8080\"", "http: 0.0.0.0:8080; allowed")]
-#[case::bound(
-    "bound",
-    "area =",
-    "timing.tenure_ms = 5\narea =",
-    "timing.tenure_ms: 5; allowed: 400 to 60000"
-)]
+#[case::bound("bound", "area =", "timing.tenure_ms = 5\narea =", "timing.lease_ms: 5; allowed: 400 to 60000")]
 #[case::level(
     "level",
     "area =",
@@ -67,3 +62,65 @@
     let fl = Flags { config: Some("/nowhere/x.toml".into()), ..Flags::default() };
     assert!(Settings::read(&fl).unwrap_err().to_string().contains("config: \"/nowhere/x.toml\""));
 }
+
+const STANDARD: &str = r#"
+cluster = "c"
+node = "n1"
+zone = "a"
+rpc = "127.0.0.1:7100"
+rpc_advertise = "127.0.0.2:7100"
+http = "127.0.0.1:8080"
+seeds = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]
+bootstrap = false
+timing.lease_ms = 3000
+timing.probe_interval_ms = 2000
+timing.probe_failures = 2
+timing.rpc_timeout_ms = 600
+"#;
+
+/// The same settings under the names of earlier releases.
+const OLD: &str = r#"
+cluster = "c"
+node = "n1"
+area = "a"
+rail = "127.0.0.1:7100"
+rail_advertise = "127.0.0.2:7100"
+http = "127.0.0.1:8080"
+seeds = ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"]
+founds = false
+timing.tenure_ms = 3000
+timing.check_ms = 2000
+timing.check_fails = 2
+timing.rail_ms = 600
+"#;
+
+fn flags_for(name: &str, text: &str) -> Flags {
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
+    std::fs::write(&path, text).unwrap();
+    Flags { config: Some(path), ..Flags::default() }
+}
+
+#[test]
+fn names_of_earlier_releases_are_read_as_the_standard_ones() {
+    let (old, standard) = (read("old", OLD).unwrap(), read("standard", STANDARD).unwrap());
+    assert_eq!(format!("{old:?}"), format!("{standard:?}"));
+    assert_eq!((standard.may_bootstrap, standard.timing.lease_ms), (false, 3_000));
+}
+
+#[test]
+fn names_of_earlier_releases_are_reported_with_the_standard_ones() {
+    assert_eq!(deprecated_names(&flags_for("report-old", OLD), &[]), DEPRECATED);
+    assert_eq!(deprecated_names(&flags_for("report-standard", STANDARD), &[]), []);
+    let arguments = ["--rail=127.0.0.1:7100".to_string(), "--area".into(), "--zone".into()];
+    let used = deprecated_names(&flags_for("report-flags", STANDARD), &arguments);
+    assert_eq!(used, [("area", "zone"), ("rail", "rpc")]);
+}
+
+#[test]
+fn a_standard_name_stands_above_an_old_one() {
+    let both = format!("{STANDARD}area = \"b\"\n")
+        .replace("timing.lease_ms", "timing.tenure_ms = 9000\ntiming.lease_ms");
+    let both = both.replace("area = \"b\"\n", "").replace("zone = \"a\"", "zone = \"a\"\narea = \"b\"");
+    let settings = read("both", &both).unwrap();
+    assert_eq!((settings.zone.as_str(), settings.timing.lease_ms), ("a", 3_000));
+}
--- a/crates/common/tests/steps.rs
+++ b/crates/common/tests/steps.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use common::{
     http::{ask, ask_in_turn},
-    link::{LocalNode, RpcClient},
+    rpc::{LocalNode, RpcClient},
 };
 use hyper::Method;
 use serde::{Deserialize, Serialize};
@@ -45,13 +45,13 @@
 #[tokio::test]
 async fn a_refused_connection_says_so() {
     let e = ask(IP, gone().await, Method::GET, "/", &[], "", 5_000).await.unwrap_err();
-    assert_eq!((e.step, e.refused), ("connect", true));
+    assert_eq!((e.step, e.is_refused()), ("connect", true));
     let me = LocalNode { cluster: "c".into(), node: "n".into(), ip: IP, wait_ms: 5_000 };
     let lines: RpcClient<Empty, Empty> = RpcClient::new(me, "s");
     let e = lines.call("propose", gone().await, Empty).await.unwrap_err();
-    assert_eq!((e.step, e.refused), ("connect", true));
+    assert_eq!((e.step, e.is_refused()), ("connect", true));
     let e = ask(IP, says("nonsense\r\n").await, Method::GET, "/", &[], "", 5_000).await.unwrap_err();
-    assert_eq!((e.step, e.refused), ("exchange", false));
+    assert_eq!((e.step, e.is_refused()), ("exchange", false));
 }
 
 /// A change goes on to the next voter where nothing was sent, and only there.
--- a/crates/configuration/src/table.rs
+++ b/crates/configuration/src/table.rs
@@ -123,7 +123,7 @@
 
     /// Regions in which a job may run: the entry's homes met with the tenant's (design 5.2).
     pub fn homes(&self, e: &Entry, t: Option<&Tenant>) -> BTreeSet<Region> {
-        if common::runtime::broken("no-homes") {
+        if common::mutation::enabled("no-homes") {
             return self.regions();
         }
         let tenant = t.and_then(|t| self.tenants.get(t)).and_then(|h| h.as_ref());
--- a/crates/control-plane/src/control_node/connectivity.rs
+++ b/crates/control-plane/src/control_node/connectivity.rs
@@ -42,7 +42,7 @@
     /// logged now.
     pub(super) fn members_at_risk(&self, inner: &Inner, change: &Change) -> Option<Vec<NodeId>> {
         let now = self.clock.now();
-        let narrows = change.narrows() && !common::runtime::broken("narrows-unheard");
+        let narrows = change.narrows() && !common::mutation::enabled("narrows-unheard");
         if !narrows || !inner.voter.can_serve_reads(now) {
             return None;
         }
--- a/crates/control-plane/src/control_node/leader_client.rs
+++ b/crates/control-plane/src/control_node/leader_client.rs
@@ -7,7 +7,7 @@
     state_machine::ClusterState,
     types::{Change, MAX_VOTERS, VoterInfo},
 };
-use common::fault::Fault;
+use common::error::PeerError;
 use futures::{StreamExt, future::BoxFuture, stream::FuturesUnordered};
 use std::{collections::VecDeque, fmt, net::SocketAddr, sync::Arc, time::Duration};
 use tokio::time::{Instant, sleep, sleep_until};
@@ -27,7 +27,7 @@
     /// A majority answered, and none of them leads for certain.
     NoLeader,
     /// No majority answered; the last failure.
-    Unreachable(Fault),
+    Unreachable(PeerError),
 }
 
 impl fmt::Display for ReadError {
@@ -35,7 +35,7 @@
         match self {
             ReadError::OutOfContact => f.write_str(OUT_OF_CONTACT),
             ReadError::NoLeader => f.write_str("no leader under a confirmed term; ask again"),
-            ReadError::Unreachable(fault) => fault.fmt(f),
+            ReadError::Unreachable(error) => error.fmt(f),
         }
     }
 }
@@ -43,7 +43,7 @@
 impl std::error::Error for ReadError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            ReadError::Unreachable(fault) => Some(fault),
+            ReadError::Unreachable(error) => Some(error),
             ReadError::OutOfContact | ReadError::NoLeader => None,
         }
     }
@@ -84,7 +84,7 @@
     Failed(ReadError),
 }
 
-type Answer = (SocketAddr, Result<ControlResponse, Fault>);
+type Answer = (SocketAddr, Result<ControlResponse, PeerError>);
 type PendingAnswers<'a> = FuturesUnordered<BoxFuture<'a, Answer>>;
 
 impl ControlNode {
@@ -130,7 +130,7 @@
                     why = refused;
                 }
                 Ok(ControlResponse::Proposed(decided)) => return decided,
-                Err(fault) if fault.before_sending() => why = fault.to_string(),
+                Err(error) if error.before_sending() => why = error.to_string(),
                 _ => return ProposalOutcome::Undetermined,
             }
         }
@@ -200,7 +200,7 @@
                     search.add_hint(leader);
                 }
                 Some((_, Ok(_))) => {}
-                Some((_, Err(fault))) => failure = ReadError::Unreachable(fault),
+                Some((_, Err(error))) => failure = ReadError::Unreachable(error),
             }
             // The one that was said to lead does not: all others may be asked.
             self.ask_next(&mut search, MAX_ASKED, &mut pending);
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -20,7 +20,7 @@
 };
 use common::{
     Clock, Index, NodeId, Revision, Tick, lock, log_event,
-    runtime::{draw, spawn},
+    runtime::{random, spawn},
     settings::Settings,
 };
 use std::{
@@ -256,7 +256,7 @@
     let state = start.into_state();
     let (me, seeds, timing) = (state.me.clone(), settings.seeds.clone(), settings.timing.clone());
     let mut voter = Voter::new(me, &settings.cluster, seeds, timing, Some(state), now);
-    voter.secret = draw();
+    voter.secret = random();
     voter.may_bootstrap = settings.may_bootstrap;
     voter.expected_voters = expected_voters;
     voter.disk_failed = awaiting_disk;
--- a/crates/control-plane/src/control_node/rpc_service.rs
+++ b/crates/control-plane/src/control_node/rpc_service.rs
@@ -12,9 +12,8 @@
     types::{Change, NodeInfo, VoterInfo},
 };
 use common::{
-    Index, Revision,
-    link::{self, LocalNode},
-    log_event,
+    Index, Revision, log_event,
+    rpc::{self, LocalNode},
     runtime::Listener,
 };
 use std::{sync::Arc, time::Duration};
@@ -26,7 +25,7 @@
 
 /// Answers RPCs until the task is dropped.
 pub async fn listen(listener: Listener, local: LocalNode, node: Arc<ControlNode>) {
-    link::listen(listener, local, SERVICE, move |_peer, request| node.clone().answer(request)).await
+    rpc::listen(listener, local, SERVICE, move |_peer, request| node.clone().answer(request)).await
 }
 
 impl ControlNode {
@@ -140,7 +139,7 @@
     pub fn local_state(&self) -> Result<ClusterState, Option<VoterInfo>> {
         let inner = self.lock();
         let leased =
-            inner.voter.can_serve_reads(self.clock.now()) || common::runtime::broken("reads-without-lease");
+            inner.voter.can_serve_reads(self.clock.now()) || common::mutation::enabled("reads-without-lease");
         if leased { Ok(inner.voter.cluster_state.clone()) } else { Err(inner.voter.leader()) }
     }
 
--- a/crates/control-plane/src/membership/member.rs
+++ b/crates/control-plane/src/membership/member.rs
@@ -12,7 +12,8 @@
 };
 use arc_swap::ArcSwap;
 use common::{
-    Clock, Epoch, Index, Revision, Tick, fault::Fault, lock, log_event, runtime::spawn, settings::Settings,
+    Clock, Epoch, Index, Revision, Tick, error::PeerError, lock, log_event, runtime::spawn,
+    settings::Settings,
 };
 use std::{
     collections::VecDeque,
@@ -202,14 +203,14 @@
                     candidates.insert(asked, leader.rpc_addr);
                 }
                 Ok(_) => {}
-                Err(e) => log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause),
+                Err(e) => log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause()),
             }
         }
         self.set_leader(None);
     }
 
     /// Opening a connection takes three round trips: the call may take as long as any.
-    async fn request_renewal(&self, to: SocketAddr) -> Result<ControlResponse, Fault> {
+    async fn request_renewal(&self, to: SocketAddr) -> Result<ControlResponse, PeerError> {
         let request = ControlRequest::Renew {
             info: self.info.clone(),
             index: self.cluster_state.load().index,
@@ -253,13 +254,13 @@
                     return true;
                 }
                 Ok(_) => {}
-                Err(e) => log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause),
+                Err(e) => log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause()),
             }
         }
         false
     }
 
-    async fn request_update(&self, to: SocketAddr) -> Result<ControlResponse, Fault> {
+    async fn request_update(&self, to: SocketAddr) -> Result<ControlResponse, PeerError> {
         let gap = self.gap.swap(false, Ordering::AcqRel);
         let have = if gap { Index(0) } else { self.cluster_state.load().index };
         let wait_ms = self.settings.timing.renew_interval_ms();
--- a/crates/control-plane/src/operator/api/mod.rs
+++ b/crates/control-plane/src/operator/api/mod.rs
@@ -61,7 +61,7 @@
 /// A name for a call that has none of its own. It is drawn: two operators in the same moment must never share an
 /// outcome.
 pub fn draw_operation() -> OpId {
-    OpId::new(format!("drawn-{:032x}", common::runtime::draw::<u128>()))
+    OpId::new(format!("drawn-{:032x}", common::runtime::random::<u128>()))
 }
 
 /// One operator's call, with what its headers and query say.
--- a/crates/control-plane/src/rpc.rs
+++ b/crates/control-plane/src/rpc.rs
@@ -5,7 +5,7 @@
     state_machine::{ClusterState, state_update::StateUpdate},
     types::{ApplyOutcome, Change, NodeInfo, VoterInfo},
 };
-use common::{Epoch, Index, Revision, link::RpcClient};
+use common::{Epoch, Index, Revision, rpc::RpcClient};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/crates/control-plane/src/state_machine/cluster_state.rs
+++ b/crates/control-plane/src/state_machine/cluster_state.rs
@@ -77,7 +77,7 @@
     fn record(&mut self, op: &OpId, change: &Change, outcome: &ApplyOutcome) {
         let made_a_revision =
             matches!((change, outcome), (Change::Apply { .. }, ApplyOutcome::Accepted { .. }));
-        if made_a_revision && !common::runtime::broken("verdicts-by-count") {
+        if made_a_revision && !common::mutation::enabled("verdicts-by-count") {
             return self.accepted_operations.record(op);
         }
         self.recent_operations.push_back((op.clone(), outcome.clone()));
@@ -122,7 +122,7 @@
             return self.accepted();
         }
         let overtaken = self.evacuation_changes.get(zone).is_some_and(|at| *at > seen);
-        if overtaken && !common::runtime::broken("late-evacuations") {
+        if overtaken && !common::mutation::enabled("late-evacuations") {
             return self.conflict();
         }
         if on {
--- a/crates/control-plane/src/storage/data_folder.rs
+++ b/crates/control-plane/src/storage/data_folder.rs
@@ -12,7 +12,7 @@
 pub fn blank_voter(settings: &Settings) -> VoterInfo {
     VoterInfo {
         number: u8::MAX,
-        incarnation: Incarnation(common::runtime::draw::<u64>() >> 1),
+        incarnation: Incarnation(common::runtime::random::<u64>() >> 1),
         node: settings.node.as_str().into(),
         zone: settings.zone.as_str().into(),
         rpc_addr: settings.rpc_addr(),
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -6,7 +6,7 @@
 
 use common::{
     Clock,
-    runtime::{Host, World, bind, spawn, spawn_at},
+    runtime::{Host, Simulation, bind, spawn, spawn_at},
     settings::{Settings, Timing},
 };
 use configuration::{Flaw, Notation, RequestLimits, RouteMap};
@@ -72,7 +72,7 @@
 }
 
 pub struct Cluster {
-    pub world: Arc<World>,
+    pub world: Arc<Simulation>,
     pub at: Vec<Stand>,
 }
 
@@ -173,16 +173,21 @@
 
 impl Cluster {
     /// Starts all voters; `may_bootstrap` is whether they may found a cluster.
-    pub async fn start(world: Arc<World>, voters: usize, may_bootstrap: bool) -> Self {
+    pub async fn start(world: Arc<Simulation>, voters: usize, may_bootstrap: bool) -> Self {
         Self::started(world, voters, may_bootstrap, None).await
     }
 
     /// The disk of one can't be opened yet.
-    pub async fn start_waiting(world: Arc<World>, voters: usize, waits: usize) -> Self {
+    pub async fn start_waiting(world: Arc<Simulation>, voters: usize, waits: usize) -> Self {
         Self::started(world, voters, true, Some(waits)).await
     }
 
-    async fn started(world: Arc<World>, voters: usize, may_bootstrap: bool, waits: Option<usize>) -> Self {
+    async fn started(
+        world: Arc<Simulation>,
+        voters: usize,
+        may_bootstrap: bool,
+        waits: Option<usize>,
+    ) -> Self {
         let mut at = Vec::new();
         for n in 0..voters {
             let host = world.host(ip(n));
@@ -193,7 +198,7 @@
     }
 
     /// A cluster that has a leader, and all of whose voters are members.
-    pub async fn initialized(world: Arc<World>, voters: usize) -> Self {
+    pub async fn initialized(world: Arc<Simulation>, voters: usize) -> Self {
         let c = Self::start(world, voters, true).await;
         c.until("a leader and all members", |c| {
             let v = c.at.iter().map(|s| s.core.status());
@@ -228,21 +233,21 @@
     /// What this voter sends is lost.
     pub fn cut_outward(&self, n: usize) {
         let own = self.at[n].ip;
-        self.world.cut(self.links(n).into_iter().filter(|(from, _)| *from == own));
+        self.world.partition(self.links(n).into_iter().filter(|(from, _)| *from == own));
     }
 
     /// What is sent to this voter is lost.
     pub fn cut_inward(&self, n: usize) {
         let own = self.at[n].ip;
-        self.world.cut(self.links(n).into_iter().filter(|(_, to)| *to == own));
+        self.world.partition(self.links(n).into_iter().filter(|(_, to)| *to == own));
     }
 
     /// Nothing gets to or from this voter.
     pub fn cut_off(&self, n: usize) {
-        self.world.cut(self.links(n));
+        self.world.partition(self.links(n));
     }
 
     pub fn mend(&self, n: usize) {
-        self.world.mend(&self.links(n).into_iter().collect());
+        self.world.heal(&self.links(n).into_iter().collect());
     }
 }
--- a/crates/control-plane/tests/desk.rs
+++ b/crates/control-plane/tests/desk.rs
@@ -1,6 +1,6 @@
 //! Conformance of the operator's operator service with design 4.9, and of small cores with design 2.2.
 
-use common::runtime::World;
+use common::runtime::Simulation;
 use control_plane::{
     MAX_DOCUMENT_BYTES, operator::OperationOutcome, state_machine::cluster_state::RECENT_OPERATIONS_KEPT,
 };
@@ -28,7 +28,7 @@
 /// seeds. They form, accept, and tell what they hold.
 #[rstest]
 fn cores_of_any_size_form_and_accept(#[values(1, 2, 3, 5, 6, 7)] voters: usize) {
-    World::run(7, None, |w| async move {
+    Simulation::run(7, None, |w| async move {
         let c = Cluster::initialized(w, voters).await;
         for s in &c.at {
             assert_eq!(s.core.status().cluster_state.voters.len(), voters);
@@ -44,7 +44,7 @@
 /// Without leave to found, blank voters wait to be readmitted, however many there are.
 #[rstest]
 fn seats_that_may_not_found_never_form(#[values(1, 2, 3, 5)] voters: usize) {
-    World::run(8, None, |w| async move {
+    Simulation::run(8, None, |w| async move {
         let c = Cluster::start(w, voters, false).await;
         tokio::time::sleep(Duration::from_secs(60)).await;
         assert!(c.at.iter().all(|s| !s.core.status().initialized));
@@ -54,7 +54,7 @@
 /// Two voters accept nothing while one of them is cut off: a majority of two is both.
 #[test]
 fn one_of_two_seats_accepts_nothing() {
-    World::run(9, None, |w| async move {
+    Simulation::run(9, None, |w| async move {
         let c = Cluster::initialized(w, 2).await;
         let at = c.leader();
         c.cut_off(1 - at);
@@ -87,7 +87,7 @@
     #[values(Kind::Replace, Kind::Amend)] second: Kind,
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
-    World::run(seed, None, |w| async move {
+    Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "2\nbase").await, OperationOutcome::Accepted);
         let (a, b) = (&c.at[at.0], &c.at[at.1]);
@@ -113,7 +113,7 @@
 /// and changes nothing any more.
 #[test]
 fn a_resend_answers_as_at_first() {
-    World::run(11, None, |w| async move {
+    Simulation::run(11, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         let all = [(0, "1\na"), (1, "4\nb"), (4, "9\nc")];
         for (n, (base_version, text)) in all.iter().enumerate() {
@@ -136,7 +136,7 @@
 /// As many later outcomes as are kept don't push out that of an accepted document.
 #[test]
 fn a_resend_outlives_later_verdicts() {
-    World::run(12, None, |w| async move {
+    Simulation::run(12, None, |w| async move {
         let c = Cluster::initialized(w, 1).await;
         let s = &c.at[0];
         assert_eq!(s.replace(0, "1\na").await, OperationOutcome::Accepted);
@@ -152,7 +152,7 @@
 
 #[test]
 fn what_can_not_be_taken_is_told_and_changes_nothing() {
-    World::run(13, None, |w| async move {
+    Simulation::run(13, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         let s = &c.at[1];
         assert_eq!(s.replace(3, "4\n").await, OperationOutcome::Conflict { current: Some(0) });
@@ -187,7 +187,7 @@
 /// A leader without a majority can't tell; the same sending tells later, and is taken once.
 #[rstest]
 fn what_was_undetermined_is_told_by_sending_again(#[values(1, 2, 3)] seed: u64) {
-    World::run(seed, None, |w| async move {
+    Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         let old = c.leader();
         assert_eq!(c.at[old].replace(0, "1\na").await, OperationOutcome::Accepted);
@@ -231,7 +231,7 @@
 #[case::letters("1\nñandú, 东, \u{1F682}, \u{0}, \u{FEFF}")]
 fn documents_are_read_back_byte_for_byte(#[case] text: &str) {
     let text = text.to_string();
-    World::run(21, None, |w| async move {
+    Simulation::run(21, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[2].replace(0, &text).await, OperationOutcome::Accepted);
         for s in &c.at {
@@ -242,7 +242,7 @@
 
 #[test]
 fn areas_are_evacuated_and_taken_back() {
-    World::run(31, None, |w| async move {
+    Simulation::run(31, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
         // "far" is known by name only; in "a2" a voter stands.
--- a/crates/control-plane/tests/operator/cut_off.rs
+++ b/crates/control-plane/tests/operator/cut_off.rs
@@ -1,7 +1,7 @@
 //! A control node that is cut off from the others while an operator asks it (design 2.3, 4.9).
 
 use crate::cluster::{Cluster, Stand};
-use common::runtime::World;
+use common::runtime::Simulation;
 use control_plane::operator::service::OperationOutcome;
 use rstest::rstest;
 use std::time::Duration;
@@ -84,7 +84,7 @@
     #[values(3, 5)] voters: usize,
     #[values(1, 2)] seed: u64,
 ) {
-    World::run(seed, None, |w| async move {
+    Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w.clone(), voters).await;
         taken(&c.at[0], 1).await;
         let lead = c.leader();
@@ -142,7 +142,7 @@
     #[values(Whom::Leader, Whom::Follower)] whom: Whom,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    World::run(seed, None, |w| async move {
+    Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w.clone(), 3).await;
         taken(&c.at[0], 1).await;
         let lead = c.leader();
@@ -168,7 +168,7 @@
 /// and neither tell old state updates nor time out.
 #[rstest]
 fn between_leaders_calls_end_in_time(#[values(1, 2, 3)] seed: u64) {
-    World::run(seed, None, |w| async move {
+    Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w.clone(), 3).await;
         taken(&c.at[0], 1).await;
         let lead = c.leader();
@@ -192,7 +192,7 @@
 
 /// What a node that was cut off tells while the others take a new version.
 fn read_while_cut_off(whom: Whom, broken: Option<&str>) -> Result<Option<(u64, String)>, String> {
-    World::run(5, broken.map(Into::into), |w| async move {
+    Simulation::run(5, broken.map(Into::into), |w| async move {
         let c = Cluster::initialized(w, 3).await;
         taken(&c.at[0], 1).await;
         let lead = c.leader();
--- a/crates/control-plane/tests/operator/orders.rs
+++ b/crates/control-plane/tests/operator/orders.rs
@@ -1,7 +1,7 @@
 //! Orders that are sent again (design 4.9): an accepted one is accepted again, wherever and whenever.
 
 use crate::cluster::{Cluster, Stand};
-use common::{Index, OpId, Revision, runtime::World, wire};
+use common::{Index, OpId, Revision, runtime::Simulation, wire};
 use control_plane::{
     ApplyOutcome, Change, ClusterState,
     operator::OperationOutcome,
@@ -24,7 +24,7 @@
 /// Whether an order is accepted again after as many evacuations as outcomes are kept, and then more
 /// changes than that.
 fn resend_after_hundreds_of_changes(kind: &'static str, broken: Option<&str>) -> Vec<OperationOutcome> {
-    World::run(12, broken.map(Into::into), |w| async move {
+    Simulation::run(12, broken.map(Into::into), |w| async move {
         let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
         assert_eq!(send(&c.at[1], kind, 1, "2\nb").await, OperationOutcome::Accepted);
@@ -64,7 +64,7 @@
     #[values("replace", "amend")] kind: &'static str,
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
-    World::run(seed, None, |w| async move {
+    Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
         let all = (0..8).map(|n| send(&c.at[n % 3], kind, 1, "2\nb"));
@@ -78,7 +78,7 @@
 /// One byte, the base or the kind makes it another order, also where the text in place is the same.
 #[test]
 fn another_order_is_not_taken_for_an_accepted_one() {
-    World::run(5, None, |w| async move {
+    Simulation::run(5, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
         assert_eq!(c.at[0].replace(1, "2\nb").await, OperationOutcome::Accepted);
@@ -148,7 +148,7 @@
 /// An order to evacuate that was decided at one node reaches the leader only after it was sent again
 /// elsewhere, taken, and taken back.
 fn evacuated_after_a_late_order(broken: Option<&str>) -> Vec<String> {
-    World::run(3, broken.map(Into::into), |w| async move {
+    Simulation::run(3, broken.map(Into::into), |w| async move {
         let c = Cluster::initialized(w, 3).await;
         let s = &c.at[c.leader()];
         let seen = s.core.status().cluster_state.index;
@@ -170,7 +170,7 @@
 /// Two operators, one that begins and one that takes back: both are told, and the last one holds.
 #[rstest]
 fn evacuations_sent_at_once_all_end(#[values(1, 2, 3, 4)] seed: u64) {
-    World::run(seed, None, |w| async move {
+    Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         let all = (0..8).map(|n| c.at[n % 3].evacuate("far", n % 2 == 0));
         let told = futures::future::join_all(all).await;
--- a/crates/control-plane/tests/refusing.rs
+++ b/crates/control-plane/tests/refusing.rs
@@ -1,6 +1,6 @@
 //! Daemons whose disk refuses, on hosts of a world in memory (design 2.4): what they answer meanwhile.
 
-use common::runtime::World;
+use common::runtime::Simulation;
 use control_plane::{
     consensus::{DurableState, Event},
     operator::OperationOutcome,
@@ -13,7 +13,7 @@
 /// The order goes to another voter at once, and the one whose disk works again counts as before.
 #[test]
 fn an_order_at_a_seat_that_refuses_is_taken_elsewhere() {
-    World::run(3, None, |w| async move {
+    Simulation::run(3, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         assert_eq!(c.at[0].replace(0, "1\nfirst").await, OperationOutcome::Accepted);
         let lead = c.leader();
@@ -55,7 +55,7 @@
 /// What was under way is told as undetermined with the failed write, not when the caller's time is over.
 #[test]
 fn an_order_under_way_is_undetermined_at_once() {
-    World::run(4, None, |w| async move {
+    Simulation::run(4, None, |w| async move {
         let c = Cluster::initialized(w.clone(), 3).await;
         let lead = c.leader();
         c.cut_off(lead);
@@ -72,7 +72,7 @@
 /// A node that can't open its folder at the start says nothing, not even who it is, until it can.
 #[test]
 fn a_seat_that_waits_for_its_disk_says_nothing() {
-    World::run(5, None, |w| async move {
+    Simulation::run(5, None, |w| async move {
         let c = Cluster::start_waiting(w, 3, 2).await;
         tokio::time::sleep(std::time::Duration::from_secs(20)).await;
         let initialized = |n: usize| c.at[n].core.status().initialized;
--- a/crates/data-plane/src/again.rs
+++ b/crates/data-plane/src/again.rs
@@ -11,6 +11,6 @@
 
 /// Whether a job may have another go, tokens apart (design 6.2).
 pub fn may_go_again(after: After, repeatable: bool, inner: bool, goes: u32) -> bool {
-    let again = after == After::NotRun || repeatable || common::runtime::broken("once-goes-again");
+    let again = after == After::NotRun || repeatable || common::mutation::enabled("once-goes-again");
     !inner && goes < MOST_GOES && again
 }
--- a/crates/data-plane/src/answer.rs
+++ b/crates/data-plane/src/answer.rs
@@ -141,7 +141,7 @@
     fn start_listening(self: &Arc<Self>, set: &Settings, rpc_addr: common::runtime::Listener) {
         common::runtime::spawn(self.clone().gather());
         let me = self.clone();
-        common::runtime::spawn(common::link::listen(
+        common::runtime::spawn(common::rpc::listen(
             rpc_addr,
             set.me(),
             crate::rpc::SERVICE,
--- a/crates/data-plane/src/away.rs
+++ b/crates/data-plane/src/away.rs
@@ -8,7 +8,7 @@
     router::{Router, hop_id, lock},
 };
 use common::{
-    Fault, Region, Step,
+    PeerError, Region, Step,
     http::{Body, OpenGuard},
 };
 use control_plane::Member;
@@ -72,7 +72,7 @@
         };
         let signed = match hop::sign(self.cluster_state().secret, &h) {
             Ok(s) => s,
-            Err(e) => return Next::NotRun(Fault::new(step, &region, e)),
+            Err(e) => return Next::NotRun(PeerError::new(step, &region, e)),
         };
         self.count_go(past, "hop");
         past.routers.push(peer.info.node.to_string());
@@ -108,9 +108,9 @@
                 } else {
                     past.avoid.insert(region);
                 }
-                Next::NotRun(Fault::new("hop", &peer.info.node, format!("bounced: {why}")))
+                Next::NotRun(PeerError::new("hop", &peer.info.node, format!("bounced: {why}")))
             }
-            _ => Next::MayHaveRun(Fault::new("hop", &peer.info.node, "outcome unknown there")),
+            _ => Next::MayHaveRun(PeerError::new("hop", &peer.info.node, "outcome unknown there")),
         }
     }
 }
--- a/crates/data-plane/src/body.rs
+++ b/crates/data-plane/src/body.rs
@@ -37,7 +37,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BoxErr>>> {
         match Pin::new(&mut self.inner).poll_frame(cx) {
-            Poll::Ready(Some(Err(_))) if common::runtime::broken("cut-looks-whole") => Poll::Ready(None),
+            Poll::Ready(Some(Err(_))) if common::mutation::enabled("cut-looks-whole") => Poll::Ready(None),
             Poll::Ready(r) => {
                 let next = tokio::time::Instant::now() + self.idle;
                 self.timer.as_mut().reset(next);
--- a/crates/data-plane/src/budget.rs
+++ b/crates/data-plane/src/budget.rs
@@ -24,7 +24,7 @@
     }
 
     pub fn spend(&self) -> bool {
-        if common::runtime::broken("boundless-goes") {
+        if common::mutation::enabled("boundless-goes") {
             return true;
         }
         self.0.fetch_update(Ordering::AcqRel, Ordering::Acquire, |v| (v >= UNIT).then(|| v - UNIT)).is_ok()
--- a/crates/data-plane/src/carry.rs
+++ b/crates/data-plane/src/carry.rs
@@ -8,7 +8,7 @@
     router::{Router, lock},
 };
 use common::{
-    Fault, Region, ReplicaId, Tick,
+    PeerError, Region, ReplicaId, Tick,
     http::{Body, OpenGuard},
     log_event,
 };
@@ -32,15 +32,15 @@
     pub tried: Vec<ReplicaId>,
     pub routers: Vec<String>,
     /// An earlier go that may have run: from then on the job is never called rejected.
-    pub maybe: Option<Fault>,
+    pub maybe: Option<PeerError>,
     pub wait_until: Option<Tick>,
 }
 
 pub(crate) enum Next {
     Answer(Response<Body>),
     /// Certain not to have run.
-    NotRun(Fault),
-    MayHaveRun(Fault),
+    NotRun(PeerError),
+    MayHaveRun(PeerError),
     /// Nothing was tried; the next look leaves out what is to be avoided.
     Again,
     /// Nothing to go to now; whether there may be later.
@@ -75,15 +75,15 @@
                 Next::NoRoom(true) => return self.given_up(p, &past, "no room", 1),
                 Next::NotRun(e) => {
                     let again = self.again(p, &past, After::NotRun);
-                    log_event!(Info, e.step, "peer" => e.peer, "cause" => e.cause, "job" => p.job, "again" => again);
+                    log_event!(Info, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.job, "again" => again);
                     if !again {
                         return self.given_up(p, &past, "go failed before it was sent", 1);
                     }
                 }
                 Next::MayHaveRun(e) => {
                     let again = self.again(p, &past, After::MayHaveRun);
-                    log_event!(Warn, e.step, "peer" => e.peer, "cause" => e.cause, "job" => p.job, "again" => again);
-                    if !again && common::runtime::broken("unknown-called-bounced") {
+                    log_event!(Warn, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.job, "again" => again);
+                    if !again && common::mutation::enabled("unknown-called-bounced") {
                         return rejected(self, p, "go failed", 1);
                     }
                     if !again {
@@ -104,7 +104,7 @@
     /// No more listed there, draining, or in a zone that was evacuated since it was picked.
     fn departed(&self, id: &ReplicaId, addr: SocketAddr) -> bool {
         let l = self.cluster_state();
-        if common::runtime::broken("departed-still-used") {
+        if common::mutation::enabled("departed-still-used") {
             return false;
         }
         l.replicas.get(id).is_none_or(|r| r.draining || r.addr != addr || l.evacuated.contains(&r.zone))
@@ -158,7 +158,7 @@
                     let open =
                         |r: &Region| !avoid.contains(r) && lock(&self.purse).has(r, &p.entry.to, self.now());
                     let c = crate::choose::candidates(&seen, &p.homes, t.policy(&p.entry), &open);
-                    crate::choose::draw(&c, common::runtime::draw())
+                    crate::choose::draw(&c, common::runtime::random())
                 })
                 .map(|r| (r, false))
             }
@@ -182,7 +182,7 @@
                 self.note_load(&own, r.headers());
                 // Another may do better; this one says itself that it did not serve the job.
                 if r.status().as_u16() == 503 && self.again(p, past, After::MayHaveRun) {
-                    past.maybe = Some(Fault::new("replica", id, "answered 503"));
+                    past.maybe = Some(PeerError::new("replica", id, "answered 503"));
                     return Next::Again;
                 }
                 Next::Answer(self.done(p, r))
@@ -190,7 +190,7 @@
             Outcome::NotRun(e) => {
                 let until = self.now() + self.set.timing.probe_interval_ms;
                 own.shun.store(until.0, Ordering::Relaxed);
-                if e.refused {
+                if e.is_refused() {
                     own.refused_at.store(self.now().0, Ordering::Relaxed);
                 }
                 Next::NotRun(e)
@@ -201,7 +201,7 @@
 
     /// The final answer, at once: rejected only where no go of the job can have run.
     fn given_up(&self, p: &Plan, past: &Past, why: &'static str, secs: u64) -> Response<Body> {
-        match past.maybe.as_ref().filter(|_| !common::runtime::broken("unknown-called-bounced")) {
+        match past.maybe.as_ref().filter(|_| !common::mutation::enabled("unknown-called-bounced")) {
             None => rejected(self, p, why, secs),
             Some(e) => unknown(self, p, e, false),
         }
--- a/crates/data-plane/src/cut.rs
+++ b/crates/data-plane/src/cut.rs
@@ -54,7 +54,7 @@
             wakeup.tick().await;
             let l = self.cluster_state();
             self.note_standing();
-            let turns = if common::runtime::broken("hails-squared") { l.members.len() / 4 } else { 1 };
+            let turns = if common::mutation::enabled("hails-squared") { l.members.len() / 4 } else { 1 };
             let others = l.members.values().filter(|m| m.info.node != *self.node());
             for m in others.flat_map(|m| std::iter::repeat_n(m, turns)) {
                 let (me, m, index) = (self.clone(), m.clone(), l.index);
@@ -77,7 +77,7 @@
                                     Some(index)
                                 }
                                 // Nothing listens there any more: no need to wait until it is missed.
-                                Err(e) if e.refused => {
+                                Err(e) if e.is_refused() => {
                                     lock(&me.heard).remove(&m.info.node);
                                     None
                                 }
@@ -108,7 +108,7 @@
 
     fn hear(&self, n: NodeId, asked: common::Tick) {
         let mut heard = lock(&self.heard);
-        if common::runtime::broken("hears-by-pair") {
+        if common::mutation::enabled("hears-by-pair") {
             let by = |m: &NodeId| NodeId::new(format!("{n}/{m}"));
             heard.extend(self.cluster_state().members.keys().map(|m| (by(m), asked)));
         }
@@ -118,7 +118,7 @@
     /// Changes of the own standing go into the journal.
     fn note_standing(&self) {
         let (cut, epoch) = (self.cut_off(), self.member.lease().epoch);
-        let d = self.journal.with(|d| (d.cut_off, d.epoch));
+        let d = self.event_log.with(|d| (d.cut_off, d.epoch));
         if d.0 != cut {
             self.happened(Happened::CutOff(cut));
         }
--- a/crates/data-plane/src/daemon.rs
+++ b/crates/data-plane/src/daemon.rs
@@ -4,7 +4,7 @@
 use crate::router::Router;
 use common::{
     Clock, Incarnation, http, log_event,
-    runtime::{draw, spawn},
+    runtime::{random, spawn},
     settings::{Listeners, Settings},
 };
 use control_plane::{Role, membership::Member, types::NodeInfo};
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 
 pub async fn run(set: Settings, listeners: Listeners, stop: impl Future<Output = ()>) {
-    let info = NodeInfo::of(&set, Role::Router, Incarnation(draw::<u64>() >> 1));
+    let info = NodeInfo::of(&set, Role::Router, Incarnation(random::<u64>() >> 1));
     let clock = Clock::default();
     let member = Member::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock.clone());
@@ -34,7 +34,7 @@
     tokio::time::sleep(Duration::from_millis(set.timing.renew_interval_ms())).await;
     let _ = tell.send(true);
     let _ = serving.await;
-    let drain_ms = if common::runtime::broken("no-drain") { 0 } else { set.timing.drain_ms };
+    let drain_ms = if common::mutation::enabled("no-drain") { 0 } else { set.timing.drain_ms };
     let end = clock.now() + drain_ms;
     while (router.open_count.open() > 0 || conns.open() > 0) && clock.now() < end {
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/data-plane/src/digest.rs
+++ b/crates/data-plane/src/digest.rs
@@ -1,7 +1,7 @@
 //! What happened at a router lately, and what that adds up to (design 1.5): events appended to
-//! the journal, one view folded from them, both shown on `/foldshunt/journal`.
+//! the journal, one view folded from them, both shown on `/foldshunt/event_log`.
 
-use common::{Epoch, ReplicaId, Revision, Tick, journal::Fold};
+use common::{Epoch, ReplicaId, Revision, Tick, event_log::View};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,8 +42,8 @@
     pub last: Tick,
 }
 
-impl Fold<Event> for Digest {
-    fn fold(&mut self, ev: &Event) {
+impl View<Event> for Digest {
+    fn apply(&mut self, ev: &Event) {
         self.last = ev.at;
         match &ev.what {
             // What governs never goes back, whatever order events are told in.
--- a/crates/data-plane/src/edge.rs
+++ b/crates/data-plane/src/edge.rs
@@ -7,7 +7,7 @@
     router::{Governing, Router, stands_in},
 };
 use common::{
-    Fault, JobId,
+    JobId, PeerError,
     http::{Body, BodyError, BoxErr, OpenGuard, json, read_body, text},
     log_event,
 };
@@ -43,7 +43,7 @@
     let mut res =
         json(code, &j!({"outcome": "bounced", "reason": reason, "job": job, "retry_after_s": retry_s}));
     if retry_s > 0
-        && !common::runtime::broken("no-retry-after")
+        && !common::mutation::enabled("no-retry-after")
         && let Ok(v) = retry_s.to_string().parse()
     {
         res.headers_mut().insert("retry-after", v);
@@ -57,7 +57,7 @@
 }
 
 /// It may have run: never called rejected.
-pub fn unknown(r: &Router, p: &Plan, e: &Fault, late: bool) -> Res {
+pub fn unknown(r: &Router, p: &Plan, e: &PeerError, late: bool) -> Res {
     r.numbers.jobs.with_label_values(&[&p.entry.name, "unknown"]).inc();
     r.happened(Happened::Unknown(e.step.into()));
     let code = if late { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
@@ -77,7 +77,7 @@
             "/healthz" => return Ok(text(StatusCode::OK, "ok\n")),
             "/readyz" => return Ok(self.ready()),
             "/foldshunt/journal" => {
-                let (digest, tail) = (self.journal.view(), self.journal.tail());
+                let (digest, tail) = (self.event_log.view(), self.event_log.tail());
                 return Ok(json(StatusCode::OK, &j!({"digest": digest, "tail": tail})));
             }
             "/metrics" => return Ok(text(StatusCode::OK, self.metrics())),
--- a/crates/data-plane/src/go.rs
+++ b/crates/data-plane/src/go.rs
@@ -4,8 +4,8 @@
 use crate::body::{Passing, ends_surely};
 use bytes::Bytes;
 use common::{
-    Fault,
-    fault::At,
+    PeerError,
+    error::AtPeer,
     http::{Body, full, open},
 };
 use hyper::{HeaderMap, Method, Request, Response, Uri, header::HeaderName};
@@ -19,9 +19,9 @@
     /// The upstream answered; from here on its bytes pass through.
     Done(Response<Body>),
     /// Not one byte of the job was sent, or the other side said that it did not run it.
-    NotRun(Fault),
+    NotRun(PeerError),
     /// It may have run.
-    Unknown(Fault),
+    Unknown(PeerError),
 }
 
 /// What is sent, the same for each go.
@@ -90,12 +90,12 @@
             .uri(sent.uri.path_and_query().map(|p| p.as_str()).unwrap_or("/"));
         if let Some(h) = req.headers_mut() {
             h.extend(sent.headers.clone());
-            h.insert("host", to.to_string().parse().at(step, to)?);
+            h.insert("host", to.to_string().parse().at_peer(step, to)?);
             for (k, v) in extra {
-                h.insert(*k, v.parse().at(step, to)?);
+                h.insert(*k, v.parse().at_peer(step, to)?);
             }
         }
-        req.body(full(sent.body.clone())).at(step, to)
+        req.body(full(sent.body.clone())).at_peer(step, to)
     };
     let req = match built() {
         Ok(r) => r,
@@ -103,17 +103,19 @@
     };
     // Much may have passed since the plan: this process was frozen, or the world went on.
     if let Some(why) = barred() {
-        return Outcome::NotRun(Fault::new("last look", to, why));
+        return Outcome::NotRun(PeerError::new("last look", to, why));
     }
     // From here on bytes may have left: every failure is "unknown".
     let res = match tokio::time::timeout(Duration::from_millis(left_ms), tx.send_request(req)).await {
         Ok(Ok(r)) => r,
-        Ok(Err(e)) => return Outcome::Unknown(Fault::new("await answer", to, e)),
-        Err(_) => return Outcome::Unknown(Fault::new("await answer", to, format!("none in {left_ms} ms"))),
+        Ok(Err(e)) => return Outcome::Unknown(PeerError::new("await answer", to, e)),
+        Err(_) => {
+            return Outcome::Unknown(PeerError::new("await answer", to, format!("none in {left_ms} ms")));
+        }
     };
     let (mut head, body) = res.into_parts();
     if !ends_surely(&sent.method, &head, &body) {
-        return Outcome::Unknown(Fault::new("read answer", to, "its end could not be told from a cut"));
+        return Outcome::Unknown(PeerError::new("read answer", to, "its end could not be told from a cut"));
     }
     let outcome = head.headers.get("foldshunt-outcome").cloned();
     let reason = head.headers.get("foldshunt-reason").cloned();
--- a/crates/data-plane/src/place.rs
+++ b/crates/data-plane/src/place.rs
@@ -37,7 +37,7 @@
         let count = |how: &str| self.numbers.placements.with_label_values(&[how]).inc();
         let Some(key) = p.key else {
             count("no key");
-            return draw(&cands, common::runtime::draw()).map(|region| Placed { region, stored: false });
+            return draw(&cands, common::runtime::random()).map(|region| Placed { region, stored: false });
         };
         let good = |r: &Region| p.homes.contains(r) && !avoid.contains(r) && passes(seen.get(r), pol);
         let mut stale = None;
@@ -48,7 +48,7 @@
             }
             stale = Some(c.ver);
         }
-        let pick = draw(&cands, common::runtime::draw());
+        let pick = draw(&cands, common::runtime::random());
         for _ in 0..2 {
             let asked = self.now();
             match self
--- a/crates/data-plane/src/probe.rs
+++ b/crates/data-plane/src/probe.rs
@@ -214,7 +214,7 @@
         let res = ask(ip, r.addr, Method::GET, "/foldshunt/report", &[], "", ms).await;
         let res = match res {
             Ok(r) => r,
-            Err(e) if e.refused => return Checked::Refused,
+            Err(e) if e.is_refused() => return Checked::Refused,
             Err(_) => return Checked::Silent,
         };
         if res.0.is_success() {
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -14,8 +14,8 @@
 };
 use arc_swap::ArcSwapOption;
 use common::{
-    Clock, FencingToken, NodeId, Region, Revision, Service, Tick, Zone, http::OpenCount, journal::Journal,
-    link::RpcClient, log_event, settings::Settings,
+    Clock, FencingToken, NodeId, Region, Revision, Service, Tick, Zone, event_log::EventLog, http::OpenCount,
+    log_event, rpc::RpcClient, settings::Settings,
 };
 use configuration::Table;
 use control_plane::{ClusterState, Member, membership};
@@ -72,7 +72,7 @@
     pub boards: Mutex<BTreeMap<Zone, Publication>>,
     pub reading: Mutex<Reading>,
     pub numbers: Numbers,
-    pub journal: Journal<Event, Digest>,
+    pub event_log: EventLog<Event, Digest>,
     pub draining: AtomicBool,
     pub open_count: Arc<OpenCount>,
     pub serial: AtomicU64,
@@ -110,7 +110,7 @@
             boards: Mutex::default(),
             reading: Mutex::default(),
             numbers: Numbers::default(),
-            journal: Journal::new(Digest::default(), KEEP),
+            event_log: EventLog::new(Digest::default(), KEEP),
             draining: AtomicBool::new(false),
             open_count: Arc::default(),
             serial: AtomicU64::new(0),
@@ -126,7 +126,7 @@
     }
 
     pub fn happened(&self, what: Happened) {
-        self.journal.append(Event { at: self.now(), what });
+        self.event_log.append(Event { at: self.now(), what });
     }
 
     pub fn cluster_state(&self) -> Arc<ClusterState> {
@@ -190,7 +190,7 @@
     pub fn usable(&self, svc: &Service) -> Vec<Candidate> {
         let l = self.cluster_state();
         self.pressure.replicas(svc, self.now(), self.set.timing.report_max_age_ms(), &|g, zone| {
-            if common::runtime::broken("departed-still-used") {
+            if common::mutation::enabled("departed-still-used") {
                 return true;
             }
             !l.evacuated.contains(zone)
--- a/crates/data-plane/src/serving/attempt.rs
+++ b/crates/data-plane/src/serving/attempt.rs
@@ -10,7 +10,7 @@
     state::Serving,
 };
 use crate::{body::ends_surely, go::strip, router::lock};
-use common::{Fault, fault::At, http::full};
+use common::{PeerError, error::AtPeer, http::full};
 use hyper::{Request, header::HeaderValue};
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -22,11 +22,11 @@
     /// The replica answers; its bytes are still to come.
     Answer(Answer),
     /// It says that it did not run the request.
-    Declined(Fault),
+    Declined(PeerError),
     /// Nothing of the request reached anybody.
-    NotSent(Fault),
+    NotSent(PeerError),
     /// It may have run.
-    MayHaveRun(Fault),
+    MayHaveRun(PeerError),
 }
 
 /// Counts a request as open at its replica until its last byte.
@@ -68,19 +68,19 @@
         p: &Plan,
         c: &Candidate,
         after: Option<&str>,
-    ) -> Result<Request<common::http::Body>, Fault> {
+    ) -> Result<Request<common::http::Body>, PeerError> {
         let (step, names) = ("build request", self.dialect.names());
         let path = p.uri.path_and_query().map_or("/", |x| x.as_str());
         let mut req = Request::builder()
             .method(p.method.clone())
             .uri(path)
             .body(full(p.body.clone()))
-            .at(step, c.addr)?;
+            .at_peer(step, c.addr)?;
         let h = req.headers_mut();
         *h = p.headers.clone();
         let left = p.left_ms(self.now()).max(1);
-        let mut set = |k: &hyper::header::HeaderName, v: &str| -> Result<(), Fault> {
-            h.insert(k.clone(), HeaderValue::from_str(v).at(step, c.addr)?);
+        let mut set = |k: &hyper::header::HeaderName, v: &str| -> Result<(), PeerError> {
+            h.insert(k.clone(), HeaderValue::from_str(v).at_peer(step, c.addr)?);
             Ok(())
         };
         set(&names.time_left, &left.to_string())?;
@@ -90,7 +90,7 @@
         Ok(req)
     }
 
-    async fn fresh(&self, p: &Plan, c: &Candidate) -> Result<Ready, Fault> {
+    async fn fresh(&self, p: &Plan, c: &Candidate) -> Result<Ready, PeerError> {
         let ms = self.connect_ms().min(p.left_ms(self.now()).max(1));
         Fresh::open(self.router.set.rpc_addr.ip(), c.addr, ms).await.map(Ready::Fresh)
     }
@@ -108,7 +108,7 @@
             Ok(fresh) => fresh,
             Err(e) => return Outcome::NotSent(e),
         };
-        let ended = || Outcome::NotSent(Fault::new("send", c.addr, "the connection had ended"));
+        let ended = || Outcome::NotSent(PeerError::new("send", c.addr, "the connection had ended"));
         self.send(p, c, after, fresh).await.unwrap_or_else(ended)
     }
 
@@ -120,11 +120,11 @@
         };
         // Much may have passed since the choice: an evacuation, a drain, a freeze.
         if let Some(why) = self.barred(p, c) {
-            return Some(Outcome::NotSent(Fault::new("last look", c.addr, why)));
+            return Some(Outcome::NotSent(PeerError::new("last look", c.addr, why)));
         }
         let left = Duration::from_millis(p.left_ms(self.now()).max(1));
         let lost = |why: &dyn std::fmt::Display| {
-            Outcome::MayHaveRun(Fault::new("await answer", c.addr, why.to_string()))
+            Outcome::MayHaveRun(PeerError::new("await answer", c.addr, why.to_string()))
         };
         Some(match tokio::time::timeout(left, on.send(req)).await {
             Ok(Ok(answer)) => self.judge(p, c, answer),
@@ -172,9 +172,9 @@
             }
             Verdict::Declined => {
                 let why = format!("declined with {}", answer.head.status.as_u16());
-                Outcome::Declined(Fault::new("replica", &c.id, why))
+                Outcome::Declined(PeerError::new("replica", &c.id, why))
             }
-            Verdict::MayHaveRun(why) => Outcome::MayHaveRun(Fault::new("read answer", c.addr, why)),
+            Verdict::MayHaveRun(why) => Outcome::MayHaveRun(PeerError::new("read answer", c.addr, why)),
         }
     }
 }
--- a/crates/data-plane/src/serving/carry.rs
+++ b/crates/data-plane/src/serving/carry.rs
@@ -15,7 +15,7 @@
 };
 use crate::router::lock;
 use common::{
-    Fault, ReplicaId, Service,
+    PeerError, ReplicaId, Service,
     http::{Body, OpenGuard, full, json},
     log_event,
 };
@@ -45,8 +45,8 @@
     }
 
     /// It ended with nothing to pass on.
-    pub fn failed(&mut self, s: &Serving, p: &Plan, how: AttemptEnd, why: Fault) {
-        log_event!(Info, why.step, "peer" => why.peer, "cause" => why.cause);
+    pub fn failed(&mut self, s: &Serving, p: &Plan, how: AttemptEnd, why: PeerError) {
+        log_event!(Info, why.step, "peer" => why.peer, "cause" => why.cause());
         self.ended(s, p, how);
     }
 }
@@ -86,7 +86,7 @@
             reads_per_ms: READS_PER_MS,
             now,
             hold_ms: self.hold_ms(&p.service),
-            unit: common::runtime::draw(),
+            unit: common::runtime::random(),
         };
         let fit = |c: &&Candidate| choose::fits(c, &p.prompt) && warm(c) && conns(c);
         let home = |c: &Candidate| p.route.homes.is_empty() || p.route.homes.contains(&c.region);
@@ -200,7 +200,7 @@
         let bytes = match read {
             Ok(bytes) => bytes,
             Err(why) => {
-                past.failed(self, p, AttemptEnd::MayHaveRun, Fault::new("read answer", c.addr, why));
+                past.failed(self, p, AttemptEnd::MayHaveRun, PeerError::new("read answer", c.addr, why));
                 return None;
             }
         };
--- a/crates/data-plane/src/serving/connection.rs
+++ b/crates/data-plane/src/serving/connection.rs
@@ -8,8 +8,8 @@
 };
 use bytes::{Bytes, BytesMut};
 use common::{
-    Fault, Tick,
-    fault::within,
+    PeerError, Tick,
+    error::within,
     http::{Body, Sender, client_on, connect},
 };
 use http_body_util::BodyExt;
@@ -44,7 +44,7 @@
 }
 
 impl Fresh {
-    pub async fn open(ip: IpAddr, to: SocketAddr, ms: u64) -> Result<Self, Fault> {
+    pub async fn open(ip: IpAddr, to: SocketAddr, ms: u64) -> Result<Self, PeerError> {
         within(ms, "connect", to, async {
             let outgoing = Outgoing::default();
             let io = Flushing::new(connect(ip, to).await?, outgoing.clone());
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -8,7 +8,7 @@
 use crate::router::Router;
 use common::{
     Clock, Incarnation, http, log_event,
-    runtime::{bind, draw, spawn},
+    runtime::{bind, random, spawn},
     settings::{Listeners, Settings},
 };
 use configuration::Notation;
@@ -32,7 +32,7 @@
     parts: Parts,
     stop: impl Future<Output = ()>,
 ) -> eyre::Result<()> {
-    let info = NodeInfo::of(&set, Role::Router, Incarnation(draw::<u64>() >> 1));
+    let info = NodeInfo::of(&set, Role::Router, Incarnation(random::<u64>() >> 1));
     let clock = Clock::default();
     let member = Member::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock.clone());
--- a/crates/data-plane/src/serving/events.rs
+++ b/crates/data-plane/src/serving/events.rs
@@ -13,7 +13,7 @@
 };
 use bytes::Bytes;
 use common::{
-    Fault, Tick,
+    PeerError, Tick,
     http::{Body, BoxErr, OpenGuard},
     log_event,
 };
@@ -209,7 +209,7 @@
                 return Some((open, answer.body));
             }
             Outcome::Answer(answer) => {
-                let why = Fault::new("resume", c.addr, answer.head.status);
+                let why = PeerError::new("resume", c.addr, answer.head.status.to_string());
                 past.failed(s, p, AttemptEnd::MayHaveRun, why);
             }
             Outcome::NotSent(e) => {
--- a/crates/data-plane/src/serving/exchange.rs
+++ b/crates/data-plane/src/serving/exchange.rs
@@ -3,7 +3,7 @@
 //! client request, from its first attempt to its answer. What may follow on the connection is decided in
 //! [`super::reuse`].
 
-use common::runtime::broken;
+use common::mutation::enabled as broken;
 
 /// Attempts that reach nobody, after which a request is given up.
 pub const MOST_UNSENT: u32 = 4;
--- a/crates/data-plane/src/serving/front.rs
+++ b/crates/data-plane/src/serving/front.rs
@@ -109,7 +109,7 @@
         let Some(route) = self.route(&head) else {
             return no(StatusCode::NOT_FOUND, "no route", None);
         };
-        let service = route.service(common::runtime::draw()).cloned();
+        let service = route.service(common::runtime::random()).cloned();
         let Some((service, backend)) = service.and_then(|s| map.backends.get(&s).cloned().map(|b| (s, b)))
         else {
             return no(StatusCode::NOT_FOUND, "the route has no service", None);
--- a/crates/data-plane/src/serving/listing.rs
+++ b/crates/data-plane/src/serving/listing.rs
@@ -5,7 +5,7 @@
     dialect::{Listed, Listing},
     state::Serving,
 };
-use common::{ReplicaId, Tick, Zone, fault::Fault, http::ask, log_event, runtime::spawn};
+use common::{ReplicaId, Tick, Zone, error::PeerError, http::ask, log_event, runtime::spawn};
 use hyper::{Method, StatusCode};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -47,8 +47,8 @@
 #[derive(Debug)]
 pub enum ListError {
     /// All nodes together ask too often.
-    OverRate(Fault),
-    Failed(Fault),
+    OverRate(PeerError),
+    Failed(PeerError),
 }
 
 /// What is known of a zone's list, and when it is read next. Pure.
@@ -147,8 +147,8 @@
 
     fn failed(&mut self, error: ListError, now: Tick, each_ms: u64) {
         self.known.failed(&error, now, each_ms);
-        let (ListError::OverRate(fault) | ListError::Failed(fault)) = error;
-        log_event!(Info, fault.step, "peer" => fault.peer, "cause" => fault.cause);
+        let (ListError::OverRate(error) | ListError::Failed(error)) = error;
+        log_event!(Info, error.step, "peer" => error.peer, "cause" => error.cause());
     }
 }
 
@@ -171,7 +171,7 @@
                 None => return Ok(read),
             }
         }
-        Err(ListError::Failed(Fault::new("list replicas", self.site.list, "pages without an end")))
+        Err(ListError::Failed(PeerError::new("list replicas", self.site.list, "pages without an end")))
     }
 
     async fn read_page(&self, zone: &Zone, page: Option<&str>) -> Result<Listing, ListError> {
@@ -182,10 +182,12 @@
         let (code, _, body) = answer.map_err(ListError::Failed)?;
         match code {
             StatusCode::OK => {}
-            StatusCode::TOO_MANY_REQUESTS => return Err(ListError::OverRate(Fault::new(STEP, to, code))),
-            _ => return Err(ListError::Failed(Fault::new(STEP, to, code))),
+            StatusCode::TOO_MANY_REQUESTS => {
+                return Err(ListError::OverRate(PeerError::new(STEP, to, code.to_string())));
+            }
+            _ => return Err(ListError::Failed(PeerError::new(STEP, to, code.to_string()))),
         }
-        let unread = || ListError::Failed(Fault::new(STEP, to, "the answer could not be read"));
+        let unread = || ListError::Failed(PeerError::new(STEP, to, "the answer could not be read"));
         self.dialect.listing(&body).ok_or_else(unread)
     }
 }
--- a/crates/data-plane/src/serving/place.rs
+++ b/crates/data-plane/src/serving/place.rs
@@ -62,7 +62,7 @@
         let cands = if own.is_empty() { cands } else { own };
         let first = match p.key {
             Some(key) => self.placed(key, p, &seen, &cands),
-            None => draw(&cands, common::runtime::draw()),
+            None => draw(&cands, common::runtime::random()),
         };
         let mut rest: Vec<Region> =
             seen.keys().filter(|r| Some(*r) != first.as_ref() && open(r)).cloned().collect();
--- a/crates/data-plane/src/serving/reuse.rs
+++ b/crates/data-plane/src/serving/reuse.rs
@@ -2,7 +2,7 @@
 //! proof of a clean end that [`super::connection`] asks for.
 
 use super::exchange::Asked;
-use common::runtime::broken;
+use common::mutation::enabled as broken;
 
 /// Longest time for which an idle connection is used again.
 pub const MOST_IDLE_MS: u64 = 2_000;
--- a/crates/data-plane/src/serving/watch.rs
+++ b/crates/data-plane/src/serving/watch.rs
@@ -12,7 +12,7 @@
     router::lock,
     rpc::{RouterRequest, RouterResponse},
 };
-use common::{FencingToken, NodeId, ReplicaId, Tick, Zone, fault::Fault, http::ask, log_event};
+use common::{FencingToken, NodeId, ReplicaId, Tick, Zone, error::PeerError, http::ask, log_event};
 use control_plane::{Member, state_machine::singleton};
 use hyper::Method;
 use std::{
@@ -84,7 +84,7 @@
                 let ms = wait_ms + self.router.set.timing.rpc_timeout_ms;
                 match self.router.lines.call_within(ms, "board", home.info.rpc_addr, q).await {
                     Ok(RouterResponse::Board(b)) => Ok(b.map(|b| *b)),
-                    Ok(_) => Err(Fault::new("board", home.info.rpc_addr, "another answer")),
+                    Ok(_) => Err(PeerError::new("board", home.info.rpc_addr, "another answer")),
                     Err(e) => Err(e),
                 }
             };
@@ -96,7 +96,7 @@
                 }
                 Ok(None) => tokio::time::sleep(pause).await,
                 Err(e) => {
-                    log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause);
+                    log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause());
                     failed.insert(node, now);
                 }
             }
@@ -185,7 +185,7 @@
                 Probed::Told(told)
             }
             Ok(_) => Probed::Unwell,
-            Err(e) if e.refused => Probed::Refused,
+            Err(e) if e.is_refused() => Probed::Refused,
             Err(_) => Probed::Silent,
         }
     }
--- a/crates/data-plane/src/watched.rs
+++ b/crates/data-plane/src/watched.rs
@@ -77,7 +77,7 @@
     /// The ramp: a tenth of the capacity at first, all of it after `warm_ms`. It does not begin before
     /// something is there; until then its first step tells who takes over that this one is cold.
     pub fn allowance(&self, warm_ms: u64, now: Tick) -> Option<u32> {
-        if common::runtime::broken("cold-is-warm") {
+        if common::mutation::enabled("cold-is-warm") {
             return None;
         }
         let up = if self.absent { 0 } else { now.since(self.warm_since?) };
--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -198,7 +198,7 @@
     assert_eq!(hop::verify(0x0011_2233, &signed), Some(forwarded()));
 }
 
-/// What `/foldshunt/journal` shows.
+/// What `/foldshunt/event_log` shows.
 #[test]
 fn compatibility_of_json() {
     let happened = [
--- a/crates/data-plane/tests/goes.rs
+++ b/crates/data-plane/tests/goes.rs
@@ -139,6 +139,6 @@
         got.len()
     });
     let res = go(way(at, &|| Some("cut off")), &sent(), &[], ()).await;
-    assert!(matches!(res, Outcome::NotRun(e) if e.cause == "cut off" && e.step == "last look"));
+    assert!(matches!(res, Outcome::NotRun(e) if e.cause() == "cut off" && e.step == "last look"));
     assert_eq!(heard.await.unwrap(), 0);
 }
--- a/crates/data-plane/tests/lag.rs
+++ b/crates/data-plane/tests/lag.rs
@@ -19,7 +19,7 @@
 }
 
 async fn one(b: &Back) -> (Arc<data_plane::router::Router>, std::net::SocketAddr, Arc<AtomicU64>) {
-    let (clock, hand) = Clock::hand();
+    let (clock, hand) = Clock::manual();
     let (r, at) = router_at(clock, "verdict", std::slice::from_ref(b)).await;
     (r, at, hand)
 }
--- a/crates/data-plane/tests/leap.rs
+++ b/crates/data-plane/tests/leap.rs
@@ -31,7 +31,7 @@
 #[tokio::test]
 async fn a_leap_while_a_job_waits(#[case] ms: u64, #[case] says: &str, #[case] runs: usize) {
     let b = back(WHOLE).await;
-    let (clock, hand) = Clock::hand();
+    let (clock, hand) = Clock::manual();
     let (r, at) = router_at(clock, "verdict", std::slice::from_ref(&b)).await;
     let fencing_token = FencingToken(r.cluster_state().epoch.0);
     let backs = std::slice::from_ref(&b);
@@ -63,7 +63,7 @@
 #[tokio::test]
 async fn a_question_is_no_sign_of_life() {
     let b = back(WHOLE).await;
-    let (clock, hand) = Clock::hand();
+    let (clock, hand) = Clock::manual();
     let (r, _) = router_at(clock, "verdict", std::slice::from_ref(&b)).await;
     hand.fetch_add(3_600_000, Ordering::AcqRel);
     assert!(r.cut_off(), "neither a tenure nor a majority in hearing");
@@ -90,7 +90,7 @@
 #[tokio::test]
 async fn an_answer_is_as_old_as_its_question() {
     let b = back(WHOLE).await;
-    let (clock, hand) = Clock::hand();
+    let (clock, hand) = Clock::manual();
     let (r, _) = router_at(clock, "verdict", std::slice::from_ref(&b)).await;
     let listener = TcpListener::bind((kit::IP, 0)).await.unwrap();
     let mut l = (*r.cluster_state()).clone();
@@ -100,7 +100,7 @@
     let _ = r.member.install(StateUpdate::Snapshot(Box::new(l)), "test");
     let (asked, asks) = (Arc::new(AtomicUsize::new(0)), hand.clone());
     let count = asked.clone();
-    tokio::spawn(common::link::listen(
+    tokio::spawn(common::rpc::listen(
         listener,
         kit::settings().me(),
         data_plane::rpc::SERVICE,
--- a/crates/data-plane/tests/modules/digest.rs
+++ b/crates/data-plane/tests/modules/digest.rs
@@ -1,11 +1,11 @@
 //! Tests of `data_plane::digest`.
 
-use common::{ReplicaId, Revision, Tick, journal::Journal};
+use common::{ReplicaId, Revision, Tick, event_log::EventLog};
 use data_plane::digest::{Digest, Event, Happened};
 
 #[test]
 fn the_view_is_what_the_events_add_up_to() {
-    let j = Journal::new(Digest::default(), 2);
+    let j = EventLog::new(Digest::default(), 2);
     let sick = |healthy| Happened::Health { replica: "r1".into(), healthy };
     let all = [
         Happened::Governs(Revision(3)),
--- a/crates/data-plane/tests/serving/connection.rs
+++ b/crates/data-plane/tests/serving/connection.rs
@@ -4,7 +4,7 @@
 use common::{
     Clock, Tick,
     http::{Body, full},
-    runtime::{Stream, World, bind, spawn},
+    runtime::{Simulation, Stream, bind, spawn},
 };
 use data_plane::serving::connection::{Answer, Fresh, Ready};
 use futures::stream;
@@ -83,7 +83,7 @@
     #[case] left: bool,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    World::run(seed, None, |_| async move {
+    Simulation::run(seed, None, |_| async move {
         let ready = to_peer(move |mut io| async move {
             read(&mut io, if left { 40 + long } else { 200 }).await;
             io.write_all(ANSWER.as_bytes()).await.expect("to say it");
@@ -117,7 +117,7 @@
     #[case] left: bool,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    World::run(seed, None, |_| async move {
+    Simulation::run(seed, None, |_| async move {
         let ready = to_peer(move |mut io| async move {
             read(&mut io, 20).await;
             for part in says {
@@ -142,7 +142,7 @@
 #[case::closed(Some(""), 500, false)]
 #[case::spoken_on(Some("HTTP/1.1 408 Late\r\ncontent-length: 0\r\n\r\n"), 500, false)]
 fn an_idle_connection(#[case] then: Option<&'static str>, #[case] ms: u64, #[case] usable: bool) {
-    World::run(1, None, |_| async move {
+    Simulation::run(1, None, |_| async move {
         let ready = to_peer(move |mut io| async move {
             read(&mut io, 20).await;
             io.write_all(ANSWER.as_bytes()).await.expect("to say it");
@@ -173,7 +173,7 @@
     #[values(3, LONG)] long: usize,
     #[values(1, 2, 3, 4, 5)] seed: u64,
 ) {
-    World::run(seed, None, |_| async move {
+    Simulation::run(seed, None, |_| async move {
         let got = Arc::new(AtomicUsize::new(0));
         let ready = to_peer({
             let got = got.clone();
--- a/crates/data-plane/tests/serving/exchange.rs
+++ b/crates/data-plane/tests/serving/exchange.rs
@@ -3,7 +3,7 @@
 //! that do their worst. The bound: three requests, `tries` up to three, one connection kept at a time,
 //! every answer head of the list below.
 
-use common::runtime::World;
+use common::runtime::Simulation;
 use data_plane::serving::{
     exchange::{AnswerHead, AnswerId, Asked, AttemptEnd, LastWord, Permit, Tries, Verdict, judge},
     reuse::{BodyEnd, ExchangeEnd, KeepAlive, clean_end, may_reuse},
@@ -243,7 +243,7 @@
 }
 
 fn search_with(broken: Option<&str>) -> usize {
-    World::run(1, broken.map(String::from), |_| async { search() })
+    Simulation::run(1, broken.map(String::from), |_| async { search() })
 }
 
 /// Nothing that may not be repeated is run twice or called refused though it ran; no answer goes to
--- a/crates/data-plane/tests/serving/listing.rs
+++ b/crates/data-plane/tests/serving/listing.rs
@@ -7,7 +7,7 @@
 use common::{
     Zone,
     http::{self, text},
-    runtime::{World, bind, spawn_at},
+    runtime::{Simulation, bind, spawn_at},
 };
 use configuration::RouteKind;
 use data_plane::serving::{Listed, Listing};
@@ -110,7 +110,7 @@
         let (end, ended) = watch::channel(false);
         let (me, at) = (list.clone(), SocketAddr::from(LIST));
         let listener = bind(at).await.expect("the list's address");
-        let world: Arc<World> = common::runtime::world().expect("a world");
+        let world: Arc<Simulation> = common::runtime::simulation().expect("a world");
         spawn_at(at.ip(), async move {
             let handler = move |_, req: hyper::Request<hyper::body::Incoming>| {
                 let (ms, code, page) = me.answer(req.uri().path(), world.ms());
--- a/crates/data-plane/tests/serving/listing_pages.rs
+++ b/crates/data-plane/tests/serving/listing_pages.rs
@@ -1,7 +1,7 @@
 //! What a home keeps of the platform's list between readings. Pure.
 
 use crate::listing::listed;
-use common::{Tick, fault::Fault};
+use common::{Tick, error::PeerError};
 use data_plane::serving::{
     Listed,
     listing::{Known, ListError, ListRead},
@@ -68,7 +68,7 @@
 
 #[test]
 fn refusals_for_the_rate_spread_out_and_a_reading_ends_that() {
-    let over = || ListError::OverRate(Fault::new("list replicas", "list", 429));
+    let over = || ListError::OverRate(PeerError::new("list replicas", "list", "429"));
     let (mut known, mut now, mut pauses) = (Known::default(), 0, Vec::new());
     for _ in 0..5 {
         known.failed(&over(), Tick(now), EACH_MS);
@@ -79,7 +79,7 @@
     assert_eq!(pauses, [2, 4, 4, 4, 4]);
     known.read(read(&[&["r1"]]), Tick(now), EACH_MS);
     assert!(known.due(Tick(now + EACH_MS)));
-    known.failed(&ListError::Failed(Fault::new("list replicas", "list", 500)), Tick(now), EACH_MS);
+    known.failed(&ListError::Failed(PeerError::new("list replicas", "list", "500")), Tick(now), EACH_MS);
     assert!(known.due(Tick(now + EACH_MS)), "one that is down is asked again as usual");
 }
 
--- a/crates/data-plane/tests/serving/stage.rs
+++ b/crates/data-plane/tests/serving/stage.rs
@@ -8,7 +8,7 @@
 use common::{
     Clock, Epoch, Incarnation, Region, Zone,
     http::{self, Body, full},
-    runtime::{Listener, Stream, World, bind, dial, spawn, spawn_at},
+    runtime::{Listener, Simulation, Stream, bind, dial, spawn, spawn_at},
     settings::{Settings, Timing},
 };
 use configuration::{Backend, Notation, RequestLimits, Route, RouteMap, place::Flaw};
@@ -302,7 +302,7 @@
 }
 
 pub struct Stage {
-    world: Arc<World>,
+    world: Arc<Simulation>,
     s: Arc<Serving>,
     script: Arc<Script>,
     http: SocketAddr,
@@ -344,12 +344,12 @@
 
 impl Stage {
     /// The router is made on its own host, whose clock it goes by.
-    pub async fn new(world: Arc<World>, cast: Cast, routes: Vec<Route>, acts: &[Act]) -> Self {
+    pub async fn new(world: Arc<Simulation>, cast: Cast, routes: Vec<Route>, acts: &[Act]) -> Self {
         let made = Self::on_its_host(world, cast, routes, acts.to_vec());
         spawn_at(IpAddr::from(ROUTER), made).await.expect("a stage")
     }
 
-    async fn on_its_host(world: Arc<World>, cast: Cast, routes: Vec<Route>, acts: Vec<Act>) -> Self {
+    async fn on_its_host(world: Arc<Simulation>, cast: Cast, routes: Vec<Route>, acts: Vec<Act>) -> Self {
         let (set, clock) = (settings(), Clock::default());
         let info = NodeInfo::of(&set, Role::Router, Incarnation(1));
         let mut l = ClusterState::bootstrapped("line", vec![]);
@@ -580,7 +580,7 @@
     acts: &[Act],
     f: impl FnOnce(Arc<Stage>) -> F,
 ) {
-    World::run(seed, None, |w| async move {
+    Simulation::run(seed, None, |w| async move {
         let stage = Arc::new(Stage::new(w, cast, routes, acts).await);
         f(stage.clone()).await;
         stage.at_rest().await;
--- a/crates/foldshunt-admin/src/main.rs
+++ b/crates/foldshunt-admin/src/main.rs
@@ -189,9 +189,9 @@
             for f in v["flaws"].as_array().into_iter().flatten() {
                 eprintln!("{}:{}: {}", f["line"], f["column"], f["message"].as_str().unwrap_or(""));
             }
-            common::fault::print(&format!("{v:#}\n"));
+            common::error::print(&format!("{v:#}\n"));
         }
-        None => common::fault::print(&text),
+        None => common::error::print(&text),
     }
     Ok(exit_code(code))
 }
--- a/crates/foldshunt-check/src/lib.rs
+++ b/crates/foldshunt-check/src/lib.rs
@@ -53,7 +53,8 @@
 pub enum Weight {
     Note,
     Warning,
-    Fault,
+    #[serde(rename = "fault")]
+    PeerError,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -80,7 +81,7 @@
             .map(|f| Finding {
                 line: Some(f.line),
                 column: Some(f.column),
-                ..found(Weight::Fault, check, f.message)
+                ..found(Weight::PeerError, check, f.message)
             })
             .collect()
     };
@@ -89,7 +90,7 @@
         Ok(t) => {
             if t.cluster != st.cluster {
                 let msg = format!("the document is for cluster {:?}, this is {:?}", t.cluster, st.cluster);
-                out.push(found(Weight::Fault, "cluster", msg));
+                out.push(found(Weight::PeerError, "cluster", msg));
             }
             let live: Vec<(Service, Zone)> = live(st).map(|r| (r.service.clone(), r.zone.clone())).collect();
             out.extend(flawed("homes", check_fleet(src, &t, &live)));
@@ -181,7 +182,7 @@
 fn nodes(st: &Status) -> Vec<Finding> {
     let mut out = Vec::new();
     if st.leader.is_none() {
-        out.push(found(Weight::Fault, "core", "no leader: no change can be accepted now".into()));
+        out.push(found(Weight::PeerError, "core", "no leader: no change can be accepted now".into()));
     }
     for h in st.voters.iter().filter(|h| !st.members.iter().any(|m| m.node == h.node)) {
         let msg = format!("seat holder {} holds no tenure: one more loss stops all changes", h.node);
@@ -197,7 +198,7 @@
             m.lang,
             configuration::LANG
         );
-        out.push(found(Weight::Fault, "too old", msg));
+        out.push(found(Weight::PeerError, "too old", msg));
     }
     out
 }
@@ -205,7 +206,7 @@
 /// For scripts: 0 nothing but notes, 2 faults, 3 warnings.
 pub fn exit_code(f: &[Finding]) -> u8 {
     match f.iter().map(|x| x.weight).max() {
-        Some(Weight::Fault) => 2,
+        Some(Weight::PeerError) => 2,
         Some(Weight::Warning) => 3,
         _ => 0,
     }
--- a/crates/foldshunt-check/src/main.rs
+++ b/crates/foldshunt-check/src/main.rs
@@ -1,7 +1,7 @@
 //! `foldshunt-check`: taps a document against the live fleet and changes nothing (design 4.9).
 
 use bpaf::Bpaf;
-use common::{fault::print, http::ask_in_turn};
+use common::{error::print, http::ask_in_turn};
 use eyre::{Result, WrapErr, bail};
 use foldshunt_check::{Finding, Status, exit_code, tap};
 use hyper::Method;
--- a/crates/foldshunt-check/tests/tap.rs
+++ b/crates/foldshunt-check/tests/tap.rs
@@ -62,7 +62,7 @@
     let f = tap(&DOC.replace("to contacts;", "to nowhere;"), &status());
     let x = f.iter().find(|x| x.message.contains("nowhere")).unwrap();
     let at = DOC.lines().position(|l| l.contains("to contacts;")).unwrap() + 1;
-    assert_eq!((x.weight, x.line), (Weight::Fault, Some(at)));
+    assert_eq!((x.weight, x.line), (Weight::PeerError, Some(at)));
 }
 
 /// A tenant fenced in one region and an entry fenced in another: found before a caller is told 403.
--- a/crates/foldshunt-control/src/main.rs
+++ b/crates/foldshunt-control/src/main.rs
@@ -3,7 +3,7 @@
 use bpaf::Bpaf;
 use common::{
     logging,
-    settings::{Flags, Settings, flags, shutdown_signal},
+    settings::{Flags, Settings, flags, shutdown_signal, warn_deprecated},
 };
 use control_plane::{control_node::open_data_folder, daemon, operator::api};
 use eyre::Result;
@@ -18,14 +18,16 @@
 
 #[tokio::main]
 async fn main() -> std::process::ExitCode {
-    common::fault::ended(run().await)
+    common::error::exit_code(run().await)
 }
 
 async fn run() -> Result<()> {
-    let set = Settings::read(&opts().run().flags)?;
-    logging::start(&set.node, &set.log);
-    let bound = set.bind().await?;
-    let folder = open_data_folder(&set)?;
-    daemon::run(set, 0, bound, folder, api::handle, shutdown_signal()?).await;
+    let flags = opts().run().flags;
+    let settings = Settings::read(&flags)?;
+    logging::start(&settings.node, &settings.log);
+    warn_deprecated(&flags);
+    let listeners = settings.bind().await?;
+    let folder = open_data_folder(&settings)?;
+    daemon::run(settings, 0, listeners, folder, api::handle, shutdown_signal()?).await;
     Ok(())
 }
--- a/crates/foldshunt-router/src/main.rs
+++ b/crates/foldshunt-router/src/main.rs
@@ -3,11 +3,11 @@
 use bpaf::Bpaf;
 use common::{
     logging,
-    settings::{Flags, Settings, flags, shutdown_signal},
+    settings::{Flags, Settings, flags, shutdown_signal, warn_deprecated},
 };
 use eyre::Result;
 
-/// Router of a foldshunt cluster: serves callers by placements, homes and lending passes.
+/// Router of a foldshunt cluster: serves clients by placement, home regions and capacity grants
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Opts {
@@ -17,13 +17,15 @@
 
 #[tokio::main]
 async fn main() -> std::process::ExitCode {
-    common::fault::ended(run().await)
+    common::error::exit_code(run().await)
 }
 
 async fn run() -> Result<()> {
-    let set = Settings::read(&opts().run().flags)?;
-    logging::start(&set.node, &set.log);
-    let bound = set.bind().await?;
-    data_plane::daemon::run(set, bound, shutdown_signal()?).await;
+    let flags = opts().run().flags;
+    let settings = Settings::read(&flags)?;
+    logging::start(&settings.node, &settings.log);
+    warn_deprecated(&flags);
+    let listeners = settings.bind().await?;
+    data_plane::daemon::run(settings, listeners, shutdown_signal()?).await;
     Ok(())
 }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -10,7 +10,7 @@
     standin::{Shape, StandIn},
     timeline::Scene,
 };
-use common::{http::ask, runtime::World};
+use common::{http::ask, runtime::Simulation};
 use control_plane::types::SizeLimits;
 use eyre::{Result, eyre};
 use hyper::Method;
@@ -43,7 +43,7 @@
     }
 
     /// The same nodes on hosts of a world.
-    pub async fn hosted(w: Arc<World>, dep: Deployment) -> Result<Fleet> {
+    pub async fn hosted(w: Arc<Simulation>, dep: Deployment) -> Result<Fleet> {
         Self::start_in(Yard::World(w), dep, Path::new("nowhere"), 10).await
     }
 
@@ -150,14 +150,14 @@
     pub fn cut(&self, whom: &str) {
         match &self.yard {
             Yard::Programs(_) => self.relays.cut(self.pairs(whom)),
-            Yard::World(w) => w.cut(self.pairs(whom)),
+            Yard::World(w) => w.partition(self.pairs(whom)),
         }
     }
 
     pub fn mend(&self, whom: &str) {
         match &self.yard {
             Yard::Programs(_) => self.relays.mend(&self.pairs(whom)),
-            Yard::World(w) => w.mend(&self.pairs(whom)),
+            Yard::World(w) => w.heal(&self.pairs(whom)),
         }
     }
 
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -6,7 +6,7 @@
     sim::disk::{Mood, SimDisk},
 };
 use common::{
-    runtime::{Host, World, bind, spawn_at},
+    runtime::{Host, Simulation, bind, spawn_at},
     settings::Listeners,
 };
 use control_plane::{
@@ -24,7 +24,7 @@
 
 pub struct Hosted {
     pub host: Arc<Host>,
-    world: Arc<World>,
+    world: Arc<Simulation>,
     stop: oneshot::Sender<()>,
     task: JoinHandle<()>,
 }
@@ -34,7 +34,7 @@
 }
 
 impl Hosted {
-    pub fn start(w: &Arc<World>, n: &Node) -> Hosted {
+    pub fn start(w: &Arc<Simulation>, n: &Node) -> Hosted {
         let (stop, told) = oneshot::channel();
         let (set, core, disk) = (n.settings(), n.core, n.disk.clone());
         let (ip, world) = (n.ip, w.clone());
@@ -69,7 +69,7 @@
     fn crash(&self, disk: &Mutex<SimDisk>) {
         let mut d = lock(disk);
         let n = d.pending.len();
-        let reached = if n == 0 { 0 } else { self.world.chance().random_range(0..=n) };
+        let reached = if n == 0 { 0 } else { self.world.rng().random_range(0..=n) };
         d.crash(reached);
     }
 
@@ -123,7 +123,7 @@
     core: Weak<ControlNode>,
     disk: Arc<Mutex<SimDisk>>,
     ip: IpAddr,
-    world: Arc<World>,
+    world: Arc<Simulation>,
 }
 
 impl LogWriter for WorldDrive {
@@ -134,8 +134,8 @@
                 panic!("{e}");
             }
             match d.mood {
-                Mood::Slow => self.world.chance().random_range(100..900),
-                _ => self.world.chance().random_range(1..8),
+                Mood::Slow => self.world.rng().random_range(100..900),
+                _ => self.world.rng().random_range(1..8),
             }
         };
         let (core, disk) = (self.core.clone(), self.disk.clone());
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -139,7 +139,7 @@
 
 #[tokio::main]
 async fn main() -> std::process::ExitCode {
-    common::fault::ended(go().await)
+    common::error::exit_code(go().await)
 }
 
 async fn go() -> Result<()> {
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -34,7 +34,7 @@
 pub enum Yard {
     /// As processes, from the programs in this folder.
     Programs(PathBuf),
-    World(Arc<common::runtime::World>),
+    World(Arc<common::runtime::Simulation>),
 }
 
 pub struct Node {
--- a/crates/simulator/src/scale/hollow.rs
+++ b/crates/simulator/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use common::{
     Clock, Incarnation, JobId,
-    runtime::{Host, World, bind, draw, random_in},
+    runtime::{Host, Simulation, bind, random, random_in},
     settings::Settings,
 };
 use control_plane::{Role, membership::Member, types::NodeInfo};
@@ -25,7 +25,7 @@
 }
 
 impl Hollow {
-    pub async fn start(w: &Arc<World>, n: &Node, lay: &Layout) -> Result<Hollow> {
+    pub async fn start(w: &Arc<Simulation>, n: &Node, lay: &Layout) -> Result<Hollow> {
         let (tell, told) = oneshot::channel();
         let (set, lay) = (n.settings(), *lay);
         let host = w.host(n.ip);
@@ -42,7 +42,7 @@
 
 /// As `data_plane::daemon::run` does it, up to the listener for callers.
 fn stand(set: Settings, rpc_addr: common::runtime::Listener) -> Arc<Router> {
-    let info = NodeInfo::of(&set, Role::Router, Incarnation(draw::<u64>() >> 1));
+    let info = NodeInfo::of(&set, Role::Router, Incarnation(random::<u64>() >> 1));
     let clock = Clock::default();
     let member = Member::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member, clock);
@@ -58,7 +58,7 @@
     }
     let users = (lay.requests * USERS) as usize + 1;
     loop {
-        let gap = -(1.0 - draw::<f64>()).ln() / rate;
+        let gap = -(1.0 - random::<f64>()).ln() / rate;
         tokio::time::sleep(Duration::from_secs_f64(gap)).await;
         let Some(governing) = r.governing.load_full() else { continue };
         let n = random_in(0..governing.table.entries.len());
--- a/crates/simulator/src/scale/rows.rs
+++ b/crates/simulator/src/scale/rows.rs
@@ -2,7 +2,7 @@
 
 use super::hollow::Hollow;
 use common::{
-    runtime::{Calls, Kind, Traffic},
+    runtime::{CallKind, Calls, Traffic},
     wire::encode,
 };
 use serde::Serialize;
@@ -39,7 +39,7 @@
     for ip in ips {
         let mut mine = 0;
         for (side, from) in [(&t.from, true), (&t.to, false)] {
-            let none: Kind = ("", "");
+            let none: CallKind = ("", "");
             for ((_, k), c) in side.range((*ip, none)..).take_while(|((i, _), _)| i == ip) {
                 mine += 2 * c.calls - c.failed;
                 note(out.kinds.entry(format!("{}.{}", k.0, k.1)).or_default(), c, from, part);
@@ -63,7 +63,7 @@
         r.calls_to += calls
     }
     r.failed_from += if from { c.failed as f64 * part } else { 0.0 };
-    r.bytes += (c.asked + c.told) as f64 * part;
+    r.bytes += (c.request_bytes + c.response_bytes) as f64 * part;
 }
 
 /// What one singleton role is asked, a second: homes are asked for figures, owners settle, lenders grant.
@@ -103,7 +103,8 @@
             held.iter().for_each(|n| *by.entry(n).or_default() += 1);
             let served =
                 t.to.iter().filter(|((_, k), _)| *k == (data_plane::rpc::SERVICE, step)).map(|(_, c)| c);
-            let (calls, bytes) = served.fold((0, 0), |a, c| (a.0 + c.calls, a.1 + c.asked + c.told));
+            let (calls, bytes) =
+                served.fold((0, 0), |a, c| (a.0 + c.calls, a.1 + c.request_bytes + c.response_bytes));
             let part = 1.0 / secs / held.len().max(1) as f64;
             DutyRow {
                 singleton,
--- a/crates/simulator/src/scale/run.rs
+++ b/crates/simulator/src/scale/run.rs
@@ -13,7 +13,7 @@
     operator::Operator,
     standin::StandIn,
 };
-use common::runtime::World;
+use common::runtime::Simulation;
 use eyre::{Result, ensure, eyre};
 use serde::Serialize;
 use std::{
@@ -60,11 +60,9 @@
 
 pub fn one(p: &ScalePlan, nodes: usize) -> Result<SizeRow> {
     let before = usage::resident(std::process::id()).unwrap_or(0);
-    World::run(
-        p.seed,
-        p.broken.clone(),
-        |w| async move { Open::at(p, nodes, w).await?.measure(p, before).await },
-    )
+    Simulation::run(p.seed, p.broken.clone(), |w| async move {
+        Open::at(p, nodes, w).await?.measure(p, before).await
+    })
 }
 
 struct Open {
@@ -102,7 +100,7 @@
 }
 
 impl Open {
-    async fn at(p: &ScalePlan, nodes: usize, w: Arc<World>) -> Result<Open> {
+    async fn at(p: &ScalePlan, nodes: usize, w: Arc<Simulation>) -> Result<Open> {
         let lay = Layout::of(p, nodes);
         let mut voters = lay.fleet(Path::new("nowhere"));
         let routers = voters.split_off(VOTERS);
@@ -150,7 +148,7 @@
     }
 
     async fn measure(mut self, p: &ScalePlan, before: u64) -> Result<SizeRow> {
-        let w = common::runtime::world().ok_or_else(|| eyre!("no world"))?;
+        let w = common::runtime::simulation().ok_or_else(|| eyre!("no world"))?;
         let (lay, span) = (self.lay, Duration::from_secs_f64(p.seconds));
         // Figures, passes and placements are there after a full set of checks.
         sleep(Duration::from_secs(5)).await;
--- a/crates/simulator/src/standin.rs
+++ b/crates/simulator/src/standin.rs
@@ -152,14 +152,14 @@
 
     /// Goes dark: nothing is closed, nothing answers. A stand-in beside real processes can only crash.
     pub fn mute(&self) {
-        match common::runtime::world() {
+        match common::runtime::simulation() {
             Some(w) => w.host(self.addr.ip()).power_off(),
             None => self.crash(),
         }
     }
 
     pub async fn unmute(self: &Arc<Self>) -> std::io::Result<()> {
-        if let Some(w) = common::runtime::world() {
+        if let Some(w) = common::runtime::simulation() {
             self.crash();
             tokio::time::sleep(Duration::from_millis(1)).await;
             w.power_on(self.addr.ip());
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -9,7 +9,7 @@
     fleet::Fleet,
     run::run,
 };
-use common::runtime::World;
+use common::runtime::Simulation;
 use eyre::{Result, bail};
 use std::{
     str::FromStr,
@@ -66,7 +66,7 @@
     }
     let load = Load { secs: p.seconds, rate: p.rate, seed, crowd: None };
     let broken = p.broken.as_ref().map(|b| b.0.to_string());
-    World::run(seed, broken, |w| async move {
+    Simulation::run(seed, broken, |w| async move {
         let mut f = Fleet::hosted(w, dep).await?;
         let res = run(&mut f, &load, 11.0, &faults).await;
         f.stop().await;
