--- a/crates/common/src/ids.rs
+++ b/crates/common/src/ids.rs
@@ -78,7 +78,7 @@
     /// Who a request belongs to.
     Tenant,
     /// One request, from the client's router to the replica's log.
-    JobId,
+    RequestId,
     /// An operator's own name for one change, so that sending it again is idempotent.
     OpId,
 }
--- a/crates/configuration/src/doc.rs
+++ b/crates/configuration/src/doc.rs
@@ -69,20 +69,31 @@
     /// Largest share of a region's headroom that it lends out.
     pub lend_share: f64,
     /// Life of a lending pass.
-    pub pass_ms: u64,
+    #[serde(rename = "pass_ms")]
+    pub grant_ms: u64,
     /// Goes beyond the first, as a share of jobs.
-    pub extra_goes: f64,
+    #[serde(rename = "extra_goes")]
+    pub retry_ratio: f64,
     /// Jobs that may wait in one router.
-    pub waitlist: usize,
+    #[serde(rename = "waitlist")]
+    pub queue: usize,
     /// Time over which a cold replica's concurrency ramps up.
-    pub warm_ms: u64,
+    #[serde(rename = "warm_ms")]
+    pub slow_start_ms: u64,
     /// Concurrency of a replica that names no capacity.
     pub slots: u32,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
-        Self { lend_share: 0.5, pass_ms: 3_000, extra_goes: 0.2, waitlist: 64, warm_ms: 10_000, slots: 4 }
+        Self {
+            lend_share: 0.5,
+            grant_ms: 3_000,
+            retry_ratio: 0.2,
+            queue: 64,
+            slow_start_ms: 10_000,
+            slots: 4,
+        }
     }
 }
 
@@ -112,10 +123,10 @@
     pub fn faults(&self) -> Vec<(&'static str, String)> {
         let ranged = [
             ("lend_share", self.lend_share, 0.0, 1.0),
-            ("extra_goes", self.extra_goes, 0.0, 0.2),
-            ("pass_ms", self.pass_ms as f64, 500.0, 60_000.0),
-            ("warm_ms", self.warm_ms as f64, 0.0, 600_000.0),
-            ("waitlist", self.waitlist as f64, 0.0, 100_000.0),
+            ("extra_goes", self.retry_ratio, 0.0, 0.2),
+            ("pass_ms", self.grant_ms as f64, 500.0, 60_000.0),
+            ("warm_ms", self.slow_start_ms as f64, 0.0, 600_000.0),
+            ("waitlist", self.queue as f64, 0.0, 100_000.0),
             ("slots", f64::from(self.slots), 1.0, 10_000.0),
         ];
         ranged
--- a/crates/data-plane/src/go.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One go at a replica or at a router of another region (design 6.1, 6.2): what is certain
 //! afterwards decides whether another go is allowed.
 
-use crate::body::{Passing, ends_surely};
+use crate::response_body::{Passing, ends_surely};
 use bytes::Bytes;
 use common::{
     PeerError,
@@ -14,11 +14,11 @@
     time::Duration,
 };
 
-/// What is known after a go.
+/// What is known after an attempt.
 pub enum Outcome {
     /// The upstream answered; from here on its bytes pass through.
     Done(Response<Body>),
-    /// Not one byte of the job was sent, or the other side said that it did not run it.
+    /// Not one byte of the request was sent, or the other side said that it did not run it.
     NotRun(PeerError),
     /// It may have run.
     Unknown(PeerError),
@@ -26,7 +26,7 @@
 
 /// What is sent, the same for each go.
 #[derive(Clone)]
-pub struct Sent {
+pub struct OutgoingRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
@@ -61,25 +61,25 @@
     own.iter().for_each(|n| drop(h.remove(n)));
 }
 
-/// Where a go leads, and for how long it may take.
-pub struct Way<'a> {
+/// Where an attempt leads, and for how long it may take.
+pub struct AttemptTarget<'a> {
     pub ip: IpAddr,
     pub to: SocketAddr,
     pub connect_ms: u64,
     pub left_ms: u64,
     /// Looked at last, before the first byte is sent: why the go may not be made any more.
-    pub barred: &'a (dyn Fn() -> Option<&'static str> + Send + Sync),
+    pub forbidden: &'a (dyn Fn() -> Option<&'static str> + Send + Sync),
 }
 
 /// One go over a fresh connection. `kept` lives until the last byte has passed through.
 pub async fn go<K: Send + Sync + Unpin + 'static>(
-    way: Way<'_>,
-    sent: &Sent,
+    way: AttemptTarget<'_>,
+    sent: &OutgoingRequest,
     extra: &[(&'static str, String)],
     kept: K,
 ) -> Outcome {
     let step = "go";
-    let Way { ip, to, connect_ms, left_ms, barred } = way;
+    let AttemptTarget { ip, to, connect_ms, left_ms, forbidden } = way;
     let mut tx = match open(ip, to, connect_ms.min(left_ms.max(1))).await {
         Ok(tx) => tx,
         Err(e) => return Outcome::NotRun(e),
@@ -102,7 +102,7 @@
         Err(e) => return Outcome::NotRun(e),
     };
     // Much may have passed since the plan: this process was frozen, or the world went on.
-    if let Some(why) = barred() {
+    if let Some(why) = forbidden() {
         return Outcome::NotRun(PeerError::new("last look", to, why));
     }
     // From here on bytes may have left: every failure is "unknown".
--- a/crates/data-plane/src/lend.rs
+++ b/crates/data-plane/src/capacity_grant.rs
@@ -1,12 +1,12 @@
-//! Lending passes (design 5.5): no input or output. A lender hands out a share of measured
-//! headroom; a purse holds what was handed out; each pick elsewhere uses one.
+//! Lending grants (design 5.5): no input or output. A grant issuer hands out a share of measured
+//! headroom; a held grants holds what was handed out; each pick elsewhere uses one.
 
 use common::{FencingToken, NodeId, Region, Service, Tick};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pass {
+pub struct CapacityGrant {
     pub region: Region,
     pub service: Service,
     #[serde(rename = "fence")]
@@ -18,7 +18,7 @@
 
 /// One use of a pass, shown to the lending region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spent {
+pub struct GrantUse {
     pub region: Region,
     pub service: Service,
     #[serde(rename = "fence")]
@@ -36,16 +36,16 @@
 
 /// Held by the one router that lends for a region, under its fencing token.
 #[derive(Clone, Debug, Default)]
-pub struct Lender {
+pub struct GrantIssuer {
     pub fencing_token: FencingToken,
     serial: u64,
     well_since: Option<Tick>,
     grants: BTreeMap<(Service, NodeId), Grant>,
-    /// Passes used lately: room that is spoken for but not yet in the figures.
+    /// Passes used lately: room that is spoken for but not yet in the load reports.
     used: BTreeMap<Service, Vec<Tick>>,
 }
 
-impl Lender {
+impl GrantIssuer {
     /// A new fencing token voids all that was granted under the old one, and wellness starts anew.
     pub fn under(&mut self, fencing_token: FencingToken) {
         if fencing_token != self.fencing_token {
@@ -76,7 +76,7 @@
         askers: usize,
         life_ms: u64,
         now: Tick,
-    ) -> Option<Pass> {
+    ) -> Option<CapacityGrant> {
         let at = (service.clone(), node.clone());
         self.grants.remove(&at);
         self.grants.retain(|_, g| g.until > now);
@@ -93,11 +93,11 @@
         let serial = self.serial;
         self.grants.insert(at, Grant { serial, left: count, until: now + life_ms });
         let (region, service, fencing_token) = (region.clone(), service.clone(), self.fencing_token);
-        Some(Pass { region, service, fencing_token, serial, count, life_ms })
+        Some(CapacityGrant { region, service, fencing_token, serial, count, life_ms })
     }
 
-    /// The lender's last word on one use.
-    pub fn redeem(&mut self, s: &Spent, now: Tick) -> Result<(), &'static str> {
+    /// The grant issuer's last word on one use.
+    pub fn redeem(&mut self, s: &GrantUse, now: Tick) -> Result<(), &'static str> {
         if s.fencing_token != self.fencing_token {
             return Err("stale fence");
         }
@@ -118,11 +118,11 @@
 
 /// What a router has in hand.
 #[derive(Clone, Debug, Default)]
-pub struct Purse(BTreeMap<(Region, Service), (Pass, Tick)>);
+pub struct HeldGrants(BTreeMap<(Region, Service), (CapacityGrant, Tick)>);
 
-impl Purse {
+impl HeldGrants {
     /// `asked` is when the pass was asked for: life is counted from before it was granted.
-    pub fn put(&mut self, region: &Region, service: &Service, pass: Option<Pass>, asked: Tick) {
+    pub fn put(&mut self, region: &Region, service: &Service, pass: Option<CapacityGrant>, asked: Tick) {
         let at = (region.clone(), service.clone());
         match pass {
             Some(p) => {
@@ -139,10 +139,16 @@
         self.0.get(&(region.clone(), service.clone())).is_some_and(|(p, until)| p.count > 0 && *until > now)
     }
 
-    pub fn spend(&mut self, region: &Region, service: &Service, node: &NodeId, now: Tick) -> Option<Spent> {
+    pub fn spend(
+        &mut self,
+        region: &Region,
+        service: &Service,
+        node: &NodeId,
+        now: Tick,
+    ) -> Option<GrantUse> {
         let (p, until) = self.0.get_mut(&(region.clone(), service.clone()))?;
         (p.count > 0 && *until > now).then(|| p.count -= 1)?;
-        Some(Spent {
+        Some(GrantUse {
             region: region.clone(),
             service: service.clone(),
             fencing_token: p.fencing_token,
--- a/crates/data-plane/src/cut.rs
+++ b/crates/data-plane/src/contact.rs
@@ -2,9 +2,9 @@
 //! newer state updates from peers.
 
 use crate::{
-    digest::Happened,
     router::{Router, lock},
     rpc::{RouterRequest, RouterResponse},
+    summary::EventKind,
 };
 use common::{Index, NodeId};
 use control_plane::{Role, rpc as signal};
@@ -13,13 +13,13 @@
 
 impl Router {
     /// Answered, within a lease's length, a hail from here.
-    pub fn hears(&self, n: &NodeId) -> bool {
+    pub fn is_reachable(&self, n: &NodeId) -> bool {
         let now = self.now();
-        lock(&self.heard).get(n).is_some_and(|t| now.since(*t) <= self.set.timing.lease_ms)
+        lock(&self.last_contacts).get(n).is_some_and(|t| now.since(*t) <= self.set.timing.lease_ms)
     }
 
     /// Without a lease, and without a majority of the last known members: new work is rejected.
-    /// With that majority it is the core that is out, and traffic goes on.
+    /// With that majority it is the core that is out, and traffic attempts on.
     pub fn cut_off(&self) -> bool {
         if !self.member.caught_up() {
             return true;
@@ -29,12 +29,12 @@
         }
         let l = self.cluster_state();
         let all = l.members.len();
-        let heard = l.members.keys().filter(|n| **n == *self.node() || self.hears(n)).count();
-        heard * 2 <= all
+        let last_contacts = l.members.keys().filter(|n| **n == *self.node() || self.is_reachable(n)).count();
+        last_contacts * 2 <= all
     }
 
     /// Why this node takes no new work now (design 3.5, 3.6).
-    pub fn standing(&self) -> Option<&'static str> {
+    pub fn refuses_work(&self) -> Option<&'static str> {
         let l = self.cluster_state();
         let newer = self.governing.load().as_ref().is_none_or(|g| g.revision < l.revision);
         [
@@ -47,13 +47,13 @@
         .find_map(|(no, why)| no.then_some(why))
     }
 
-    pub async fn hail(self: Arc<Self>) {
+    pub async fn send_heartbeats(self: Arc<Self>) {
         let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.renew_interval_ms()));
         wakeup.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             wakeup.tick().await;
             let l = self.cluster_state();
-            self.note_standing();
+            self.record_contact();
             let turns = if common::mutation::enabled("hails-squared") { l.members.len() / 4 } else { 1 };
             let others = l.members.values().filter(|m| m.info.node != *self.node());
             for m in others.flat_map(|m| std::iter::repeat_n(m, turns)) {
@@ -64,11 +64,11 @@
                     let to = m.info.rpc_addr;
                     let index = match m.info.role {
                         Role::Router => {
-                            match me.lines.call("hail", to, RouterRequest::Hail { index }).await {
-                                Ok(RouterResponse::Hailed { index, incarnation, fit })
+                            match me.lines.call("hail", to, RouterRequest::Heartbeat { index }).await {
+                                Ok(RouterResponse::HeartbeatAck { index, incarnation, fit })
                                     if incarnation == m.info.incarnation =>
                                 {
-                                    let mut g = lock(&me.unfit);
+                                    let mut g = lock(&me.refusing);
                                     if fit {
                                         g.remove(&m.info.node)
                                     } else {
@@ -78,7 +78,7 @@
                                 }
                                 // Nothing listens there any more: no need to wait until it is missed.
                                 Err(e) if e.is_refused() => {
-                                    lock(&me.heard).remove(&m.info.node);
+                                    lock(&me.last_contacts).remove(&m.info.node);
                                     None
                                 }
                                 _ => None,
@@ -93,42 +93,42 @@
                         }
                     };
                     if let Some(index) = index {
-                        me.hear(m.info.node.clone(), asked);
+                        me.note_contact(m.info.node.clone(), asked);
                         if m.info.role == Role::Router {
-                            me.news_from(to, index).await;
+                            me.fetch_state_from(to, index).await;
                         }
                     }
                 });
             }
             let (purged, now) = (self.set.timing.lease_ms * 10, self.now());
-            lock(&self.heard).retain(|_, t| now.since(*t) < purged);
-            lock(&self.tab).sweep(now);
+            lock(&self.last_contacts).retain(|_, t| now.since(*t) < purged);
+            lock(&self.placements).sweep(now);
         }
     }
 
-    fn hear(&self, n: NodeId, asked: common::Tick) {
-        let mut heard = lock(&self.heard);
+    fn note_contact(&self, n: NodeId, asked: common::Tick) {
+        let mut last_contacts = lock(&self.last_contacts);
         if common::mutation::enabled("hears-by-pair") {
             let by = |m: &NodeId| NodeId::new(format!("{n}/{m}"));
-            heard.extend(self.cluster_state().members.keys().map(|m| (by(m), asked)));
+            last_contacts.extend(self.cluster_state().members.keys().map(|m| (by(m), asked)));
         }
-        heard.insert(n, asked);
+        last_contacts.insert(n, asked);
     }
 
     /// Changes of the own standing go into the journal.
-    fn note_standing(&self) {
+    fn record_contact(&self) {
         let (cut, epoch) = (self.cut_off(), self.member.lease().epoch);
         let d = self.event_log.with(|d| (d.cut_off, d.epoch));
         if d.0 != cut {
-            self.happened(Happened::CutOff(cut));
+            self.record_event(EventKind::CutOff(cut));
         }
         if d.1 < epoch {
-            self.happened(Happened::Member(epoch));
+            self.record_event(EventKind::Member(epoch));
         }
     }
 
     /// A peer that has seen more tells it; an older state is never installed.
-    async fn news_from(&self, peer: std::net::SocketAddr, index: Index) {
+    async fn fetch_state_from(&self, peer: std::net::SocketAddr, index: Index) {
         let have = self.cluster_state().index;
         if index <= have {
             return;
@@ -148,7 +148,7 @@
             (self.draining.load(Ordering::Acquire), "draining"),
             (self.cut_off(), "cut off"),
             (self.member.lags(), "lags behind the core"),
-            (self.standing() == Some("document not readable"), "document not readable"),
+            (self.refuses_work() == Some("document not readable"), "document not readable"),
             (l.evacuated.contains(self.zone()), "area evacuated"),
         ]
         .into_iter()
@@ -168,16 +168,16 @@
             ("tenured", i64::from(self.member.has_lease())),
             ("cut_off", i64::from(self.cut_off())),
             ("lags", i64::from(self.member.lags())),
-            ("unreadable", i64::from(self.standing() == Some("document not readable"))),
+            ("unreadable", i64::from(self.refuses_work() == Some("document not readable"))),
             ("index", l.index.0 as i64),
             ("revision", self.member.revision_in_force.load(Ordering::Acquire) as i64),
             ("open_jobs", self.open_count.open() as i64),
-            ("waitlist", lock(&self.waitlist).len() as i64),
-            ("table_rows", lock(&self.tab).len() as i64),
+            ("waitlist", lock(&self.queue).len() as i64),
+            ("table_rows", lock(&self.placements).len() as i64),
         ]);
         for (k, v) in vals {
-            self.numbers.state.with_label_values(&[k]).set(v);
+            self.counters.state.with_label_values(&[k]).set(v);
         }
-        self.numbers.metrics.text()
+        self.counters.metrics.text()
     }
 }
--- a/crates/data-plane/src/numbers.rs
+++ b/crates/data-plane/src/counters.rs
@@ -3,22 +3,22 @@
 use common::metrics::Metrics;
 use prometheus::{IntCounterVec, IntGaugeVec};
 
-pub struct Numbers {
+pub struct Counters {
     pub metrics: Metrics,
     pub jobs: IntCounterVec,
-    pub goes: IntCounterVec,
+    pub attempts: IntCounterVec,
     pub rejections: IntCounterVec,
     pub placements: IntCounterVec,
     pub passes: IntCounterVec,
     pub state: IntGaugeVec,
 }
 
-impl Default for Numbers {
+impl Default for Counters {
     fn default() -> Self {
         let m = Metrics::default();
         Self {
             jobs: m.counter("jobs_total", "Jobs by entry and outcome", &["entry", "outcome"]),
-            goes: m.counter("goes_total", "Goes by kind: first, extra, hop", &["kind"]),
+            attempts: m.counter("goes_total", "Goes by kind: first, extra, hop", &["kind"]),
             rejections: m.counter("bounces_total", "Bounces by reason", &["reason"]),
             placements: m.counter("placements_total", "Placements by how they were found", &["how"]),
             passes: m.counter("passes_total", "Lending passes by what became of them", &["what"]),
@@ -28,7 +28,7 @@
     }
 }
 
-impl Numbers {
+impl Counters {
     pub fn reject(&self, reason: &str) {
         self.rejections.with_label_values(&[reason]).inc();
     }
--- a/crates/data-plane/src/daemon.rs
+++ b/crates/data-plane/src/daemon.rs
@@ -20,7 +20,7 @@
     let member = Member::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock.clone());
     router.start(&set, listeners.rpc);
-    let (tell, told) = watch::channel(false);
+    let (announce_prompt, told) = watch::channel(false);
     let (conns, r) = (Arc::new(http::OpenCount::default()), router.clone());
     let serving =
         spawn(http::serve(listeners.http, conns.clone(), told, move |peer, req| r.clone().handle(peer, req)));
@@ -32,7 +32,7 @@
     router.draining.store(true, Ordering::Release);
     member.leave().await;
     tokio::time::sleep(Duration::from_millis(set.timing.renew_interval_ms())).await;
-    let _ = tell.send(true);
+    let _ = announce_prompt.send(true);
     let _ = serving.await;
     let drain_ms = if common::mutation::enabled("no-drain") { 0 } else { set.timing.drain_ms };
     let end = clock.now() + drain_ms;
--- a/crates/data-plane/src/carry.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -1,10 +1,10 @@
-//! Carrying out a plan (design 6.2): goes in turn, each only where the one before allows it.
+//! Carrying out a plan (design 6.2): attempts in turn, each only where the one before allows it.
 
 use crate::{
-    again::{After, may_go_again},
-    edge::{rejected, unknown},
-    go::{Outcome, Sent, Way, go},
+    attempt::{AttemptTarget, Outcome, OutgoingRequest, go},
+    gateway::{rejected, unknown},
     plan::Plan,
+    retry_policy::{After, may_retry},
     router::{Router, lock},
 };
 use common::{
@@ -21,17 +21,17 @@
     time::Duration,
 };
 
-/// The part of its deadline that a job may spend on the waitlist.
+/// The part of its deadline that a request may spend on the request queue.
 const WAIT_RATIO: u64 = 8;
 
 /// What went before, as far as the next go must know it.
 #[derive(Default)]
 pub(crate) struct Past {
-    pub goes: u32,
+    pub attempts: u32,
     pub avoid: BTreeSet<Region>,
     pub tried: Vec<ReplicaId>,
     pub routers: Vec<String>,
-    /// An earlier go that may have run: from then on the job is never called rejected.
+    /// An earlier go that may have run: from then on the request is never called rejected.
     pub maybe: Option<PeerError>,
     pub wait_until: Option<Tick>,
 }
@@ -48,27 +48,32 @@
 }
 
 impl Router {
-    pub async fn carry(self: &Arc<Self>, p: &Plan, sent: &Sent, open: OpenGuard) -> Response<Body> {
-        let share = p.governing.table.tuning.extra_goes;
+    pub async fn carry(
+        self: &Arc<Self>,
+        p: &Plan,
+        sent: &OutgoingRequest,
+        open: OpenGuard,
+    ) -> Response<Body> {
+        let share = p.governing.table.tuning.retry_ratio;
         if !p.inner {
             self.budget.earn(share);
         }
         let mut past = Past::default();
-        // Each go keeps a part of it, so that the job counts as open once, to its last byte.
+        // Each go keeps a part of it, so that the request counts as open once, to its last byte.
         let open = Arc::new(open);
         loop {
-            let first = past.goes == 0;
+            let first = past.attempts == 0;
             // A process that was frozen must not act on what it knew before.
-            if let Some(why) = self.barred(p) {
+            if let Some(why) = self.forbidden(p) {
                 return self.given_up(p, &past, why, 2);
             }
-            match self.one_go(p, sent, &mut past, &open).await {
+            match self.attempt_once(p, sent, &mut past, &open).await {
                 Next::Answer(r) => return r,
                 Next::Again => {}
                 Next::NoRoom(false) => return self.given_up(p, &past, "no replica in reach", 2),
                 Next::NoRoom(true) if first => {
                     if let Err(why) = self.wait_for_room(p, &mut past).await {
-                        let secs = lock(&self.waitlist).retry_after();
+                        let secs = lock(&self.queue).retry_after();
                         return self.given_up(p, &past, why, secs);
                     }
                 }
@@ -95,10 +100,10 @@
         }
     }
 
-    /// Why nothing new may be done for a job: looked at before each go, and once more when its
+    /// Why nothing new may be done for a request: looked at before each go, and once more when its
     /// connection is open.
-    pub(crate) fn barred(&self, p: &Plan) -> Option<&'static str> {
-        (self.now() >= p.deadline).then_some("past its deadline").or_else(|| self.standing())
+    pub(crate) fn forbidden(&self, p: &Plan) -> Option<&'static str> {
+        (self.now() >= p.deadline).then_some("past its deadline").or_else(|| self.refuses_work())
     }
 
     /// No more listed there, draining, or in a zone that was evacuated since it was picked.
@@ -114,19 +119,25 @@
         &self,
         p: &Plan,
         to: SocketAddr,
-        barred: &'a (dyn Fn() -> Option<&'static str> + Send + Sync),
-    ) -> Way<'a> {
+        forbidden: &'a (dyn Fn() -> Option<&'static str> + Send + Sync),
+    ) -> AttemptTarget<'a> {
         let (ip, connect_ms) = (self.set.rpc_addr.ip(), self.set.timing.rpc_timeout_ms);
-        Way { ip, to, connect_ms, left_ms: p.deadline.since(self.now()), barred }
+        AttemptTarget { ip, to, connect_ms, left_ms: p.deadline.since(self.now()), forbidden }
     }
 
     fn again(&self, p: &Plan, past: &Past, after: After) -> bool {
-        may_go_again(after, p.entry.repeatable, p.inner, past.goes)
+        may_retry(after, p.entry.repeatable, p.inner, past.attempts)
             && self.now() < p.deadline
             && self.budget.spend()
     }
 
-    async fn one_go(self: &Arc<Self>, p: &Plan, sent: &Sent, past: &mut Past, open: &Arc<OpenGuard>) -> Next {
+    async fn attempt_once(
+        self: &Arc<Self>,
+        p: &Plan,
+        sent: &OutgoingRequest,
+        past: &mut Past,
+        open: &Arc<OpenGuard>,
+    ) -> Next {
         let own = self.own_region(&p.governing.table);
         let target = if p.inner {
             own.clone().map(|region| (region, true))
@@ -155,32 +166,40 @@
                 let own = self.own_region(t).filter(|o| p.homes.contains(o) && seen.contains_key(o));
                 let own = own.filter(|o| !avoid.contains(o));
                 own.or_else(|| {
-                    let open =
-                        |r: &Region| !avoid.contains(r) && lock(&self.purse).has(r, &p.entry.to, self.now());
-                    let c = crate::choose::candidates(&seen, &p.homes, t.policy(&p.entry), &open);
-                    crate::choose::draw(&c, common::runtime::random())
+                    let open = |r: &Region| {
+                        !avoid.contains(r) && lock(&self.held_grants).has(r, &p.entry.to, self.now())
+                    };
+                    let c = crate::region_choice::candidates(&seen, &p.homes, t.policy(&p.entry), &open);
+                    crate::region_choice::draw(&c, common::runtime::random())
                 })
                 .map(|r| (r, false))
             }
         }
     }
 
-    async fn local(self: &Arc<Self>, p: &Plan, sent: &Sent, past: &mut Past, open: &Arc<OpenGuard>) -> Next {
+    async fn local(
+        self: &Arc<Self>,
+        p: &Plan,
+        sent: &OutgoingRequest,
+        past: &mut Past,
+        open: &Arc<OpenGuard>,
+    ) -> Next {
         let t = &p.governing.table;
         let picked = match self.pick(t, &p.entry.to, p.entry.kind, p.key, &past.tried) {
             Ok(x) => x,
             Err(any) => return Next::NoRoom(any || self.starting()),
         };
-        self.count_go(past, "first");
+        self.count_attempt(past, "first");
         past.tried.push(picked.id.clone());
         let (addr, own, id) = (picked.addr, picked.own.clone(), picked.id.clone());
         let extra = [("foldshunt-job", p.job.to_string())];
         let kept = (picked, open.clone());
-        let barred = || self.barred(p).or_else(|| self.departed(&id, addr).then_some("replica departed"));
-        match go(self.way(p, addr, &barred), sent, &extra, kept).await {
+        let forbidden =
+            || self.forbidden(p).or_else(|| self.departed(&id, addr).then_some("replica departed"));
+        match go(self.way(p, addr, &forbidden), sent, &extra, kept).await {
             Outcome::Done(r) => {
                 self.note_load(&own, r.headers());
-                // Another may do better; this one says itself that it did not serve the job.
+                // Another may do better; this one says itself that it did not serve the request.
                 if r.status().as_u16() == 503 && self.again(p, past, After::MayHaveRun) {
                     past.maybe = Some(PeerError::new("replica", id, "answered 503"));
                     return Next::Again;
@@ -189,7 +208,7 @@
             }
             Outcome::NotRun(e) => {
                 let until = self.now() + self.set.timing.probe_interval_ms;
-                own.shun.store(until.0, Ordering::Relaxed);
+                own.avoid_until.store(until.0, Ordering::Relaxed);
                 if e.is_refused() {
                     own.refused_at.store(self.now().0, Ordering::Relaxed);
                 }
@@ -199,7 +218,7 @@
         }
     }
 
-    /// The final answer, at once: rejected only where no go of the job can have run.
+    /// The final answer, at once: rejected only where no go of the request can have run.
     fn given_up(&self, p: &Plan, past: &Past, why: &'static str, secs: u64) -> Response<Body> {
         match past.maybe.as_ref().filter(|_| !common::mutation::enabled("unknown-called-bounced")) {
             None => rejected(self, p, why, secs),
@@ -207,27 +226,27 @@
         }
     }
 
-    pub(crate) fn count_go(&self, past: &mut Past, kind: &str) {
-        let kind = if past.goes == 0 { kind } else { "extra" };
-        self.numbers.goes.with_label_values(&[kind]).inc();
-        past.goes += 1;
+    pub(crate) fn count_attempt(&self, past: &mut Past, kind: &str) {
+        let kind = if past.attempts == 0 { kind } else { "extra" };
+        self.counters.attempts.with_label_values(&[kind]).inc();
+        past.attempts += 1;
     }
 
-    /// A place on the waitlist, for a part of the deadline at most; an answer at once where it
+    /// A place on the request queue, for a part of the deadline at most; an answer at once where it
     /// would not help.
     async fn wait_for_room(&self, p: &Plan, past: &mut Past) -> Result<(), &'static str> {
         let now = self.now();
         let until = *past.wait_until.get_or_insert(
             now + (p.deadline.since(now) / WAIT_RATIO).min(2 * self.set.timing.probe_interval_ms),
         );
-        let bound = p.governing.table.tuning.waitlist;
-        let joined = lock(&self.waitlist).join(until, bound, now);
+        let bound = p.governing.table.tuning.queue;
+        let joined = lock(&self.queue).join(until, bound, now);
         let (at, rx) = joined.map_err(|b| match b {
-            crate::waitlist::Rejection::Full => "waitlist full",
-            crate::waitlist::Rejection::Late => "waitlist too long",
+            crate::request_queue::Rejection::Full => "waitlist full",
+            crate::request_queue::Rejection::Late => "waitlist too long",
         })?;
         let got = tokio::time::timeout(Duration::from_millis(until.since(now)), rx).await;
-        lock(&self.waitlist).leave(&at);
+        lock(&self.queue).leave(&at);
         got.map(|_| ()).map_err(|_| "no room in time")
     }
 }
--- a/crates/data-plane/src/hop.rs
+++ b/crates/data-plane/src/forwarding.rs
@@ -1,12 +1,12 @@
-//! The hop between regions (design 5.6): signed by a member, checked by the region that is
+//! The forwarded request between regions (design 5.6): signed by a member, checked by the region that is
 //! asked, which has the last word.
 
 use crate::{
-    lend::Spent,
+    capacity_grant::GrantUse,
+    placement_table::UserKey,
     router::{Router, lock},
-    tab::UserKey,
 };
-use common::{Epoch, JobId, NodeId, Region, Revision, Service, Tenant, rendezvous::stable_hash, wire};
+use common::{Epoch, NodeId, Region, RequestId, Revision, Service, Tenant, rendezvous::stable_hash, wire};
 use serde::{Deserialize, Serialize};
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::hash::Hasher;
@@ -14,9 +14,9 @@
 pub const HEADER: &str = "foldshunt-hop";
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Hop {
-    pub job: JobId,
-    /// The sender, its membership, and the number of the hop within that.
+pub struct ForwardedRequest {
+    pub job: RequestId,
+    /// The sender, its membership, and the number of the forwarded request within that.
     pub from: NodeId,
     pub epoch: Epoch,
     pub number: u64,
@@ -30,7 +30,7 @@
     pub region: Region,
     pub key: Option<UserKey>,
     /// A stored placement needs no pass.
-    pub spent: Option<Spent>,
+    pub spent: Option<GrantUse>,
     pub left_ms: u64,
 }
 
@@ -49,20 +49,20 @@
     (s.len().is_multiple_of(2) && s.is_ascii()).then(|| (0..s.len()).step_by(2).map(pair).collect()).flatten()
 }
 
-pub fn sign(secret: u128, h: &Hop) -> std::io::Result<String> {
+pub fn sign(secret: u128, h: &ForwardedRequest) -> std::io::Result<String> {
     let b = wire::encode(h)?;
     Ok(format!("{}.{:032x}", hex(&b), mac(secret, &b)))
 }
 
-pub fn verify(secret: u128, s: &str) -> Option<Hop> {
+pub fn verify(secret: u128, s: &str) -> Option<ForwardedRequest> {
     let (body, sig) = s.split_once('.')?;
     let b = unhex(body)?;
     let told = u128::from_str_radix(sig, 16).ok()?;
     (told == mac(secret, &b)).then(|| wire::decode(&b).ok()).flatten()
 }
 
-/// Why a hop is rejected; the names stand in metrics and in `foldshunt-reason`.
-pub async fn check(r: &Router, h: &Hop) -> Result<(), &'static str> {
+/// Why a forwarded request is rejected; the names stand in metrics and in `foldshunt-reason`.
+pub async fn check(r: &Router, h: &ForwardedRequest) -> Result<(), &'static str> {
     let g = r.governing.load_full().ok_or("no configuration")?;
     let own = r.own_region(&g.table).ok_or("area unknown")?;
     if h.region != own {
@@ -81,7 +81,7 @@
     if !g.table.homes(e, h.tenant.as_ref()).contains(&own) {
         return Err("outside homes");
     }
-    taken_once(r, h)?;
+    check_replay(r, h)?;
     match &h.spent {
         Some(s) if s.region == own => r.redeem(s).await,
         Some(_) => Err("pass of another region"),
@@ -89,9 +89,9 @@
     }
 }
 
-/// A hop that was captured and is sent again must not run again: it counts as used from here on,
+/// A forwarded request that was captured and is sent again must not run again: it counts as used from here on,
 /// whatever comes of it.
-fn taken_once(r: &Router, h: &Hop) -> Result<(), &'static str> {
+fn check_replay(r: &Router, h: &ForwardedRequest) -> Result<(), &'static str> {
     if h.to != *r.node() || h.to_epoch != r.member.lease().epoch {
         return Err("hop for another router");
     }
@@ -101,15 +101,15 @@
 }
 
 /// Bounced over a change that has reached one side only: no reason to avoid the region.
-pub fn passes_soon(why: &str) -> bool {
+pub fn is_transient(why: &str) -> bool {
     matches!(
         why,
         "outdated revision" | "revision not here yet" | "sender not a member here" | "hop for another router"
     )
 }
 
-/// A job's name: unique over nodes, restarts and time.
-pub fn job_id(r: &Router, n: u64) -> JobId {
+/// A request's name: unique over nodes, restarts and time.
+pub fn request_id(r: &Router, n: u64) -> RequestId {
     let incarnation = r.member.info.incarnation.0;
-    JobId::new(format!("{}-{:x}-{n:x}", r.node(), stable_hash(&[&incarnation.to_le_bytes()]) >> 32))
+    RequestId::new(format!("{}-{:x}-{n:x}", r.node(), stable_hash(&[&incarnation.to_le_bytes()]) >> 32))
 }
--- a/crates/data-plane/src/edge.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -1,13 +1,13 @@
 //! The callers' side (design 6.4): from the head to the answer, rejected at once where it must be.
 
 use crate::{
-    digest::Happened,
-    hop,
+    forwarding,
     plan::{Plan, header_of},
-    router::{Governing, Router, stands_in},
+    router::{ActiveConfiguration, Router, stands_in},
+    summary::EventKind,
 };
 use common::{
-    JobId, PeerError,
+    PeerError, RequestId,
     http::{Body, BodyError, BoxErr, OpenGuard, json, read_body, text},
     log_event,
 };
@@ -22,7 +22,7 @@
 
 type Res = Response<Body>;
 
-pub fn marked(mut r: Res, job: &JobId, outcome: &'static str, reason: &str) -> Res {
+pub fn marked(mut r: Res, job: &RequestId, outcome: &'static str, reason: &str) -> Res {
     let h = r.headers_mut();
     for (k, v) in
         [("foldshunt-job", job.as_str()), ("foldshunt-outcome", outcome), ("foldshunt-reason", reason)]
@@ -37,9 +37,9 @@
 }
 
 /// Not run, and never will be: said at once, with when to come back.
-pub fn rejected_as(r: &Router, job: &JobId, code: StatusCode, reason: &str, retry_s: u64) -> Res {
-    r.numbers.reject(reason);
-    r.happened(Happened::Rejected(reason.into()));
+pub fn rejected_as(r: &Router, job: &RequestId, code: StatusCode, reason: &str, retry_s: u64) -> Res {
+    r.counters.reject(reason);
+    r.record_event(EventKind::Rejected(reason.into()));
     let mut res =
         json(code, &j!({"outcome": "bounced", "reason": reason, "job": job, "retry_after_s": retry_s}));
     if retry_s > 0
@@ -52,14 +52,14 @@
 }
 
 pub fn rejected(r: &Router, p: &Plan, reason: &str, retry_s: u64) -> Res {
-    r.numbers.jobs.with_label_values(&[&p.entry.name, "bounced"]).inc();
+    r.counters.jobs.with_label_values(&[&p.entry.name, "bounced"]).inc();
     rejected_as(r, &p.job, StatusCode::SERVICE_UNAVAILABLE, reason, retry_s)
 }
 
 /// It may have run: never called rejected.
 pub fn unknown(r: &Router, p: &Plan, e: &PeerError, late: bool) -> Res {
-    r.numbers.jobs.with_label_values(&[&p.entry.name, "unknown"]).inc();
-    r.happened(Happened::Unknown(e.step.into()));
+    r.counters.jobs.with_label_values(&[&p.entry.name, "unknown"]).inc();
+    r.record_event(EventKind::Unknown(e.step.into()));
     let code = if late { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
     let res = json(code, &j!({"outcome": "unknown", "reason": e.step, "job": p.job}));
     marked(res, &p.job, "unknown", e.step)
@@ -67,7 +67,7 @@
 
 impl Router {
     pub fn done(&self, p: &Plan, r: Res) -> Res {
-        self.numbers.jobs.with_label_values(&[&p.entry.name, "done"]).inc();
+        self.counters.jobs.with_label_values(&[&p.entry.name, "done"]).inc();
         marked(r, &p.job, "done", "")
     }
 
@@ -85,7 +85,7 @@
         }
         let open = self.open_count.enter();
         let n = self.serial.fetch_add(1, Ordering::Relaxed);
-        let job = hop::job_id(&self, n);
+        let job = forwarding::request_id(&self, n);
         self.await_joining().await;
         let Some(g) = self.governing.load_full() else {
             let why = "no configuration";
@@ -99,20 +99,20 @@
         Ok(res)
     }
 
-    /// One job, by one document from its head to its end.
+    /// One request, by one document from its head to its end.
     async fn job(
         self: &Arc<Self>,
-        g: Arc<Governing>,
-        job: JobId,
+        g: Arc<ActiveConfiguration>,
+        job: RequestId,
         head: Parts,
         body: Incoming,
         open: OpenGuard,
     ) -> Res {
         let no = |code, why, s| close(rejected_as(self, &job, code, why, s));
-        if let Some(why) = self.standing() {
+        if let Some(why) = self.refuses_work() {
             return no(StatusCode::SERVICE_UNAVAILABLE, why, if why == "joining" { 1 } else { 3 });
         }
-        let inner = header_of(&head)(hop::HEADER);
+        let inner = header_of(&head)(forwarding::HEADER);
         let plan = match &inner {
             None => match Plan::make(self, g, job.clone(), &head) {
                 Ok(p) => p,
@@ -148,7 +148,7 @@
         if self.draining.load(Ordering::Acquire) { close(res) } else { res }
     }
 
-    /// A node that has just started joins within a few heartbeats: its first jobs wait for that, for
+    /// A node that has just started joins within a few heartbeats: its first requests wait for that, for
     /// as long as a voter's election time-out at most.
     async fn await_joining(&self) {
         let until = self.now() + self.set.timing.election_timeout_ms();
@@ -158,9 +158,14 @@
         }
     }
 
-    async fn inner_plan(&self, g: Arc<Governing>, head: &Parts, raw: &str) -> Result<Plan, &'static str> {
-        let h = hop::verify(self.cluster_state().secret, raw).ok_or("unsigned hop")?;
-        hop::check(self, &h).await.inspect_err(|why| {
+    async fn inner_plan(
+        &self,
+        g: Arc<ActiveConfiguration>,
+        head: &Parts,
+        raw: &str,
+    ) -> Result<Plan, &'static str> {
+        let h = forwarding::verify(self.cluster_state().secret, raw).ok_or("unsigned hop")?;
+        forwarding::check(self, &h).await.inspect_err(|why| {
             log_event!(Info, "hop", "peer" => h.from, "cause" => *why, "job" => h.job);
         })?;
         let mut p = Plan::make(self, g, h.job.clone(), head).map_err(|d| d.reason)?;
@@ -209,14 +214,14 @@
             .filter(|m| stands_in(&l, &p.governing.table, m, region) && m.info.node != *self.node())
             // One that has just started has heard nobody yet: it takes the members at their word.
             .filter(|m| !tried.contains(&m.info.node.to_string()))
-            .filter(|m| self.starting() || self.hears(&m.info.node))
+            .filter(|m| self.starting() || self.is_reachable(&m.info.node))
             .cloned()
             .collect();
         (!all.is_empty()).then(|| all[common::runtime::random_in(0..all.len())].clone())
     }
 }
 
-/// The connection cannot, or shall not, carry another job.
+/// The connection cannot, or shall not, carry another request.
 fn close(mut r: Res) -> Res {
     r.headers_mut().insert("connection", "close".parse().expect("a fixed header"));
     r
--- a/crates/data-plane/src/lending.rs
+++ b/crates/data-plane/src/grant_exchange.rs
@@ -1,7 +1,7 @@
-//! Lending at work (design 5.5): the lender's singleton role, and the purse that is kept filled.
+//! Lending at work (design 5.5): the grant issuer's singleton role, and the held grants that is kept filled.
 
 use crate::{
-    lend::{Pass, Spent},
+    capacity_grant::{CapacityGrant, GrantUse},
     router::{Router, lock, stands_in},
     rpc::{RouterRequest, RouterResponse},
 };
@@ -12,16 +12,16 @@
 
 impl Router {
     /// The one router that lends for a region.
-    pub fn lender_of(&self, t: &Table, region: &Region) -> Option<Member> {
+    pub fn issuer_for(&self, t: &Table, region: &Region) -> Option<Member> {
         let l = self.cluster_state();
         singleton::ranked_holders(&l, &format!("lender/{region}"), None)
             .into_iter()
             .find(|m| stands_in(&l, t, m, region))
     }
 
-    fn lends_here(&self, t: &Table) -> Option<Region> {
+    fn issues_here(&self, t: &Table) -> Option<Region> {
         let own = self.own_region(t)?;
-        self.lender_of(t, &own).filter(|m| m.info.node == *self.node()).map(|_| own)
+        self.issuer_for(t, &own).filter(|m| m.info.node == *self.node()).map(|_| own)
     }
 
     /// Watches the own region while this node lends for it.
@@ -31,11 +31,11 @@
             wakeup.tick().await;
             let Some(g) = self.governing.load_full() else { continue };
             let fencing_token = self.fencing_token();
-            let holds = self.lends_here(&g.table).is_some();
+            let holds = self.issues_here(&g.table).is_some();
             let well = holds
                 && self.member.has_lease()
                 && g.table.services.keys().any(|s| !self.own_replicas(&g.table, s).is_empty());
-            let mut l = lock(&self.lender);
+            let mut l = lock(&self.grant_issuer);
             if holds {
                 l.under(fencing_token);
             }
@@ -44,9 +44,14 @@
     }
 
     /// Grants from measured headroom; nothing until the region was well for a full set of checks.
-    pub fn grant(&self, region: &Region, svc: &Service, node: &NodeId) -> Result<Option<Pass>, &'static str> {
+    pub fn grant(
+        &self,
+        region: &Region,
+        svc: &Service,
+        node: &NodeId,
+    ) -> Result<Option<CapacityGrant>, &'static str> {
         let g = self.governing.load_full().ok_or("no configuration")?;
-        if self.lends_here(&g.table).as_ref() != Some(region) {
+        if self.issues_here(&g.table).as_ref() != Some(region) {
             return Err("not the lender");
         }
         let now = self.now();
@@ -63,43 +68,43 @@
         let askers =
             l.routers().into_iter().filter(|m| g.table.region_of(&m.info.zone) != Some(region)).count();
         let tun = &g.table.tuning;
-        let mut lender = lock(&self.lender);
-        if !lender.well(now, full_set) {
+        let mut grant_issuer = lock(&self.grant_issuer);
+        if !grant_issuer.well(now, full_set) {
             return Ok(None);
         }
-        let pass = lender.grant(region, svc, node, room * tun.lend_share, askers, tun.pass_ms, now);
-        self.numbers
+        let pass = grant_issuer.grant(region, svc, node, room * tun.lend_share, askers, tun.grant_ms, now);
+        self.counters
             .passes
             .with_label_values(&["granted"])
             .inc_by(pass.as_ref().map_or(0, |p| u64::from(p.count)));
         Ok(pass)
     }
 
-    pub async fn redeem(&self, s: &Spent) -> Result<(), &'static str> {
+    pub async fn redeem(&self, s: &GrantUse) -> Result<(), &'static str> {
         let g = self.governing.load_full().ok_or("no configuration")?;
-        let lender = self.lender_of(&g.table, &s.region).ok_or("no lender")?;
-        let res = if lender.info.node == *self.node() {
+        let grant_issuer = self.issuer_for(&g.table, &s.region).ok_or("no lender")?;
+        let res = if grant_issuer.info.node == *self.node() {
             self.redeem_here(s)
         } else {
             let ask = RouterRequest::Redeem { spent: s.clone() };
-            match self.lines.call("redeem", lender.info.rpc_addr, ask).await {
+            match self.lines.call("redeem", grant_issuer.info.rpc_addr, ask).await {
                 Ok(RouterResponse::Done) => Ok(()),
                 Ok(RouterResponse::Rejected(_)) => Err("pass not good"),
                 _ => Err("lender unreachable"),
             }
         };
-        self.numbers.passes.with_label_values(&[res.err().unwrap_or("redeemed")]).inc();
+        self.counters.passes.with_label_values(&[res.err().unwrap_or("redeemed")]).inc();
         res
     }
 
-    pub fn redeem_here(&self, s: &Spent) -> Result<(), &'static str> {
+    pub fn redeem_here(&self, s: &GrantUse) -> Result<(), &'static str> {
         let g = self.governing.load_full().ok_or("no configuration")?;
-        self.lends_here(&g.table).ok_or("not the lender")?;
-        lock(&self.lender).redeem(s, self.now())
+        self.issues_here(&g.table).ok_or("not the lender")?;
+        lock(&self.grant_issuer).redeem(s, self.now())
     }
 
-    /// Asks each other region for passes, three times within the life of one.
-    pub async fn fill_purse(self: Arc<Self>) {
+    /// Asks each other region for grants, three times within the life of one.
+    pub async fn keep_grants(self: Arc<Self>) {
         loop {
             let Some(g) = self.governing.load_full() else {
                 tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await;
@@ -107,10 +112,10 @@
             };
             let own = self.own_region(&g.table);
             for region in g.table.regions().into_iter().filter(|r| Some(r) != own.as_ref()) {
-                let Some(lender) = self.lender_of(&g.table, &region) else { continue };
+                let Some(grant_issuer) = self.issuer_for(&g.table, &region) else { continue };
                 for svc in g.table.services.keys() {
                     let (me, region, svc) = (self.clone(), region.clone(), svc.clone());
-                    let to = lender.info.rpc_addr;
+                    let to = grant_issuer.info.rpc_addr;
                     common::runtime::spawn(async move {
                         let asked = me.now();
                         let ask = RouterRequest::Passes {
@@ -118,13 +123,13 @@
                             service: svc.clone(),
                             node: me.node().clone(),
                         };
-                        if let Ok(RouterResponse::Pass(p)) = me.lines.call("passes", to, ask).await {
-                            lock(&me.purse).put(&region, &svc, p, asked);
+                        if let Ok(RouterResponse::CapacityGrant(p)) = me.lines.call("passes", to, ask).await {
+                            lock(&me.held_grants).put(&region, &svc, p, asked);
                         }
                     });
                 }
             }
-            tokio::time::sleep(Duration::from_millis(g.table.tuning.pass_ms / 3)).await;
+            tokio::time::sleep(Duration::from_millis(g.table.tuning.grant_ms / 3)).await;
         }
     }
 }
--- a/crates/data-plane/src/probe.rs
+++ b/crates/data-plane/src/health_prober.rs
@@ -1,13 +1,13 @@
-//! The home of a service in a zone (design 5.4): probes its replicas and publishes figures;
+//! The home of a service in a zone (design 5.4): probes its replicas and publishes load reports;
 //! the others subscribe.
 
 use crate::{
-    digest::Happened,
-    pressure::{Figures, Gauge, Own},
-    replica::routers_of,
+    load::{LoadReport, LocalLoad, ReplicaLoad},
+    replica_choice::routers_of,
+    replica_health::{Checked, Report, Watched},
     router::{Router, lock},
     rpc::{RouterRequest, RouterResponse},
-    watched::{Checked, Report, Watched},
+    summary::EventKind,
 };
 use common::{FencingToken, NodeId, ReplicaId, Service, Tick, Zone, http::ask, log_event};
 use configuration::Table;
@@ -83,9 +83,9 @@
             let ms = wait_ms + self.set.timing.rpc_timeout_ms;
             let asked = self.now();
             match self.lines.call_within(ms, "watch", home.info.rpc_addr, ask).await {
-                Ok(RouterResponse::Figures(f)) => {
+                Ok(RouterResponse::LoadReport(f)) => {
                     (seq, fencing_token) = (f.seq, f.fencing_token);
-                    self.take_figures(f, asked);
+                    self.install_load_report(f, asked);
                 }
                 _ => tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await,
             }
@@ -103,7 +103,7 @@
         let (mut seq, mut full_at) = (0, Tick(0));
         loop {
             wakeup.tick().await;
-            // Between two full checks only where it presses: figures age fast there.
+            // Between two full checks only where it presses: load reports age fast there.
             let full = self.now().since(full_at) + self.set.timing.report_interval_ms() / 2
                 >= self.set.timing.probe_interval_ms;
             let presses = watched.values().any(|w: &Watched| w.healthy && w.consumption * 2.0 > w.capacity);
@@ -138,20 +138,20 @@
                 if was != w.healthy {
                     log_event!(Info, "replica health", "peer" => r.addr, "replica" => id, "healthy" => w.healthy);
                     let (replica, healthy) = (id.clone(), w.healthy);
-                    self.happened(Happened::Health { replica, healthy });
+                    self.record_event(EventKind::Health { replica, healthy });
                 }
-                replicas.push(Gauge {
+                replicas.push(ReplicaLoad {
                     id,
                     addr: r.addr,
                     healthy: w.healthy,
                     capacity: w.capacity,
                     consumption: w.consumption,
-                    allowance: w.allowance(tun.warm_ms, now),
+                    allowance: w.allowance(tun.slow_start_ms, now),
                 });
             }
             seq += 1;
             let (service, zone) = (service.clone(), zone.clone());
-            let fig = Figures {
+            let fig = LoadReport {
                 service,
                 zone,
                 fencing_token: FencingToken(l.epoch.0),
@@ -161,15 +161,15 @@
                 line: line.clone(),
                 replicas,
             };
-            self.take_figures(fig.clone(), asked);
+            self.install_load_report(fig.clone(), asked);
             tx.send_replace(Some(fig));
         }
     }
 
-    /// A router that has heard nothing yet asks others for the last figures: without them a new
-    /// home would take every warm replica for cold, and first jobs would wait for the next check.
+    /// A router that has heard nothing yet asks others for the last load reports: without them a new
+    /// home would take every warm replica for cold, and first requests would wait for the next check.
     async fn ask_the_last(&self, service: &Service, zone: &Zone) {
-        if self.last_figures(service, zone).is_some() {
+        if self.last_load_report(service, zone).is_some() {
             return;
         }
         let (others, asked) = (self.cluster_state(), self.now());
@@ -177,7 +177,7 @@
             let ask = RouterRequest::Last { service: service.clone(), zone: zone.clone() };
             Box::pin(async move {
                 match self.lines.call("last figures", m.info.rpc_addr, ask).await {
-                    Ok(RouterResponse::Figures(f)) => Ok(f),
+                    Ok(RouterResponse::LoadReport(f)) => Ok(f),
                     _ => Err(()),
                 }
             })
@@ -187,14 +187,14 @@
         if !asks.is_empty()
             && let Ok((f, _)) = futures::future::select_ok(asks).await
         {
-            self.take_figures(f, asked);
+            self.install_load_report(f, asked);
         }
     }
 
-    /// A new home goes on from the figures of the last one: what was warm stays warm.
+    /// A new home attempts on from the load reports of the last one: what was warm stays warm.
     fn inherited(&self, service: &Service, zone: &Zone, lost: bool) -> BTreeMap<ReplicaId, Watched> {
-        let b = self.pressure.board();
-        let from = |g: &Gauge| Watched {
+        let b = self.load_view.board();
+        let from = |g: &ReplicaLoad| Watched {
             fails: 0,
             // What is on its ramp may be away just now: it begins anew with the first check.
             absent: lost || g.allowance.is_some(),
@@ -230,7 +230,7 @@
     }
 
     /// `Server-Load` on an answer: a share of the capacity, or per cent of it.
-    pub fn note_load(&self, own: &Own, h: &hyper::HeaderMap) {
+    pub fn note_load(&self, own: &LocalLoad, h: &hyper::HeaderMap) {
         let said =
             h.get("server-load").and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse::<f64>().ok());
         if let Some(v) = said.filter(|v| v.is_finite() && *v >= 0.0) {
--- a/crates/data-plane/src/pressure.rs
+++ b/crates/data-plane/src/load.rs
@@ -13,7 +13,7 @@
 
 /// One replica as its home node sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Gauge {
+pub struct ReplicaLoad {
     pub id: ReplicaId,
     pub addr: SocketAddr,
     pub healthy: bool,
@@ -23,9 +23,9 @@
     pub allowance: Option<u32>,
 }
 
-/// All replicas of one service in one zone, with the age of the figures when they were sent.
+/// All replicas of one service in one zone, with the age of the load reports when they were sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct LoadReport {
     pub service: Service,
     #[serde(rename = "area")]
     pub zone: Zone,
@@ -36,12 +36,12 @@
     /// How long the question for them lay at the home before they were sent.
     pub waited_ms: u64,
     /// The region's routers as the home knew them: places at cold replicas are split over these, so
-    /// that all who go by the same figures agree on who holds which.
+    /// that all who go by the same load reports agree on who holds which.
     pub line: Vec<NodeId>,
-    pub replicas: Vec<Gauge>,
+    pub replicas: Vec<ReplicaLoad>,
 }
 
-impl Figures {
+impl LoadReport {
     /// When they were fresh, on the clock of whoever asked at `asked`: never later than they can
     /// have been, however long the answer was on its way or lay unread.
     pub fn fresh_at(&self, asked: Tick, now: Tick) -> Tick {
@@ -49,15 +49,15 @@
     }
 }
 
-/// What this router itself knows of a replica (or of a region that it sends hops to).
+/// What this router itself knows of a replica (or of a region that it sends forwarded requests to).
 #[derive(Debug, Default)]
-pub struct Own {
+pub struct LocalLoad {
     pub open: AtomicI64,
-    /// How many of the open ones the last figures can have counted already.
+    /// How many of the open ones the last load reports can have counted already.
     pub counted: AtomicI64,
     /// Own failures: not to be used until then, where there is another.
-    pub shun: AtomicU64,
-    /// When a connection was refused last: figures from before that speak of a process that is gone.
+    pub avoid_until: AtomicU64,
+    /// When a connection was refused last: load reports from before that speak of a process that is gone.
     pub refused_at: AtomicU64,
     /// `Server-Load` of the last answer, in thousandths of the capacity, and when it came.
     pub load: AtomicI64,
@@ -66,33 +66,38 @@
 
 #[derive(Clone, Debug)]
 pub struct Seen {
-    pub fig: Figures,
-    /// Its line, shared by all that is picked by these figures.
+    pub fig: LoadReport,
+    /// Its line, shared by all that is picked by these load reports.
     pub line: Arc<[NodeId]>,
-    /// When these figures were fresh, on the own clock.
+    /// When these load reports were fresh, on the own clock.
     pub at: Tick,
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RegionPressure {
+pub struct RegionLoad {
     pub healthy: bool,
     pub capacity: f64,
     pub consumption: f64,
 }
 
-impl RegionPressure {
+impl RegionLoad {
     pub fn ratio(&self) -> f64 {
         if self.capacity > 0.0 { self.consumption / self.capacity } else { f64::INFINITY }
     }
+
+    /// Whether a placement may stay in the region, or a draw may take it: healthy, and not overloaded.
+    pub fn passes(&self, overload: f64) -> bool {
+        self.healthy && self.capacity > 0.0 && self.ratio() <= overload
+    }
 }
 
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    pub gauge: Gauge,
+    pub gauge: ReplicaLoad,
     pub zone: Zone,
-    pub own: Arc<Own>,
+    pub own: Arc<LocalLoad>,
     pub at: Tick,
-    /// Number of the figures; the split of what is free turns with it.
+    /// Number of the load reports; the split of what is free turns with it.
     pub seq: u64,
     pub line: Arc<[NodeId]>,
 }
@@ -117,16 +122,16 @@
     pub seen: BTreeMap<(Service, Zone), Seen>,
 }
 
-/// Figures of all homes, and the own open jobs beside them.
+/// Figures of all homes, and the own open requests beside them.
 #[derive(Debug, Default)]
-pub struct Pressure {
+pub struct LoadView {
     board: arc_swap::ArcSwap<Board>,
-    own: Mutex<HashMap<ReplicaId, Arc<Own>>>,
+    own: Mutex<HashMap<ReplicaId, Arc<LocalLoad>>>,
     write: Mutex<()>,
 }
 
-impl Pressure {
-    pub fn own(&self, id: &ReplicaId) -> Arc<Own> {
+impl LoadView {
+    pub fn own(&self, id: &ReplicaId) -> Arc<LocalLoad> {
         let mut g = self.own.lock().unwrap_or_else(|e| e.into_inner());
         g.entry(id.clone()).or_default().clone()
     }
@@ -135,8 +140,8 @@
         self.board.load_full()
     }
 
-    /// Takes figures unless they are a past holder's, or older than those in hand.
-    pub fn take(&self, fig: Figures, asked: Tick, now: Tick) -> bool {
+    /// Takes load reports unless they are a past holder's, or older than those in hand.
+    pub fn take(&self, fig: LoadReport, asked: Tick, now: Tick) -> bool {
         let _w = self.write.lock().unwrap_or_else(|e| e.into_inner());
         let key = (fig.service.clone(), fig.zone.clone());
         let mut b = Board::clone(&self.board.load());
@@ -163,13 +168,13 @@
         newer
     }
 
-    /// Replicas of a service with fresh figures that `usable` lets through.
+    /// Replicas of a service with fresh load reports that `usable` lets through.
     pub fn replicas(
         &self,
         svc: &Service,
         now: Tick,
         report_max_age_ms: u64,
-        usable: &dyn Fn(&Gauge, &Zone) -> bool,
+        usable: &dyn Fn(&ReplicaLoad, &Zone) -> bool,
     ) -> Vec<Candidate> {
         let b = self.board.load();
         b.seen
@@ -193,8 +198,8 @@
 pub fn regions(
     reps: &[Candidate],
     region_of: &dyn Fn(&Zone) -> Option<Region>,
-) -> BTreeMap<Region, RegionPressure> {
-    let mut out: BTreeMap<Region, RegionPressure> = BTreeMap::new();
+) -> BTreeMap<Region, RegionLoad> {
+    let mut out: BTreeMap<Region, RegionLoad> = BTreeMap::new();
     for c in reps {
         let Some(r) = region_of(&c.zone) else { continue };
         let p = out.entry(r).or_default();
--- a/crates/data-plane/src/place.rs
+++ b/crates/data-plane/src/placement.rs
@@ -1,18 +1,18 @@
-//! Placing a user (design 5.1, 5.3): the stored region where it passes the tests, else a draw
+//! Placing a user (design 5.1, 5.3): the stored region where it grants the tests, else a draw
 //! that is settled at the owner of the shard.
 
 use crate::{
-    choose::{candidates, draw, draw_by_key, passes},
+    placement_table::{Copy, PlacementOutcome, UserKey},
     plan::Plan,
+    region_choice::{candidates, draw, draw_by_key, passes},
     router::{Cached, Router, lock},
     rpc::{RouterRequest, RouterResponse},
-    tab::{Copy, Settled, UserKey},
 };
 use common::{Region, Service, Tick};
 use control_plane::{Member, state_machine::singleton};
 use std::{collections::BTreeSet, sync::Arc};
 
-/// Where a job is to go, and whether it needs a pass to be there.
+/// Where a request is to go, and whether it needs a pass to be there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placed {
     pub region: Region,
@@ -31,10 +31,10 @@
         let own = self.own_region(&g.table);
         let open_to = |r: &Region| {
             !avoid.contains(r)
-                && (Some(r) == own.as_ref() || lock(&self.purse).has(r, &p.entry.to, self.now()))
+                && (Some(r) == own.as_ref() || lock(&self.held_grants).has(r, &p.entry.to, self.now()))
         };
         let cands = candidates(&seen, &p.homes, pol, &open_to);
-        let count = |how: &str| self.numbers.placements.with_label_values(&[how]).inc();
+        let count = |how: &str| self.counters.placements.with_label_values(&[how]).inc();
         let Some(key) = p.key else {
             count("no key");
             return draw(&cands, common::runtime::random()).map(|region| Placed { region, stored: false });
@@ -62,7 +62,7 @@
                 )
                 .await
             {
-                Some(Settled::Held { region, ver, won }) => {
+                Some(PlacementOutcome::Held { region, ver, won }) => {
                     self.remember(key, &p.entry.to, &region, ver, pol.ttl_ms, asked);
                     if won {
                         count(if stale.is_some() { "moved" } else { "drawn" });
@@ -74,7 +74,7 @@
                     }
                     stale = Some(ver);
                 }
-                Some(Settled::Empty) => return None,
+                Some(PlacementOutcome::Empty) => return None,
                 // The table is out of reach: what was heard last, else the draw that all
                 // routers make alike.
                 None => {
@@ -96,15 +96,23 @@
     fn cached(&self, key: UserKey, svc: &Service) -> Option<Cached> {
         let now = self.now();
         let c = lock(&self.cache).get(&(key, svc.clone())).cloned()?;
-        let fresh = (c.until.since(c.heard) / 180).min(5_000);
-        (now.since(c.heard) < fresh).then_some(c)
+        let fresh = (c.until.since(c.last_contacts) / 180).min(5_000);
+        (now.since(c.last_contacts) < fresh).then_some(c)
     }
 
-    fn remember(&self, key: UserKey, svc: &Service, region: &Region, ver: u64, ttl_ms: u64, heard: Tick) {
-        let c = Cached { region: region.clone(), ver, heard, until: heard + ttl_ms };
+    fn remember(
+        &self,
+        key: UserKey,
+        svc: &Service,
+        region: &Region,
+        ver: u64,
+        ttl_ms: u64,
+        last_contacts: Tick,
+    ) {
+        let c = Cached { region: region.clone(), ver, last_contacts, until: last_contacts + ttl_ms };
         let mut g = lock(&self.cache);
-        if g.len() >= crate::tab::MAX_ROWS / 4 {
-            g.retain(|_, c| c.until > heard);
+        if g.len() >= crate::placement_table::MAX_ROWS / 4 {
+            g.retain(|_, c| c.until > last_contacts);
         }
         g.insert((key, svc.clone()), c);
     }
@@ -118,7 +126,7 @@
         pick: Option<Region>,
         ttl_ms: u64,
         wait_ms: u64,
-    ) -> Option<Settled> {
+    ) -> Option<PlacementOutcome> {
         let shard = key.shard(service);
         let owner = self.owners(shard).into_iter().next()?;
         let fencing_token = self.fencing_token();
@@ -127,7 +135,7 @@
         }
         let ask = RouterRequest::Settle { fencing_token, key, service: service.clone(), stale, pick, ttl_ms };
         match self.lines.call_within(wait_ms, "settle", owner.info.rpc_addr, ask).await {
-            Ok(RouterResponse::Settled(s)) => Some(s),
+            Ok(RouterResponse::PlacementOutcome(s)) => Some(s),
             _ => None,
         }
     }
@@ -141,7 +149,7 @@
         stale: Option<u64>,
         pick: Option<Region>,
         ttl_ms: u64,
-    ) -> Result<Settled, String> {
+    ) -> Result<PlacementOutcome, String> {
         let shard = key.shard(service);
         let owners = self.owners(shard);
         if owners.first().is_none_or(|m| m.info.node != *self.node()) {
@@ -149,20 +157,20 @@
         }
         let now = self.now();
         let (res, row) = {
-            let mut t = lock(&self.tab);
+            let mut t = lock(&self.placements);
             t.admit(shard, self.fencing_token(), fencing_token)
                 .map_err(|f| format!("stale fence: {f} is known"))?;
             let res = t.settle(key, service, stale, pick, ttl_ms, now);
             (res, t.one(key, service, now))
         };
         if let Some(row) = row {
-            self.tell_followers(shard, fencing_token, owners, row);
+            self.replicate_row(shard, fencing_token, owners, row);
         }
         Ok(res)
     }
 
     /// Two followers, in other zones where that can be had.
-    fn tell_followers(
+    fn replicate_row(
         self: &Arc<Self>,
         shard: u16,
         fencing_token: common::FencingToken,
@@ -181,11 +189,11 @@
     }
 
     /// A new owner gathers what the others hold of the shards that came to it.
-    pub async fn gather(self: Arc<Self>) {
-        let mut known: Vec<Option<String>> = vec![None; crate::tab::SHARDS as usize];
+    pub async fn fetch_shards(self: Arc<Self>) {
+        let mut known: Vec<Option<String>> = vec![None; crate::placement_table::SHARDS as usize];
         let mut moved = self.member.applied.subscribe();
         loop {
-            for shard in 0..crate::tab::SHARDS {
+            for shard in 0..crate::placement_table::SHARDS {
                 let owners = self.owners(shard);
                 let first = owners.first().map(|m| m.info.node.to_string());
                 let was = std::mem::replace(&mut known[shard as usize], first.clone());
@@ -198,7 +206,7 @@
                         if let Ok(RouterResponse::Rows(rows)) =
                             me.lines.call("fetch", to, RouterRequest::Fetch { shard }).await
                         {
-                            me.take_copies(rows);
+                            me.install_rows(rows);
                         }
                     });
                 }
@@ -209,9 +217,9 @@
         }
     }
 
-    pub fn take_copies(&self, rows: Vec<Copy>) {
+    pub fn install_rows(&self, rows: Vec<Copy>) {
         let now: Tick = self.now();
-        let mut t = lock(&self.tab);
+        let mut t = lock(&self.placements);
         rows.into_iter().for_each(|c| t.copy(c, now));
     }
 }
--- a/crates/data-plane/src/tab.rs
+++ b/crates/data-plane/src/placement_table.rs
@@ -32,7 +32,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Settled {
+pub enum PlacementOutcome {
     /// Nothing is stored, and no pick was offered.
     Empty,
     Held {
@@ -50,13 +50,13 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Tab {
+pub struct PlacementTable {
     rows: HashMap<(UserKey, Service), Row>,
     fencing_tokens: HashMap<u16, FencingToken>,
     vers: u64,
 }
 
-impl Tab {
+impl PlacementTable {
     /// Remembers the highest fencing token of a shard; tells the known one where this is lower.
     pub fn fencing_token(&mut self, shard: u16, f: FencingToken) -> Result<(), FencingToken> {
         let known = self.fencing_tokens.entry(shard).or_default();
@@ -84,13 +84,13 @@
         pick: Option<Region>,
         ttl_ms: u64,
         now: Tick,
-    ) -> Settled {
+    ) -> PlacementOutcome {
         let at = (key, service.clone());
         let high = self.fencing_tokens.get(&key.shard(service)).map(|f| f.0).unwrap_or(0);
         let next = (high << 32) | ((self.vers + 1) & 0xffff_ffff);
         let live = self.rows.get_mut(&at).filter(|r| r.until > now);
         if let Some(r) = live.filter(|r| Some(r.ver) != stale || pick.is_none()) {
-            // A row that was inherited goes on under the own fencing token, so that a late copy from the
+            // A row that was inherited attempts on under the own fencing token, so that a late copy from the
             // owner before never stands above it.
             if r.ver >> 32 < high {
                 r.ver = next;
@@ -99,9 +99,9 @@
             if Some(r.ver) != stale {
                 r.until = now + ttl_ms;
             }
-            return Settled::Held { region: r.region.clone(), ver: r.ver, won: false };
+            return PlacementOutcome::Held { region: r.region.clone(), ver: r.ver, won: false };
         }
-        let Some(region) = pick else { return Settled::Empty };
+        let Some(region) = pick else { return PlacementOutcome::Empty };
         if self.rows.len() >= MAX_ROWS {
             self.rows.retain(|_, r| r.until > now);
         }
@@ -111,7 +111,7 @@
         if self.rows.len() < MAX_ROWS {
             self.rows.insert(at, Row { region: region.clone(), ver, until: now + ttl_ms });
         }
-        Settled::Held { region, ver, won: true }
+        PlacementOutcome::Held { region, ver, won: true }
     }
 
     pub fn copy(&mut self, c: Copy, now: Tick) {
--- a/crates/data-plane/src/plan.rs
+++ b/crates/data-plane/src/plan.rs
@@ -1,12 +1,12 @@
-//! A job's plan, made as data before anything is done (design 6.1).
+//! A request's plan, made as data before anything is done (design 6.1).
 
 use crate::{
-    go::Sent,
-    key::user_key,
-    router::{Governing, Router},
-    tab::UserKey,
+    attempt::OutgoingRequest,
+    placement_table::UserKey,
+    router::{ActiveConfiguration, Router},
+    user_key::user_key,
 };
-use common::{JobId, Region, Tenant, Tick};
+use common::{Region, RequestId, Tenant, Tick};
 use configuration::Entry;
 use hyper::{StatusCode, http::request::Parts};
 use std::{collections::BTreeSet, sync::Arc};
@@ -14,25 +14,25 @@
 /// All that is decided from the head alone.
 #[derive(Clone)]
 pub struct Plan {
-    pub job: JobId,
-    pub governing: Arc<Governing>,
+    pub job: RequestId,
+    pub governing: Arc<ActiveConfiguration>,
     pub entry: Entry,
     pub tenant: Option<Tenant>,
     pub homes: BTreeSet<Region>,
     pub key: Option<UserKey>,
     pub deadline: Tick,
-    /// Arrived from a router of another region: goes are its to repeat, not ours.
+    /// Arrived from a router of another region: attempts are its to repeat, not ours.
     pub inner: bool,
 }
 
-/// Why a job gets no plan.
-pub struct Denied {
+/// Why a request gets no plan.
+pub struct PlanError {
     pub code: StatusCode,
     pub reason: &'static str,
 }
 
-pub fn denied<T>(code: StatusCode, reason: &'static str) -> Result<T, Denied> {
-    Err(Denied { code, reason })
+pub fn denied<T>(code: StatusCode, reason: &'static str) -> Result<T, PlanError> {
+    Err(PlanError { code, reason })
 }
 
 pub fn header_of(head: &Parts) -> impl Fn(&str) -> Option<String> + '_ {
@@ -41,7 +41,12 @@
 
 impl Plan {
     /// Entry, tenant and homes, from path and headers alone: known before any body is read.
-    pub fn make(r: &Router, g: Arc<Governing>, job: JobId, head: &Parts) -> Result<Plan, Denied> {
+    pub fn make(
+        r: &Router,
+        g: Arc<ActiveConfiguration>,
+        job: RequestId,
+        head: &Parts,
+    ) -> Result<Plan, PlanError> {
         let header = header_of(head);
         let Some(entry) = g.table.find(head.method.as_str(), head.uri.path(), &header).cloned() else {
             return denied(StatusCode::NOT_FOUND, "no entry");
@@ -66,11 +71,11 @@
         self
     }
 
-    pub fn sent(head: &Parts, body: bytes::Bytes) -> Sent {
+    pub fn sent(head: &Parts, body: bytes::Bytes) -> OutgoingRequest {
         let mut headers = head.headers.clone();
-        crate::go::strip(&mut headers);
+        crate::attempt::strip(&mut headers);
         // The body was read whole: its length is known, whatever the caller's framing was.
         headers.remove("content-length");
-        Sent { method: head.method.clone(), uri: head.uri.clone(), headers, body }
+        OutgoingRequest { method: head.method.clone(), uri: head.uri.clone(), headers, body }
     }
 }
--- a/crates/data-plane/src/choose.rs
+++ b/crates/data-plane/src/region_choice.rs
@@ -1,16 +1,16 @@
 //! The source's rule (design 5.1): tests for reuse, and the weighted draw.
 
-use crate::pressure::RegionPressure;
+use crate::load::RegionLoad;
 use common::{Region, rendezvous};
 use configuration::Policy;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Region healthy, model healthy there, and not overloaded.
-pub fn passes(p: Option<&RegionPressure>, pol: &Policy) -> bool {
+pub fn passes(p: Option<&RegionLoad>, pol: &Policy) -> bool {
     p.is_some_and(|p| p.healthy && p.capacity > 0.0 && p.ratio() <= pol.overload)
 }
 
-pub fn weight(p: &RegionPressure, smooth: f64) -> f64 {
+pub fn weight(p: &RegionLoad, smooth: f64) -> f64 {
     let s = p.capacity * smooth;
     if p.capacity > 0.0 { (p.capacity + s) / (p.consumption.max(0.0) + s) } else { 0.0 }
 }
@@ -18,7 +18,7 @@
 /// Regions that a draw may take: inside the homes, passing the tests, and either the own one
 /// or one whose lending pass is in hand.
 pub fn candidates(
-    seen: &BTreeMap<Region, RegionPressure>,
+    seen: &BTreeMap<Region, RegionLoad>,
     homes: &BTreeSet<Region>,
     pol: &Policy,
     open_to: &dyn Fn(&Region) -> bool,
--- a/crates/data-plane/src/away.rs
+++ b/crates/data-plane/src/remote_forwarding.rs
@@ -1,11 +1,11 @@
 //! Goes to another region (design 5.6): through a router there, which has the last word.
 
 use crate::{
-    carry::{Next, Past},
-    go::{Outcome, Sent, go},
-    hop::{self, Hop},
+    attempt::{Outcome, OutgoingRequest, go},
+    dispatch::{Next, Past},
+    forwarding::{self, ForwardedRequest},
     plan::Plan,
-    router::{Router, hop_id, lock},
+    router::{Router, forward_load_id, lock},
 };
 use common::{
     PeerError, Region, Step,
@@ -18,10 +18,10 @@
     time::Duration,
 };
 
-/// Counts a hop as open at its region until its last byte.
-struct OpenHop(Arc<crate::pressure::Own>);
+/// Counts a forwarded request as open at its region until its last byte.
+struct OpenForward(Arc<crate::load::LocalLoad>);
 
-impl Drop for OpenHop {
+impl Drop for OpenForward {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::AcqRel);
     }
@@ -31,7 +31,7 @@
     pub(crate) async fn remote(
         self: &Arc<Self>,
         p: &Plan,
-        sent: &Sent,
+        sent: &OutgoingRequest,
         past: &mut Past,
         open: &Arc<OpenGuard>,
         region: Region,
@@ -45,7 +45,7 @@
         let spent = if stored {
             None
         } else {
-            match lock(&self.purse).spend(&region, &p.entry.to, self.node(), self.now()) {
+            match lock(&self.held_grants).spend(&region, &p.entry.to, self.node(), self.now()) {
                 Some(s) => Some(s),
                 None => {
                     past.avoid.insert(region);
@@ -54,11 +54,11 @@
             }
         };
         let left = p.deadline.since(self.now());
-        let h = Hop {
+        let h = ForwardedRequest {
             job: p.job.clone(),
             from: self.node().clone(),
             epoch: self.member.lease().epoch,
-            number: self.hops.fetch_add(1, Ordering::Relaxed) + 1,
+            number: self.forwards_sent.fetch_add(1, Ordering::Relaxed) + 1,
             to: peer.info.node.clone(),
             to_epoch: peer.epoch,
             revision: p.governing.revision,
@@ -70,27 +70,27 @@
             spent,
             left_ms: left,
         };
-        let signed = match hop::sign(self.cluster_state().secret, &h) {
+        let signed = match forwarding::sign(self.cluster_state().secret, &h) {
             Ok(s) => s,
             Err(e) => return Next::NotRun(PeerError::new(step, &region, e)),
         };
-        self.count_go(past, "hop");
+        self.count_attempt(past, "hop");
         past.routers.push(peer.info.node.to_string());
-        let own = self.pressure.own(&hop_id(&region, &p.entry.to));
+        let own = self.load_view.own(&forward_load_id(&region, &p.entry.to));
         own.open.fetch_add(1, Ordering::AcqRel);
-        let kept = (OpenHop(own), open.clone());
-        let extra = [(hop::HEADER, signed)];
+        let kept = (OpenForward(own), open.clone());
+        let extra = [(forwarding::HEADER, signed)];
         let to = peer.info.http;
-        let barred = || self.barred(p);
-        match go(self.way(p, to, &barred), sent, &extra, kept).await {
-            Outcome::Done(r) => self.hop_answer(p, r, past, region, &peer).await,
+        let forbidden = || self.forbidden(p);
+        match go(self.way(p, to, &forbidden), sent, &extra, kept).await {
+            Outcome::Done(r) => self.forward_response(p, r, past, region, &peer).await,
             Outcome::NotRun(e) => Next::NotRun(e),
             Outcome::Unknown(e) => Next::MayHaveRun(e),
         }
     }
 
     /// The other region's last word.
-    async fn hop_answer(
+    async fn forward_response(
         self: &Arc<Self>,
         p: &Plan,
         r: Response<Body>,
@@ -103,7 +103,7 @@
             "done" => Next::Answer(self.done(p, r)),
             "bounced" => {
                 let why = said("foldshunt-reason");
-                if hop::passes_soon(&why) {
+                if forwarding::is_transient(&why) {
                     tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await;
                 } else {
                     past.avoid.insert(region);
--- a/crates/data-plane/src/replay.rs
+++ b/crates/data-plane/src/replay_guard.rs
@@ -1,5 +1,5 @@
-//! Replay protection for signed hops (design 5.6): no input or output, and no clock. Each router
-//! numbers its hops within its membership; who is asked keeps a sliding window of the numbers it
+//! Replay protection for signed forwarded requests (design 5.6): no input or output, and no clock. Each router
+//! numbers its forwarded requests within its membership; who is asked keeps a sliding window of the numbers it
 //! took from each member, as IPsec does (RFC 4303, 3.4.3).
 
 use common::{Epoch, NodeId};
@@ -47,7 +47,7 @@
 pub struct ReplayGuard(HashMap<NodeId, Window>);
 
 impl ReplayGuard {
-    /// Takes a hop once. `member` tells the epoch of a node's membership as it is known here: a
+    /// Takes a forwarded request once. `member` tells the epoch of a node's membership as it is known here: a
     /// membership that ended never comes back, so its numbers need not be kept.
     pub fn take(
         &mut self,
--- a/crates/data-plane/src/replica.rs
+++ b/crates/data-plane/src/replica_choice.rs
@@ -1,9 +1,9 @@
 //! Choice of a replica within the own region (design 5.4).
 
 use crate::{
-    pressure::{Candidate, Own},
+    load::{Candidate, LocalLoad},
+    placement_table::UserKey,
     router::{Router, stands_in},
-    tab::UserKey,
 };
 use common::{NodeId, Region, Service, rendezvous::stable_hash};
 use configuration::{Kind, Table};
@@ -16,11 +16,11 @@
 /// Share of a region's capacity in use from which users keep to their first replicas.
 const PRESSED: f64 = 0.75;
 
-/// A replica that was picked; while this lives the job counts as open there.
+/// A replica that was picked; while this lives the request counts as open there.
 pub struct Picked {
     pub addr: SocketAddr,
     pub id: common::ReplicaId,
-    pub own: Arc<Own>,
+    pub own: Arc<LocalLoad>,
     router: Arc<Router>,
 }
 
@@ -43,13 +43,13 @@
     l.routers().into_iter().filter(|m| stands_in(l, t, m, region)).map(|m| m.info.node.clone()).collect()
 }
 
-/// Whether one more job may go to this replica from here (design 5.4). What a report shows as
+/// Whether one more request may go to this replica from here (design 5.4). What a report shows as
 /// free is split over the routers, so that they do not all take the same room; a replica that is
 /// less than half full takes one more from each of them, so that users stay where they are warm.
 pub fn has_room(c: &Candidate, line: &[NodeId], me: &str) -> bool {
     let (id, open) = (c.gauge.id.as_str(), c.own.open.load(Ordering::Relaxed));
     if let Some(a) = c.gauge.allowance {
-        // Who holds the places changes with the figures: what is open there already counts too.
+        // Who holds the places changes with the load reports: what is open there already counts too.
         return open < share(&c.line, me, id, a) && c.consumption() + 1.0 <= f64::from(a);
     }
     let cap = c.gauge.capacity.max(1.0);
@@ -60,13 +60,13 @@
     c.consumption() + 1.0 <= cap && (added < part || (half_empty && added < 1))
 }
 
-/// Refused a connection here since its figures were taken: nothing goes there before newer ones.
+/// Refused a connection here since its load reports were taken: nothing attempts there before newer ones.
 fn gone(c: &Candidate) -> bool {
     c.own.refused_at.load(Ordering::Relaxed) > c.at.0
 }
 
 impl Router {
-    /// Picks a replica with room and counts the job there at once. `Err(true)`: there are
+    /// Picks a replica with room and counts the request there at once. `Err(true)`: there are
     /// replicas, but none has room; `Err(false)`: there are none.
     pub fn pick(
         self: &Arc<Self>,
@@ -88,9 +88,9 @@
             return Err(false);
         }
         // Those that failed here lately come last, and only where there is nothing else.
-        let shunned = |c: &Candidate| c.own.shun.load(Ordering::Relaxed) > now.0;
-        if all.iter().any(|c| !shunned(c)) {
-            all.retain(|c| !shunned(c));
+        let avoided = |c: &Candidate| c.own.avoid_until.load(Ordering::Relaxed) > now.0;
+        if all.iter().any(|c| !avoided(c)) {
+            all.retain(|c| !avoided(c));
         }
         let line = routers_of(&l, t, &region);
         let ratio = |c: &Candidate| c.consumption() / c.gauge.capacity.max(1.0);
@@ -102,7 +102,7 @@
                 all.sort_by_key(|c| std::cmp::Reverse(weight(c)));
                 let whole: f64 = all.iter().map(|c| c.gauge.capacity).sum();
                 let used: f64 = all.iter().map(|c| c.consumption()).sum();
-                // Under pressure a cold run elsewhere costs more than a short wait.
+                // Under load a cold run elsewhere costs more than a short wait.
                 if used > whole * PRESSED {
                     all.truncate((all.len() / 8).max(2));
                 }
--- a/crates/data-plane/src/watched.rs
+++ b/crates/data-plane/src/replica_health.rs
@@ -74,15 +74,15 @@
         }
     }
 
-    /// The ramp: a tenth of the capacity at first, all of it after `warm_ms`. It does not begin before
+    /// The ramp: a tenth of the capacity at first, all of it after `slow_start_ms`. It does not begin before
     /// something is there; until then its first step tells who takes over that this one is cold.
-    pub fn allowance(&self, warm_ms: u64, now: Tick) -> Option<u32> {
+    pub fn allowance(&self, slow_start_ms: u64, now: Tick) -> Option<u32> {
         if common::mutation::enabled("cold-is-warm") {
             return None;
         }
         let up = if self.absent { 0 } else { now.since(self.warm_since?) };
-        (up < warm_ms).then(|| {
-            let part = (up as f64 / warm_ms as f64).max(0.1);
+        (up < slow_start_ms).then(|| {
+            let part = (up as f64 / slow_start_ms as f64).max(0.1);
             (self.capacity * part).max(1.0) as u32
         })
     }
--- a/crates/data-plane/src/waitlist.rs
+++ b/crates/data-plane/src/request_queue.rs
@@ -1,4 +1,4 @@
-//! The waitlist (design 5.9): bounded, in order of deadline, and honest at once with those
+//! The request queue (design 5.9): bounded, in order of deadline, and honest at once with those
 //! whose deadline can't be met.
 
 use common::Tick;
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 
 #[derive(Debug, Default)]
-pub struct Waitlist {
+pub struct RequestQueue {
     rows: BTreeMap<(Tick, u64), oneshot::Sender<()>>,
     serial: u64,
     /// Smoothed time between two places that came free, in milliseconds.
@@ -21,7 +21,7 @@
     Late,
 }
 
-impl Waitlist {
+impl RequestQueue {
     /// Takes a place by deadline, or says at once that it would not help.
     pub fn join(
         &mut self,
@@ -61,7 +61,7 @@
         self.gap_ms = 0.0;
     }
 
-    /// New figures may show room for many: all look again, in their order.
+    /// New load reports may show room for many: all look again, in their order.
     pub fn wake_all(&mut self) {
         while let Some((_, tx)) = self.rows.pop_first() {
             let _ = tx.send(());
--- a/crates/data-plane/src/budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Goes beyond the first (design 5.8): tokens come as a share of real jobs, so that the sum
+//! Goes beyond the first (design 5.8): tokens come as a share of real requests, so that the sum
 //! over all nodes keeps the same share.
 
 use std::sync::atomic::{AtomicI64, Ordering};
@@ -11,7 +11,7 @@
 pub struct Budget(AtomicI64);
 
 impl Default for Budget {
-    /// A new node has two saved, so that its first jobs are not the worse off.
+    /// A new node has two saved, so that its first requests are not the worse off.
     fn default() -> Self {
         Self(AtomicI64::new(2 * UNIT))
     }
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -1,16 +1,16 @@
 //! A router's state, in one struct that is passed down by reference (design 5.10).
 
 use crate::{
-    budget::Budget,
-    digest::{Digest, Event, Happened, KEEP},
-    lend::{Lender, Purse},
-    numbers::Numbers,
-    pressure::{Candidate, Figures, Pressure, RegionPressure, regions},
-    replay::ReplayGuard,
+    capacity_grant::{GrantIssuer, HeldGrants},
+    counters::Counters,
+    load::{Candidate, LoadReport, LoadView, RegionLoad, regions},
+    placement_table::{PlacementTable, UserKey},
+    replay_guard::ReplayGuard,
+    request_queue::RequestQueue,
+    retry_budget::Budget,
     rpc::{RouterRequest, RouterResponse},
-    serving::{board::Board, reading::Reading},
-    tab::{Tab, UserKey},
-    waitlist::Waitlist,
+    serving::{prefill::Reading, replica_report::Board},
+    summary::{Event, EventKind, KEEP, Summary},
 };
 use arc_swap::ArcSwapOption;
 use common::{
@@ -29,7 +29,7 @@
 use tokio::sync::watch;
 
 /// A compiled document and the revision that it came from.
-pub struct Governing {
+pub struct ActiveConfiguration {
     pub revision: Revision,
     pub table: Table,
 }
@@ -39,12 +39,12 @@
 pub struct Cached {
     pub region: Region,
     pub ver: u64,
-    pub heard: Tick,
+    pub last_contacts: Tick,
     pub until: Tick,
 }
 
 /// Figures of the homes that this node holds.
-pub type Published = BTreeMap<(Service, Zone), watch::Sender<Option<Figures>>>;
+pub type Published = BTreeMap<(Service, Zone), watch::Sender<Option<LoadReport>>>;
 
 /// What this node publishes of a zone, and when it was asked for it last.
 pub struct Publication {
@@ -57,31 +57,31 @@
     pub clock: Clock,
     pub member: Arc<membership::Member>,
     pub lines: RpcClient<RouterRequest, RouterResponse>,
-    pub governing: ArcSwapOption<Governing>,
-    pub pressure: Pressure,
-    pub tab: Mutex<Tab>,
+    pub governing: ArcSwapOption<ActiveConfiguration>,
+    pub load_view: LoadView,
+    pub placements: Mutex<PlacementTable>,
     pub cache: Mutex<HashMap<(UserKey, Service), Cached>>,
-    pub purse: Mutex<Purse>,
-    pub lender: Mutex<Lender>,
+    pub held_grants: Mutex<HeldGrants>,
+    pub grant_issuer: Mutex<GrantIssuer>,
     pub budget: Budget,
-    pub waitlist: Mutex<Waitlist>,
-    pub heard: Mutex<HashMap<NodeId, Tick>>,
+    pub queue: Mutex<RequestQueue>,
+    pub last_contacts: Mutex<HashMap<NodeId, Tick>>,
     /// Those that were heard and said that they take no new work.
-    pub unfit: Mutex<HashSet<NodeId>>,
+    pub refusing: Mutex<HashSet<NodeId>>,
     pub published: Mutex<Published>,
     pub boards: Mutex<BTreeMap<Zone, Publication>>,
     pub reading: Mutex<Reading>,
-    pub numbers: Numbers,
-    pub event_log: EventLog<Event, Digest>,
+    pub counters: Counters,
+    pub event_log: EventLog<Event, Summary>,
     pub draining: AtomicBool,
     pub open_count: Arc<OpenCount>,
     pub serial: AtomicU64,
-    /// Number of the last hop sent, and what was taken of those of others.
-    pub hops: AtomicU64,
+    /// Number of the last forwarded request sent, and what was taken of those of others.
+    pub forwards_sent: AtomicU64,
     pub replay: Mutex<ReplayGuard>,
     /// Revision of a document that was accepted and can't be read here; 0 where there is none.
     pub unreadable: AtomicU64,
-    /// When the first document governed here; figures arrive soon after.
+    /// When the first document governed here; load reports arrive soon after.
     pub since: AtomicU64,
 }
 
@@ -97,24 +97,24 @@
             clock,
             member,
             governing: ArcSwapOption::empty(),
-            pressure: Pressure::default(),
-            tab: Mutex::default(),
+            load_view: LoadView::default(),
+            placements: Mutex::default(),
             cache: Mutex::default(),
-            purse: Mutex::default(),
-            lender: Mutex::default(),
+            held_grants: Mutex::default(),
+            grant_issuer: Mutex::default(),
             budget: Budget::default(),
-            waitlist: Mutex::default(),
-            heard: Mutex::default(),
-            unfit: Mutex::default(),
+            queue: Mutex::default(),
+            last_contacts: Mutex::default(),
+            refusing: Mutex::default(),
             published: Mutex::default(),
             boards: Mutex::default(),
             reading: Mutex::default(),
-            numbers: Numbers::default(),
-            event_log: EventLog::new(Digest::default(), KEEP),
+            counters: Counters::default(),
+            event_log: EventLog::new(Summary::default(), KEEP),
             draining: AtomicBool::new(false),
             open_count: Arc::default(),
             serial: AtomicU64::new(0),
-            hops: AtomicU64::new(0),
+            forwards_sent: AtomicU64::new(0),
             replay: Mutex::default(),
             unreadable: AtomicU64::new(0),
             since: AtomicU64::new(0),
@@ -125,7 +125,7 @@
         self.clock.now()
     }
 
-    pub fn happened(&self, what: Happened) {
+    pub fn record_event(&self, what: EventKind) {
         self.event_log.append(Event { at: self.now(), what });
     }
 
@@ -142,7 +142,7 @@
     }
 
     /// Compiles the newest document as soon as it is there; an older one never comes back.
-    pub async fn govern(self: Arc<Self>) {
+    pub async fn keep_configuration(self: Arc<Self>) {
         let mut moved = self.member.applied.subscribe();
         loop {
             let l = self.cluster_state();
@@ -151,12 +151,12 @@
                 match configuration::compile(text) {
                     Ok(table) => {
                         let revision = l.revision;
-                        self.governing.store(Some(Arc::new(Governing { revision, table })));
+                        self.governing.store(Some(Arc::new(ActiveConfiguration { revision, table })));
                         let _ =
                             self.since.compare_exchange(0, self.now().0, Ordering::AcqRel, Ordering::Acquire);
                         self.member.revision_in_force.store(revision.0, Ordering::Release);
                         log_event!(Info, "governs", "revision" => revision.0);
-                        self.happened(Happened::Governs(revision));
+                        self.record_event(EventKind::Governs(revision));
                     }
                     Err(f) => {
                         self.unreadable.store(l.revision.0, Ordering::Release);
@@ -186,10 +186,10 @@
     }
 
     /// Replicas that may be given something now: listed, not draining, zone not evacuated,
-    /// figures fresh and healthy.
+    /// load reports fresh and healthy.
     pub fn usable(&self, svc: &Service) -> Vec<Candidate> {
         let l = self.cluster_state();
-        self.pressure.replicas(svc, self.now(), self.set.timing.report_max_age_ms(), &|g, zone| {
+        self.load_view.replicas(svc, self.now(), self.set.timing.report_max_age_ms(), &|g, zone| {
             if common::mutation::enabled("departed-still-used") {
                 return true;
             }
@@ -198,38 +198,38 @@
         })
     }
 
-    /// Pressure by region for one service, with own hops since the figures added.
-    pub fn seen(&self, t: &Table, svc: &Service) -> BTreeMap<Region, RegionPressure> {
+    /// Pressure by region for one service, with own forwarded requests since the load reports added.
+    pub fn seen(&self, t: &Table, svc: &Service) -> BTreeMap<Region, RegionLoad> {
         let mut out = regions(&self.usable(svc), &|a| t.region_of(a).cloned());
         let own = self.own_region(t);
         for (r, p) in out.iter_mut().filter(|(r, _)| Some(*r) != own.as_ref()) {
-            let o = self.pressure.own(&hop_id(r, svc));
+            let o = self.load_view.own(&forward_load_id(r, svc));
             let since = o.open.load(Ordering::Relaxed) - o.counted.load(Ordering::Relaxed);
             p.consumption += since.max(0) as f64;
         }
         out
     }
 
-    /// Too young to have heard of all replicas: jobs wait a little instead of being rejected.
+    /// Too young to have heard of all replicas: requests wait a little instead of being rejected.
     pub fn starting(&self) -> bool {
         let since = Tick(self.since.load(Ordering::Acquire));
         self.now().since(since) <= self.set.timing.report_max_age_ms()
     }
 
     pub fn free(&self) {
-        lock(&self.waitlist).free(self.now());
+        lock(&self.queue).free(self.now());
     }
 
     /// `asked` is when they were asked for: from then on they age.
-    pub fn take_figures(&self, f: Figures, asked: Tick) {
+    pub fn install_load_report(&self, f: LoadReport, asked: Tick) {
         let (svc, zone) = (f.service.clone(), f.zone.clone());
-        if self.pressure.take(f, asked, self.now())
+        if self.load_view.take(f, asked, self.now())
             && let Some(g) = self.governing.load().as_ref()
             && let Some(r) = g.table.region_of(&zone)
         {
-            let o = self.pressure.own(&hop_id(r, &svc));
+            let o = self.load_view.own(&forward_load_id(r, &svc));
             o.counted.store(o.open.load(Ordering::Relaxed), Ordering::Relaxed);
-            lock(&self.waitlist).wake_all();
+            lock(&self.queue).wake_all();
         }
     }
 }
@@ -239,7 +239,7 @@
     t.region_of(&m.info.zone) == Some(region) && !l.evacuated.contains(&m.info.zone)
 }
 
-/// Under this name own hops to a region are counted.
-pub fn hop_id(r: &Region, svc: &Service) -> common::ReplicaId {
+/// Under this name own forwarded requests to a region are counted.
+pub fn forward_load_id(r: &Region, svc: &Service) -> common::ReplicaId {
     common::ReplicaId::new(format!("hop/{r}/{svc}"))
 }
--- a/crates/data-plane/src/rpc.rs
+++ b/crates/data-plane/src/rpc.rs
@@ -1,10 +1,10 @@
 //! What a router is asked by other processes (design 5.7).
 
 use crate::{
-    lend::{Pass, Spent},
-    pressure::Figures,
-    serving::{board::Board, reading::Note},
-    tab::{Copy, Settled, UserKey},
+    capacity_grant::{CapacityGrant, GrantUse},
+    load::LoadReport,
+    placement_table::{Copy, PlacementOutcome, UserKey},
+    serving::{prefill::PromptSent, replica_report::Board},
 };
 use common::{FencingToken, Incarnation, Index, NodeId, Region, Service, Zone};
 use control_plane::state_machine::state_update::StateUpdate;
@@ -15,7 +15,8 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RouterRequest {
     /// A sign of life, with what this node has seen.
-    Hail {
+    #[serde(rename = "Hail")]
+    Heartbeat {
         #[serde(rename = "idx")]
         index: Index,
     },
@@ -65,11 +66,12 @@
         node: NodeId,
     },
     Redeem {
-        spent: Spent,
+        spent: GrantUse,
     },
     /// A long prompt was sent to a replica.
-    Note {
-        note: Note,
+    #[serde(rename = "Note")]
+    PromptSent {
+        note: PromptSent,
     },
     /// What this node publishes of a zone's replicas; being asked makes it publish.
     Board {
@@ -83,7 +85,8 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RouterResponse {
     /// Alive, as this incarnation: another one at the same address is no sign of life of the first.
-    Hailed {
+    #[serde(rename = "Hailed")]
+    HeartbeatAck {
         #[serde(rename = "idx")]
         index: Index,
         #[serde(rename = "inc")]
@@ -93,10 +96,13 @@
     },
     #[serde(rename = "News")]
     StateUpdate(StateUpdate),
-    Settled(Settled),
+    #[serde(rename = "Settled")]
+    PlacementOutcome(PlacementOutcome),
     Rows(Vec<Copy>),
-    Figures(Figures),
-    Pass(Option<Pass>),
+    #[serde(rename = "Figures")]
+    LoadReport(LoadReport),
+    #[serde(rename = "Pass")]
+    CapacityGrant(Option<CapacityGrant>),
     Board(Option<Box<Board>>),
     Done,
     /// Not done, for a named reason.
@@ -107,7 +113,7 @@
 impl tarpc::RequestName for RouterRequest {
     fn name(&self) -> &str {
         match self {
-            RouterRequest::Hail { .. } => "points.hail",
+            RouterRequest::Heartbeat { .. } => "points.hail",
             RouterRequest::FetchState { .. } => "points.news",
             RouterRequest::Settle { .. } => "points.settle",
             RouterRequest::Copy { .. } => "points.copy",
@@ -116,7 +122,7 @@
             RouterRequest::Last { .. } => "points.last",
             RouterRequest::Passes { .. } => "points.passes",
             RouterRequest::Redeem { .. } => "points.redeem",
-            RouterRequest::Note { .. } => "points.note",
+            RouterRequest::PromptSent { .. } => "points.note",
             RouterRequest::Board { .. } => "points.board",
         }
     }
--- a/crates/data-plane/src/answer.rs
+++ b/crates/data-plane/src/rpc_service.rs
@@ -1,7 +1,7 @@
 //! What a router answers to other processes (design 5.7).
 
 use crate::{
-    pressure::Figures,
+    load::LoadReport,
     router::{Router, lock},
     rpc::{RouterRequest, RouterResponse},
 };
@@ -17,10 +17,10 @@
     pub async fn answer(self: Arc<Self>, node: String, ask: RouterRequest) -> RouterResponse {
         match ask {
             // No sign of life by itself: it may have waited here while this node was frozen.
-            RouterRequest::Hail { .. } => RouterResponse::Hailed {
+            RouterRequest::Heartbeat { .. } => RouterResponse::HeartbeatAck {
                 index: self.cluster_state().index,
                 incarnation: self.member.info.incarnation,
-                fit: self.standing().is_none() && !self.draining.load(Ordering::Acquire),
+                fit: self.refuses_work().is_none() && !self.draining.load(Ordering::Acquire),
             },
             RouterRequest::FetchState { have } => {
                 let l = self.cluster_state();
@@ -35,43 +35,43 @@
             }
             RouterRequest::Settle { fencing_token, key, service, stale, pick, ttl_ms } => {
                 match self.settle_here(fencing_token, key, &service, stale, pick, ttl_ms) {
-                    Ok(s) => RouterResponse::Settled(s),
+                    Ok(s) => RouterResponse::PlacementOutcome(s),
                     Err(why) => self.no("settle", &node, why),
                 }
             }
             RouterRequest::Copy { fencing_token, shard, rows } => {
-                let known = lock(&self.tab).fencing_token(shard, fencing_token);
+                let known = lock(&self.placements).fencing_token(shard, fencing_token);
                 match known {
                     Ok(()) => {
-                        self.take_copies(rows);
+                        self.install_rows(rows);
                         RouterResponse::Done
                     }
                     Err(f) => self.no("copy", &node, format!("stale fence: {f} is known")),
                 }
             }
             RouterRequest::Fetch { shard } => {
-                RouterResponse::Rows(lock(&self.tab).rows_of(shard, self.now()))
+                RouterResponse::Rows(lock(&self.placements).rows_of(shard, self.now()))
             }
             RouterRequest::Watch { service, zone, seq, fencing_token, wait_ms } => {
-                match self.tell_figures(service, zone, seq, fencing_token, wait_ms).await {
-                    Some(f) => RouterResponse::Figures(f),
+                match self.wait_for_load_report(service, zone, seq, fencing_token, wait_ms).await {
+                    Some(f) => RouterResponse::LoadReport(f),
                     None => RouterResponse::Rejected("not the home".into()),
                 }
             }
-            RouterRequest::Last { service, zone } => match self.last_figures(&service, &zone) {
-                Some(f) => RouterResponse::Figures(f),
+            RouterRequest::Last { service, zone } => match self.last_load_report(&service, &zone) {
+                Some(f) => RouterResponse::LoadReport(f),
                 None => RouterResponse::Rejected("nothing heard".into()),
             },
             RouterRequest::Passes { region, service, node } => match self.grant(&region, &service, &node) {
-                Ok(p) => RouterResponse::Pass(p),
+                Ok(p) => RouterResponse::CapacityGrant(p),
                 Err(why) => RouterResponse::Rejected(why.into()),
             },
-            RouterRequest::Note { note } => {
-                self.heard_of(&note);
+            RouterRequest::PromptSent { note } => {
+                self.note_prompt(&note);
                 RouterResponse::Done
             }
             RouterRequest::Board { zone, seq, wait_ms } => {
-                RouterResponse::Board(self.tell_board(zone, seq, wait_ms).await.map(Box::new))
+                RouterResponse::Board(self.wait_for_report(zone, seq, wait_ms).await.map(Box::new))
             }
             RouterRequest::Redeem { spent } => match self.redeem_here(&spent) {
                 Ok(()) => RouterResponse::Done,
@@ -81,39 +81,40 @@
     }
 
     fn no(&self, step: &'static str, peer: &str, why: String) -> RouterResponse {
-        self.numbers.reject(why.split(':').next().unwrap_or("bounced"));
+        self.counters.reject(why.split(':').next().unwrap_or("bounced"));
         log_event!(Info, step, "peer" => peer, "cause" => why);
         RouterResponse::Rejected(why)
     }
 
     /// Figures with their age, as long as they still count.
-    pub fn last_figures(&self, svc: &Service, zone: &Zone) -> Option<Figures> {
-        let b = self.pressure.board();
+    pub fn last_load_report(&self, svc: &Service, zone: &Zone) -> Option<LoadReport> {
+        let b = self.load_view.board();
         let s = b.seen.get(&(svc.clone(), zone.clone()))?;
         let age_ms = self.now().since(s.at);
-        (age_ms <= self.set.timing.report_max_age_ms()).then(|| Figures {
+        (age_ms <= self.set.timing.report_max_age_ms()).then(|| LoadReport {
             age_ms,
             waited_ms: 0,
             ..s.fig.clone()
         })
     }
 
-    async fn tell_figures(
+    async fn wait_for_load_report(
         &self,
         svc: Service,
         zone: Zone,
         seq: u64,
         fencing_token: FencingToken,
         wait_ms: u64,
-    ) -> Option<Figures> {
+    ) -> Option<LoadReport> {
         let mut rx = lock(&self.published).get(&(svc.clone(), zone.clone()))?.subscribe();
-        let newer =
-            |f: &Option<Figures>| f.as_ref().is_some_and(|f| f.fencing_token != fencing_token || f.seq > seq);
+        let newer = |f: &Option<LoadReport>| {
+            f.as_ref().is_some_and(|f| f.fencing_token != fencing_token || f.seq > seq)
+        };
         let wait = Duration::from_millis(wait_ms.min(10_000));
         let came = self.now();
         let _ = tokio::time::timeout(wait, rx.wait_for(newer)).await;
         let mut fig = rx.borrow().clone()?;
-        let at = self.pressure.board().seen.get(&(svc, zone)).map(|s| s.at);
+        let at = self.load_view.board().seen.get(&(svc, zone)).map(|s| s.at);
         let now = self.now();
         fig.age_ms = at.map(|t| now.since(t)).unwrap_or(0);
         fig.waited_ms = now.since(came);
@@ -123,23 +124,23 @@
     /// Starts all standing work of a router.
     pub fn start(self: &Arc<Self>, set: &Settings, rpc_addr: common::runtime::Listener) {
         self.member.start();
-        common::runtime::spawn(self.clone().govern());
-        common::runtime::spawn(self.clone().hail());
+        common::runtime::spawn(self.clone().keep_configuration());
+        common::runtime::spawn(self.clone().send_heartbeats());
         common::runtime::spawn(self.clone().watch_all());
         common::runtime::spawn(self.clone().lend());
-        common::runtime::spawn(self.clone().fill_purse());
+        common::runtime::spawn(self.clone().keep_grants());
         self.start_listening(set, rpc_addr);
     }
 
     /// Starts the standing work of a router that serves by routes.
     pub fn start_serving(self: &Arc<Self>, set: &Settings, rpc_addr: common::runtime::Listener) {
         self.member.start();
-        common::runtime::spawn(self.clone().hail());
+        common::runtime::spawn(self.clone().send_heartbeats());
         self.start_listening(set, rpc_addr);
     }
 
     fn start_listening(self: &Arc<Self>, set: &Settings, rpc_addr: common::runtime::Listener) {
-        common::runtime::spawn(self.clone().gather());
+        common::runtime::spawn(self.clone().fetch_shards());
         let me = self.clone();
         common::runtime::spawn(common::rpc::listen(
             rpc_addr,
--- a/crates/data-plane/src/serving/attempt.rs
+++ b/crates/data-plane/src/serving/attempt.rs
@@ -2,14 +2,14 @@
 //! another. Knows connections and heads, not what becomes of the request.
 
 use super::{
+    attempt_state::{self, AnswerHead, AnswerId, Verdict},
     connection::{Answer, Fresh, Ready},
-    exchange::{self, AnswerHead, AnswerId, Verdict},
-    fleet::Candidate,
+    connection_reuse,
     plan::Plan,
-    reuse,
+    replica_view::Candidate,
     state::Serving,
 };
-use crate::{body::ends_surely, go::strip, router::lock};
+use crate::{attempt::strip, response_body::ends_surely, router::lock};
 use common::{PeerError, error::AtPeer, http::full};
 use hyper::{Request, header::HeaderValue};
 use std::{
@@ -33,26 +33,26 @@
 pub struct Open {
     s: Arc<Serving>,
     pub at: Candidate,
-    abroad: bool,
+    forwarded_open: bool,
 }
 
 impl Open {
     pub fn new(s: &Arc<Serving>, at: Candidate) -> Self {
         at.own.open.fetch_add(1, Ordering::AcqRel);
-        let abroad = at.region != s.site.region;
-        if abroad {
-            *lock(&s.abroad).entry((at.region.clone(), at.service.clone())).or_default() += 1;
+        let forwarded_open = at.region != s.site.region;
+        if forwarded_open {
+            *lock(&s.forwarded_open).entry((at.region.clone(), at.service.clone())).or_default() += 1;
         }
-        Self { s: s.clone(), at, abroad }
+        Self { s: s.clone(), at, forwarded_open }
     }
 }
 
 impl Drop for Open {
     fn drop(&mut self) {
         self.at.own.open.fetch_sub(1, Ordering::AcqRel);
-        if self.abroad {
+        if self.forwarded_open {
             let at = (self.at.region.clone(), self.at.service.clone());
-            lock(&self.s.abroad).entry(at).and_modify(|n| *n -= 1);
+            lock(&self.s.forwarded_open).entry(at).and_modify(|n| *n -= 1);
         }
     }
 }
@@ -98,7 +98,7 @@
     /// One attempt; `after` names the event after which a stream is to go on. An idle connection is
     /// tried first where that may be; if it had ended before the request was put on it, a fresh one.
     pub async fn attempt(&self, p: &Plan, c: &Candidate, after: Option<&str>) -> Outcome {
-        let reuse = reuse::may_reuse(p.asked());
+        let reuse = connection_reuse::may_reuse(p.asked());
         if let Some(idle) = reuse.then(|| self.pool.take(&c.id, self.now())).flatten()
             && let Some(outcome) = self.send(p, c, after, Ready::Idle(idle)).await
         {
@@ -119,7 +119,7 @@
             Err(e) => return Some(Outcome::NotSent(e)),
         };
         // Much may have passed since the choice: an evacuation, a drain, a freeze.
-        if let Some(why) = self.barred(p, c) {
+        if let Some(why) = self.forbidden(p, c) {
             return Some(Outcome::NotSent(PeerError::new("last look", c.addr, why)));
         }
         let left = Duration::from_millis(p.left_ms(self.now()).max(1));
@@ -127,7 +127,7 @@
             Outcome::MayHaveRun(PeerError::new("await answer", c.addr, why.to_string()))
         };
         Some(match tokio::time::timeout(left, on.send(req)).await {
-            Ok(Ok(answer)) => self.judge(p, c, answer),
+            Ok(Ok(answer)) => self.check_answer(p, c, answer),
             // The connection ended before any byte of the request was put on it.
             Ok(Err(e)) if e.is_canceled() => return None,
             Ok(Err(e)) => lost(&e),
@@ -136,21 +136,21 @@
     }
 
     /// Why nothing may be sent to a replica now, whatever was planned.
-    pub fn barred(&self, p: &Plan, c: &Candidate) -> Option<&'static str> {
+    pub fn forbidden(&self, p: &Plan, c: &Candidate) -> Option<&'static str> {
         let now = self.now();
         let fleet = self.fleet.load();
         let listed = fleet.of(&c.service).iter().find(|x| x.id == c.id);
         [(now >= p.deadline, "past its deadline"), (listed.is_none_or(|x| !self.usable(x)), "replica left")]
             .into_iter()
             .find_map(|(no, why)| no.then_some(why))
-            .or_else(|| self.router.standing())
+            .or_else(|| self.router.refuses_work())
     }
 
     fn answer_head(&self, p: &Plan, answer: &Answer) -> AnswerHead {
         let (names, head) = (self.dialect.names(), &answer.head);
         let id = match head.headers.get(&names.request_id) {
             None => AnswerId::Absent,
-            told if told == p.request_id.as_ref() => AnswerId::Own,
+            told if told == p.request_id.as_ref() => AnswerId::LocalLoad,
             Some(_) => AnswerId::Other,
         };
         AnswerHead {
@@ -163,10 +163,10 @@
     }
 
     /// What an answer's head says: whose it is, whether the request ran, whether its end can be told.
-    fn judge(&self, p: &Plan, c: &Candidate, mut answer: Answer) -> Outcome {
-        match exchange::judge(p.asked(), &self.answer_head(p, &answer)) {
+    fn check_answer(&self, p: &Plan, c: &Candidate, mut answer: Answer) -> Outcome {
+        match attempt_state::check_answer(p.asked(), &self.answer_head(p, &answer)) {
             Verdict::Answer => {
-                c.own.hear(self.now());
+                c.own.note_contact(self.now());
                 strip(&mut answer.head.headers);
                 Outcome::Answer(answer)
             }
--- a/crates/data-plane/src/serving/exchange.rs
+++ b/crates/data-plane/src/serving/attempt_state.rs
@@ -1,16 +1,16 @@
 //! What may follow an exchange with a replica (design 9.6), as a state machine without I/O: whose an
-//! answer is, whether a request may be tried again, and what its client is told last. [`Tries`] holds one
+//! answer is, whether a request may be tried again, and what its client is told last. [`Attempts`] holds one
 //! client request, from its first attempt to its answer. What may follow on the connection is decided in
-//! [`super::reuse`].
+//! [`super::connection_reuse`].
 
 use common::mutation::enabled as broken;
 
 /// Attempts that reach nobody, after which a request is given up.
-pub const MOST_UNSENT: u32 = 4;
+pub const MAX_UNSENT: u32 = 4;
 
 /// What matters of a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Asked {
+pub struct RequestTraits {
     /// It may run more than once.
     pub repeatable: bool,
     /// It carries an id, which its answer repeats.
@@ -20,7 +20,7 @@
 /// The id in an answer, beside that of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AnswerId {
-    Own,
+    LocalLoad,
     Absent,
     Other,
 }
@@ -49,7 +49,7 @@
 }
 
 /// Statuses by which a client takes it that its request has not run and never will.
-fn promises_not_run(status: u16) -> bool {
+fn status_promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
@@ -58,7 +58,7 @@
 }
 
 /// Judges an answer by its head.
-pub fn judge(asked: Asked, head: &AnswerHead) -> Verdict {
+pub fn check_answer(asked: RequestTraits, head: &AnswerHead) -> Verdict {
     let foreign = asked.has_id && head.id == AnswerId::Other;
     if foreign && !broken("foreign-answer-taken") {
         return Verdict::MayHaveRun("it answers another request");
@@ -78,7 +78,7 @@
     if !head.ends_surely {
         return Verdict::MayHaveRun("its end can't be told from a cut");
     }
-    if !asked.repeatable && promises_not_run(head.status) && !broken("promise-passed-on") {
+    if !asked.repeatable && status_promises_not_run(head.status) && !broken("promise-passed-on") {
         return Verdict::MayHaveRun("its status promises what the replica does not say");
     }
     Verdict::Answer
@@ -107,7 +107,7 @@
 
 /// What the client is told when nothing more is tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LastWord {
+pub enum FinalStatus {
     /// The promise that nothing ran.
     Refused,
     BadGateway,
@@ -116,7 +116,7 @@
 
 /// The attempts of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Tries {
+pub struct Attempts {
     repeatable: bool,
     most: u32,
     /// Replicas that the request has reached or may have reached.
@@ -128,7 +128,7 @@
     under_way: Option<bool>,
 }
 
-impl Tries {
+impl Attempts {
     pub fn new(repeatable: bool, most: u32) -> Self {
         let (arrived, unsent) = (0, 0);
         Self { repeatable, most: most.max(1), arrived, unsent, may_have_run: false, under_way: None }
@@ -145,7 +145,7 @@
     pub fn permit(&self) -> Permit {
         let once = self.may_have_run() && !self.repeatable && !broken("write-sent-again");
         let most = if broken("tries-not-counted") { u32::MAX } else { self.most };
-        if once || self.unsent >= MOST_UNSENT || self.arrived >= most {
+        if once || self.unsent >= MAX_UNSENT || self.arrived >= most {
             return Permit::No;
         }
         if self.arrived == 0 { Permit::Free } else { Permit::Paid }
@@ -175,10 +175,10 @@
     }
 
     /// The final answer where there is none of a replica: refused only where nothing can have run.
-    pub fn last_word(&self, late: bool) -> LastWord {
+    pub fn last_word(&self, late: bool) -> FinalStatus {
         if !self.may_have_run() || broken("unknown-called-refused") {
-            return LastWord::Refused;
+            return FinalStatus::Refused;
         }
-        if late { LastWord::GatewayTimeout } else { LastWord::BadGateway }
+        if late { FinalStatus::GatewayTimeout } else { FinalStatus::BadGateway }
     }
 }
--- a/crates/data-plane/src/serving/connection.rs
+++ b/crates/data-plane/src/serving/connection.rs
@@ -3,8 +3,8 @@
 //! first two; only [`CleanEnd`] turns the third into an idle one. All else closes it.
 
 use super::{
-    outgoing::{Flushing, Outgoing},
-    reuse::{BodyEnd, CleanEnd, ExchangeEnd, KeepAlive, clean_end},
+    connection_reuse::{BodyEnd, CleanEnd, ExchangeEnd, KeepAlive, clean_end},
+    request_flush::{FlushTrackingStream, RequestFlush},
 };
 use bytes::{Bytes, BytesMut};
 use common::{
@@ -22,7 +22,7 @@
 
 struct Connection {
     sender: Sender,
-    outgoing: Outgoing,
+    outgoing: RequestFlush,
 }
 
 /// Opened for one request; has carried nothing yet.
@@ -46,8 +46,8 @@
 impl Fresh {
     pub async fn open(ip: IpAddr, to: SocketAddr, ms: u64) -> Result<Self, PeerError> {
         within(ms, "connect", to, async {
-            let outgoing = Outgoing::default();
-            let io = Flushing::new(connect(ip, to).await?, outgoing.clone());
+            let outgoing = RequestFlush::default();
+            let io = FlushTrackingStream::new(connect(ip, to).await?, outgoing.clone());
             let sender = client_on(io, to).await?;
             Ok(Self(Connection { sender, outgoing }))
         })
--- a/crates/data-plane/src/serving/reuse.rs
+++ b/crates/data-plane/src/serving/connection_reuse.rs
@@ -1,15 +1,15 @@
 //! Whether a connection to a replica may carry another request (design 9.4): pure decisions, and the
 //! proof of a clean end that [`super::connection`] asks for.
 
-use super::exchange::Asked;
+use super::attempt_state::RequestTraits;
 use common::mutation::enabled as broken;
 
 /// Longest time for which an idle connection is used again.
-pub const MOST_IDLE_MS: u64 = 2_000;
+pub const MAX_IDLE_MS: u64 = 2_000;
 
 /// Whether a request may be put on a connection that has carried others: only what may run again,
 /// since an idle connection may be reset under it, and only what can tell its own answer.
-pub fn may_reuse(asked: Asked) -> bool {
+pub fn may_reuse(asked: RequestTraits) -> bool {
     (asked.repeatable || broken("write-on-kept")) && (asked.has_id || broken("no-id-on-kept"))
 }
 
@@ -79,6 +79,6 @@
         return None;
     }
     let KeepAlive::Open(told_ms) = end.said else { return None };
-    let idle_ms = told_ms.map_or(MOST_IDLE_MS, |t| (t / 2).min(MOST_IDLE_MS));
+    let idle_ms = told_ms.map_or(MAX_IDLE_MS, |t| (t / 2).min(MAX_IDLE_MS));
     (idle_ms > 0).then_some(CleanEnd { idle_ms })
 }
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -2,7 +2,7 @@
 //! the program and under virtual time.
 
 use super::{
-    dialect::Dialect,
+    protocol::ProtocolAdapter,
     state::{Serving, Site},
 };
 use crate::router::Router;
@@ -22,7 +22,7 @@
 /// What a serving router is made of, besides its settings.
 pub struct Parts {
     pub site: Site,
-    pub dialect: Arc<dyn Dialect>,
+    pub dialect: Arc<dyn ProtocolAdapter>,
     pub notation: Arc<dyn Notation>,
 }
 
@@ -42,9 +42,9 @@
     let keep_ms = site.bounds.keep_ms;
     let s = Serving::new(router.clone(), dialect, notation, site);
     router.start_serving(&set, listeners.rpc);
-    spawn(s.clone().govern());
+    spawn(s.clone().keep_configuration());
     s.watch_all();
-    let (tell, told) = watch::channel(false);
+    let (announce_prompt, told) = watch::channel(false);
     let (end, ended) = watch::channel(false);
     for at in extra {
         let listener = bind(at).await?;
@@ -72,7 +72,7 @@
     member.leave().await;
     let linger = (keep_ms * 3 + set.timing.renew_interval_ms()).min(grace_ms / 2);
     tokio::time::sleep(Duration::from_millis(linger.saturating_sub(clock.now().since(began)))).await;
-    let _ = tell.send(true);
+    let _ = announce_prompt.send(true);
     let _ = serving.await;
     let until = began + grace_ms * 15 / 16;
     while (router.open_count.open() > 0 || conns.open() > 0) && clock.now() < until {
--- a/crates/data-plane/src/serving/directory.rs
+++ b/crates/data-plane/src/serving/directory.rs
@@ -17,14 +17,14 @@
 
 /// A router that clients may be sent to.
 #[derive(Clone, Debug)]
-pub struct Edge {
+pub struct RouterAddr {
     pub addr: SocketAddr,
     pub zone: Zone,
     pub region: Option<Region>,
 }
 
 /// Those of the asker's zone, else of its region, else all: the first group that is large enough.
-pub fn nearest(all: &[Edge], zone: &str, region: &str) -> Vec<SocketAddr> {
+pub fn nearest(all: &[RouterAddr], zone: &str, region: &str) -> Vec<SocketAddr> {
     let groups: [Vec<SocketAddr>; 3] = [
         all.iter().filter(|e| e.zone.as_str() == zone).map(|e| e.addr).collect(),
         all.iter()
@@ -39,14 +39,15 @@
 }
 
 impl Serving {
-    fn edges(&self) -> Vec<Edge> {
+    fn edges(&self) -> Vec<RouterAddr> {
         let r = &self.router;
         let l = r.cluster_state();
-        let mine = self.unfit().is_none();
-        let fit =
-            |n: &common::NodeId| if n == r.node() { mine } else { r.hears(n) && !lock(&r.unfit).contains(n) };
+        let mine = self.refusing().is_none();
+        let fit = |n: &common::NodeId| {
+            if n == r.node() { mine } else { r.is_reachable(n) && !lock(&r.refusing).contains(n) }
+        };
         let all = l.routers().into_iter().filter(|m| fit(&m.info.node));
-        all.map(|m| Edge {
+        all.map(|m| RouterAddr {
             addr: m.info.http,
             zone: m.info.zone.clone(),
             region: self.site.zones.get(&m.info.zone).cloned(),
@@ -66,7 +67,7 @@
             return Ok(text(StatusCode::METHOD_NOT_ALLOWED, "allowed: GET\n"));
         }
         if path == names.ready_path {
-            let why = self.unfit();
+            let why = self.refusing();
             let code = if why.is_none() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             return Ok(json(code, &serde_json::json!({"ready": why.is_none(), "why": why})));
         }
--- a/crates/data-plane/src/serving/carry.rs
+++ b/crates/data-plane/src/serving/dispatch.rs
@@ -3,15 +3,15 @@
 
 use super::{
     attempt::{Open, Outcome},
-    choose::{self, READS_PER_MS, Wish},
-    cold,
+    attempt_state::{AttemptEnd, Attempts, FinalStatus, Permit},
     connection::{Answer, AnswerBody},
-    events,
-    exchange::{AttemptEnd, LastWord, Permit, Tries},
-    fleet::Candidate,
     plan::Plan,
-    retries::{self, Share},
+    replica_choice::{self, ChoiceContext, READS_PER_MS},
+    replica_view::Candidate,
+    retry_budget::{self, BudgetShare},
+    slow_start,
     state::Serving,
+    stream_relay,
 };
 use crate::router::lock;
 use common::{
@@ -29,12 +29,12 @@
 /// What became of a request so far.
 pub struct Past {
     pub tried: Vec<ReplicaId>,
-    tries: Tries,
+    tries: Attempts,
 }
 
 impl Past {
     pub fn of(p: &Plan) -> Self {
-        Self { tried: Vec::new(), tries: Tries::new(p.repeatable(), p.route.tries) }
+        Self { tried: Vec::new(), tries: Attempts::new(p.repeatable(), p.route.tries) }
     }
 
     /// The attempt under way has ended.
@@ -53,7 +53,7 @@
 
 /// When a refused client should come back: what refused it is over the sooner the later that is, a
 /// client waits for a third of its time at most, and its aim counts from when it comes.
-pub fn back_ms(left_ms: u64) -> u64 {
+pub fn retry_after_ms(left_ms: u64) -> u64 {
     (left_ms * 5 / 16).clamp(100, 1_500)
 }
 
@@ -64,16 +64,16 @@
         let routers = self.routers();
         let most = (p.backend.max_conns as usize * 9 / 10 / routers.len().max(1)).max(2);
         let bound = p.backend.cold_per_s * self.site.bounds.cold_overrun + self.site.bounds.cold_slack;
-        let rate = |c: &Candidate| cold::rate(bound, &c.id, self.router.node(), &routers);
+        let rate = |c: &Candidate| slow_start::rate(bound, &c.id, self.router.node(), &routers);
         let warm = |c: &Candidate| {
             !self.cold(c, &p.backend, now) || rate(c).is_some_and(|_| lock(&c.own.bucket).ready(now))
         };
         let there = |c: &Candidate| self.usable(c) && !past.tried.contains(&c.id);
-        let usable = |c: &Candidate| there(c) && c.well && !c.own.shunned(now);
+        let usable = |c: &Candidate| there(c) && c.well && !c.own.avoided(now);
         let conns =
             |c: &Candidate| (c.own.open.load(std::sync::atomic::Ordering::Relaxed).max(0) as usize) < most;
         let reading = lock(&self.router.reading);
-        let mut wish = Wish {
+        let mut wish = ChoiceContext {
             prompt: &p.prompt,
             zone: self.router.zone(),
             region: &self.site.region,
@@ -88,18 +88,18 @@
             hold_ms: self.hold_ms(&p.service),
             unit: common::runtime::random(),
         };
-        let fit = |c: &&Candidate| choose::fits(c, &p.prompt) && warm(c) && conns(c);
+        let fit = |c: &&Candidate| replica_choice::fits(c, &p.prompt) && warm(c) && conns(c);
         let home = |c: &Candidate| p.route.homes.is_empty() || p.route.homes.contains(&c.region);
         let all = fleet.of(&p.service);
         let mut found = None;
         for r in self.regions(p, &usable) {
             let cands: Vec<&Candidate> =
                 all.iter().filter(|c| c.region == r && usable(c)).filter(fit).collect();
-            wish.apart = lock(&self.mix).meet(&p.service, &r, now);
-            if choose::hopeless(&cands, &wish, p.route.target_ms as f64) {
+            wish.apart = lock(&self.isolation).meet(&p.service, &r, now);
+            if replica_choice::all_overdue(&cands, &wish, p.route.target_ms as f64) {
                 continue;
             }
-            found = choose::best(&cands, &wish).cloned();
+            found = replica_choice::best(&cands, &wish).cloned();
             if found.is_some() {
                 break;
             }
@@ -108,15 +108,15 @@
         let found = found.or_else(|| {
             let cands: Vec<&Candidate> = all.iter().filter(|c| home(c) && there(c)).filter(fit).collect();
             let cands: Vec<&Candidate> =
-                cands.into_iter().filter(|c| !c.well || c.own.shunned(now)).collect();
-            choose::best(&cands, &wish).cloned()
+                cands.into_iter().filter(|c| !c.well || c.own.avoided(now)).collect();
+            replica_choice::best(&cands, &wish).cloned()
         });
         let c = found.ok_or("no room at any replica")?;
         if self.cold(&c, &p.backend, now) {
             lock(&c.own.bucket).take(rate(&c).unwrap_or(1.0), now);
         }
         drop(reading);
-        self.tell(p, &c);
+        self.announce_prompt(p, &c);
         past.tried.push(c.id.clone());
         Ok(c)
     }
@@ -147,15 +147,15 @@
     }
 
     /// A request came: it adds its part to the budget of further tries.
-    fn earn_further_tries(&self, svc: &Service) {
+    fn earn_retries(&self, svc: &Service) {
         let (b, routers) = (&self.site.bounds, self.routers());
-        let ranked_above = retries::ranked_above(svc, self.router.node(), &routers);
-        let share = Share::of(b.extra_tries, b.retry_window_ms, ranked_above, routers.len());
+        let ranked_above = retry_budget::ranked_above(svc, self.router.node(), &routers);
+        let share = BudgetShare::of(b.extra_tries, b.retry_window_ms, ranked_above, routers.len());
         self.retries.earn(svc, b.retry_ratio, share, self.now());
     }
 
     pub async fn carry(self: &Arc<Self>, p: Arc<Plan>, open_count: Arc<OpenGuard>) -> Response<Body> {
-        self.earn_further_tries(&p.service);
+        self.earn_retries(&p.service);
         let mut past = Past::of(&p);
         loop {
             let c = match self.begin(&p, &mut past) {
@@ -167,7 +167,7 @@
                 Outcome::Answer(answer) => {
                     if p.route.kind == RouteKind::Streaming && answer.head.status.is_success() {
                         past.ended(self, &p, AttemptEnd::MayHaveRun);
-                        return events::relay(self, p, past, open, open_count, answer);
+                        return stream_relay::relay(self, p, past, open, open_count, answer);
                     }
                     if let Some(r) = self.whole(&p, &mut past, &c, answer).await {
                         return r;
@@ -175,12 +175,12 @@
                 }
                 Outcome::NotSent(e) => {
                     past.failed(self, &p, AttemptEnd::NotSent, e);
-                    c.own.shun_until(self.now() + self.router.set.timing.probe_interval_ms);
+                    c.own.avoid(self.now() + self.router.set.timing.probe_interval_ms);
                 }
                 Outcome::Declined(e) => past.failed(self, &p, AttemptEnd::Declined, e),
                 Outcome::MayHaveRun(e) => {
                     past.failed(self, &p, AttemptEnd::MayHaveRun, e);
-                    c.own.shun_until(self.now() + self.router.set.timing.probe_interval_ms / 4);
+                    c.own.avoid(self.now() + self.router.set.timing.probe_interval_ms / 4);
                 }
             }
         }
@@ -211,7 +211,7 @@
             log_event!(Info, "replica", "peer" => c.id, "cause" => answer.head.status.as_u16());
             return None;
         }
-        self.learn(&p.service, self.now().since(p.came) as f64);
+        self.learn_duration(&p.service, self.now().since(p.came) as f64);
         Some(Response::from_parts(answer.head, full(bytes)))
     }
 
@@ -219,20 +219,25 @@
     /// back.
     pub fn given_up(&self, p: &Plan, past: &Past, why: &'static str) -> Response<Body> {
         let code = match past.tries.last_word(self.now() >= p.deadline) {
-            LastWord::Refused => {
-                let back = back_ms(p.left_ms(self.now()));
+            FinalStatus::Refused => {
+                let back = retry_after_ms(p.left_ms(self.now()));
                 return self.refused(StatusCode::SERVICE_UNAVAILABLE, why, Some(back));
             }
-            LastWord::BadGateway => StatusCode::BAD_GATEWAY,
-            LastWord::GatewayTimeout => StatusCode::GATEWAY_TIMEOUT,
+            FinalStatus::BadGateway => StatusCode::BAD_GATEWAY,
+            FinalStatus::GatewayTimeout => StatusCode::GATEWAY_TIMEOUT,
         };
         self.refused(code, why, None)
     }
 
-    pub fn refused(&self, code: StatusCode, why: &'static str, back_ms: Option<u64>) -> Response<Body> {
-        self.router.numbers.reject(why);
+    pub fn refused(
+        &self,
+        code: StatusCode,
+        why: &'static str,
+        retry_after_ms: Option<u64>,
+    ) -> Response<Body> {
+        self.router.counters.reject(why);
         let mut r = json(code, &serde_json::json!({"error": why}));
-        if let Some(v) = back_ms.and_then(|ms| format!("{:.3}", ms as f64 / 1000.0).parse().ok()) {
+        if let Some(v) = retry_after_ms.and_then(|ms| format!("{:.3}", ms as f64 / 1000.0).parse().ok()) {
             r.headers_mut().insert("retry-after", v);
         }
         r
--- a/crates/data-plane/src/serving/pieces.rs
+++ b/crates/data-plane/src/serving/event_splitter.rs
@@ -32,7 +32,7 @@
 
     /// Whether what has come of a run that was to go on lies behind the last event that went out. Ids
     /// that are no numbers can't be compared, and are let through.
-    pub fn goes_on(&self) -> bool {
+    pub fn continues(&self) -> bool {
         let first = ids(&self.buf).next().and_then(|id| id.parse().ok());
         first.zip(self.behind).is_none_or(|(first, behind): (u64, u64)| first > behind)
     }
@@ -58,13 +58,13 @@
 }
 
 /// The pauses of a stream.
-pub struct Beat {
+pub struct EventPauses {
     last: Tick,
     first: Option<u64>,
     gap: u64,
 }
 
-impl Beat {
+impl EventPauses {
     pub fn new(came: Tick) -> Self {
         Self { last: came, first: None, gap: 0 }
     }
@@ -79,7 +79,7 @@
     }
 
     /// A line for each stream that came late or paused too long.
-    pub fn tell(&self, p: &Plan, open: &Open) {
+    pub fn announce_prompt(&self, p: &Plan, open: &Open) {
         let first = self.first.unwrap_or(0);
         if first > p.route.target_ms || p.route.gap_target_ms.is_some_and(|g| self.gap > g) {
             log_event!(Info, "late stream", "peer" => open.at.addr, "route" => p.route.name, "first_ms" => first,
--- a/crates/data-plane/src/serving/front.rs
+++ b/crates/data-plane/src/serving/gateway.rs
@@ -1,12 +1,12 @@
 //! The clients' side (design 9.2): from the head to the answer.
 
 use super::{
-    carry::back_ms,
+    dispatch::retry_after_ms,
     plan::{Plan, deadline, user_key},
-    reading,
+    prefill,
     state::Serving,
 };
-use crate::{go::strip, router::lock};
+use crate::{attempt::strip, router::lock};
 use common::{
     http::{Body, BodyError, BoxErr, ConnectionLimits, LimitsInForce, OpenCount, read_body, serve_within},
     log_event,
@@ -77,7 +77,7 @@
     /// what it has left.
     async fn await_fit(&self, head: &hyper::http::request::Parts, left: u64) -> Option<&'static str> {
         let (began, t) = (self.now(), &self.router.set.timing);
-        while let Some(why) = self.unfit().filter(|w| *w != "draining") {
+        while let Some(why) = self.refusing().filter(|w| *w != "draining") {
             let later = self.route(head).is_some_and(|r| left > 0 && left + SPENT_MS < r.hold_ms);
             let most = if later { t.lease_ms.min(left / 2) } else { t.election_timeout_ms() / 4 };
             if self.now().since(began) >= most {
@@ -101,10 +101,10 @@
         let left = head.headers.get(&self.dialect.names().time_left);
         let left = left.and_then(|v| v.to_str().ok()?.trim().parse().ok()).unwrap_or(0);
         if let Some(why) = self.await_fit(&head, left).await {
-            return no(StatusCode::SERVICE_UNAVAILABLE, why, Some(back_ms(left)));
+            return no(StatusCode::SERVICE_UNAVAILABLE, why, Some(retry_after_ms(left)));
         }
         let Some(map) = self.map.load_full() else {
-            return no(StatusCode::SERVICE_UNAVAILABLE, "no configuration", Some(back_ms(left)));
+            return no(StatusCode::SERVICE_UNAVAILABLE, "no configuration", Some(retry_after_ms(left)));
         };
         let Some(route) = self.route(&head) else {
             return no(StatusCode::NOT_FOUND, "no route", None);
@@ -134,8 +134,8 @@
             Err(_) => return no(StatusCode::REQUEST_TIMEOUT, "body not here in time", None),
         };
         let prompt = self.dialect.prompt(&head.headers);
-        let long = lock(&self.mix).long(&route, prompt.tokens_in, came);
-        let prefixes = if long { reading::prefixes(&prompt) } else { Vec::new() };
+        let long = lock(&self.isolation).long(&route, prompt.tokens_in, came);
+        let prefixes = if long { prefill::prefixes(&prompt) } else { Vec::new() };
         let key = user_key(&route, &service, &prompt, &self.site.region);
         let mut headers = head.headers;
         strip(&mut headers);
--- a/crates/data-plane/src/serving/watch.rs
+++ b/crates/data-plane/src/serving/health_prober.rs
@@ -3,9 +3,9 @@
 //! singleton role up, so that a lost home is replaced as soon as somebody misses it.
 
 use super::{
-    board::{Board, Probed, Watched, lends},
-    dialect::Listed,
-    listing::ListReader,
+    protocol::ListedReplica,
+    replica_list::ListReader,
+    replica_report::{Board, Probed, Watched, lends},
     state::Serving,
 };
 use crate::{
@@ -41,7 +41,7 @@
         near.into_iter().chain(far).collect()
     }
 
-    /// Subscribes to each zone's figures, and publishes those that are this node's to publish.
+    /// Subscribes to each zone's load reports, and publishes those that are this node's to publish.
     pub fn watch_all(self: &Arc<Self>) {
         for zone in self.site.zones.keys() {
             common::runtime::spawn(self.clone().publish(zone.clone()));
@@ -50,7 +50,7 @@
     }
 
     fn take_board(&self, b: Board, at: Tick) {
-        let mut g = lock(&self.folds);
+        let mut g = lock(&self.reports);
         if g.take(b, at) {
             let valid = self.router.set.timing.report_max_age_ms();
             let fleet = g.fleet(&self.site.zones, self.routers().len(), valid);
@@ -78,7 +78,7 @@
             }
             let wait_ms = self.report_interval_ms() * 2;
             let told = if node == *self.router.node() {
-                Ok(self.router.tell_board(zone.clone(), seq, wait_ms).await)
+                Ok(self.router.wait_for_report(zone.clone(), seq, wait_ms).await)
             } else {
                 let q = RouterRequest::Board { zone: zone.clone(), seq, wait_ms };
                 let ms = wait_ms + self.router.set.timing.rpc_timeout_ms;
@@ -126,7 +126,7 @@
             let asked = self.now();
             watched.retain(|id, _| rows.iter().any(|r| r.id == *id));
             // What was well is probed each second time: answers and refusals on the way tell more.
-            let due = |r: &&Listed| even || watched.get(&r.id).is_none_or(|w| w.fails > 0);
+            let due = |r: &&ListedReplica| even || watched.get(&r.id).is_none_or(|w| w.fails > 0);
             let probes = rows.iter().filter(due).map(|r| async { (r.id.clone(), self.probe(r).await) });
             for (id, p) in futures::future::join_all(probes).await {
                 let w = watched.entry(id.clone()).or_default();
@@ -164,7 +164,7 @@
         }
     }
 
-    async fn probe(&self, l: &Listed) -> Probed {
+    async fn probe(&self, l: &ListedReplica) -> Probed {
         let map = self.map.load();
         let backend = map.as_ref().and_then(|m| m.backends.get(&l.service));
         let engine = backend.is_some_and(|b| b.engine.is_some());
--- a/crates/data-plane/src/serving/plan.rs
+++ b/crates/data-plane/src/serving/plan.rs
@@ -1,10 +1,10 @@
 //! What is to be done with a request, as data (design 9.2): made from its head, then carried out.
 
 use super::{
-    dialect::{Names, Prompt},
-    exchange::Asked,
+    attempt_state::RequestTraits,
+    protocol::{HeaderNames, Prompt},
 };
-use crate::tab::UserKey;
+use crate::placement_table::UserKey;
 use bytes::Bytes;
 use common::{Region, Service, Tick, rendezvous::stable_hash};
 use configuration::{Backend, Route};
@@ -37,8 +37,8 @@
         self.deadline.since(now)
     }
 
-    pub fn asked(&self) -> Asked {
-        Asked { repeatable: self.repeatable(), has_id: self.request_id.is_some() }
+    pub fn asked(&self) -> RequestTraits {
+        RequestTraits { repeatable: self.repeatable(), has_id: self.request_id.is_some() }
     }
 
     pub fn repeatable(&self) -> bool {
@@ -47,7 +47,7 @@
 }
 
 /// Milliseconds that the caller waits, as it says; the route's hold bounds it.
-pub fn deadline(names: &Names, head: &HeaderMap, route: &Route, came: Tick) -> Tick {
+pub fn deadline(names: &HeaderNames, head: &HeaderMap, route: &Route, came: Tick) -> Tick {
     let said = head.get(&names.time_left).and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse().ok());
     came + said.unwrap_or(route.hold_ms).min(route.hold_ms)
 }
--- a/crates/data-plane/src/serving/reading.rs
+++ b/crates/data-plane/src/serving/prefill.rs
@@ -1,7 +1,7 @@
 //! Which long prompts replicas read now, and which prefixes they keep (design 9.5), as the routers of
 //! a region tell each other when they send one. Pure.
 
-use super::dialect::Prompt;
+use super::protocol::Prompt;
 use common::{ReplicaId, Tick, rendezvous::stable_hash};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -13,7 +13,7 @@
 
 /// A long prompt that was sent to a replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Note {
+pub struct PromptSent {
     pub replica: ReplicaId,
     /// Its shared prefixes, shortest first: hash of the whole prefix, and its length in tokens.
     pub prefixes: Vec<(u64, u32)>,
@@ -77,7 +77,7 @@
         self.until.get(id).map_or(0.0, |u| (u - now.0 as f64).max(0.0))
     }
 
-    pub fn note(&mut self, n: &Note, per_ms: f64, now: Tick) {
+    pub fn note(&mut self, n: &PromptSent, per_ms: f64, now: Tick) {
         let unread = f64::from(self.unread(&n.replica, &n.prefixes, n.tokens));
         let until = self.until.entry(n.replica.clone()).or_default();
         *until = until.max(now.0 as f64) + unread / per_ms.max(1.0);
--- a/crates/data-plane/src/serving/tell.rs
+++ b/crates/data-plane/src/serving/prefill_announce.rs
@@ -1,7 +1,9 @@
 //! Routers of a region tell each other of long prompts (design 9.5): few requests, and each keeps a
 //! replica from all else for a while.
 
-use super::{choose::READS_PER_MS, fleet::Candidate, plan::Plan, reading::Note, state::Serving};
+use super::{
+    plan::Plan, prefill::PromptSent, replica_choice::READS_PER_MS, replica_view::Candidate, state::Serving,
+};
 use crate::{
     router::{Router, lock},
     rpc::RouterRequest,
@@ -12,24 +14,24 @@
 const TELL_ALL: usize = 32;
 
 impl Router {
-    pub fn heard_of(&self, n: &Note) {
+    pub fn note_prompt(&self, n: &PromptSent) {
         lock(&self.reading).note(n, READS_PER_MS, self.now());
     }
 }
 
 impl Serving {
     /// Notes a long prompt here, and tells the routers that send to the same replicas.
-    pub fn tell(self: &Arc<Self>, p: &Plan, c: &Candidate) {
+    pub fn announce_prompt(self: &Arc<Self>, p: &Plan, c: &Candidate) {
         if !p.long {
             return;
         }
-        let note = Note {
+        let note = PromptSent {
             replica: c.id.clone(),
             prefixes: p.prefixes.clone(),
             tokens: p.prompt.tokens_in,
             memory: c.memory_total,
         };
-        self.router.heard_of(&note);
+        self.router.note_prompt(&note);
         let l = self.router.cluster_state();
         let few = l.members.len() <= TELL_ALL;
         let near = |m: &&control_plane::Member| {
@@ -40,7 +42,7 @@
         for m in l.routers().into_iter().filter(near) {
             let (me, to, note) = (self.router.clone(), m.info.rpc_addr, note.clone());
             common::runtime::spawn(async move {
-                let _ = me.lines.call("note", to, RouterRequest::Note { note }).await;
+                let _ = me.lines.call("note", to, RouterRequest::PromptSent { note }).await;
             });
         }
     }
--- a/crates/data-plane/src/serving/dialect.rs
+++ b/crates/data-plane/src/serving/protocol.rs
@@ -7,7 +7,7 @@
 
 /// Header names and paths of the platform that the routers stand on.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct HeaderNames {
     pub request_id: HeaderName,
     /// Milliseconds that the caller still waits.
     pub time_left: HeaderName,
@@ -27,7 +27,7 @@
 
 /// One replica as the platform lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedReplica {
     pub id: ReplicaId,
     pub service: Service,
     pub addr: SocketAddr,
@@ -41,8 +41,8 @@
 
 /// A page of the platform's list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Listing {
-    pub rows: Vec<Listed>,
+pub struct ListPage {
+    pub rows: Vec<ListedReplica>,
     pub next: Option<String>,
 }
 
@@ -81,10 +81,10 @@
     pub zone: String,
 }
 
-pub trait Dialect: Send + Sync + 'static {
-    fn names(&self) -> &Names;
+pub trait ProtocolAdapter: Send + Sync + 'static {
+    fn names(&self) -> &HeaderNames;
     fn report(&self, body: &[u8]) -> Option<EngineReport>;
-    fn listing(&self, body: &[u8]) -> Option<Listing>;
+    fn listing(&self, body: &[u8]) -> Option<ListPage>;
     /// Path and query under which one page of a zone's replicas is listed.
     fn listing_path(&self, zone: &Zone, page: Option<&str>) -> String;
     fn prompt(&self, head: &HeaderMap) -> Prompt;
--- a/crates/data-plane/src/serving/place.rs
+++ b/crates/data-plane/src/serving/region_choice.rs
@@ -1,16 +1,12 @@
-//! Which region serves a request (design 9.4): the table's entry where it passes the tests, else
+//! Which region serves a request (design 9.4): the table's entry where it grants the tests, else
 //! the weighted draw among the regions that may.
 
-use super::{
-    fleet::{Candidate, RegionLoad},
-    plan::Plan,
-    state::Serving,
-};
+use super::{plan::Plan, replica_view::Candidate, state::Serving};
 use crate::{
-    choose::{draw, draw_by_key, weight},
-    pressure::RegionPressure,
+    load::RegionLoad,
+    placement_table::{PlacementOutcome, UserKey},
+    region_choice::{draw, draw_by_key, weight},
     router::{Cached, lock},
-    tab::{Settled, UserKey},
 };
 use common::Region;
 use std::{collections::BTreeMap, sync::Arc};
@@ -20,18 +16,13 @@
 pub const OVERLOAD: f64 = 0.95;
 pub const SMOOTH: f64 = 0.05;
 
-/// What a region's tests and weights go by, as the source's rule takes it.
-pub fn figures(l: &RegionLoad) -> RegionPressure {
-    RegionPressure { healthy: l.capacity > 0.0, capacity: l.capacity, consumption: l.consumption }
-}
-
 /// Regions that a draw may take, with their weights.
 pub fn candidates(
     seen: &BTreeMap<Region, RegionLoad>,
     open_to: &dyn Fn(&Region) -> bool,
 ) -> Vec<(Region, f64)> {
     let fit = seen.iter().filter(|(r, l)| open_to(r) && l.passes(OVERLOAD));
-    fit.map(|(r, l)| (r.clone(), weight(&figures(l), SMOOTH))).collect()
+    fit.map(|(r, l)| (r.clone(), weight(l, SMOOTH))).collect()
 }
 
 impl Serving {
@@ -42,7 +33,7 @@
             return true;
         }
         let at = (r.clone(), p.service.clone());
-        let open = lock(&self.abroad).get(&at).copied().unwrap_or(0);
+        let open = lock(&self.forwarded_open).get(&at).copied().unwrap_or(0);
         let fleet = self.fleet.load();
         fleet.lends.get(&at).is_some_and(|(n, until)| *until > self.now() && open < i64::from(*n))
     }
@@ -83,11 +74,15 @@
         let known = lock(&self.router.cache).get(&(key, p.service.clone())).cloned();
         let good = |r: &Region| seen.get(r).is_some_and(|l| l.passes(OVERLOAD));
         let valid = known.as_ref().filter(|c| c.until > now && good(&c.region));
-        let fresh = valid.is_some_and(|c| now.since(c.heard) < (TTL_MS / 180).min(5_000));
+        let fresh = valid.is_some_and(|c| now.since(c.last_contacts) < (TTL_MS / 180).min(5_000));
         let pick = valid.map(|c| c.region.clone()).or_else(|| draw_by_key(cands, key.0))?;
         if !fresh {
             let stale = known.filter(|c| c.until > now && !good(&c.region)).map(|c| c.ver);
-            self.remember(key, p, Cached { region: pick.clone(), ver: 0, heard: now, until: now + TTL_MS });
+            self.remember(
+                key,
+                p,
+                Cached { region: pick.clone(), ver: 0, last_contacts: now, until: now + TTL_MS },
+            );
             let (me, svc, pick) = (self.clone(), p.service.clone(), pick.clone());
             common::runtime::spawn(async move {
                 let asked = me.now();
@@ -95,8 +90,8 @@
                     .router
                     .settle(key, &svc, stale, Some(pick), TTL_MS, me.router.set.timing.rpc_timeout_ms)
                     .await;
-                if let Some(Settled::Held { region, ver, .. }) = told {
-                    let c = Cached { region, ver, heard: asked, until: asked + TTL_MS };
+                if let Some(PlacementOutcome::Held { region, ver, .. }) = told {
+                    let c = Cached { region, ver, last_contacts: asked, until: asked + TTL_MS };
                     lock(&me.router.cache).insert((key, svc), c);
                 }
             });
@@ -106,8 +101,8 @@
 
     fn remember(&self, key: UserKey, p: &Plan, c: Cached) {
         let mut g = lock(&self.router.cache);
-        if g.len() >= crate::tab::MAX_ROWS / 64 {
-            g.retain(|_, x| x.until > c.heard);
+        if g.len() >= crate::placement_table::MAX_ROWS / 64 {
+            g.retain(|_, x| x.until > c.last_contacts);
         }
         g.insert((key, p.service.clone()), c);
     }
--- a/crates/data-plane/src/serving/choose.rs
+++ b/crates/data-plane/src/serving/replica_choice.rs
@@ -1,7 +1,7 @@
 //! Which replica of a region takes a request (design 9.5): the least time until its first event,
-//! as far as figures and own counts tell. Pure.
+//! as far as load reports and own counts tell. Pure.
 
-use super::{dialect::Prompt, fleet::Candidate, reading::Reading};
+use super::{prefill::Reading, protocol::Prompt, replica_view::Candidate};
 use common::{Region, Tick, Zone, rendezvous::stable_hash};
 
 /// Prompt tokens that a replica reads in a millisecond, where nothing else is known.
@@ -21,8 +21,8 @@
 /// What a request avoids among replicas of the other kind.
 const APART_MS: f64 = 60.0;
 
-/// What the choice goes by, besides the candidates.
-pub struct Wish<'a> {
+/// What the choice attempts by, besides the candidates.
+pub struct ChoiceContext<'a> {
     pub prompt: &'a Prompt,
     pub zone: &'a Zone,
     pub region: &'a Region,
@@ -39,11 +39,11 @@
     pub now: Tick,
     /// How long a request occupies a slot, as seen lately.
     pub hold_ms: f64,
-    /// In [0, 1): keeps routers with the same stale figures apart.
+    /// In [0, 1): keeps routers with the same stale load reports apart.
     pub unit: f64,
 }
 
-impl Wish<'_> {
+impl ChoiceContext<'_> {
     fn shared(&self) -> u32 {
         if self.sticky { self.prompt.shared_tokens() } else { 0 }
     }
@@ -55,7 +55,7 @@
 }
 
 /// Milliseconds until the first event if the request went there, the shared prefix apart.
-pub fn delay(c: &Candidate, w: &Wish<'_>) -> f64 {
+pub fn delay(c: &Candidate, w: &ChoiceContext<'_>) -> f64 {
     let slots = f64::from(c.slots);
     let over = (c.load() + 1.0 - slots * FULL).max(0.0);
     let wait = over * w.hold_ms / slots;
@@ -93,7 +93,7 @@
 
 /// The best of these for the request: the least time until its first event, and what it costs those
 /// that run beside it.
-pub fn best<'a>(cands: &[&'a Candidate], w: &Wish<'_>) -> Option<&'a Candidate> {
+pub fn best<'a>(cands: &[&'a Candidate], w: &ChoiceContext<'_>) -> Option<&'a Candidate> {
     let keeps = w.shared() > 0;
     let half = if w.apart { long_half(cands) } else { Vec::new() };
     let other = |c: &Candidate| w.apart && half.contains(&place(c)) != w.long;
@@ -110,7 +110,7 @@
 }
 
 /// What reading a long prompt there takes from it and from all that runs beside it.
-fn reading_costs(c: &Candidate, w: &Wish<'_>) -> f64 {
+fn reading_costs(c: &Candidate, w: &ChoiceContext<'_>) -> f64 {
     let tokens = w.reading.unread(&c.id, w.prefixes, w.prompt.tokens_in);
     let own = w.prompt.tokens_in.saturating_sub(w.prompt.shared_tokens());
     let read = f64::from(tokens) / w.reads_per_ms;
@@ -120,7 +120,7 @@
 }
 
 /// Whether no candidate could begin the request within `ms`.
-pub fn hopeless(cands: &[&Candidate], w: &Wish<'_>, ms: f64) -> bool {
+pub fn all_overdue(cands: &[&Candidate], w: &ChoiceContext<'_>, ms: f64) -> bool {
     cands.iter().all(|c| {
         let over = (c.load() + 1.0 - f64::from(c.slots)).max(0.0);
         over * w.hold_ms / f64::from(c.slots) > ms
@@ -128,7 +128,7 @@
 }
 
 /// Keeps an average of how long requests take; a tenth of each new one.
-pub fn learn(avg: &mut f64, seen: f64) {
+pub fn learn_duration(avg: &mut f64, seen: f64) {
     *avg += (seen - *avg) * 0.1;
 }
 
--- a/crates/data-plane/src/serving/listing.rs
+++ b/crates/data-plane/src/serving/replica_list.rs
@@ -2,7 +2,7 @@
 //! rate that all nodes share, and never in the way of the probes.
 
 use super::{
-    dialect::{Listed, Listing},
+    protocol::{ListPage, ListedReplica},
     state::Serving,
 };
 use common::{ReplicaId, Tick, Zone, error::PeerError, http::ask, log_event, runtime::spawn};
@@ -14,28 +14,28 @@
 };
 use tokio::sync::oneshot;
 
-/// Part of the shared rate that homes use when nothing goes wrong: a third.
+/// Part of the shared rate that homes use when nothing attempts wrong: a third.
 const RATE_HEADROOM: f64 = 3.0;
 /// Longest wait for one page.
 const PAGE_MS: u64 = 1_000;
 /// Pages after which a reading is given up.
-const MOST_PAGES: u32 = 64;
+const MAX_PAGES: u32 = 64;
 /// A reader that is refused for its rate pauses up to so many times as long: what leaves must still be seen in time.
-const MOST_BACKOFF: u64 = 4;
+const MAX_BACKOFF: u64 = 4;
 
 /// A whole reading of a zone's part of the list.
 #[derive(Debug, Default)]
 pub struct ListRead {
-    rows: BTreeMap<ReplicaId, Listed>,
+    rows: BTreeMap<ReplicaId, ListedReplica>,
     pages: u32,
 }
 
 impl ListRead {
     /// Adds a page. A replica that moved between pages may stand on two: what says that it leaves counts.
-    pub fn add(&mut self, zone: &Zone, page: Vec<Listed>) {
+    pub fn add(&mut self, zone: &Zone, page: Vec<ListedReplica>) {
         self.pages += 1;
         for row in page.into_iter().filter(|r| r.zone == *zone) {
-            let leaving = |r: &Listed| r.draining || r.time_left_ms.is_some();
+            let leaving = |r: &ListedReplica| r.draining || r.time_left_ms.is_some();
             if !self.rows.get(&row.id).is_some_and(leaving) {
                 self.rows.insert(row.id.clone(), row);
             }
@@ -53,8 +53,8 @@
 
 /// What is known of a zone's list, and when it is read next. Pure.
 #[derive(Debug, Default)]
-pub struct Known {
-    rows: Option<BTreeMap<ReplicaId, Listed>>,
+pub struct KnownReplicas {
+    rows: Option<BTreeMap<ReplicaId, ListedReplica>>,
     /// Lacking in the last reading, which had several pages.
     absent: BTreeSet<ReplicaId>,
     read_at: Tick,
@@ -62,7 +62,7 @@
     backoff: u64,
 }
 
-impl Known {
+impl KnownReplicas {
     pub fn due(&self, now: Tick) -> bool {
         now >= self.due
     }
@@ -71,8 +71,8 @@
     /// are read stands on none of them: it is gone only once a second reading lacks it too.
     pub fn read(&mut self, read: ListRead, came: Tick, each_ms: u64) {
         let mut rows = read.rows;
-        let lacking = |(id, _): &(&ReplicaId, &Listed)| !rows.contains_key(*id);
-        let held: Vec<Listed> = if read.pages > 1 {
+        let lacking = |(id, _): &(&ReplicaId, &ListedReplica)| !rows.contains_key(*id);
+        let held: Vec<ListedReplica> = if read.pages > 1 {
             let known = self.rows.iter().flatten().filter(lacking);
             known.filter(|(id, _)| !self.absent.contains(*id)).map(|(_, r)| r.clone()).collect()
         } else {
@@ -86,16 +86,19 @@
 
     pub fn failed(&mut self, error: &ListError, now: Tick, each_ms: u64) {
         self.backoff = match error {
-            ListError::OverRate(_) => (self.backoff * 2).clamp(2, MOST_BACKOFF),
+            ListError::OverRate(_) => (self.backoff * 2).clamp(2, MAX_BACKOFF),
             ListError::Failed(_) => 1,
         };
         self.due = now + each_ms * self.backoff;
     }
 
     /// The replicas by the newest reading; nothing before the first.
-    pub fn rows(&self, now: Tick) -> Option<Vec<Listed>> {
+    pub fn rows(&self, now: Tick) -> Option<Vec<ListedReplica>> {
         let age = now.since(self.read_at);
-        let aged = |r: &Listed| Listed { cold_left_ms: r.cold_left_ms.saturating_sub(age), ..r.clone() };
+        let aged = |r: &ListedReplica| ListedReplica {
+            cold_left_ms: r.cold_left_ms.saturating_sub(age),
+            ..r.clone()
+        };
         self.rows.as_ref().map(|rows| rows.values().map(aged).collect())
     }
 }
@@ -103,13 +106,13 @@
 /// Reads a zone's list beside the home's other work.
 pub struct ListReader {
     zone: Zone,
-    known: Known,
+    known: KnownReplicas,
     pending: Option<oneshot::Receiver<(Tick, Result<ListRead, ListError>)>>,
 }
 
 impl ListReader {
     pub fn new(zone: Zone) -> Self {
-        Self { zone, known: Known::default(), pending: None }
+        Self { zone, known: KnownReplicas::default(), pending: None }
     }
 
     /// Forgets the list: the home's singleton role has ended.
@@ -118,16 +121,16 @@
     }
 
     /// The newest list, for which a reading is waited for at most so long.
-    pub async fn refreshed(&mut self, serving: &Arc<Serving>, wait_ms: u64) -> Option<Vec<Listed>> {
+    pub async fn refreshed(&mut self, serving: &Arc<Serving>, wait_ms: u64) -> Option<Vec<ListedReplica>> {
         let each_ms = serving.list_ms();
         if self.pending.is_none() && self.known.due(serving.now()) {
-            let (tell, told) = oneshot::channel();
+            let (announce_prompt, told) = oneshot::channel();
             let (me, zone) = (serving.clone(), self.zone.clone());
             spawn(async move {
                 let read = me.read_list(&zone).await;
                 // Spans are counted from when the answer had come: it was made before that, so what is
                 // cold counts as cold no shorter than the list says.
-                let _ = tell.send((me.now(), read));
+                let _ = announce_prompt.send((me.now(), read));
             });
             self.pending = Some(told);
         }
@@ -163,8 +166,8 @@
     /// The zone's part of the list, all pages.
     async fn read_list(&self, zone: &Zone) -> Result<ListRead, ListError> {
         let (mut read, mut page) = (ListRead::default(), None::<String>);
-        while read.pages < MOST_PAGES {
-            let Listing { rows, next } = self.read_page(zone, page.as_deref()).await?;
+        while read.pages < MAX_PAGES {
+            let ListPage { rows, next } = self.read_page(zone, page.as_deref()).await?;
             read.add(zone, rows);
             match next {
                 Some(token) => page = Some(token),
@@ -174,7 +177,7 @@
         Err(ListError::Failed(PeerError::new("list replicas", self.site.list, "pages without an end")))
     }
 
-    async fn read_page(&self, zone: &Zone, page: Option<&str>) -> Result<Listing, ListError> {
+    async fn read_page(&self, zone: &Zone, page: Option<&str>) -> Result<ListPage, ListError> {
         const STEP: &str = "list replicas";
         let (ip, to) = (self.router.set.rpc_addr.ip(), self.site.list);
         let path = self.dialect.listing_path(zone, page);
--- a/crates/data-plane/src/serving/board.rs
+++ b/crates/data-plane/src/serving/replica_report.rs
@@ -1,6 +1,6 @@
 //! Figures of the replicas of one zone, as its home publishes them (design 9.3). Pure data.
 
-use super::dialect::{EngineReport, Listed};
+use super::protocol::{EngineReport, ListedReplica};
 use common::{FencingToken, Service, Tick, Zone};
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, net::SocketAddr};
@@ -13,7 +13,7 @@
     pub addr: SocketAddr,
     pub slots: u32,
     pub draining: bool,
-    /// Milliseconds that it stays cold, counted from when the figures were fresh.
+    /// Milliseconds that it stays cold, counted from when the load reports were fresh.
     pub cold_left_ms: u64,
     pub well: bool,
     pub running: u32,
@@ -31,17 +31,17 @@
     #[serde(rename = "fence")]
     pub fencing_token: FencingToken,
     pub seq: u64,
-    /// How old the figures were when they were sent, and how long the question lay before that.
+    /// How old the load reports were when they were sent, and how long the question lay before that.
     pub age_ms: u64,
     pub waited_ms: u64,
     pub rows: Vec<Row>,
-    /// Lending passes: requests that one router of another region may have open here, by service
+    /// Lending grants: requests that one router of another region may have open here, by service
     /// (design 5.5).
     pub lends: BTreeMap<Service, u32>,
 }
 
 impl Board {
-    /// When the figures were fresh on the clock of whoever asked at `asked`, at the latest.
+    /// When the load reports were fresh on the clock of whoever asked at `asked`, at the latest.
     pub fn fresh_at(&self, asked: Tick, now: Tick) -> Tick {
         (asked + self.waited_ms).min(now) - self.age_ms
     }
@@ -81,7 +81,7 @@
         self.fails < fails
     }
 
-    pub fn row(&self, l: &Listed, fails: u32) -> Row {
+    pub fn row(&self, l: &ListedReplica, fails: u32) -> Row {
         Row {
             id: l.id.clone(),
             service: l.service.clone(),
--- a/crates/data-plane/src/serving/fleet.rs
+++ b/crates/data-plane/src/serving/replica_view.rs
@@ -1,7 +1,8 @@
-//! The replicas as this router sees them (design 9.3): the homes' figures, and what it has open
+//! The replicas as this router sees them (design 9.3): the homes' load reports, and what it has open
 //! itself. Read by read-copy-update on a request's way; knows no request.
 
-use super::{board::Board, cold::Bucket};
+use super::{replica_report::Board, slow_start::Bucket};
+use crate::load::RegionLoad;
 use common::{Region, ReplicaId, Service, Tick, Zone};
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,27 +15,27 @@
 
 /// What this router itself has at a replica; lives as long as the replica is listed.
 #[derive(Debug, Default)]
-pub struct Own {
+pub struct LocalLoad {
     pub open: AtomicI64,
     /// Own failures: not to be used until then, where there is another.
-    pub shun: AtomicU64,
+    pub avoid_until: AtomicU64,
     /// When it last said anything here.
-    pub heard: AtomicU64,
+    pub last_contacts: AtomicU64,
     pub bucket: Mutex<Bucket>,
 }
 
-impl Own {
-    pub fn shunned(&self, now: Tick) -> bool {
-        self.shun.load(Ordering::Relaxed) > now.0
+impl LocalLoad {
+    pub fn avoided(&self, now: Tick) -> bool {
+        self.avoid_until.load(Ordering::Relaxed) > now.0
     }
 
-    pub fn shun_until(&self, t: Tick) {
-        self.shun.fetch_max(t.0, Ordering::Relaxed);
+    pub fn avoid(&self, t: Tick) {
+        self.avoid_until.fetch_max(t.0, Ordering::Relaxed);
     }
 
-    pub fn hear(&self, now: Tick) {
-        self.heard.fetch_max(now.0, Ordering::Relaxed);
-        self.shun.store(0, Ordering::Relaxed);
+    pub fn note_contact(&self, now: Tick) {
+        self.last_contacts.fetch_max(now.0, Ordering::Relaxed);
+        self.avoid_until.store(0, Ordering::Relaxed);
     }
 }
 
@@ -50,15 +51,15 @@
     pub draining: bool,
     pub well: bool,
     pub cold_until: Tick,
-    /// What all had there when the figures were fresh, and this router among them.
+    /// What all had there when the load reports were fresh, and this router among them.
     pub all: i64,
     pub mine: i64,
-    /// Routers that go by the same figures: what this one sent since, they have sent too.
+    /// Routers that go by the same load reports: what this one sent since, they have sent too.
     pub routers: i64,
     pub waiting: u32,
     pub memory_used: u64,
     pub memory_total: u64,
-    pub own: Arc<Own>,
+    pub own: Arc<LocalLoad>,
 }
 
 impl Candidate {
@@ -68,58 +69,45 @@
     }
 }
 
-/// A region's figures for one service, in slots.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RegionLoad {
-    pub capacity: f64,
-    pub consumption: f64,
-}
-
-impl RegionLoad {
-    pub fn passes(&self, overload: f64) -> bool {
-        self.capacity > 0.0 && self.consumption / self.capacity <= overload
-    }
-}
-
-/// One zone's figures as they came.
+/// One zone's load reports as they came.
 #[derive(Clone, Debug)]
-pub struct Heard {
+pub struct ReceivedReport {
     pub board: Board,
     pub at: Tick,
 }
 
-/// All that may be chosen, by service; made anew with each board.
+/// All that may be chosen, by service; made anew with each report.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct ReplicaView {
     pub by_service: HashMap<Service, Vec<Candidate>>,
-    /// Passes that each region's figures carry, by region and service, and until when they count.
+    /// Passes that each region's load reports carry, by region and service, and until when they count.
     pub lends: HashMap<(Region, Service), (u32, Tick)>,
 }
 
 /// Owns what outlives single boards.
 #[derive(Default)]
-pub struct Folds {
-    pub heard: BTreeMap<Zone, Heard>,
-    owns: HashMap<ReplicaId, Arc<Own>>,
+pub struct ReportStore {
+    pub last_contacts: BTreeMap<Zone, ReceivedReport>,
+    owns: HashMap<ReplicaId, Arc<LocalLoad>>,
 }
 
-impl Folds {
-    /// Takes a board unless it is older than what is held.
+impl ReportStore {
+    /// Takes a report unless it is older than what is held.
     pub fn take(&mut self, board: Board, at: Tick) -> bool {
         let older = self
-            .heard
+            .last_contacts
             .get(&board.zone)
             .is_some_and(|h| h.at > at || (h.board.publisher == board.publisher && h.board.seq >= board.seq));
         if !older {
-            self.heard.insert(board.zone.clone(), Heard { board, at });
+            self.last_contacts.insert(board.zone.clone(), ReceivedReport { board, at });
         }
         !older
     }
 
-    /// Folds all boards into what may be chosen. `valid_ms` is how long figures lend.
-    pub fn fleet(&mut self, zones: &BTreeMap<Zone, Region>, routers: usize, valid_ms: u64) -> Fleet {
-        let mut out = Fleet::default();
-        for (zone, h) in &self.heard {
+    /// Folds all boards into what may be chosen. `valid_ms` is how long load reports lend.
+    pub fn fleet(&mut self, zones: &BTreeMap<Zone, Region>, routers: usize, valid_ms: u64) -> ReplicaView {
+        let mut out = ReplicaView::default();
+        for (zone, h) in &self.last_contacts {
             let Some(region) = zones.get(zone) else { continue };
             for r in &h.board.rows {
                 let own = self.owns.entry(r.id.clone()).or_default().clone();
@@ -156,7 +144,7 @@
     }
 }
 
-impl Fleet {
+impl ReplicaView {
     pub fn of(&self, svc: &Service) -> &[Candidate] {
         self.by_service.get(svc).map_or(&[], Vec::as_slice)
     }
@@ -170,6 +158,7 @@
         let mut out: BTreeMap<Region, RegionLoad> = BTreeMap::new();
         for c in self.of(svc).iter().filter(|c| usable(c)) {
             let e = out.entry(c.region.clone()).or_default();
+            e.healthy = true;
             e.capacity += f64::from(c.slots);
             e.consumption += c.load();
         }
--- a/crates/data-plane/src/serving/publication.rs
+++ b/crates/data-plane/src/serving/report_publication.rs
@@ -1,13 +1,13 @@
 //! What a home tells those that subscribe (design 9.3); being asked makes a router a home.
 
-use super::board::Board;
+use super::replica_report::Board;
 use crate::router::{Publication, Router, lock};
 use common::{Tick, Zone};
 use std::{sync::Arc, time::Duration};
 
 impl Router {
     /// What this node publishes of a zone, newer than `seq`; being asked makes it publish.
-    pub async fn tell_board(&self, zone: Zone, seq: u64, wait_ms: u64) -> Option<Board> {
+    pub async fn wait_for_report(&self, zone: Zone, seq: u64, wait_ms: u64) -> Option<Board> {
         let came = self.now();
         let mut rx = {
             let mut g = lock(&self.boards);
--- a/crates/data-plane/src/serving/outgoing.rs
+++ b/crates/data-plane/src/serving/request_flush.rs
@@ -26,14 +26,14 @@
 
 /// How far the request at hand has left; one for each connection.
 #[derive(Clone, Debug, Default)]
-pub struct Outgoing(Arc<AtomicU8>);
+pub struct RequestFlush(Arc<AtomicU8>);
 
-impl Outgoing {
+impl RequestFlush {
     /// A body whose taking is noted: the request at hand is over with it.
     pub fn of(&self, body: Body) -> Body {
         let taken = body.is_end_stream();
         self.0.store(if taken { TAKEN } else { LEAVING }, Ordering::Release);
-        BodyExt::boxed(Noted { body, outgoing: self.clone() })
+        BodyExt::boxed(TrackedBody { body, outgoing: self.clone() })
     }
 
     pub fn has_left(&self) -> bool {
@@ -49,12 +49,12 @@
     }
 }
 
-struct Noted {
+struct TrackedBody {
     body: Body,
-    outgoing: Outgoing,
+    outgoing: RequestFlush,
 }
 
-impl HttpBody for Noted {
+impl HttpBody for TrackedBody {
     type Data = Bytes;
     type Error = BoxErr;
 
@@ -78,8 +78,8 @@
     }
 }
 
-/// A body is dropped once it was taken as far as its told length goes, or when its connection closes.
-impl Drop for Noted {
+/// A body is dropped once it was taken as far as its told length attempts, or when its connection closes.
+impl Drop for TrackedBody {
     fn drop(&mut self) {
         self.outgoing.taken();
     }
@@ -87,18 +87,18 @@
 
 /// A stream that notes when all that was written to it has left. The HTTP library flushes it once its own
 /// buffer is empty.
-pub struct Flushing {
+pub struct FlushTrackingStream {
     stream: Stream,
-    outgoing: Outgoing,
+    outgoing: RequestFlush,
 }
 
-impl Flushing {
-    pub fn new(stream: Stream, outgoing: Outgoing) -> Self {
+impl FlushTrackingStream {
+    pub fn new(stream: Stream, outgoing: RequestFlush) -> Self {
         Self { stream, outgoing }
     }
 }
 
-impl AsyncRead for Flushing {
+impl AsyncRead for FlushTrackingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -108,7 +108,7 @@
     }
 }
 
-impl AsyncWrite for Flushing {
+impl AsyncWrite for FlushTrackingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
--- a/crates/data-plane/src/serving/retries.rs
+++ b/crates/data-plane/src/serving/retry_budget.rs
@@ -11,24 +11,24 @@
 const SURPLUS_USED: f64 = 0.9;
 /// Share of the surplus that all routers together save up, where each then holds a whole token.
 const SAVED: f64 = 0.5;
-/// Share of the surplus that goes into whole tokens at most, where few routers can hold one.
-const MOST_SAVED: f64 = 0.7;
+/// Share of the surplus that attempts into whole tokens at most, where few routers can hold one.
+const MAX_SAVED: f64 = 0.7;
 
 /// One router's share of the surplus that is granted beyond the ratio.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Share {
+pub struct BudgetShare {
     /// Most tokens that may be saved up, whatever earned them.
     pub capacity: f64,
     /// Tokens that accrue in a millisecond, with or without requests.
     pub per_ms: f64,
 }
 
-impl Share {
+impl BudgetShare {
     /// The share of the router that `ranked_above` others precede. The capacities of all routers and what
     /// accrues to them within one window sum to the surplus at most. A bucket must hold a whole token
     /// to be of use: where an equal part is less, the first in rank hold one each.
     pub fn of(surplus: f64, window_ms: u64, ranked_above: usize, routers: usize) -> Self {
-        let whole = (surplus * MOST_SAVED).floor().max(surplus.floor().min(1.0)) as usize;
+        let whole = (surplus * MAX_SAVED).floor().max(surplus.floor().min(1.0)) as usize;
         let holders = routers.clamp(1, whole.max(1));
         if whole == 0 || ranked_above >= holders {
             return Self::default();
@@ -54,13 +54,13 @@
 }
 
 #[derive(Debug)]
-pub struct Retries {
+pub struct RetryBudget {
     /// When this router started: nothing accrued to it before.
     started: Tick,
     buckets: Mutex<HashMap<Service, Bucket>>,
 }
 
-impl Retries {
+impl RetryBudget {
     pub fn started(now: Tick) -> Self {
         Self { started: now, buckets: Mutex::default() }
     }
@@ -70,7 +70,7 @@
     }
 
     /// A request for the service came.
-    pub fn earn(&self, svc: &Service, ratio: f64, share: Share, now: Tick) {
+    pub fn earn(&self, svc: &Service, ratio: f64, share: BudgetShare, now: Tick) {
         let mut all = self.lock();
         let first = || Bucket { tokens: 0.0, capacity: 0.0, at: self.started };
         let b = all.entry(svc.clone()).or_insert_with(first);
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -2,11 +2,11 @@
 //! 9.2).
 
 use super::{
-    dialect::Dialect,
-    fleet::{Candidate, Fleet, Folds},
-    mix::Mix,
     pool::Pool,
-    retries::Retries,
+    protocol::ProtocolAdapter,
+    replica_view::{Candidate, ReplicaView, ReportStore},
+    retry_budget::RetryBudget,
+    workload_isolation::WorkloadIsolation,
 };
 use crate::router::{Router, lock};
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -49,31 +49,31 @@
 
 pub struct Serving {
     pub router: Arc<Router>,
-    pub dialect: Arc<dyn Dialect>,
+    pub dialect: Arc<dyn ProtocolAdapter>,
     pub notation: Arc<dyn Notation>,
     pub site: Site,
     pub map: ArcSwapOption<RouteMap>,
-    pub fleet: ArcSwap<Fleet>,
-    pub folds: Mutex<Folds>,
+    pub fleet: ArcSwap<ReplicaView>,
+    pub reports: Mutex<ReportStore>,
     pub pool: Pool,
-    pub retries: Retries,
-    pub mix: Mutex<Mix>,
+    pub retries: RetryBudget,
+    pub isolation: Mutex<WorkloadIsolation>,
     /// How long requests of a service take, as seen here lately.
-    pub pace: Mutex<HashMap<Service, f64>>,
+    pub service_times: Mutex<HashMap<Service, f64>>,
     /// When the evacuation of a zone ended last: its replicas may have turned cold.
-    pub returned: Mutex<HashMap<Zone, Tick>>,
+    pub zone_returned: Mutex<HashMap<Zone, Tick>>,
     /// Open requests from here at regions other than the own, by service.
-    pub abroad: Mutex<HashMap<(Region, Service), i64>>,
+    pub forwarded_open: Mutex<HashMap<(Region, Service), i64>>,
 }
 
 impl Serving {
     pub fn new(
         router: Arc<Router>,
-        dialect: Arc<dyn Dialect>,
+        dialect: Arc<dyn ProtocolAdapter>,
         notation: Arc<dyn Notation>,
         site: Site,
     ) -> Arc<Self> {
-        let retries = Retries::started(router.now());
+        let retries = RetryBudget::started(router.now());
         Arc::new(Self {
             router,
             dialect,
@@ -81,13 +81,13 @@
             site,
             map: ArcSwapOption::empty(),
             fleet: ArcSwap::default(),
-            folds: Mutex::default(),
+            reports: Mutex::default(),
             pool: Pool::default(),
             retries,
-            mix: Mutex::default(),
-            pace: Mutex::default(),
-            returned: Mutex::default(),
-            abroad: Mutex::default(),
+            isolation: Mutex::default(),
+            service_times: Mutex::default(),
+            zone_returned: Mutex::default(),
+            forwarded_open: Mutex::default(),
         })
     }
 
@@ -96,13 +96,13 @@
     }
 
     /// Reads the newest document as soon as it is there; an older one never comes back.
-    pub async fn govern(self: Arc<Self>) {
+    pub async fn keep_configuration(self: Arc<Self>) {
         let mut moved = self.router.member.applied.subscribe();
         let (mut evacuated, mut have) = (BTreeSet::new(), common::Revision(0));
         loop {
             let l = self.router.cluster_state();
             for a in evacuated.difference(&l.evacuated) {
-                lock(&self.returned).insert(Zone::clone(a), self.now());
+                lock(&self.zone_returned).insert(Zone::clone(a), self.now());
             }
             evacuated = l.evacuated.clone();
             if let Some(text) = l.text.as_ref().filter(|_| l.revision > have) {
@@ -131,9 +131,9 @@
         l.routers().into_iter().map(|m| m.info.node.clone()).collect()
     }
 
-    /// Until when a replica counts as cold: by its figures, or since its zone came back.
+    /// Until when a replica counts as cold: by its load reports, or since its zone came back.
     pub fn cold(&self, c: &Candidate, b: &Backend, now: Tick) -> bool {
-        let back = lock(&self.returned).get(&c.zone).is_some_and(|t| now.since(*t) < b.cold_for_ms);
+        let back = lock(&self.zone_returned).get(&c.zone).is_some_and(|t| now.since(*t) < b.cold_for_ms);
         b.cold_per_s > 0.0 && (back || c.cold_until > now)
     }
 
@@ -144,15 +144,18 @@
 
     /// How long a request of this service occupies a replica.
     pub fn hold_ms(&self, svc: &Service) -> f64 {
-        lock(&self.pace).get(svc).copied().unwrap_or(300.0)
+        lock(&self.service_times).get(svc).copied().unwrap_or(300.0)
     }
 
-    pub fn learn(&self, svc: &Service, ms: f64) {
-        super::choose::learn(lock(&self.pace).entry(svc.clone()).or_insert(300.0), ms);
+    pub fn learn_duration(&self, svc: &Service, ms: f64) {
+        super::replica_choice::learn_duration(
+            lock(&self.service_times).entry(svc.clone()).or_insert(300.0),
+            ms,
+        );
     }
 
     /// Fit to take new work: the document is known, and which replicas there are.
-    pub fn unfit(&self) -> Option<&'static str> {
+    pub fn refusing(&self) -> Option<&'static str> {
         let r = &self.router;
         [
             (r.draining.load(Ordering::Acquire), "draining"),
@@ -161,6 +164,6 @@
         ]
         .into_iter()
         .find_map(|(no, why)| no.then_some(why))
-        .or_else(|| r.standing())
+        .or_else(|| r.refuses_work())
     }
 }
--- a/crates/data-plane/src/serving/events.rs
+++ b/crates/data-plane/src/serving/stream_relay.rs
@@ -1,13 +1,13 @@
 //! Streams on their way to the client (design 9.8): event by event, counted by id, taken up at
 //! another replica only where the route allows it, and never ended as whole where they were cut.
 
-pub use super::pieces::Splitter;
+pub use super::event_splitter::Splitter;
 use super::{
     attempt::{Open, Outcome},
-    carry::Past,
+    attempt_state::AttemptEnd,
     connection::{Answer, AnswerBody},
-    exchange::AttemptEnd,
-    pieces::Beat,
+    dispatch::Past,
+    event_splitter::EventPauses,
     plan::Plan,
     state::Serving,
 };
@@ -78,7 +78,7 @@
     out: Out,
 ) {
     let mut parts = Splitter::default();
-    let mut beat = Beat::new(p.came);
+    let mut beat = EventPauses::new(p.came);
     // What came while another replica was asked to go on.
     let mut held = None;
     loop {
@@ -88,19 +88,19 @@
                 if !rest.is_empty() {
                     let _ = out.send(Ok(Frame::data(rest))).await;
                 }
-                s.learn(&p.service, s.now().since(p.came) as f64);
-                beat.tell(&p, &open);
+                s.learn_duration(&p.service, s.now().since(p.came) as f64);
+                beat.announce_prompt(&p, &open);
                 s.keep(&open.at, body);
                 return;
             }
             Ended::Left => return,
-            // Silence alone ends nothing (design 9.8): the stream goes on elsewhere, or waits here.
+            // Silence alone ends nothing (design 9.8): the stream attempts on elsewhere, or waits here.
             Ended::Silent => {
                 let woke = tokio::select! {
                     biased;
                     () = out.closed() => return,
                     f = body.frame() => Ok(f),
-                    next = resumed(&s, &p, &mut past, parts.last.as_deref()) => Err(next),
+                    next = resume(&s, &p, &mut past, parts.last.as_deref()) => Err(next),
                 };
                 match woke {
                     Ok(f) => held = Some(f),
@@ -118,7 +118,7 @@
                 let next = tokio::select! {
                     biased;
                     () = out.closed() => return,
-                    next = resumed(&s, &p, &mut past, parts.last.as_deref()) => next,
+                    next = resume(&s, &p, &mut past, parts.last.as_deref()) => next,
                 };
                 match next {
                     Some(next) => (open, body) = next,
@@ -133,9 +133,9 @@
 }
 
 /// A frame, an error, or the end.
-type Came = Option<Result<Frame<Bytes>, hyper::Error>>;
+type NextFrame = Option<Result<Frame<Bytes>, hyper::Error>>;
 
-async fn next(held: &mut Option<Came>, body: &mut AnswerBody) -> Came {
+async fn next(held: &mut Option<NextFrame>, body: &mut AnswerBody) -> NextFrame {
     match held.take() {
         Some(f) => f,
         None => body.frame().await,
@@ -147,8 +147,8 @@
     p: &Plan,
     open: &Open,
     body: &mut AnswerBody,
-    held: &mut Option<Came>,
-    (parts, beat): (&mut Splitter, &mut Beat),
+    held: &mut Option<NextFrame>,
+    (parts, beat): (&mut Splitter, &mut EventPauses),
     out: &Out,
 ) -> Ended {
     loop {
@@ -157,7 +157,7 @@
             f = next(held, body) => f,
             () = out.closed() => return Ended::Left,
             () = tokio::time::sleep(silence(p)) => {
-                let quiet = s.now().since(Tick(open.at.own.heard.load(Ordering::Relaxed)));
+                let quiet = s.now().since(Tick(open.at.own.last_contacts.load(Ordering::Relaxed)));
                 if p.repeatable() && s.now() < p.deadline && quiet >= silence(p).as_millis() as u64 {
                     return Ended::Silent;
                 }
@@ -170,10 +170,10 @@
             Some(Ok(f)) => {
                 let Some(data) = f.data_ref() else { continue };
                 parts.push(data);
-                if !parts.goes_on() {
+                if !parts.continues() {
                     return Ended::Cut("its replica does not go on behind the last event".into());
                 }
-                open.at.own.hear(s.now());
+                open.at.own.note_contact(s.now());
                 let Some(events) = parts.whole() else { continue };
                 beat.event(s.now());
                 if out.send(Ok(Frame::data(events))).await.is_err() {
@@ -191,7 +191,7 @@
 }
 
 /// Takes a cut stream up at another replica, behind the last event that went out.
-async fn resumed(
+async fn resume(
     s: &Arc<Serving>,
     p: &Plan,
     past: &mut Past,
@@ -214,7 +214,7 @@
             }
             Outcome::NotSent(e) => {
                 past.failed(s, p, AttemptEnd::NotSent, e);
-                c.own.shun_until(s.now() + s.router.set.timing.probe_interval_ms);
+                c.own.avoid(s.now() + s.router.set.timing.probe_interval_ms);
             }
             Outcome::Declined(e) => past.failed(s, p, AttemptEnd::Declined, e),
             Outcome::MayHaveRun(e) => past.failed(s, p, AttemptEnd::MayHaveRun, e),
--- a/crates/data-plane/src/serving/mix.rs
+++ b/crates/data-plane/src/serving/workload_isolation.rs
@@ -1,7 +1,7 @@
 //! Which routes send long prompts (design 9.5), learned from what comes; and where both kinds meet, so
 //! that they are kept apart. Pure.
 
-use super::choose::READS_PER_MS;
+use super::replica_choice::READS_PER_MS;
 use common::{Region, Service, Tick};
 use configuration::Route;
 use std::{collections::HashMap, sync::Arc};
@@ -35,9 +35,9 @@
 
 /// Each route's prompts, by its name.
 #[derive(Debug, Default)]
-pub struct Mix(HashMap<String, Seen>);
+pub struct WorkloadIsolation(HashMap<String, Seen>);
 
-impl Mix {
+impl WorkloadIsolation {
     /// Notes a request, and says whether its route's prompts are long.
     pub fn long(&mut self, route: &Arc<Route>, tokens_in: u32, now: Tick) -> bool {
         let t = f64::from(tokens_in);
--- a/crates/data-plane/src/digest.rs
+++ b/crates/data-plane/src/summary.rs
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Happened {
+pub enum EventKind {
     Governs(Revision),
     Member(Epoch),
     CutOff(bool),
@@ -26,11 +26,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
     pub at: Tick,
-    pub what: Happened,
+    pub what: EventKind,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Digest {
+pub struct Summary {
     pub revision: Revision,
     pub epoch: Epoch,
     pub cut_off: bool,
@@ -42,18 +42,18 @@
     pub last: Tick,
 }
 
-impl View<Event> for Digest {
+impl View<Event> for Summary {
     fn apply(&mut self, ev: &Event) {
         self.last = ev.at;
         match &ev.what {
-            // What governs never goes back, whatever order events are told in.
-            Happened::Governs(r) => self.revision = self.revision.max(*r),
-            Happened::Member(e) => self.epoch = self.epoch.max(*e),
-            Happened::CutOff(c) => self.cut_off = *c,
-            Happened::Health { replica, healthy: true } => drop(self.unwell.take(replica)),
-            Happened::Health { replica, healthy: false } => drop(self.unwell.replace(replica.clone())),
-            Happened::Rejected(why) => *self.rejected.entry(why.clone()).or_default() += 1,
-            Happened::Unknown(step) => *self.unknown.entry(step.clone()).or_default() += 1,
+            // What governs never attempts back, whatever order events are told in.
+            EventKind::Governs(r) => self.revision = self.revision.max(*r),
+            EventKind::Member(e) => self.epoch = self.epoch.max(*e),
+            EventKind::CutOff(c) => self.cut_off = *c,
+            EventKind::Health { replica, healthy: true } => drop(self.unwell.take(replica)),
+            EventKind::Health { replica, healthy: false } => drop(self.unwell.replace(replica.clone())),
+            EventKind::Rejected(why) => *self.rejected.entry(why.clone()).or_default() += 1,
+            EventKind::Unknown(step) => *self.unknown.entry(step.clone()).or_default() += 1,
         }
     }
 }
--- a/crates/data-plane/src/key.rs
+++ b/crates/data-plane/src/user_key.rs
@@ -1,6 +1,6 @@
 //! The user key (design 5.2): learned from what callers do send, in the order of the policy.
 
-use crate::tab::UserKey;
+use crate::placement_table::UserKey;
 use configuration::KeyPart;
 
 /// Fields in which a prompt is looked for when its opening serves as the key.
--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -1,20 +1,20 @@
 //! Messages between routers keep the form in which an earlier version sent them.
 
 use common::{
-    Epoch, FencingToken, Incarnation, Index, JobId, NodeId, ReplicaId, Revision, Service, Tenant, Tick,
+    Epoch, FencingToken, Incarnation, Index, NodeId, ReplicaId, RequestId, Revision, Service, Tenant, Tick,
 };
 use control_plane::state_machine::state_update::StateUpdate;
 use data_plane::{
-    digest::{Digest, Event, Happened},
-    hop::{self, Hop},
-    lend::{Pass, Spent},
-    pressure::{Figures, Gauge},
+    capacity_grant::{CapacityGrant, GrantUse},
+    forwarding::{self, ForwardedRequest},
+    load::{LoadReport, ReplicaLoad},
+    placement_table::{Copy, PlacementOutcome, UserKey},
     rpc::{RouterRequest, RouterResponse},
     serving::{
-        board::{Board, Row},
-        reading::Note,
+        prefill::PromptSent,
+        replica_report::{Board, Row},
     },
-    tab::{Copy, Settled, UserKey},
+    summary::{Event, EventKind, Summary},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -34,8 +34,8 @@
     "verdict".into()
 }
 
-fn spent() -> Spent {
-    Spent {
+fn spent() -> GrantUse {
+    GrantUse {
         region: "norte".into(),
         service: service(),
         fencing_token: FencingToken(4),
@@ -44,8 +44,8 @@
     }
 }
 
-fn note() -> Note {
-    Note {
+fn note() -> PromptSent {
+    PromptSent {
         replica: ReplicaId::new("r-1"),
         prefixes: vec![(7, 13_300), (8, 17_020)],
         tokens: 17_020,
@@ -83,8 +83,8 @@
     }
 }
 
-fn figures() -> Figures {
-    let replica = Gauge {
+fn figures() -> LoadReport {
+    let replica = ReplicaLoad {
         id: ReplicaId::new("r-1"),
         addr: address(),
         healthy: true,
@@ -92,7 +92,7 @@
         consumption: 12.5,
         allowance: Some(4),
     };
-    Figures {
+    LoadReport {
         service: service(),
         zone: "centro-1".into(),
         fencing_token: FencingToken(4),
@@ -104,9 +104,9 @@
     }
 }
 
-fn forwarded() -> Hop {
-    Hop {
-        job: JobId::new("p1-1-1"),
+fn forwarded() -> ForwardedRequest {
+    ForwardedRequest {
+        job: RequestId::new("p1-1-1"),
         from: "p1".into(),
         epoch: Epoch(12),
         number: 5,
@@ -127,7 +127,7 @@
 fn compatibility_of_requests() {
     let zone = || "centro-1".into();
     let requests = [
-        ("heartbeat", RouterRequest::Hail { index: Index(4) }),
+        ("heartbeat", RouterRequest::Heartbeat { index: Index(4) }),
         ("updates", RouterRequest::FetchState { have: Index(4) }),
         (
             "place",
@@ -155,7 +155,7 @@
         ("last", RouterRequest::Last { service: service(), zone: zone() }),
         ("lend", RouterRequest::Passes { region: "norte".into(), service: service(), node: "p1".into() }),
         ("redeem", RouterRequest::Redeem { spent: spent() }),
-        ("prompt", RouterRequest::Note { note: note() }),
+        ("prompt", RouterRequest::PromptSent { note: note() }),
         ("load-report", RouterRequest::Board { zone: zone(), seq: 3, wait_ms: 500 }),
     ];
     for (name, request) in requests {
@@ -165,7 +165,7 @@
 
 #[test]
 fn compatibility_of_replies() {
-    let pass = Pass {
+    let pass = CapacityGrant {
         region: "norte".into(),
         service: service(),
         fencing_token: FencingToken(4),
@@ -174,13 +174,23 @@
         life_ms: 1_000,
     };
     let replies = [
-        ("heartbeat", RouterResponse::Hailed { index: Index(4), incarnation: Incarnation(77), fit: true }),
+        (
+            "heartbeat",
+            RouterResponse::HeartbeatAck { index: Index(4), incarnation: Incarnation(77), fit: true },
+        ),
         ("updates", RouterResponse::StateUpdate(StateUpdate::Unchanged)),
-        ("placed-empty", RouterResponse::Settled(Settled::Empty)),
-        ("placed", RouterResponse::Settled(Settled::Held { region: "norte".into(), ver: 3, won: true })),
+        ("placed-empty", RouterResponse::PlacementOutcome(PlacementOutcome::Empty)),
+        (
+            "placed",
+            RouterResponse::PlacementOutcome(PlacementOutcome::Held {
+                region: "norte".into(),
+                ver: 3,
+                won: true,
+            }),
+        ),
         ("rows", RouterResponse::Rows(rows())),
-        ("figures", RouterResponse::Figures(figures())),
-        ("pass", RouterResponse::Pass(Some(pass))),
+        ("figures", RouterResponse::LoadReport(figures())),
+        ("pass", RouterResponse::CapacityGrant(Some(pass))),
         ("load-report", RouterResponse::Board(Some(Box::new(board())))),
         ("done", RouterResponse::Done),
         ("rejected", RouterResponse::Rejected("stale fence".into())),
@@ -193,25 +203,25 @@
 #[test]
 fn compatibility_of_forwarded_requests() {
     fixtures().assert_wire("forwarded", &forwarded());
-    let signed = hop::sign(0x0011_2233, &forwarded()).unwrap();
+    let signed = forwarding::sign(0x0011_2233, &forwarded()).unwrap();
     fixtures().assert_bytes("forwarded-signed.txt", signed.as_bytes());
-    assert_eq!(hop::verify(0x0011_2233, &signed), Some(forwarded()));
+    assert_eq!(forwarding::verify(0x0011_2233, &signed), Some(forwarded()));
 }
 
 /// What `/foldshunt/event_log` shows.
 #[test]
 fn compatibility_of_json() {
-    let happened = [
-        Happened::Governs(Revision(3)),
-        Happened::Member(Epoch(4)),
-        Happened::CutOff(true),
-        Happened::Health { replica: ReplicaId::new("r-1"), healthy: false },
-        Happened::Rejected("late".into()),
-        Happened::Unknown("answer".into()),
+    let record_event = [
+        EventKind::Governs(Revision(3)),
+        EventKind::Member(Epoch(4)),
+        EventKind::CutOff(true),
+        EventKind::Health { replica: ReplicaId::new("r-1"), healthy: false },
+        EventKind::Rejected("late".into()),
+        EventKind::Unknown("answer".into()),
     ];
-    let events: Vec<Event> = happened.into_iter().map(|what| Event { at: Tick(5), what }).collect();
+    let events: Vec<Event> = record_event.into_iter().map(|what| Event { at: Tick(5), what }).collect();
     fixtures().assert_json("journal-events", &serde_json::to_string(&events).unwrap());
-    let digest = Digest {
+    let digest = Summary {
         revision: Revision(3),
         epoch: Epoch(4),
         cut_off: true,
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -1,5 +1,5 @@
 //! The callers' side, whole but for the core (design 5.2, 6.2, 6.4): one router with a document,
-//! figures and back ends made by the test, asked over real connections.
+//! load reports and back ends made by the test, asked over real connections.
 
 mod kit;
 
@@ -48,7 +48,7 @@
     assert_eq!(b.runs.load(Ordering::Acquire), 0);
 }
 
-/// Conformance, design 6.2: how often a job reaches a back end, and what its caller is told.
+/// Conformance, design 6.2: how often a request reaches a back end, and what its caller is told.
 #[rstest]
 #[case::whole(&[WHOLE], true, "outcome: done", "done", 1)]
 #[case::once_closed(&["", ""], true, "outcome: unknown", "HTTP/1.1 502", 1)]
@@ -75,7 +75,7 @@
     assert_eq!(backs.iter().map(|b| b.runs.load(Ordering::Acquire)).sum::<usize>(), runs);
 }
 
-/// A back end that is gone ran nothing: a `once` job goes on to the next one.
+/// A back end that is gone ran nothing: a `once` request attempts on to the next one.
 #[tokio::test]
 async fn once_goes_on_where_nothing_was_sent() {
     let dead = TcpListener::bind((IP, 0)).await.unwrap().local_addr().unwrap();
@@ -86,7 +86,7 @@
         assert!(got.contains("outcome: done"), "{got}");
     }
     assert_eq!(backs[1].runs.load(Ordering::Acquire), 8);
-    let extra = r.numbers.goes.with_label_values(&["extra"]).get();
+    let extra = r.counters.attempts.with_label_values(&["extra"]).get();
     assert!(extra <= 3, "{extra}: what failed to connect is shunned");
 }
 
--- a/crates/data-plane/tests/goes.rs
+++ b/crates/data-plane/tests/goes.rs
@@ -1,7 +1,7 @@
 //! A go against an upstream that fails at each stage (design 6.2, 6.3): what is certain
 //! afterwards, and that no cut body ever ends cleanly.
 
-use data_plane::go::{Outcome, Sent, Way, go, strip};
+use data_plane::attempt::{AttemptTarget, Outcome, OutgoingRequest, go, strip};
 use http_body_util::BodyExt;
 use rstest::rstest;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -59,12 +59,12 @@
     at
 }
 
-fn way(to: SocketAddr, barred: &(dyn Fn() -> Option<&'static str> + Send + Sync)) -> Way<'_> {
-    Way { ip: IP, to, connect_ms: 5_000, left_ms: 5_000, barred }
+fn way(to: SocketAddr, forbidden: &(dyn Fn() -> Option<&'static str> + Send + Sync)) -> AttemptTarget<'_> {
+    AttemptTarget { ip: IP, to, connect_ms: 5_000, left_ms: 5_000, forbidden }
 }
 
-fn sent() -> Sent {
-    Sent {
+fn sent() -> OutgoingRequest {
+    OutgoingRequest {
         method: hyper::Method::POST,
         uri: "/v1/verdicts".parse().unwrap(),
         headers: hyper::HeaderMap::new(),
@@ -132,7 +132,7 @@
 async fn the_last_look_comes_before_the_first_byte() {
     let listener = TcpListener::bind((IP, 0)).await.unwrap();
     let at = listener.local_addr().unwrap();
-    let heard = tokio::spawn(async move {
+    let last_contacts = tokio::spawn(async move {
         let (mut s, _) = listener.accept().await.unwrap();
         let mut got = Vec::new();
         let _ = s.read_to_end(&mut got).await;
@@ -140,5 +140,5 @@
     });
     let res = go(way(at, &|| Some("cut off")), &sent(), &[], ()).await;
     assert!(matches!(res, Outcome::NotRun(e) if e.cause() == "cut off" && e.step == "last look"));
-    assert_eq!(heard.await.unwrap(), 0);
+    assert_eq!(last_contacts.await.unwrap(), 0);
 }
--- a/crates/data-plane/tests/heir.rs
+++ b/crates/data-plane/tests/heir.rs
@@ -4,7 +4,7 @@
 
 use common::{Service, Zone};
 use data_plane::{
-    pressure::Figures,
+    load::LoadReport,
     router::{Router, lock},
 };
 use kit::{Back, IP, back, router};
@@ -14,8 +14,8 @@
 const WELL: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 45\r\n\r\n\
     {\"healthy\":true,\"capacity\":8,\"consumption\":0}\n";
 
-/// The figures of its first check as home of the centre's replicas.
-async fn first_check(r: &Arc<Router>) -> Figures {
+/// The load reports of its first check as home of the centre's replicas.
+async fn first_check(r: &Arc<Router>) -> LoadReport {
     tokio::spawn(r.clone().watch_all());
     let key = (Service::new("verdict"), Zone::new("centro-1"));
     for _ in 0..500 {
@@ -39,7 +39,7 @@
 
     let (next, _) = router("verdict", &[back(WELL).await]).await;
     told.seq += 1;
-    next.take_figures(told, next.now());
+    next.install_load_report(told, next.now());
     let found = first_check(&next).await;
     assert_eq!((found.replicas[0].healthy, found.replicas[0].capacity), (true, 8.0));
     assert_eq!(found.replicas[0].allowance, Some(1));
@@ -54,6 +54,6 @@
 
     let (next, _) = router("verdict", &[back(WELL).await]).await;
     told.seq += 1;
-    next.take_figures(told, next.now());
+    next.install_load_report(told, next.now());
     assert_eq!(first_check(&next).await.replicas[0].allowance, None);
 }
--- a/crates/data-plane/tests/kit/mod.rs
+++ b/crates/data-plane/tests/kit/mod.rs
@@ -1,4 +1,4 @@
-//! One router with a document, figures and back ends made by the test (design 7.6).
+//! One router with a document, load reports and back ends made by the test (design 7.6).
 #![allow(dead_code)]
 
 use common::{
@@ -10,7 +10,7 @@
     types::NodeInfo,
 };
 use data_plane::{
-    pressure::{Figures, Gauge},
+    load::{LoadReport, ReplicaLoad},
     router::Router,
 };
 use std::{
@@ -29,7 +29,7 @@
 pub const IP: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 pub const DOC: &str = include_str!("../../../../examples/bitacora.toml");
 
-/// A back end that says the same to each job, and counts how often it was asked.
+/// A back end that says the same to each request, and counts how often it was asked.
 pub struct Back {
     pub at: SocketAddr,
     pub runs: Arc<AtomicUsize>,
@@ -101,11 +101,11 @@
     member.extend_lease(Epoch(l.index.0), clock.now());
     let _ = member.install(StateUpdate::Snapshot(Box::new(l)), "test");
     let r = Router::new(settings(), member, clock);
-    tokio::spawn(r.clone().govern());
+    tokio::spawn(r.clone().keep_configuration());
     while r.governing.load().is_none() {
         tokio::task::yield_now().await;
     }
-    r.take_figures(figures(service, backs, fencing_token, 1, 0.0), r.now());
+    r.install_load_report(figures(service, backs, fencing_token, 1, 0.0), r.now());
     r.since.store(Tick(1).0, Ordering::Release);
     let listener = TcpListener::bind((IP, 0)).await.unwrap();
     let at = listener.local_addr().unwrap();
@@ -136,8 +136,8 @@
     fencing_token: FencingToken,
     seq: u64,
     consumption: f64,
-) -> Figures {
-    let gauge = |(n, b): (usize, &Back)| Gauge {
+) -> LoadReport {
+    let gauge = |(n, b): (usize, &Back)| ReplicaLoad {
         id: format!("r{n}").as_str().into(),
         addr: b.at,
         healthy: true,
@@ -147,9 +147,18 @@
     };
     let replicas = backs.iter().enumerate().map(gauge).collect();
     let (service, zone) = (service.into(), "centro-1".into());
-    Figures { service, zone, fencing_token, seq, age_ms: 0, waited_ms: 0, line: vec!["p1".into()], replicas }
+    LoadReport {
+        service,
+        zone,
+        fencing_token,
+        seq,
+        age_ms: 0,
+        waited_ms: 0,
+        line: vec!["p1".into()],
+        replicas,
+    }
 }
 
 pub fn hears_p9(r: &Router) {
-    data_plane::router::lock(&r.heard).insert("p9".into(), r.now());
+    data_plane::router::lock(&r.last_contacts).insert("p9".into(), r.now());
 }
