--- a/crates/data-plane/tests/lag.rs
+++ b/crates/data-plane/tests/lag.rs
@@ -49,11 +49,11 @@
     }
     // Later words of the same place do not start the count anew.
     r.member.note_announced(r.cluster_state().index.next(), r.now());
-    let (job, ready, numbers) = asked(at).await;
+    let (job, ready, counters) = asked(at).await;
     assert_eq!(job.contains("outcome: done"), serves, "{job}");
     assert_eq!(job.contains("lags behind the core"), !serves, "{job}");
     assert_eq!(ready.contains("lags behind the core"), !serves, "{ready}");
-    assert_eq!(numbers.contains("{what=\"lags\"} 1"), !serves);
+    assert_eq!(counters.contains("{what=\"lags\"} 1"), !serves);
 }
 
 /// Without a lease it is the core that may be out: then what it spoke of last is not waited for.
@@ -64,7 +64,7 @@
     r.member.note_announced(r.cluster_state().index.next(), r.now());
     hand.fetch_add(61_000, Ordering::AcqRel);
     kit::hears_p9(&r);
-    assert_eq!(r.standing(), None);
+    assert_eq!(r.refuses_work(), None);
 }
 
 #[tokio::test]
@@ -78,10 +78,10 @@
     while r.unreadable.load(Ordering::Acquire) == 0 {
         tokio::task::yield_now().await;
     }
-    let (job, ready, numbers) = asked(at).await;
+    let (job, ready, counters) = asked(at).await;
     assert!(job.contains("document not readable") && job.contains("retry-after"), "{job}");
     assert!(ready.starts_with("HTTP/1.1 503") && ready.contains("document not readable"), "{ready}");
-    assert!(numbers.contains("{what=\"unreadable\"} 1"));
+    assert!(counters.contains("{what=\"unreadable\"} 1"));
     assert_eq!(b.runs.load(Ordering::Acquire), 0);
 }
 
--- a/crates/data-plane/tests/leap.rs
+++ b/crates/data-plane/tests/leap.rs
@@ -6,7 +6,7 @@
 use common::{Clock, FencingToken, Tick};
 use control_plane::state_machine::state_update::StateUpdate;
 use data_plane::{
-    pressure::Figures,
+    load::LoadReport,
     rpc::{RouterRequest, RouterResponse},
 };
 use kit::{back, figures, hears_p9, post, router_at, say};
@@ -22,7 +22,7 @@
 
 const WHOLE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone";
 
-/// A job that waits for room while the machine sleeps: the room that shows up after is not its own
+/// A request that waits for room while the machine sleeps: the room that shows up after is not its own
 /// any more.
 #[rstest]
 #[case::no_sleep(0, "outcome: done", 1)]
@@ -35,19 +35,19 @@
     let (r, at) = router_at(clock, "verdict", std::slice::from_ref(&b)).await;
     let fencing_token = FencingToken(r.cluster_state().epoch.0);
     let backs = std::slice::from_ref(&b);
-    r.take_figures(figures("verdict", backs, fencing_token, 2, 8.0), r.now());
+    r.install_load_report(figures("verdict", backs, fencing_token, 2, 8.0), r.now());
     let job = tokio::spawn(async move { say(at, &post("/v1/verdicts", "", "{\"station\":\"x\"}")).await });
-    while data_plane::router::lock(&r.waitlist).is_empty() {
+    while data_plane::router::lock(&r.queue).is_empty() {
         tokio::task::yield_now().await;
     }
     hand.fetch_add(ms, Ordering::AcqRel);
-    r.take_figures(figures("verdict", backs, fencing_token, 3, 0.0), r.now());
+    r.install_load_report(figures("verdict", backs, fencing_token, 3, 0.0), r.now());
     let got = job.await.unwrap();
     assert!(got.contains(says), "{got}");
     assert_eq!(b.runs.load(Ordering::Acquire), runs);
 }
 
-/// The daemons' clock is the one that counts through suspension, and goes with the usual one
+/// The daemons' clock is the one that counts through suspension, and attempts with the usual one
 /// while there is none.
 #[test]
 fn the_clock_of_the_daemons() {
@@ -67,14 +67,14 @@
     let (r, _) = router_at(clock, "verdict", std::slice::from_ref(&b)).await;
     hand.fetch_add(3_600_000, Ordering::AcqRel);
     assert!(r.cut_off(), "neither a tenure nor a majority in hearing");
-    let ask = RouterRequest::Hail { index: r.cluster_state().index };
+    let ask = RouterRequest::Heartbeat { index: r.cluster_state().index };
     r.clone().answer("p9".into(), ask).await;
     assert!(r.cut_off(), "a hail that waited in the socket says nothing of now");
     hears_p9(&r);
     assert!(!r.cut_off());
 }
 
-/// Conformance, design 5.4: when figures were fresh, on the asker's clock. Each answer is read at
+/// Conformance, design 5.4: when load reports were fresh, on the asker's clock. Each answer is read at
 /// 9000; the question was sent at 1000.
 #[rstest]
 #[case::at_once(0, 0, 1_000)]
@@ -82,7 +82,7 @@
 #[case::held_by_the_home_until_they_came(7_900, 0, 8_900)]
 #[case::the_home_was_frozen_while_it_held_it(60_000, 100, 8_900)]
 fn figures_age_from_the_question(#[case] waited_ms: u64, #[case] age_ms: u64, #[case] fresh: u64) {
-    let f = Figures { waited_ms, age_ms, ..figures("verdict", &[], FencingToken(1), 1, 0.0) };
+    let f = LoadReport { waited_ms, age_ms, ..figures("verdict", &[], FencingToken(1), 1, 0.0) };
     assert_eq!(f.fresh_at(Tick(1_000), Tick(9_000)), Tick(fresh));
 }
 
@@ -110,18 +110,18 @@
             asks.fetch_add(if first { 3_600_000 } else { 0 }, Ordering::AcqRel);
             async move {
                 match ask {
-                    RouterRequest::Hail { index } => {
-                        RouterResponse::Hailed { index, incarnation: common::Incarnation(1), fit: true }
+                    RouterRequest::Heartbeat { index } => {
+                        RouterResponse::HeartbeatAck { index, incarnation: common::Incarnation(1), fit: true }
                     }
                     _ => RouterResponse::Done,
                 }
             }
         },
     ));
-    let hails = tokio::spawn(r.clone().hail());
-    while data_plane::router::lock(&r.heard).is_empty() {
+    let hails = tokio::spawn(r.clone().send_heartbeats());
+    while data_plane::router::lock(&r.last_contacts).is_empty() {
         tokio::task::yield_now().await;
     }
-    assert!(!r.hears(&"p9".into()) && r.cut_off(), "heard an hour ago");
+    assert!(!r.is_reachable(&"p9".into()) && r.cut_off(), "heard an hour ago");
     hails.abort();
 }
--- a/crates/data-plane/tests/modules/lend.rs
+++ b/crates/data-plane/tests/modules/capacity_grant.rs
@@ -1,10 +1,10 @@
-//! Tests of `data_plane::lend`.
+//! Tests of `data_plane::capacity_grant`.
 
 use common::{FencingToken, Region, Service, Tick};
-use data_plane::lend::{Lender, Pass, Spent};
+use data_plane::capacity_grant::{CapacityGrant, GrantIssuer, GrantUse};
 
-fn spent(p: &Pass, node: &str) -> Spent {
-    Spent {
+fn spent(p: &CapacityGrant, node: &str) -> GrantUse {
+    GrantUse {
         region: p.region.clone(),
         service: p.service.clone(),
         fencing_token: p.fencing_token,
@@ -13,12 +13,12 @@
     }
 }
 
-/// Design 5.5: never more than the room in total; used, expired, replaced and old passes
+/// Design 5.5: never more than the room in total; used, expired, replaced and old grants
 /// reject by name; a region that was unwell lends nothing until a full set of checks.
 #[test]
 fn passes_from_grant_to_bounce() {
     let (r, s) = (Region::new("r"), Service::new("s"));
-    let mut l = Lender::default();
+    let mut l = GrantIssuer::default();
     l.under(FencingToken(4));
     l.observe(true, Tick(0));
     assert!(!l.well(Tick(2999), 3000) && l.well(Tick(3000), 3000));
--- a/crates/data-plane/tests/modules/hop.rs
+++ b/crates/data-plane/tests/modules/forwarding.rs
@@ -1,14 +1,14 @@
-//! Tests of `data_plane::hop`.
+//! Tests of `data_plane::forwarding`.
 
 use common::{Epoch, Revision};
 use data_plane::{
-    hop::{Hop, sign, verify},
-    tab::UserKey,
+    forwarding::{ForwardedRequest, sign, verify},
+    placement_table::UserKey,
 };
 
 #[test]
 fn only_what_a_member_signed_passes() {
-    let h = Hop {
+    let h = ForwardedRequest {
         job: "j".into(),
         from: "n".into(),
         epoch: Epoch(1),
--- a/crates/data-plane/tests/modules/main.rs
+++ b/crates/data-plane/tests/modules/main.rs
@@ -1,14 +1,14 @@
 //! One binary for the tests of single modules: linking is what takes the time.
 
-mod again;
-mod budget;
-mod choose;
-mod digest;
-mod hop;
-mod key;
-mod lend;
-mod replay;
-mod replica;
-mod tab;
-mod waitlist;
-mod watched;
+mod capacity_grant;
+mod forwarding;
+mod placement_table;
+mod region_choice;
+mod replay_guard;
+mod replica_choice;
+mod replica_health;
+mod request_queue;
+mod retry_budget;
+mod retry_policy;
+mod summary;
+mod user_key;
--- a/crates/data-plane/tests/modules/tab.rs
+++ b/crates/data-plane/tests/modules/placement_table.rs
@@ -1,12 +1,12 @@
-//! Tests of `data_plane::tab`.
+//! Tests of `data_plane::placement_table`.
 
 use common::{FencingToken, Region, Service, Tick};
-use data_plane::tab::{Copy, Settled, Tab, UserKey};
+use data_plane::placement_table::{Copy, PlacementOutcome, PlacementTable, UserKey};
 
-fn held(s: Settled) -> (String, u64, bool) {
+fn held(s: PlacementOutcome) -> (String, u64, bool) {
     match s {
-        Settled::Held { region, ver, won } => (region.to_string(), ver, won),
-        Settled::Empty => ("-".into(), 0, false),
+        PlacementOutcome::Held { region, ver, won } => (region.to_string(), ver, won),
+        PlacementOutcome::Empty => ("-".into(), 0, false),
     }
 }
 
@@ -15,7 +15,7 @@
 #[test]
 fn racers_agree() {
     let (k, svc) = (UserKey(7), Service::new("m"));
-    let mut t = Tab::default();
+    let mut t = PlacementTable::default();
     let mut ask = |stale, pick: &str, now| {
         held(t.settle(k, &svc, stale, (!pick.is_empty()).then(|| Region::new(pick)), 1000, Tick(now)))
     };
@@ -39,7 +39,7 @@
     let (k, svc) = (UserKey(7), Service::new("m"));
     let row =
         |region: &str, ver| Copy { key: k, service: svc.clone(), region: region.into(), ver, ttl_ms: 900 };
-    let (mut owner, mut follower) = (Tab::default(), Tab::default());
+    let (mut owner, mut follower) = (PlacementTable::default(), PlacementTable::default());
     owner.copy(row("north", 24 << 32 | 28), Tick(0));
     follower.copy(row("south", 24 << 32 | 29), Tick(0));
     owner.fencing_token(k.shard(&svc), FencingToken(26)).unwrap();
@@ -50,7 +50,7 @@
 
 #[test]
 fn lower_fences_bounce() {
-    let mut t = Tab::default();
+    let mut t = PlacementTable::default();
     assert!(t.fencing_token(3, FencingToken(5)).is_ok());
     assert_eq!(t.fencing_token(3, FencingToken(4)), Err(FencingToken(5)));
     assert!(t.fencing_token(4, FencingToken(4)).is_ok());
--- a/crates/data-plane/tests/modules/choose.rs
+++ b/crates/data-plane/tests/modules/region_choice.rs
@@ -1,16 +1,16 @@
-//! Tests of `data_plane::choose`.
+//! Tests of `data_plane::region_choice`.
 
 use common::Region;
 use configuration::Policy;
 use data_plane::{
-    choose::{candidates, draw, draw_by_key, passes, weight},
-    pressure::RegionPressure,
+    load::RegionLoad,
+    region_choice::{candidates, draw, draw_by_key, passes, weight},
 };
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-fn p(healthy: bool, capacity: f64, consumption: f64) -> RegionPressure {
-    RegionPressure { healthy, capacity, consumption }
+fn p(healthy: bool, capacity: f64, consumption: f64) -> RegionLoad {
+    RegionLoad { healthy, capacity, consumption }
 }
 
 /// Conformance, design 5.1.
@@ -20,7 +20,7 @@
 #[case::above_it(p(true, 100.0, 95.1), false)]
 #[case::unhealthy(p(false, 100.0, 0.0), false)]
 #[case::no_capacity(p(true, 0.0, 0.0), false)]
-fn reuse_tests(#[case] seen: RegionPressure, #[case] want: bool) {
+fn reuse_tests(#[case] seen: RegionLoad, #[case] want: bool) {
     assert_eq!(passes(Some(&seen), &Policy::standard("s")), want);
 }
 
--- a/crates/data-plane/tests/modules/replay.rs
+++ b/crates/data-plane/tests/modules/replay_guard.rs
@@ -1,7 +1,7 @@
-//! Tests of `data_plane::replay`.
+//! Tests of `data_plane::replay_guard`.
 
 use common::{Epoch, NodeId};
-use data_plane::replay::{ReplayGuard, WINDOW};
+use data_plane::replay_guard::{ReplayGuard, WINDOW};
 use std::collections::BTreeMap;
 
 fn members(all: &[(&str, u64)]) -> BTreeMap<NodeId, Epoch> {
@@ -47,7 +47,7 @@
     }
 }
 
-/// A membership that ended never comes back: its hops reject, and its window is not kept.
+/// A membership that ended never comes back: its forwarded requests reject, and its window is not kept.
 #[test]
 fn memory_is_bounded_by_the_members() {
     let mut g = ReplayGuard::default();
--- a/crates/data-plane/tests/modules/replica.rs
+++ b/crates/data-plane/tests/modules/replica_choice.rs
@@ -1,14 +1,14 @@
-//! Tests of `data_plane::replica`.
+//! Tests of `data_plane::replica_choice`.
 
 use common::{NodeId, Tick};
 use data_plane::{
-    pressure::{Candidate, Gauge},
-    replica::has_room,
+    load::{Candidate, ReplicaLoad},
+    replica_choice::has_room,
 };
 use std::sync::{Arc, atomic::Ordering};
 
 fn seen(consumption: f64, allowance: Option<u32>, seq: u64) -> Candidate {
-    let gauge = Gauge {
+    let gauge = ReplicaLoad {
         id: "r".into(),
         addr: ([127, 0, 0, 1], 1).into(),
         healthy: true,
@@ -19,7 +19,7 @@
     Candidate { gauge, zone: "a".into(), own: Arc::default(), at: Tick(0), seq, line: Arc::new([]) }
 }
 
-/// How many jobs all routers together add on one and the same report.
+/// How many requests all routers together add on one and the same report.
 fn added(consumption: f64, allowance: Option<u32>, routers: usize, seq: u64) -> i64 {
     let line: Vec<NodeId> = (0..routers).map(|n| format!("p{n}").as_str().into()).collect();
     let one = |me: &NodeId| {
@@ -33,7 +33,7 @@
     line.iter().map(one).sum::<usize>() as i64
 }
 
-/// Found by a crowd on the fleet: with 4 slots and 6 routers, 24 jobs were open at one
+/// Found by a crowd on the fleet: with 4 slots and 6 routers, 24 requests were open at one
 /// replica, since each router took all the room that the last report showed.
 #[test]
 fn routers_share_what_a_report_shows_as_free() {
--- a/crates/data-plane/tests/modules/watched.rs
+++ b/crates/data-plane/tests/modules/replica_health.rs
@@ -1,7 +1,7 @@
-//! Tests of `data_plane::watched`.
+//! Tests of `data_plane::replica_health`.
 
 use common::Tick;
-use data_plane::watched::{Checked, Report, Watched};
+use data_plane::replica_health::{Checked, Report, Watched};
 use rstest::rstest;
 
 fn rep(healthy: Option<bool>, capacity: Option<f64>, consumption: Option<f64>) -> Option<Report> {
--- a/crates/data-plane/tests/modules/waitlist.rs
+++ b/crates/data-plane/tests/modules/request_queue.rs
@@ -1,11 +1,11 @@
-//! Tests of `data_plane::waitlist`.
+//! Tests of `data_plane::request_queue`.
 
 use common::Tick;
-use data_plane::waitlist::{Rejection, Waitlist};
+use data_plane::request_queue::{Rejection, RequestQueue};
 
 #[test]
 fn earliest_deadline_first_and_bounced_at_once() {
-    let mut w = Waitlist::default();
+    let mut w = RequestQueue::default();
     let (_, mut late) = w.join(Tick(5000), 2, Tick(0)).unwrap();
     let (_, mut soon) = w.join(Tick(1000), 2, Tick(0)).unwrap();
     assert_eq!(w.join(Tick(500), 2, Tick(0)).unwrap_err(), Rejection::Full);
--- a/crates/data-plane/tests/modules/budget.rs
+++ b/crates/data-plane/tests/modules/retry_budget.rs
@@ -1,6 +1,6 @@
-//! Tests of `data_plane::budget`.
+//! Tests of `data_plane::retry_budget`.
 
-use data_plane::budget::Budget;
+use data_plane::retry_budget::Budget;
 
 #[test]
 fn extra_goes_stay_a_fifth() {
--- a/crates/data-plane/tests/modules/again.rs
+++ b/crates/data-plane/tests/modules/retry_policy.rs
@@ -1,9 +1,9 @@
-//! Tests of `data_plane::again`.
+//! Tests of `data_plane::retry_policy`.
 
-use data_plane::again::{After, may_go_again};
+use data_plane::retry_policy::{After, may_retry};
 use rstest::rstest;
 
-/// Conformance, design 6.2: `once` goes again only where nothing of it was sent.
+/// Conformance, design 6.2: `once` attempts again only where nothing of it was sent.
 #[rstest]
 #[case::once_not_sent(After::NotRun, false, false, 1, true)]
 #[case::once_may_have_run(After::MayHaveRun, false, false, 1, false)]
@@ -14,8 +14,8 @@
     #[case] after: After,
     #[case] repeatable: bool,
     #[case] inner: bool,
-    #[case] goes: u32,
+    #[case] attempts: u32,
     #[case] want: bool,
 ) {
-    assert_eq!(may_go_again(after, repeatable, inner, goes), want);
+    assert_eq!(may_retry(after, repeatable, inner, attempts), want);
 }
--- a/crates/data-plane/tests/modules/digest.rs
+++ b/crates/data-plane/tests/modules/summary.rs
@@ -1,18 +1,18 @@
-//! Tests of `data_plane::digest`.
+//! Tests of `data_plane::summary`.
 
 use common::{ReplicaId, Revision, Tick, event_log::EventLog};
-use data_plane::digest::{Digest, Event, Happened};
+use data_plane::summary::{Event, EventKind, Summary};
 
 #[test]
 fn the_view_is_what_the_events_add_up_to() {
-    let j = EventLog::new(Digest::default(), 2);
-    let sick = |healthy| Happened::Health { replica: "r1".into(), healthy };
+    let j = EventLog::new(Summary::default(), 2);
+    let sick = |healthy| EventKind::Health { replica: "r1".into(), healthy };
     let all = [
-        Happened::Governs(Revision(3)),
-        Happened::Governs(Revision(2)),
+        EventKind::Governs(Revision(3)),
+        EventKind::Governs(Revision(2)),
         sick(false),
-        Happened::Rejected("no room".into()),
-        Happened::Rejected("no room".into()),
+        EventKind::Rejected("no room".into()),
+        EventKind::Rejected("no room".into()),
     ];
     for (n, what) in all.into_iter().enumerate() {
         j.append(Event { at: Tick(n as u64), what });
--- a/crates/data-plane/tests/modules/key.rs
+++ b/crates/data-plane/tests/modules/user_key.rs
@@ -1,7 +1,7 @@
-//! Tests of `data_plane::key`.
+//! Tests of `data_plane::user_key`.
 
 use configuration::KeyPart;
-use data_plane::{key::user_key, tab::UserKey};
+use data_plane::{placement_table::UserKey, user_key::user_key};
 use rstest::rstest;
 
 /// Conformance, design 5.2: the first part that yields something is used.
--- a/crates/data-plane/tests/replay.rs
+++ b/crates/data-plane/tests/replay.rs
@@ -1,11 +1,11 @@
-//! A signed hop runs once (design 5.6): what is captured on the inner network and sent again, here or
+//! A signed forwarded request runs once (design 5.6): what is captured on the inner network and sent again, here or
 //! at another router, is rejected.
 
 mod kit;
 
 use common::Epoch;
 use data_plane::{
-    hop::{self, Hop},
+    forwarding::{self, ForwardedRequest},
     router::Router,
 };
 use kit::{back, post, router, say};
@@ -14,12 +14,12 @@
 
 const WHOLE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone";
 
-/// A hop as the northern router signs it for the one in the centre.
-fn from_north(r: &Router, number: u64) -> Hop {
+/// A forwarded request as the northern router signs it for the one in the centre.
+fn from_north(r: &Router, number: u64) -> ForwardedRequest {
     let l = r.cluster_state();
     let g = r.governing.load_full().unwrap();
     let entry = g.table.entries.iter().find(|e| e.name == "match-verdicts").unwrap();
-    Hop {
+    ForwardedRequest {
         job: format!("job-{number}").as_str().into(),
         from: "p9".into(),
         epoch: l.members[&"p9".into()].epoch,
@@ -37,9 +37,9 @@
     }
 }
 
-fn sent(r: &Router, h: &Hop) -> String {
-    let signed = hop::sign(r.cluster_state().secret, h).unwrap();
-    post("/v1/verdicts", &format!("{}: {signed}\r\n", hop::HEADER), "{\"station\":\"x\"}")
+fn sent(r: &Router, h: &ForwardedRequest) -> String {
+    let signed = forwarding::sign(r.cluster_state().secret, h).unwrap();
+    post("/v1/verdicts", &format!("{}: {signed}\r\n", forwarding::HEADER), "{\"station\":\"x\"}")
 }
 
 #[tokio::test]
@@ -68,14 +68,14 @@
 }
 
 /// Sent to another router than the one it was signed for, to a later life of it, or after its sender
-/// left: no memory of used hops can know these, so the hop itself says whose it is.
+/// left: no memory of used forwarded requests can know these, so the forwarded request itself says whose it is.
 #[rstest]
-#[case::another_router(|h: &mut Hop| h.to = "p2".into(), "hop for another router")]
-#[case::an_earlier_life(|h: &mut Hop| h.to_epoch = Epoch(1), "hop for another router")]
-#[case::a_past_membership(|h: &mut Hop| h.epoch = Epoch(1), "sender not a member here")]
-#[case::no_member(|h: &mut Hop| h.from = "p7".into(), "sender not a member here")]
+#[case::another_router(|h: &mut ForwardedRequest| h.to = "p2".into(), "hop for another router")]
+#[case::an_earlier_life(|h: &mut ForwardedRequest| h.to_epoch = Epoch(1), "hop for another router")]
+#[case::a_past_membership(|h: &mut ForwardedRequest| h.epoch = Epoch(1), "sender not a member here")]
+#[case::no_member(|h: &mut ForwardedRequest| h.from = "p7".into(), "sender not a member here")]
 #[tokio::test]
-async fn nor_where_it_was_not_meant_for(#[case] change: fn(&mut Hop), #[case] reason: &str) {
+async fn nor_where_it_was_not_meant_for(#[case] change: fn(&mut ForwardedRequest), #[case] reason: &str) {
     let b = back(WHOLE).await;
     let (r, at) = router("verdict", std::slice::from_ref(&b)).await;
     let mut h = from_north(&r, 1);
@@ -85,7 +85,7 @@
     assert_eq!(b.runs.load(Ordering::Acquire), 0);
 }
 
-/// The innocent twin: hops of their own, in any order.
+/// The innocent twin: forwarded requests of their own, in any order.
 #[tokio::test]
 async fn hops_that_overtake_each_other_all_run() {
     let b = back(WHOLE).await;
--- a/crates/data-plane/tests/serving/exchange.rs
+++ b/crates/data-plane/tests/serving/attempt_state.rs
@@ -5,8 +5,10 @@
 
 use common::runtime::Simulation;
 use data_plane::serving::{
-    exchange::{AnswerHead, AnswerId, Asked, AttemptEnd, LastWord, Permit, Tries, Verdict, judge},
-    reuse::{BodyEnd, ExchangeEnd, KeepAlive, clean_end, may_reuse},
+    attempt_state::{
+        AnswerHead, AnswerId, AttemptEnd, Attempts, FinalStatus, Permit, RequestTraits, Verdict, check_answer,
+    },
+    connection_reuse::{BodyEnd, ExchangeEnd, KeepAlive, clean_end, may_reuse},
 };
 use rstest::rstest;
 use std::collections::HashSet;
@@ -35,9 +37,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct State {
     request: u8,
-    asked: Asked,
+    asked: RequestTraits,
     most: u32,
-    tries: Tries,
+    tries: Attempts,
     /// What is true, whoever knows it: replicas that were reached, and those that ran the request.
     reached: u32,
     ran: u32,
@@ -70,8 +72,8 @@
         let mut out = Vec::new();
         for n in 0..12 {
             let (repeatable, has_id, most) = (n & 1 == 0, n & 2 == 0, n / 4 + 1);
-            let asked = Asked { repeatable, has_id };
-            let tries = Tries::new(repeatable, most);
+            let asked = RequestTraits { repeatable, has_id };
+            let tries = Attempts::new(repeatable, most);
             let (reached, ran, paid, told) = (0, 0, 0, Told::Nothing);
             out.push(Self { request, asked, most, tries, reached, ran, paid, kept, told });
         }
@@ -104,7 +106,7 @@
     }
 
     fn gives_up(mut self, late: bool) -> Self {
-        self.told = Told::Last { refused: self.tries.last_word(late) == LastWord::Refused };
+        self.told = Told::Last { refused: self.tries.last_word(late) == FinalStatus::Refused };
         self
     }
 
@@ -119,7 +121,7 @@
             for head in heads() {
                 // Its own answer: a replica does not lie about what it has not run, nor about ids.
                 let declined = head.not_run || head.status == 421;
-                let own_id = head.id == AnswerId::Own || head.id == AnswerId::Absent;
+                let own_id = head.id == AnswerId::LocalLoad || head.id == AnswerId::Absent;
                 if own_id && !(declined && ran) {
                     out.push(Event::Head { head, genuine: true, ran });
                 }
@@ -142,7 +144,7 @@
             Event::NotOpened => out.push(self.ended(AttemptEnd::NotSent)),
             Event::LostMember { .. } => out.push(self.ended(AttemptEnd::MayHaveRun)),
             Event::Abandoned { .. } => out.push(self),
-            Event::Head { head, genuine, .. } => match judge(self.asked, &head) {
+            Event::Head { head, genuine, .. } => match check_answer(self.asked, &head) {
                 Verdict::Declined => out.push(self.ended(AttemptEnd::Declined)),
                 Verdict::MayHaveRun(_) => out.push(self.ended(AttemptEnd::MayHaveRun)),
                 Verdict::Answer => self.ended(AttemptEnd::MayHaveRun).passes(head, genuine, out),
@@ -212,7 +214,7 @@
 fn heads() -> Vec<AnswerHead> {
     let mut out = vec![];
     for status in STATUSES {
-        for id in [AnswerId::Own, AnswerId::Absent, AnswerId::Other] {
+        for id in [AnswerId::LocalLoad, AnswerId::Absent, AnswerId::Other] {
             for bits in 0..8 {
                 let (not_run, sealed, ends_surely) = (bits & 1 != 0, bits & 2 != 0, bits & 4 != 0);
                 out.push(AnswerHead { status, not_run, sealed, id, ends_surely });
@@ -226,7 +228,7 @@
 fn search() -> usize {
     // What may never be put on a connection that others have used.
     for n in 0..3 {
-        let asked = Asked { repeatable: n & 1 != 0, has_id: n & 2 != 0 };
+        let asked = RequestTraits { repeatable: n & 1 != 0, has_id: n & 2 != 0 };
         assert!(!may_reuse(asked), "on a kept connection: {asked:?}");
     }
     let mut open = State::starts(1, None);
@@ -246,7 +248,7 @@
     Simulation::run(1, broken.map(String::from), |_| async { search() })
 }
 
-/// Nothing that may not be repeated is run twice or called refused though it ran; no answer goes to
+/// Nothing that may not be repeated is run twice or called refused though it ran; no answer attempts to
 /// another's caller; further tries are counted and paid for; only clean ends leave a connection.
 #[test]
 fn every_interleaving_keeps_the_rules() {
--- a/crates/data-plane/tests/serving/kit.rs
+++ b/crates/data-plane/tests/serving/kit.rs
@@ -3,9 +3,9 @@
 use common::{FencingToken, NodeId, Region, Tick, Zone};
 use configuration::{Route, RouteKind};
 use data_plane::serving::{
-    Names, Prompt,
-    board::{Board, Row},
-    fleet::{Candidate, Folds},
+    HeaderNames, Prompt,
+    replica_report::{Board, Row},
+    replica_view::{Candidate, ReportStore},
 };
 use hyper::header::HeaderName;
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
 
 /// Candidates of one zone, as a router among so many sees them.
 pub fn candidates(rows: Vec<Row>, routers: usize) -> Vec<Candidate> {
-    let mut f = Folds::default();
+    let mut f = ReportStore::default();
     assert!(f.take(board("n1", 1, rows), Tick(0)));
     f.fleet(&zones(), routers, 3_000).of(&"chat".into()).to_vec()
 }
@@ -78,9 +78,9 @@
     }
 }
 
-pub fn names() -> Names {
+pub fn names() -> HeaderNames {
     let h = HeaderName::from_static;
-    Names {
+    HeaderNames {
         request_id: h("x-request"),
         time_left: h("x-left"),
         wanted: h("x-wanted"),
--- a/crates/data-plane/tests/serving/main.rs
+++ b/crates/data-plane/tests/serving/main.rs
@@ -1,21 +1,21 @@
 //! One binary for serving by routes: its pure rooms, then the way of a request in a world in memory.
 
-mod board;
+mod attempt_state;
 mod carried;
-mod choose;
-mod cold;
 mod connection;
-mod events;
-mod exchange;
-mod fleet;
 mod kit;
 mod limits;
-mod listing;
-mod listing_pages;
-mod mix;
 mod own_answers;
-mod place;
 mod plan;
-mod reading;
-mod retries;
+mod prefill;
+mod region_choice;
+mod replica_choice;
+mod replica_list;
+mod replica_list_pages;
+mod replica_report;
+mod replica_view;
+mod retry_budget;
+mod slow_start;
 mod stage;
+mod stream_relay;
+mod workload_isolation;
--- a/crates/data-plane/tests/serving/plan.rs
+++ b/crates/data-plane/tests/serving/plan.rs
@@ -4,7 +4,7 @@
 use common::Tick;
 use configuration::{Route, RouteKind};
 use data_plane::serving::{
-    carry::back_ms,
+    dispatch::retry_after_ms,
     plan::{deadline, user_key},
 };
 use hyper::{HeaderMap, header::HeaderValue};
@@ -68,6 +68,6 @@
 #[case(4_800, 1_500)]
 #[case(60_000, 1_500)]
 fn refused_clients_come_back_within_a_third(#[case] left: u64, #[case] want: u64) {
-    assert_eq!(back_ms(left), want);
+    assert_eq!(retry_after_ms(left), want);
     assert!(left < 300 || want * 3 <= left, "{want} of {left}");
 }
--- a/crates/data-plane/tests/serving/reading.rs
+++ b/crates/data-plane/tests/serving/prefill.rs
@@ -1,12 +1,12 @@
-//! Tests of `data_plane::serving::reading`.
+//! Tests of `data_plane::serving::prefill`.
 
 use crate::kit::prompt;
 use common::{ReplicaId, Tick};
-use data_plane::serving::reading::{Note, Reading, prefixes};
+use data_plane::serving::prefill::{PromptSent, Reading, prefixes};
 use rstest::rstest;
 
-fn note(parts: &[(u64, u32)], tokens: u32, memory: u64) -> Note {
-    Note { replica: "r1".into(), prefixes: prefixes(&prompt(parts, tokens)), tokens, memory }
+fn note(parts: &[(u64, u32)], tokens: u32, memory: u64) -> PromptSent {
+    PromptSent { replica: "r1".into(), prefixes: prefixes(&prompt(parts, tokens)), tokens, memory }
 }
 
 /// A prefix is all parts up to it, in their order; the last part is the request's own.
@@ -40,7 +40,7 @@
     assert_eq!(r.unread(&"r2".into(), &asked, tokens), tokens);
 }
 
-/// Memory for two of three prompts of 300 tokens: the one that was used last longest ago goes.
+/// Memory for two of three prompts of 300 tokens: the one that was used last longest ago attempts.
 #[rstest]
 #[case::untouched(None, [300, 50, 50])]
 #[case::used_again(Some(1), [50, 300, 50])]
--- a/crates/data-plane/tests/serving/place.rs
+++ b/crates/data-plane/tests/serving/region_choice.rs
@@ -1,10 +1,10 @@
-//! Tests of `data_plane::serving::place` and `data_plane::serving::directory`.
+//! Tests of `data_plane::serving::region_choice` and `data_plane::serving::directory`.
 
 use common::Region;
+use data_plane::load::RegionLoad;
 use data_plane::serving::{
-    directory::{Edge, nearest},
-    fleet::RegionLoad,
-    place::candidates,
+    directory::{RouterAddr, nearest},
+    region_choice::candidates,
 };
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -25,8 +25,8 @@
     #[case] want: Option<f64>,
 ) {
     let seen: BTreeMap<Region, RegionLoad> = [
-        ("a".into(), RegionLoad { capacity, consumption }),
-        ("b".into(), RegionLoad { capacity: 10.0, consumption: 0.0 }),
+        ("a".into(), RegionLoad { healthy: true, capacity, consumption }),
+        ("b".into(), RegionLoad { healthy: true, capacity: 10.0, consumption: 0.0 }),
     ]
     .into();
     let got = candidates(&seen, &|r| open || r.as_str() == "b");
@@ -55,15 +55,15 @@
     let edge = |(n, at): (usize, &&str)| {
         let (zone, region) = at.split_once('/').expect("area/region");
         let region = (!region.is_empty()).then(|| region.into());
-        Edge { addr: ([10, 0, 0, 1], n as u16).into(), zone: zone.into(), region }
+        RouterAddr { addr: ([10, 0, 0, 1], n as u16).into(), zone: zone.into(), region }
     };
-    let all: Vec<Edge> = all.iter().enumerate().map(edge).collect();
+    let all: Vec<RouterAddr> = all.iter().enumerate().map(edge).collect();
     let got: Vec<u16> = nearest(&all, zone, region).iter().map(|a| a.port()).collect();
     assert_eq!(got, want);
 }
 
 #[test]
 fn an_answer_has_a_bound() {
-    let edge = |n: u16| Edge { addr: ([10, 0, 0, 1], n).into(), zone: "n1".into(), region: None };
+    let edge = |n: u16| RouterAddr { addr: ([10, 0, 0, 1], n).into(), zone: "n1".into(), region: None };
     assert_eq!(nearest(&(0..200).map(edge).collect::<Vec<_>>(), "n1", "north").len(), 64);
 }
--- a/crates/data-plane/tests/serving/choose.rs
+++ b/crates/data-plane/tests/serving/replica_choice.rs
@@ -1,19 +1,19 @@
-//! Tests of `data_plane::serving::choose`.
+//! Tests of `data_plane::serving::replica_choice`.
 
 use crate::kit::{candidates, prompt, row};
 use common::{ReplicaId, Tick};
 use data_plane::serving::{
     Prompt,
-    choose::{READS_PER_MS, Wish, best, fits, hopeless},
-    fleet::Candidate,
-    reading::{Note, Reading, prefixes},
+    prefill::{PromptSent, Reading, prefixes},
+    replica_choice::{ChoiceContext, READS_PER_MS, all_overdue, best, fits},
+    replica_view::Candidate,
 };
 use rstest::rstest;
 use std::collections::BTreeSet;
 
 const NOW: Tick = Tick(100_000);
 
-struct Asked<'a> {
+struct RequestTraits<'a> {
     prompt: &'a Prompt,
     reading: &'a Reading,
     long: bool,
@@ -21,11 +21,11 @@
 }
 
 /// Whom a request may come to, over many draws.
-fn chosen(cands: &[Candidate], a: &Asked<'_>) -> BTreeSet<ReplicaId> {
+fn chosen(cands: &[Candidate], a: &RequestTraits<'_>) -> BTreeSet<ReplicaId> {
     let cands: Vec<&Candidate> = cands.iter().collect();
     let of = prefixes(a.prompt);
     let one = |n: u32| {
-        let w = Wish {
+        let w = ChoiceContext {
             prompt: a.prompt,
             zone: &"n1".into(),
             region: &"north".into(),
@@ -58,10 +58,10 @@
 fn long_prompts_go_where_their_prefix_is(#[case] others: u32, #[case] kept: bool) {
     let p = prompt(&[(1, 10_000), (2, 8_000), (3, 2_000)], 20_000);
     let mut reading = Reading::default();
-    let note = |prefixes, tokens| Note { replica: "r2".into(), prefixes, tokens, memory: 1_000_000 };
+    let note = |prefixes, tokens| PromptSent { replica: "r2".into(), prefixes, tokens, memory: 1_000_000 };
     reading.note(&note(prefixes(&p), 20_000), READS_PER_MS, Tick(0));
     reading.note(&note(vec![], others), READS_PER_MS, NOW);
-    let got = chosen(&idle(6), &Asked { prompt: &p, reading: &reading, long: true, apart: false });
+    let got = chosen(&idle(6), &RequestTraits { prompt: &p, reading: &reading, long: true, apart: false });
     assert_eq!(got == BTreeSet::from(["r2".into()]), kept, "{got:?}");
     assert_eq!(got.contains(&"r2".into()), kept, "{got:?}");
 }
@@ -72,7 +72,7 @@
 fn halves_are_kept_apart() {
     let (p, reading) = (prompt(&[], 500), Reading::default());
     let cands = idle(11);
-    let of = |long, apart| chosen(&cands, &Asked { prompt: &p, reading: &reading, long, apart });
+    let of = |long, apart| chosen(&cands, &RequestTraits { prompt: &p, reading: &reading, long, apart });
     let (long, short) = (of(true, true), of(false, true));
     assert_eq!((long.len(), short.len()), (5, 6));
     assert!(long.is_disjoint(&short));
@@ -86,7 +86,7 @@
 #[case::full(20, true)]
 fn short_prompts_spill_over(#[case] running: u32, #[case] spills: bool) {
     let (p, reading) = (prompt(&[], 500), Reading::default());
-    let asked = Asked { prompt: &p, reading: &reading, long: false, apart: true };
+    let asked = RequestTraits { prompt: &p, reading: &reading, long: false, apart: true };
     let half = chosen(&idle(10), &asked);
     let loaded = |n: usize| if half.contains(&format!("r{n}").as_str().into()) { running } else { 0 };
     let got = chosen(&candidates((0..10).map(|n| row(n, loaded(n))).collect(), 1), &asked);
@@ -98,7 +98,7 @@
 fn short_prefixes_stay_together() {
     let reading = Reading::default();
     let of = |p: &Prompt, cands: &[Candidate]| {
-        chosen(cands, &Asked { prompt: p, reading: &reading, long: false, apart: false })
+        chosen(cands, &RequestTraits { prompt: p, reading: &reading, long: false, apart: false })
     };
     let all: Vec<BTreeSet<ReplicaId>> =
         (0..20).map(|n| of(&prompt(&[(n, 300), (99 + n, 20)], 320), &idle(6))).collect();
@@ -120,7 +120,7 @@
 #[case::exactly(1_100, 1_000, true)]
 #[case::one_less(1_099, 1_000, false)]
 fn fits_by_memory(#[case] memory_total: u64, #[case] tokens_in: u32, #[case] want: bool) {
-    let c = &candidates(vec![data_plane::serving::board::Row { memory_total, ..row(0, 0) }], 1)[0];
+    let c = &candidates(vec![data_plane::serving::replica_report::Row { memory_total, ..row(0, 0) }], 1)[0];
     assert_eq!(fits(c, &prompt(&[], tokens_in)), want);
 }
 
@@ -135,7 +135,7 @@
 fn hopeless_where_nobody_begins_in_time(#[case] running: &[u32], #[case] ms: f64, #[case] want: bool) {
     let cands = candidates(running.iter().enumerate().map(|(n, r)| row(n, *r)).collect(), 1);
     let (p, reading) = (prompt(&[], 10), Reading::default());
-    let w = Wish {
+    let w = ChoiceContext {
         prompt: &p,
         zone: &"n1".into(),
         region: &"north".into(),
@@ -150,5 +150,5 @@
         hold_ms: 300.0,
         unit: 0.5,
     };
-    assert_eq!(hopeless(&cands.iter().collect::<Vec<_>>(), &w, ms), want);
+    assert_eq!(all_overdue(&cands.iter().collect::<Vec<_>>(), &w, ms), want);
 }
--- a/crates/data-plane/tests/serving/listing.rs
+++ b/crates/data-plane/tests/serving/replica_list.rs
@@ -10,7 +10,7 @@
     runtime::{Simulation, bind, spawn_at},
 };
 use configuration::RouteKind;
-use data_plane::serving::{Listed, Listing};
+use data_plane::serving::{ListPage, ListedReplica};
 use hyper::StatusCode;
 use rstest::rstest;
 use std::{
@@ -22,19 +22,19 @@
 use tokio::{sync::watch, time::sleep};
 
 const LIST: ([u8; 4], u16) = ([10, 0, 0, 1], 9);
-/// Longest time from a change in the list until a router goes by it: two looks and a page.
+/// Longest time from a change in the list until a router attempts by it: two looks and a page.
 const HEARD_MS: u64 = 1_500;
 
 /// How long a replica that the list calls cold stays so.
 const COLD_MS: u64 = 2_000;
 
 /// A page is written as lines: `ID draining|ready|cold`, and last `next TOKEN` where there is one.
-pub fn read(body: &[u8]) -> Option<Listing> {
-    let mut out = Listing::default();
+pub fn read(body: &[u8]) -> Option<ListPage> {
+    let mut out = ListPage::default();
     for line in std::str::from_utf8(body).ok()?.lines() {
         match line.split_once(' ')? {
             ("next", token) => out.next = Some(token.to_string()),
-            (id, "cold") => out.rows.push(Listed { cold_left_ms: COLD_MS, ..listed(id, false) }),
+            (id, "cold") => out.rows.push(ListedReplica { cold_left_ms: COLD_MS, ..listed(id, false) }),
             (id, state) => out.rows.push(listed(id, state != "ready")),
         }
     }
@@ -45,9 +45,9 @@
     format!("/{zone}/{}", page.unwrap_or("first"))
 }
 
-pub fn listed(id: &str, draining: bool) -> Listed {
+pub fn listed(id: &str, draining: bool) -> ListedReplica {
     let r = row(id.trim_start_matches('r').parse().expect("a number"), 0);
-    Listed {
+    ListedReplica {
         id: r.id,
         service: r.service,
         addr: r.addr,
@@ -127,7 +127,7 @@
     });
 }
 
-async fn heard() {
+async fn last_contacts() {
     sleep(Duration::from_millis(HEARD_MS)).await;
 }
 
@@ -146,7 +146,7 @@
 fn all_pages_count(#[case] pages: &'static [(&'static str, u16, &'static str)]) {
     watched(List::default(), |stage, list| async move {
         list.says(pages);
-        heard().await;
+        last_contacts().await;
         assert_eq!(ids(&stage), ["r1", "r2"]);
     });
 }
@@ -159,7 +159,7 @@
 fn a_reading_counts_whole_or_not_at_all(#[case] code: u16) {
     watched(List::default(), |stage, list| async move {
         list.says(&[("first", 200, "r1 ready\nnext b\n"), ("b", 200, "r2 ready\n")]);
-        heard().await;
+        last_contacts().await;
         list.says(&[("first", 200, "r1 draining\nnext b\n"), ("b", code, "r3 ready\n")]);
         sleep(Duration::from_millis(10_000)).await;
         assert_eq!(stage.known(), [("r1".to_string(), false), ("r2".to_string(), false)].into());
@@ -174,15 +174,15 @@
 fn a_replica_that_leaves_is_known_to() {
     watched(List::default(), |stage, list| async move {
         list.says(&[("first", 200, "r1 ready\nnext b\n"), ("b", 200, "r2 ready\n")]);
-        heard().await;
+        last_contacts().await;
         list.says(&[("first", 200, "r1 ready\nr2 draining\nnext b\n"), ("b", 200, "r2 ready\n")]);
-        heard().await;
+        last_contacts().await;
         assert!(stage.known()["r2"]);
         list.says(&[("first", 200, "r1 ready\nr2 draining\n")]);
         sleep(Duration::from_secs(20)).await;
         assert!(stage.known()["r2"], "it drains for long");
         list.says(&[("first", 200, "r1 ready\n")]);
-        heard().await;
+        last_contacts().await;
         assert_eq!(ids(&stage), ["r1"]);
     });
 }
@@ -197,7 +197,7 @@
 fn a_list_in_trouble_holds_up_no_probe(#[case] slow_ms: u64, #[case] code: u16) {
     watched(List::default(), |stage, list| async move {
         list.says(&[("first", 200, "r1 ready\nr2 ready\nr9 ready\n")]);
-        heard().await;
+        last_contacts().await;
         assert!(stage.well("r1") && !stage.well("r9"), "nobody listens at r9");
         list.change(|s| s.slow_ms = slow_ms);
         list.says(&[("first", code, "r1 ready\nr2 ready\nr9 ready\n")]);
@@ -252,7 +252,7 @@
         // Later calls fail, so that what is known is of the first one of each zone.
         sleep(Duration::from_millis(slow_ms + 20)).await;
         list.says(&[("first", 500, "")]);
-        heard().await;
+        last_contacts().await;
         let (now_ms, left_ms) = stage.cold_left("r2").await;
         assert!(now_ms + left_ms >= said_ms + COLD_MS, "{now_ms} and {left_ms} left, said at {said_ms}");
     });
--- a/crates/data-plane/tests/serving/listing_pages.rs
+++ b/crates/data-plane/tests/serving/replica_list_pages.rs
@@ -1,10 +1,10 @@
 //! What a home keeps of the platform's list between readings. Pure.
 
-use crate::listing::listed;
+use crate::replica_list::listed;
 use common::{Tick, error::PeerError};
 use data_plane::serving::{
-    Listed,
-    listing::{Known, ListError, ListRead},
+    ListedReplica,
+    replica_list::{KnownReplicas, ListError, ListRead},
 };
 use rstest::rstest;
 
@@ -18,14 +18,14 @@
     read
 }
 
-fn ids(known: &Known, at: u64) -> Vec<String> {
+fn ids(known: &KnownReplicas, at: u64) -> Vec<String> {
     known.rows(Tick(at)).unwrap_or_default().iter().map(|r| r.id.to_string()).collect()
 }
 
 /// A replica that moves to a page already read stands on none of this reading, and is not gone for that.
 #[test]
 fn what_moves_between_pages_is_not_lost() {
-    let mut known = Known::default();
+    let mut known = KnownReplicas::default();
     known.read(read(&[&["r1", "r2"], &["r3"]]), Tick(0), EACH_MS);
     known.read(read(&[&["r1"], &["r2"]]), Tick(1_000), EACH_MS);
     assert_eq!(ids(&known, 1_000), ["r1", "r2", "r3"]);
@@ -39,7 +39,7 @@
 /// One page is whole in itself.
 #[test]
 fn what_one_page_lacks_is_gone() {
-    let mut known = Known::default();
+    let mut known = KnownReplicas::default();
     known.read(read(&[&["r1", "r2"]]), Tick(0), EACH_MS);
     known.read(read(&[&["r1"]]), Tick(1_000), EACH_MS);
     assert_eq!(ids(&known, 1_000), ["r1"]);
@@ -49,9 +49,12 @@
 #[case::leaving_first(true, false)]
 #[case::leaving_then(false, true)]
 fn what_leaves_by_one_page_leaves(#[case] first: bool, #[case] then: bool) {
-    let (mut read, mut known) = (ListRead::default(), Known::default());
+    let (mut read, mut known) = (ListRead::default(), KnownReplicas::default());
     read.add(&"n1".into(), vec![listed("r1", first)]);
-    read.add(&"n1".into(), vec![listed("r1", then), Listed { zone: "n2".into(), ..listed("r2", false) }]);
+    read.add(
+        &"n1".into(),
+        vec![listed("r1", then), ListedReplica { zone: "n2".into(), ..listed("r2", false) }],
+    );
     known.read(read, Tick(0), EACH_MS);
     let rows = known.rows(Tick(0)).expect("a list");
     assert_eq!(rows, [listed("r1", true)]);
@@ -60,7 +63,7 @@
 /// Each page is a call: the next reading waits for as long as its calls take up of the rate.
 #[test]
 fn pages_are_paid_for() {
-    let mut known = Known::default();
+    let mut known = KnownReplicas::default();
     assert!(known.due(Tick(0)));
     known.read(read(&[&["r1"], &["r2"], &["r3"]]), Tick(0), EACH_MS);
     assert!(!known.due(Tick(3 * EACH_MS - 1)) && known.due(Tick(3 * EACH_MS)));
@@ -69,7 +72,7 @@
 #[test]
 fn refusals_for_the_rate_spread_out_and_a_reading_ends_that() {
     let over = || ListError::OverRate(PeerError::new("list replicas", "list", "429"));
-    let (mut known, mut now, mut pauses) = (Known::default(), 0, Vec::new());
+    let (mut known, mut now, mut pauses) = (KnownReplicas::default(), 0, Vec::new());
     for _ in 0..5 {
         known.failed(&over(), Tick(now), EACH_MS);
         let pause = (0..).find(|ms| known.due(Tick(now + ms))).expect("due at last");
@@ -86,8 +89,8 @@
 /// A list that can't be read anew ages: what was cold for so long is not cold for ever.
 #[test]
 fn cold_spans_run_on() {
-    let (mut reading, mut known) = (ListRead::default(), Known::default());
-    reading.add(&"n1".into(), vec![Listed { cold_left_ms: 3_000, ..listed("r1", false) }]);
+    let (mut reading, mut known) = (ListRead::default(), KnownReplicas::default());
+    reading.add(&"n1".into(), vec![ListedReplica { cold_left_ms: 3_000, ..listed("r1", false) }]);
     known.read(reading, Tick(1_000), EACH_MS);
     let cold = |at| known.rows(Tick(at)).expect("a list").first().map(|r| r.cold_left_ms);
     assert_eq!((cold(1_000), cold(3_000), cold(9_000)), (Some(3_000), Some(1_000), Some(0)));
--- a/crates/data-plane/tests/serving/board.rs
+++ b/crates/data-plane/tests/serving/replica_report.rs
@@ -1,11 +1,11 @@
-//! Tests of `data_plane::serving::board` and of what a probe's head tells.
+//! Tests of `data_plane::serving::replica_report` and of what a probe's head tells.
 
 use crate::kit::{board, row};
 use common::Tick;
 use data_plane::serving::{
-    EngineReport, Listed,
-    board::{Probed, Row, Watched, lends},
-    watch::load_of,
+    EngineReport, ListedReplica,
+    health_prober::load_of,
+    replica_report::{Probed, Row, Watched, lends},
 };
 use hyper::{HeaderMap, header::HeaderValue};
 use rstest::rstest;
@@ -39,7 +39,7 @@
     let mut w = Watched::default();
     w.fold(Probed::Told(TOLD), 2);
     w.fold(Probed::Silent, 2);
-    let l = Listed {
+    let l = ListedReplica {
         id: "r1".into(),
         service: "chat".into(),
         addr: ([10, 0, 1, 1], 80).into(),
--- a/crates/data-plane/tests/serving/fleet.rs
+++ b/crates/data-plane/tests/serving/replica_view.rs
@@ -1,17 +1,18 @@
-//! Tests of `data_plane::serving::fleet`.
+//! Tests of `data_plane::serving::replica_view`.
 
 use crate::kit::{board, prompt, row, zones};
 use common::{Region, Service, Tick};
+use data_plane::load::RegionLoad;
 use data_plane::serving::{
-    choose::{READS_PER_MS, Wish, best},
-    fleet::{Candidate, Fleet, Folds, RegionLoad},
-    reading::Reading,
+    prefill::Reading,
+    replica_choice::{ChoiceContext, READS_PER_MS, best},
+    replica_view::{Candidate, ReplicaView, ReportStore},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
 use std::{collections::BTreeMap, sync::atomic::Ordering};
 
-/// Design 9.3: held are figures of `p0`, number 5, fresh at 100.
+/// Design 9.3: held are load reports of `p0`, number 5, fresh at 100.
 #[rstest]
 #[case::newer("p0", 6, 101, true)]
 #[case::at_the_same_time("p0", 6, 100, true)]
@@ -21,17 +22,17 @@
 #[case::other_publisher("p1", 1, 101, true)]
 #[case::other_publisher_older("p1", 9, 99, false)]
 fn boards_never_go_back(#[case] publisher: &str, #[case] seq: u64, #[case] at: u64, #[case] taken: bool) {
-    let mut f = Folds::default();
+    let mut f = ReportStore::default();
     assert!(f.take(board("n1", 5, vec![row(0, 7)]), Tick(100)));
     let mut b = board("n1", seq, vec![row(0, 9)]);
     b.publisher = publisher.into();
     assert_eq!(f.take(b, Tick(at)), taken);
-    let running = f.heard[&"n1".into()].board.rows[0].running;
+    let running = f.last_contacts[&"n1".into()].board.rows[0].running;
     assert_eq!(running, if taken { 9 } else { 7 });
     assert!(f.take(board("n2", 1, vec![]), Tick(1)), "areas have nothing to do with each other");
 }
 
-/// What was open when the figures were fresh, and what is now, from one router among so many.
+/// What was open when the load reports were fresh, and what is now, from one router among so many.
 #[rstest]
 #[case::no_change(1, 10, 4, 4, 10.0)]
 #[case::own_change(1, 10, 4, 7, 13.0)]
@@ -47,7 +48,7 @@
     #[case] now: i64,
     #[case] want: f64,
 ) {
-    let mut f = Folds::default();
+    let mut f = ReportStore::default();
     assert!(f.take(board("n1", 1, vec![row(0, 0)]), Tick(0)));
     f.fleet(&zones(), routers, 1).of(&"chat".into())[0].own.open.store(then, Ordering::Relaxed);
     assert!(f.take(board("n1", 2, vec![row(0, running)]), Tick(1)));
@@ -57,15 +58,15 @@
     assert_eq!(c.load(), want);
 }
 
-/// Twelve routers send 96 requests by one stale board of ten replicas with 20 slots each, which has
+/// Twelve routers send 96 requests by one stale report of ten replicas with 20 slots each, which has
 /// room for 110: the load of each replica afterwards.
 fn herd(told: usize, seed: u64) -> Vec<u32> {
     let mut chance = SmallRng::seed_from_u64(seed);
     let mut load: Vec<u32> = (0..10).map(|n| n * 2).collect();
     let rows: Vec<_> = load.iter().enumerate().map(|(n, l)| row(n, *l)).collect();
-    let fleets: Vec<Fleet> = (0..12)
+    let fleets: Vec<ReplicaView> = (0..12)
         .map(|_| {
-            let mut f = Folds::default();
+            let mut f = ReportStore::default();
             assert!(f.take(board("n1", 1, rows.clone()), Tick(0)));
             f.fleet(&zones(), told, 1)
         })
@@ -73,7 +74,7 @@
     let (reading, p) = (Reading::default(), prompt(&[], 200));
     for _ in 0..8 {
         for fleet in &fleets {
-            let w = Wish {
+            let w = ChoiceContext {
                 prompt: &p,
                 zone: &"n1".into(),
                 region: &"north".into(),
@@ -97,7 +98,7 @@
     load
 }
 
-/// The incident: twelve routers each filled what one stale board showed as free, and replicas turned
+/// The incident: twelve routers each filled what one stale report showed as free, and replicas turned
 /// requests away as full.
 #[rstest]
 fn no_herd_on_stale_figures(#[values(1, 2, 3, 4, 5)] seed: u64) {
@@ -107,10 +108,10 @@
     assert!(over(&unknown) > 24, "a router that forgets the others must do worse: {unknown:?}");
 }
 
-/// Passes of a region add up over its zones, and count as long as the oldest of its figures.
+/// Passes of a region add up over its zones, and count as long as the oldest of its load reports.
 #[test]
 fn lends_add_up_and_run_out() {
-    let mut f = Folds::default();
+    let mut f = ReportStore::default();
     for (zone, n, at) in [("n1", 3, 100), ("n2", 4, 50), ("s1", 7, 70), ("elsewhere", 9, 1)] {
         let mut b = board(zone, 1, vec![]);
         b.lends = [("chat".into(), n)].into();
@@ -125,8 +126,8 @@
 
 #[test]
 fn regions_count_what_is_usable() {
-    let mut f = Folds::default();
-    let gone = data_plane::serving::board::Row { draining: true, ..row(2, 5) };
+    let mut f = ReportStore::default();
+    let gone = data_plane::serving::replica_report::Row { draining: true, ..row(2, 5) };
     assert!(f.take(board("n1", 1, vec![row(0, 3), gone]), Tick(0)));
     assert!(f.take(board("n2", 1, vec![row(1, 4)]), Tick(0)));
     assert!(f.take(board("s1", 1, vec![row(3, 19)]), Tick(0)));
@@ -135,8 +136,8 @@
     cands.iter().find(|c| c.id == "r0".into()).unwrap().own.open.store(2, Ordering::Relaxed);
     let seen = fleet.regions(&"chat".into(), &|c| !c.draining);
     let want: BTreeMap<Region, RegionLoad> = [
-        ("north".into(), RegionLoad { capacity: 40.0, consumption: 11.0 }),
-        ("south".into(), RegionLoad { capacity: 20.0, consumption: 19.0 }),
+        ("north".into(), RegionLoad { healthy: true, capacity: 40.0, consumption: 11.0 }),
+        ("south".into(), RegionLoad { healthy: true, capacity: 20.0, consumption: 19.0 }),
     ]
     .into();
     assert_eq!(seen, want);
@@ -146,8 +147,8 @@
 /// What is open at a replica outlives boards, also one that left it out; an unused one is forgotten.
 #[test]
 fn own_counts_outlive_boards() {
-    let mut f = Folds::default();
-    let open = |f: &mut Folds, seq: u64, rows: Vec<_>| {
+    let mut f = ReportStore::default();
+    let open = |f: &mut ReportStore, seq: u64, rows: Vec<_>| {
         assert!(f.take(board("n1", seq, rows), Tick(seq)));
         let fleet = f.fleet(&zones(), 1, 1);
         fleet.of(&"chat".into()).first().map(|c| c.own.clone())
@@ -156,9 +157,9 @@
     assert!(open(&mut f, 2, vec![]).is_none());
     let back = open(&mut f, 3, vec![row(0, 0)]).unwrap();
     assert_eq!(back.open.load(Ordering::Relaxed), 1);
-    back.shun_until(Tick(50));
+    back.avoid(Tick(50));
     back.open.store(0, Ordering::Relaxed);
-    assert!(back.shunned(Tick(49)) && !back.shunned(Tick(50)));
+    assert!(back.avoided(Tick(49)) && !back.avoided(Tick(50)));
     assert!(open(&mut f, 4, vec![]).is_none());
-    assert!(!open(&mut f, 5, vec![row(0, 0)]).unwrap().shunned(Tick(49)));
+    assert!(!open(&mut f, 5, vec![row(0, 0)]).unwrap().avoided(Tick(49)));
 }
--- a/crates/data-plane/tests/serving/retries.rs
+++ b/crates/data-plane/tests/serving/retry_budget.rs
@@ -1,8 +1,8 @@
-//! Tests of `data_plane::serving::retries`.
+//! Tests of `data_plane::serving::retry_budget`.
 
 use crate::kit::nodes;
 use common::{Service, Tick};
-use data_plane::serving::retries::{Retries, Share, ranked_above};
+use data_plane::serving::retry_budget::{BudgetShare, RetryBudget, ranked_above};
 use rstest::rstest;
 
 const STEP_MS: u64 = 100;
@@ -43,11 +43,11 @@
 fn run(l: &Load, restarts: Restarts) -> Vec<(f64, f64)> {
     let svc: Service = "chat".into();
     let names = nodes(l.routers);
-    let shares: Vec<Share> = names
+    let shares: Vec<BudgetShare> = names
         .iter()
-        .map(|me| Share::of(l.extra, WINDOW_MS, ranked_above(&svc, me, &names), l.routers))
+        .map(|me| BudgetShare::of(l.extra, WINDOW_MS, ranked_above(&svc, me, &names), l.routers))
         .collect();
-    let mut all: Vec<Retries> = (0..l.routers).map(|_| Retries::started(Tick(0))).collect();
+    let mut all: Vec<RetryBudget> = (0..l.routers).map(|_| RetryBudget::started(Tick(0))).collect();
     let mut due = vec![0.0; l.routers];
     let mut steps = Vec::new();
     for step in 0..STEPS {
@@ -55,7 +55,7 @@
         let (mut spent, mut came) = (0.0, 0.0);
         for (n, r) in all.iter_mut().enumerate() {
             if restarts.now(step, n) {
-                *r = Retries::started(now);
+                *r = RetryBudget::started(now);
             }
             due[n] += l.per_router_s / 10.0;
             while due[n] >= 1.0 {
@@ -117,10 +117,10 @@
     #[values(0.0, 0.5, 1.0, 1.2, 2.0, 20.0, 64.0, 226.0)] surplus: f64,
 ) {
     let (names, svc) = (nodes(routers), Service::new("chat"));
-    let shares: Vec<Share> = names
+    let shares: Vec<BudgetShare> = names
         .iter()
-        .map(|me| Share::of(surplus, WINDOW_MS, ranked_above(&svc, me, &names), routers))
-        .filter(|s| *s != Share::default())
+        .map(|me| BudgetShare::of(surplus, WINDOW_MS, ranked_above(&svc, me, &names), routers))
+        .filter(|s| *s != BudgetShare::default())
         .collect();
     let sum: f64 = shares.iter().map(|s| s.capacity + s.per_ms * WINDOW_MS as f64).sum();
     assert!(sum <= surplus + 1e-6, "{sum} of {surplus}");
@@ -131,9 +131,9 @@
 /// A start gives nothing; a try that reached nobody costs nothing; services do not share.
 #[test]
 fn what_reached_nobody_comes_back() {
-    let (r, svc) = (Retries::started(Tick(0)), Service::new("chat"));
+    let (r, svc) = (RetryBudget::started(Tick(0)), Service::new("chat"));
     assert!(!r.spend(&svc), "nothing was earned yet");
-    r.earn(&svc, 1.0 / 0.8, Share { capacity: 1.0, per_ms: 0.0 }, Tick(0));
+    r.earn(&svc, 1.0 / 0.8, BudgetShare { capacity: 1.0, per_ms: 0.0 }, Tick(0));
     assert!(r.spend(&svc) && !r.spend(&svc));
     r.give_back(&svc);
     assert!(r.spend(&svc) && !r.spend(&svc));
--- a/crates/data-plane/tests/serving/cold.rs
+++ b/crates/data-plane/tests/serving/slow_start.rs
@@ -1,8 +1,8 @@
-//! Tests of `data_plane::serving::cold`.
+//! Tests of `data_plane::serving::slow_start`.
 
 use crate::kit::nodes;
 use common::{ReplicaId, Tick};
-use data_plane::serving::cold::{Bucket, rate};
+use data_plane::serving::slow_start::{Bucket, rate};
 use rstest::rstest;
 
 /// All times at which greedy routers send, the first of each at its phase.
--- a/crates/data-plane/tests/serving/stage.rs
+++ b/crates/data-plane/tests/serving/stage.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     kit::{board, names, prompt, row, zones},
-    listing,
+    replica_list,
 };
 use common::{
     Clock, Epoch, Incarnation, Region, Zone,
@@ -18,8 +18,8 @@
 use data_plane::{
     router::{Router, lock},
     serving::{
-        Bounds, Dialect, EngineReport, Listing, Lookup, Names, Prompt, Serving, Site, board::Row,
-        retries::Share,
+        Bounds, EngineReport, HeaderNames, ListPage, Lookup, Prompt, ProtocolAdapter, Serving, Site,
+        replica_report::Row, retry_budget::BudgetShare,
     },
 };
 use futures::StreamExt;
@@ -93,7 +93,7 @@
 
 /// A request as a replica read it.
 #[derive(Clone, Debug)]
-pub struct Came {
+pub struct NextFrame {
     pub replica: String,
     /// Connections to replicas are counted as they come.
     pub connection: usize,
@@ -104,24 +104,24 @@
 #[derive(Default)]
 struct Script {
     acts: Mutex<VecDeque<Act>>,
-    came: Mutex<Vec<Came>>,
+    came: Mutex<Vec<NextFrame>>,
     connections: AtomicUsize,
 }
 
-struct Wire(Names);
+struct Wire(HeaderNames);
 
-impl Dialect for Wire {
-    fn names(&self) -> &Names {
+impl ProtocolAdapter for Wire {
+    fn names(&self) -> &HeaderNames {
         &self.0
     }
     fn report(&self, _: &[u8]) -> Option<EngineReport> {
         None
     }
-    fn listing(&self, body: &[u8]) -> Option<Listing> {
-        listing::read(body)
+    fn listing(&self, body: &[u8]) -> Option<ListPage> {
+        replica_list::read(body)
     }
     fn listing_path(&self, zone: &Zone, page: Option<&str>) -> String {
-        listing::path(zone, page)
+        replica_list::path(zone, page)
     }
     fn prompt(&self, _: &HeaderMap) -> Prompt {
         prompt(&[], 100)
@@ -272,7 +272,7 @@
         spawn(async move {
             while let Some(head) = read_request(&mut s).await {
                 let (after, wanted) = (field(&head, "x-last-event"), field(&head, "x-wanted"));
-                lock(&script.came).push(Came { replica: me.clone(), connection, after, wanted });
+                lock(&script.came).push(NextFrame { replica: me.clone(), connection, after, wanted });
                 let a = lock(&script.acts).pop_front().unwrap_or(Act::Answer);
                 if act(&mut s, a, &me, &head).await.is_none() {
                     return;
@@ -343,7 +343,7 @@
 }
 
 impl Stage {
-    /// The router is made on its own host, whose clock it goes by.
+    /// The router is made on its own host, whose clock it attempts by.
     pub async fn new(world: Arc<Simulation>, cast: Cast, routes: Vec<Route>, acts: &[Act]) -> Self {
         let made = Self::on_its_host(world, cast, routes, acts.to_vec());
         spawn_at(IpAddr::from(ROUTER), made).await.expect("a stage")
@@ -403,11 +403,11 @@
             }
         }
         {
-            let mut folds = lock(&s.folds);
-            boards.into_iter().for_each(|b| assert!(folds.take(b, s.now())));
-            s.fleet.store(Arc::new(folds.fleet(&zones(), 1, 3_000)));
+            let mut reports = lock(&s.reports);
+            boards.into_iter().for_each(|b| assert!(reports.take(b, s.now())));
+            s.fleet.store(Arc::new(reports.fleet(&zones(), 1, 3_000)));
         }
-        let share = Share { capacity: 64.0, per_ms: 0.0 };
+        let share = BudgetShare { capacity: 64.0, per_ms: 0.0 };
         s.retries.earn(&"chat".into(), cast.tries / 0.8, share, s.now());
         let http: SocketAddr = (ROUTER, 80).into();
         let (me, listener) = (s.clone(), bind(http).await.expect("the router's address"));
@@ -558,7 +558,7 @@
         *lock(&self.script.acts) = acts.iter().copied().collect();
     }
 
-    pub fn came(&self) -> Vec<Came> {
+    pub fn came(&self) -> Vec<NextFrame> {
         lock(&self.script.came).clone()
     }
 
@@ -567,8 +567,8 @@
         sleep(Duration::from_secs(1)).await;
         let fleet = self.s.fleet.load();
         let open: i64 = fleet.by_service.values().flatten().map(|c| c.own.open.load(Ordering::Relaxed)).sum();
-        let abroad: i64 = lock(&self.s.abroad).values().sum();
-        assert_eq!((open, abroad, self.s.router.open_count.open()), (0, 0, 0), "all was given back");
+        let forwarded_open: i64 = lock(&self.s.forwarded_open).values().sum();
+        assert_eq!((open, forwarded_open, self.s.router.open_count.open()), (0, 0, 0), "all was given back");
     }
 }
 
--- a/crates/data-plane/tests/serving/events.rs
+++ b/crates/data-plane/tests/serving/stream_relay.rs
@@ -1,6 +1,6 @@
-//! Tests of `data_plane::serving::events::Splitter`.
+//! Tests of `data_plane::serving::stream_relay::Splitter`.
 
-use data_plane::serving::events::Splitter;
+use data_plane::serving::stream_relay::Splitter;
 use rstest::rstest;
 
 const EVENTS: [&str; 4] =
--- a/crates/data-plane/tests/serving/mix.rs
+++ b/crates/data-plane/tests/serving/workload_isolation.rs
@@ -1,9 +1,9 @@
-//! Tests of `data_plane::serving::mix`.
+//! Tests of `data_plane::serving::workload_isolation`.
 
 use crate::kit::route;
 use common::Tick;
 use configuration::{Route, RouteKind};
-use data_plane::serving::mix::Mix;
+use data_plane::serving::workload_isolation::WorkloadIsolation;
 use rstest::rstest;
 use std::sync::Arc;
 
@@ -25,13 +25,13 @@
 #[case::above_that(None, 6_251, true)]
 fn long_by_the_route(#[case] gap_target_ms: Option<u64>, #[case] tokens: u32, #[case] want: bool) {
     let r = Arc::new(Route { gap_target_ms, ..route("talk", RouteKind::Streaming) });
-    assert_eq!(Mix::default().long(&r, tokens, Tick(0)), want);
+    assert_eq!(WorkloadIsolation::default().long(&r, tokens, Tick(0)), want);
 }
 
 /// One prompt out of the ordinary does not change its route's kind, and many do.
 #[test]
 fn kinds_follow_the_mean() {
-    let (mut m, r) = (Mix::default(), at("talk", &[], "chat"));
+    let (mut m, r) = (WorkloadIsolation::default(), at("talk", &[], "chat"));
     (0..10).for_each(|_| assert!(!m.long(&r, 100, Tick(0))));
     assert!(!m.long(&r, 20_000, Tick(0)));
     assert!((0..100).any(|_| m.long(&r, 20_000, Tick(0))));
@@ -53,7 +53,7 @@
     #[case] later: u64,
     #[case] want: bool,
 ) {
-    let mut m = Mix::default();
+    let mut m = WorkloadIsolation::default();
     m.long(&at("papers", homes, service), 20_000, Tick(50));
     m.long(&at("talk", &[], "chat"), 100, Tick(50 + later));
     assert_eq!(m.meet(&"chat".into(), &region.into(), Tick(50 + later)), want);
--- a/crates/simulator/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -71,7 +71,8 @@
     pub cold_open: BTreeMap<String, Vec<usize>>,
     pub placements: BTreeMap<String, f64>,
     pub passes: BTreeMap<String, f64>,
-    pub extra_goes: f64,
+    #[serde(rename = "extra_goes")]
+    pub retry_ratio: f64,
     pub extra_share: f64,
     pub hops: f64,
     pub read_back_exact: Option<bool>,
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -97,7 +97,7 @@
                         slots: if model { 4 } else { 32 },
                         prefixes: 24,
                         cold_ms: if model { 240 } else { 4 },
-                        warm_ms: if model { 40 } else { 4 },
+                        slow_start_ms: if model { 40 } else { 4 },
                         token_ms: if model { 12 } else { 1 },
                     };
                     let n = backs.len() as u8;
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -33,12 +33,12 @@
     a.placements = f.by_label("foldshunt_placements_total{").await;
     a.passes = f.by_label("foldshunt_passes_total{").await;
     let goes = f.by_label("foldshunt_goes_total{").await;
-    a.extra_goes = goes.get("extra").copied().unwrap_or(0.0);
+    a.retry_ratio = goes.get("extra").copied().unwrap_or(0.0);
     a.hops = goes.get("hop").copied().unwrap_or(0.0);
-    a.extra_share = a.extra_goes / a.jobs.max(1) as f64;
+    a.extra_share = a.retry_ratio / a.jobs.max(1) as f64;
     let routers = f.nodes.iter().filter(|n| !n.core).count();
     let most = EXTRA * a.jobs as f64 + (SAVED * (routers + r.acts.len())) as f64;
-    a.extra_over = (a.extra_goes - most).max(0.0).ceil() as usize;
+    a.extra_over = (a.retry_ratio - most).max(0.0).ceil() as usize;
     let want = papers::newest(&r.acts, &f.dep.document);
     a.read_back_exact = Some(shown.as_ref() == Some(&want));
     let refused = r.acts.iter().flat_map(|x| &x.papers).filter(|p| p.told == DocumentOutcome::Refused);
--- a/crates/simulator/src/scale/hollow.rs
+++ b/crates/simulator/src/scale/hollow.rs
@@ -4,12 +4,12 @@
 use super::layout::Layout;
 use crate::node::Node;
 use common::{
-    Clock, Incarnation, JobId,
+    Clock, Incarnation, RequestId,
     runtime::{Host, Simulation, bind, random, random_in},
     settings::Settings,
 };
 use control_plane::{Role, membership::Member, types::NodeInfo};
-use data_plane::{plan::Plan, router::Router, tab::UserKey};
+use data_plane::{placement_table::UserKey, plan::Plan, router::Router};
 use eyre::{Result, WrapErr};
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 use tokio::sync::oneshot;
@@ -65,7 +65,7 @@
         let entry = governing.table.entries[n].clone();
         let key = Some(UserKey::of("t0", "header", &random_in(0..users).to_le_bytes()));
         let homes = governing.table.homes(&entry, None);
-        let (job, deadline) = (JobId::new("scale"), r.now() + entry.deadline_ms);
+        let (job, deadline) = (RequestId::new("scale"), r.now() + entry.deadline_ms);
         let plan = Plan { job, governing, entry, tenant: None, homes, key, deadline, inner: false };
         let me = r.clone();
         common::runtime::spawn(async move {
--- a/crates/simulator/src/scale/layout.rs
+++ b/crates/simulator/src/scale/layout.rs
@@ -108,7 +108,7 @@
                 slots: 16,
                 prefixes: 24,
                 cold_ms: 240,
-                warm_ms: 40,
+                slow_start_ms: 40,
                 token_ms: 12,
             };
             StandIn::new(format!("m{svc}-z{zone}-{n}"), SocketAddr::new(self.ip(60, n), 9000), shape)
--- a/crates/simulator/src/scale/rows.rs
+++ b/crates/simulator/src/scale/rows.rs
@@ -89,10 +89,10 @@
         .table
         .regions()
         .iter()
-        .filter_map(|x| r.lender_of(&g.table, x))
+        .filter_map(|x| r.issuer_for(&g.table, x))
         .map(|m| m.info.node.to_string())
         .collect();
-    let shards = (0..data_plane::tab::SHARDS)
+    let shards = (0..data_plane::placement_table::SHARDS)
         .filter_map(|n| control_plane::state_machine::singleton::holder_of(&l, &format!("shard/{n}"), None))
         .map(|d| d.holder.info.node.to_string())
         .collect();
@@ -140,11 +140,12 @@
         let size = |b: std::io::Result<Vec<u8>>| b.map_or(0, |b| b.len()) as f64 * part;
         s.cluster_state += size(encode(&*l));
         s.document += l.text.as_ref().map_or(0, |t| t.len()) as f64 * part;
-        s.figures += r.pressure.board().seen.values().map(|x| size(encode(&x.fig))).sum::<f64>();
-        let heard: Vec<_> = data_plane::router::lock(&r.heard).iter().map(|(n, t)| (n.clone(), *t)).collect();
+        s.figures += r.load_view.board().seen.values().map(|x| size(encode(&x.fig))).sum::<f64>();
+        let heard: Vec<_> =
+            data_plane::router::lock(&r.last_contacts).iter().map(|(n, t)| (n.clone(), *t)).collect();
         s.signs_of_life += size(encode(&heard));
         let (rows, cached) =
-            (data_plane::router::lock(&r.tab).len(), data_plane::router::lock(&r.cache).len());
+            (data_plane::router::lock(&r.placements).len(), data_plane::router::lock(&r.cache).len());
         s.placement_rows += rows as f64 * part;
         s.placements += ((rows + cached) * A_ROW) as f64 * part;
     }
--- a/crates/simulator/src/sim/data.rs
+++ b/crates/simulator/src/sim/data.rs
@@ -5,8 +5,8 @@
 use common::{FencingToken, NodeId, Region, Service, Tick};
 use control_plane::{Change, ClusterState, Role, types::NodeInfo};
 use data_plane::{
-    lend::{Lender, Pass, Purse, Spent},
-    tab::{Copy, Tab, UserKey},
+    capacity_grant::{CapacityGrant, GrantIssuer, GrantUse, HeldGrants},
+    placement_table::{Copy, PlacementTable, UserKey},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, HashMap};
@@ -32,9 +32,9 @@
 pub(super) struct Node {
     info: NodeInfo,
     pub cluster_state: ClusterState,
-    pub tab: Tab,
-    pub lender: Lender,
-    pub purse: Purse,
+    pub tab: PlacementTable,
+    pub lender: GrantIssuer,
+    pub purse: HeldGrants,
     pub owns: BTreeMap<u16, bool>,
 }
 
@@ -58,15 +58,15 @@
     },
     Look(usize),
     AskPass(usize),
-    Pass {
+    CapacityGrant {
         to: usize,
-        pass: Option<Pass>,
+        pass: Option<CapacityGrant>,
         asked: Tick,
     },
     Spend(usize),
     Redeem {
         at: usize,
-        spent: Spent,
+        spent: GrantUse,
     },
 }
 
@@ -127,9 +127,9 @@
         let node = |n: usize| Node {
             info: info(n, 1),
             cluster_state: truth.clone(),
-            tab: Tab::default(),
-            lender: Lender::default(),
-            purse: Purse::default(),
+            tab: PlacementTable::default(),
+            lender: GrantIssuer::default(),
+            purse: HeldGrants::default(),
             owns: BTreeMap::new(),
         };
         let nodes = (0..ROUTERS).map(node).collect();
@@ -206,7 +206,9 @@
             }
             What::Look(n) => self.look(n),
             What::AskPass(n) => self.ask_pass(n),
-            What::Pass { to, pass, asked } => self.nodes[to].purse.put(&region(5), &svc(), pass, asked),
+            What::CapacityGrant { to, pass, asked } => {
+                self.nodes[to].purse.put(&region(5), &svc(), pass, asked)
+            }
             What::Spend(n) => self.spend(n),
             What::Redeem { at, spent } => return self.redeem(at, spent),
         }
--- a/crates/simulator/src/sim/lending.rs
+++ b/crates/simulator/src/sim/lending.rs
@@ -3,7 +3,7 @@
 use super::data::{BrokenData, Data, FULL_SET, LIFE, ROOM, ROUTERS, What, number, region, svc};
 use common::{FencingToken, NodeId, Tick};
 use control_plane::state_machine::singleton;
-use data_plane::{lend::Spent, tab::UserKey};
+use data_plane::{capacity_grant::GrantUse, placement_table::UserKey};
 use rand::Rng;
 use std::collections::BTreeSet;
 
@@ -41,7 +41,7 @@
         let pass = well
             .then(|| me.lender.grant(&region(5), &svc(), &node, ROOM, ROUTERS / 2, LIFE, asked))
             .flatten();
-        self.push(lag, What::Pass { to: n, pass, asked });
+        self.push(lag, What::CapacityGrant { to: n, pass, asked });
     }
 
     pub(super) fn spend(&mut self, n: usize) {
@@ -56,7 +56,7 @@
     }
 
     /// A router of the lending region asks its lender, which has the last word.
-    pub(super) fn redeem(&mut self, at: usize, spent: Spent) -> Result<(), String> {
+    pub(super) fn redeem(&mut self, at: usize, spent: GrantUse) -> Result<(), String> {
         let Some(l) = self.lender(at) else { return Ok(()) };
         let now = Tick(self.t);
         if self.lender(l) != Some(l) || self.nodes[l].lender.redeem(&spent, now).is_err() {
--- a/crates/simulator/src/sim/table.rs
+++ b/crates/simulator/src/sim/table.rs
@@ -3,7 +3,7 @@
 use super::data::{BrokenData, CHURN_END, Data, ROUTERS, TTL, What, number, region, svc};
 use common::{FencingToken, Region, Tick};
 use control_plane::state_machine::singleton;
-use data_plane::tab::{Settled, UserKey};
+use data_plane::placement_table::{PlacementOutcome, UserKey};
 use rand::Rng;
 
 impl Data {
@@ -14,7 +14,7 @@
 
     /// A new owner asks the next in line for what they hold.
     pub(super) fn gather(&mut self, n: usize) {
-        for shard in 0..data_plane::tab::SHARDS {
+        for shard in 0..data_plane::placement_table::SHARDS {
             let owners = self.owners(n, shard);
             let owns = owners.first() == Some(&n);
             if owns && self.nodes[n].owns.insert(shard, owns) != Some(true) {
@@ -76,8 +76,8 @@
     }
 
     /// One version is one region; and a racer without a cause to move never moves a user.
-    fn told(&mut self, n: usize, key: UserKey, s: Settled) -> Result<(), String> {
-        let Settled::Held { region, ver, .. } = s else { return Ok(()) };
+    fn told(&mut self, n: usize, key: UserKey, s: PlacementOutcome) -> Result<(), String> {
+        let PlacementOutcome::Held { region, ver, .. } = s else { return Ok(()) };
         self.settled += 1;
         let known = self.seen.entry((key, ver)).or_insert_with(|| region.clone());
         if *known != region {
--- a/crates/simulator/src/standin.rs
+++ b/crates/simulator/src/standin.rs
@@ -44,7 +44,7 @@
     pub prefixes: usize,
     /// Time to read a prefix that is not in the cache, and one that is.
     pub cold_ms: u64,
-    pub warm_ms: u64,
+    pub slow_start_ms: u64,
     pub token_ms: u64,
 }
 
@@ -213,7 +213,7 @@
         let load = format!("{:.2}", open as f64 / self.shape.slots as f64);
         let me = self.clone();
         let _slot = me.slots.acquire().await?;
-        let ms = if warm { self.shape.warm_ms } else { self.shape.cold_ms };
+        let ms = if warm { self.shape.slow_start_ms } else { self.shape.cold_ms };
         tokio::time::sleep(Duration::from_millis(ms)).await;
         let step = Duration::from_millis(self.shape.token_ms);
         let out = futures::stream::unfold((0, counted), move |(n, c)| {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -136,7 +136,7 @@
 fn told(all: &[Audit]) -> String {
     let sum = |f: &dyn Fn(&Audit) -> usize| all.iter().map(f).sum::<usize>();
     let most = |f: &dyn Fn(&Audit) -> u128| all.iter().map(f).max().unwrap_or(0);
-    let extra: f64 = all.iter().map(|a| a.extra_goes).sum();
+    let extra: f64 = all.iter().map(|a| a.retry_ratio).sum();
     format!(
         "{} whole runs: {} jobs, {} done, {} bounced, {} unknown, {} broken, {} not asked; extra goes {:.3} % (most in a run {:.2} %); \
          longest gap {} ms, slowest bounce {} ms",
--- a/crates/simulator/tests/scale.rs
+++ b/crates/simulator/tests/scale.rs
@@ -102,8 +102,8 @@
 /// A placement's length on the wire, by which the table's rows are counted as bytes.
 #[test]
 fn a_row_is_as_long_as_it_is_said_to_be() {
-    let row = data_plane::tab::Copy {
-        key: data_plane::tab::UserKey(u64::MAX),
+    let row = data_plane::placement_table::Copy {
+        key: data_plane::placement_table::UserKey(u64::MAX),
         service: "m5".into(),
         region: "r20".into(),
         ver: u64::MAX >> 16,
