--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -72,7 +72,7 @@
 }
 
 /// One go over a fresh connection. `kept` lives until the last byte has passed through.
-pub async fn go<K: Send + Sync + Unpin + 'static>(
+pub async fn attempt<K: Send + Sync + Unpin + 'static>(
     way: AttemptTarget<'_>,
     sent: &OutgoingRequest,
     extra: &[(&'static str, String)],
--- a/crates/data-plane/src/counters.rs
+++ b/crates/data-plane/src/counters.rs
@@ -5,7 +5,7 @@
 
 pub struct Counters {
     pub metrics: Metrics,
-    pub jobs: IntCounterVec,
+    pub requests: IntCounterVec,
     pub attempts: IntCounterVec,
     pub rejections: IntCounterVec,
     pub placements: IntCounterVec,
@@ -17,7 +17,7 @@
     fn default() -> Self {
         let m = Metrics::default();
         Self {
-            jobs: m.counter("jobs_total", "Jobs by entry and outcome", &["entry", "outcome"]),
+            requests: m.counter("jobs_total", "Jobs by entry and outcome", &["entry", "outcome"]),
             attempts: m.counter("goes_total", "Goes by kind: first, extra, hop", &["kind"]),
             rejections: m.counter("bounces_total", "Bounces by reason", &["reason"]),
             placements: m.counter("placements_total", "Placements by how they were found", &["how"]),
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -1,7 +1,7 @@
 //! Carrying out a plan (design 6.2): attempts in turn, each only where the one before allows it.
 
 use crate::{
-    attempt::{AttemptTarget, Outcome, OutgoingRequest, go},
+    attempt::{AttemptTarget, Outcome, OutgoingRequest, attempt},
     gateway::{rejected, unknown},
     plan::Plan,
     retry_policy::{After, may_retry},
@@ -80,14 +80,14 @@
                 Next::NoRoom(true) => return self.given_up(p, &past, "no room", 1),
                 Next::NotRun(e) => {
                     let again = self.again(p, &past, After::NotRun);
-                    log_event!(Info, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.job, "again" => again);
+                    log_event!(Info, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.request_id, "again" => again);
                     if !again {
                         return self.given_up(p, &past, "go failed before it was sent", 1);
                     }
                 }
                 Next::MayHaveRun(e) => {
                     let again = self.again(p, &past, After::MayHaveRun);
-                    log_event!(Warn, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.job, "again" => again);
+                    log_event!(Warn, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.request_id, "again" => again);
                     if !again && common::mutation::enabled("unknown-called-bounced") {
                         return rejected(self, p, "go failed", 1);
                     }
@@ -115,7 +115,7 @@
         l.replicas.get(id).is_none_or(|r| r.draining || r.addr != addr || l.evacuated.contains(&r.zone))
     }
 
-    pub(crate) fn way<'a>(
+    pub(crate) fn way_to<'a>(
         &self,
         p: &Plan,
         to: SocketAddr,
@@ -192,11 +192,11 @@
         self.count_attempt(past, "first");
         past.tried.push(picked.id.clone());
         let (addr, own, id) = (picked.addr, picked.own.clone(), picked.id.clone());
-        let extra = [("foldshunt-job", p.job.to_string())];
+        let extra = [("foldshunt-job", p.request_id.to_string())];
         let kept = (picked, open.clone());
         let forbidden =
             || self.forbidden(p).or_else(|| self.departed(&id, addr).then_some("replica departed"));
-        match go(self.way(p, addr, &forbidden), sent, &extra, kept).await {
+        match attempt(self.way_to(p, addr, &forbidden), sent, &extra, kept).await {
             Outcome::Done(r) => {
                 self.note_load(&own, r.headers());
                 // Another may do better; this one says itself that it did not serve the request.
--- a/crates/data-plane/src/forwarding.rs
+++ b/crates/data-plane/src/forwarding.rs
@@ -15,7 +15,8 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedRequest {
-    pub job: RequestId,
+    #[serde(rename = "job")]
+    pub request_id: RequestId,
     /// The sender, its membership, and the number of the forwarded request within that.
     pub from: NodeId,
     pub epoch: Epoch,
@@ -109,7 +110,7 @@
 }
 
 /// A request's name: unique over nodes, restarts and time.
-pub fn request_id(r: &Router, n: u64) -> RequestId {
+pub fn new_request_id(r: &Router, n: u64) -> RequestId {
     let incarnation = r.member.info.incarnation.0;
     RequestId::new(format!("{}-{:x}-{n:x}", r.node(), stable_hash(&[&incarnation.to_le_bytes()]) >> 32))
 }
--- a/crates/data-plane/src/gateway.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -22,10 +22,10 @@
 
 type Res = Response<Body>;
 
-pub fn marked(mut r: Res, job: &RequestId, outcome: &'static str, reason: &str) -> Res {
+pub fn with_outcome(mut r: Res, request_id: &RequestId, outcome: &'static str, reason: &str) -> Res {
     let h = r.headers_mut();
     for (k, v) in
-        [("foldshunt-job", job.as_str()), ("foldshunt-outcome", outcome), ("foldshunt-reason", reason)]
+        [("foldshunt-job", request_id.as_str()), ("foldshunt-outcome", outcome), ("foldshunt-reason", reason)]
     {
         if let Ok(v) = v.parse()
             && !(k == "foldshunt-reason" && reason.is_empty())
@@ -37,38 +37,40 @@
 }
 
 /// Not run, and never will be: said at once, with when to come back.
-pub fn rejected_as(r: &Router, job: &RequestId, code: StatusCode, reason: &str, retry_s: u64) -> Res {
+pub fn rejected_as(r: &Router, request_id: &RequestId, code: StatusCode, reason: &str, retry_s: u64) -> Res {
     r.counters.reject(reason);
     r.record_event(EventKind::Rejected(reason.into()));
-    let mut res =
-        json(code, &j!({"outcome": "bounced", "reason": reason, "job": job, "retry_after_s": retry_s}));
+    let mut res = json(
+        code,
+        &j!({"outcome": "bounced", "reason": reason, "job": request_id, "retry_after_s": retry_s}),
+    );
     if retry_s > 0
         && !common::mutation::enabled("no-retry-after")
         && let Ok(v) = retry_s.to_string().parse()
     {
         res.headers_mut().insert("retry-after", v);
     }
-    marked(res, job, "bounced", reason)
+    with_outcome(res, request_id, "bounced", reason)
 }
 
 pub fn rejected(r: &Router, p: &Plan, reason: &str, retry_s: u64) -> Res {
-    r.counters.jobs.with_label_values(&[&p.entry.name, "bounced"]).inc();
-    rejected_as(r, &p.job, StatusCode::SERVICE_UNAVAILABLE, reason, retry_s)
+    r.counters.requests.with_label_values(&[&p.entry.name, "bounced"]).inc();
+    rejected_as(r, &p.request_id, StatusCode::SERVICE_UNAVAILABLE, reason, retry_s)
 }
 
 /// It may have run: never called rejected.
 pub fn unknown(r: &Router, p: &Plan, e: &PeerError, late: bool) -> Res {
-    r.counters.jobs.with_label_values(&[&p.entry.name, "unknown"]).inc();
+    r.counters.requests.with_label_values(&[&p.entry.name, "unknown"]).inc();
     r.record_event(EventKind::Unknown(e.step.into()));
     let code = if late { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-    let res = json(code, &j!({"outcome": "unknown", "reason": e.step, "job": p.job}));
-    marked(res, &p.job, "unknown", e.step)
+    let res = json(code, &j!({"outcome": "unknown", "reason": e.step, "job": p.request_id}));
+    with_outcome(res, &p.request_id, "unknown", e.step)
 }
 
 impl Router {
     pub fn done(&self, p: &Plan, r: Res) -> Res {
-        self.counters.jobs.with_label_values(&[&p.entry.name, "done"]).inc();
-        marked(r, &p.job, "done", "")
+        self.counters.requests.with_label_values(&[&p.entry.name, "done"]).inc();
+        with_outcome(r, &p.request_id, "done", "")
     }
 
     pub async fn handle(self: Arc<Self>, _peer: SocketAddr, req: Request<Incoming>) -> Result<Res, BoxErr> {
@@ -85,14 +87,14 @@
         }
         let open = self.open_count.enter();
         let n = self.serial.fetch_add(1, Ordering::Relaxed);
-        let job = forwarding::request_id(&self, n);
+        let request_id = forwarding::new_request_id(&self, n);
         self.await_joining().await;
         let Some(g) = self.governing.load_full() else {
             let why = "no configuration";
-            return Ok(close(rejected_as(&self, &job, StatusCode::SERVICE_UNAVAILABLE, why, 2)));
+            return Ok(close(rejected_as(&self, &request_id, StatusCode::SERVICE_UNAVAILABLE, why, 2)));
         };
         let revision = g.revision;
-        let mut res = self.job(g, job, head, body, open).await;
+        let mut res = self.handle_request(g, request_id, head, body, open).await;
         if let Ok(v) = revision.to_string().parse() {
             res.headers_mut().insert("foldshunt-revision", v);
         }
@@ -100,21 +102,21 @@
     }
 
     /// One request, by one document from its head to its end.
-    async fn job(
+    async fn handle_request(
         self: &Arc<Self>,
         g: Arc<ActiveConfiguration>,
-        job: RequestId,
+        request_id: RequestId,
         head: Parts,
         body: Incoming,
         open: OpenGuard,
     ) -> Res {
-        let no = |code, why, s| close(rejected_as(self, &job, code, why, s));
+        let no = |code, why, s| close(rejected_as(self, &request_id, code, why, s));
         if let Some(why) = self.refuses_work() {
             return no(StatusCode::SERVICE_UNAVAILABLE, why, if why == "joining" { 1 } else { 3 });
         }
         let inner = header_of(&head)(forwarding::HEADER);
         let plan = match &inner {
-            None => match Plan::make(self, g, job.clone(), &head) {
+            None => match Plan::make(self, g, request_id.clone(), &head) {
                 Ok(p) => p,
                 Err(d) => return no(d.code, d.reason, 0),
             },
@@ -166,9 +168,9 @@
     ) -> Result<Plan, &'static str> {
         let h = forwarding::verify(self.cluster_state().secret, raw).ok_or("unsigned hop")?;
         forwarding::check(self, &h).await.inspect_err(|why| {
-            log_event!(Info, "hop", "peer" => h.from, "cause" => *why, "job" => h.job);
+            log_event!(Info, "hop", "peer" => h.from, "cause" => *why, "job" => h.request_id);
         })?;
-        let mut p = Plan::make(self, g, h.job.clone(), head).map_err(|d| d.reason)?;
+        let mut p = Plan::make(self, g, h.request_id.clone(), head).map_err(|d| d.reason)?;
         if p.entry.name != h.entry {
             return Err("another entry");
         }
@@ -194,13 +196,13 @@
         Some(match peer {
             Some(m) => {
                 let path = head.uri.path_and_query().map(|x| x.as_str()).unwrap_or("/");
-                let mut r = rejected_as(self, &p.job, StatusCode::TEMPORARY_REDIRECT, reason, 0);
+                let mut r = rejected_as(self, &p.request_id, StatusCode::TEMPORARY_REDIRECT, reason, 0);
                 if let Ok(v) = format!("http://{}{path}", m.info.http).parse() {
                     r.headers_mut().insert("location", v);
                 }
                 r
             }
-            None => rejected_as(self, &p.job, StatusCode::SERVICE_UNAVAILABLE, reason, 5),
+            None => rejected_as(self, &p.request_id, StatusCode::SERVICE_UNAVAILABLE, reason, 5),
         })
     }
 
--- a/crates/data-plane/src/health_prober.rs
+++ b/crates/data-plane/src/health_prober.rs
@@ -4,20 +4,26 @@
 use crate::{
     load::{LoadReport, LocalLoad, ReplicaLoad},
     replica_choice::routers_of,
-    replica_health::{Checked, Report, Watched},
+    replica_health::{ProbeResult, ReplicaHealth, Report},
     router::{Router, lock},
     rpc::{RouterRequest, RouterResponse},
     summary::EventKind,
 };
-use common::{FencingToken, NodeId, ReplicaId, Service, Tick, Zone, http::ask, log_event};
+use common::{FencingToken, ReplicaId, Service, Tick, Zone, http::ask, log_event};
 use configuration::Table;
-use control_plane::{Member, Replica, state_machine::singleton};
+use control_plane::{ClusterState, Member, Replica, state_machine::singleton};
 use hyper::Method;
 use std::{collections::BTreeMap, sync::Arc, sync::atomic::Ordering, time::Duration};
 use tokio::{sync::watch, task::JoinHandle};
 
 type Key = (Service, Zone);
 
+fn listed_replicas(state: &ClusterState, service: &Service, zone: &Zone) -> Vec<(ReplicaId, Replica)> {
+    let here = |(_, replica): &(&ReplicaId, &Replica)| replica.service == *service && replica.zone == *zone;
+    let listed = state.replicas.iter().filter(here);
+    listed.map(|(id, replica)| (id.clone(), replica.clone())).collect()
+}
+
 impl Router {
     /// The home: a router of the zone; where it has none, one of its region.
     pub fn home_of(&self, t: &Table, svc: &Service, zone: &Zone) -> Option<Member> {
@@ -92,77 +98,85 @@
         }
     }
 
+    /// Probes the replicas of a service in a zone, and publishes their load.
     async fn probe(self: Arc<Self>, (service, zone): Key) {
-        let (tx, _) = watch::channel(None);
-        lock(&self.published).insert((service.clone(), zone.clone()), tx.clone());
+        let (publisher, _) = watch::channel(None);
+        lock(&self.published).insert((service.clone(), zone.clone()), publisher.clone());
         self.ask_the_last(&service, &zone).await;
         let lost = self.lost(&service, &zone).await;
-        let mut watched = self.inherited(&service, &zone, lost);
-        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.report_interval_ms()));
-        wakeup.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
+        let mut health = self.inherited(&service, &zone, lost);
+        let timing = &self.set.timing;
+        let mut ticks = tokio::time::interval(Duration::from_millis(timing.report_interval_ms()));
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
         let (mut seq, mut full_at) = (0, Tick(0));
         loop {
-            wakeup.tick().await;
-            // Between two full checks only where it presses: load reports age fast there.
-            let full = self.now().since(full_at) + self.set.timing.report_interval_ms() / 2
-                >= self.set.timing.probe_interval_ms;
-            let presses = watched.values().any(|w: &Watched| w.healthy && w.consumption * 2.0 > w.capacity);
-            if !full && !presses {
+            ticks.tick().await;
+            // Between two full checks only under load: load reports age fast there.
+            let since_full_ms = self.now().since(full_at) + timing.report_interval_ms() / 2;
+            let full = since_full_ms >= timing.probe_interval_ms;
+            if !full && !health.values().any(ReplicaHealth::is_loaded) {
                 continue;
             }
             if full {
                 full_at = self.now();
             }
-            let Some(g) = self.governing.load_full() else { continue };
-            let l = self.cluster_state();
-            let mine: Vec<(ReplicaId, Replica)> = l
-                .replicas
-                .iter()
-                .filter(|(_, r)| r.service == service && r.zone == zone)
-                .map(|(id, r)| (id.clone(), r.clone()))
-                .collect();
-            watched.retain(|id, _| mine.iter().any(|(m, _)| m == id));
+            let Some(configuration) = self.governing.load_full() else { continue };
+            let state = self.cluster_state();
+            let listed = listed_replicas(&state, &service, &zone);
+            health.retain(|id, _| listed.iter().any(|(known, _)| known == id));
             let asked = self.now();
-            let checks = mine.iter().map(|(_, r)| self.check(r));
-            let found = futures::future::join_all(checks).await;
-            let (now, tun) = (self.now(), &g.table.tuning);
-            let region = g.table.region_of(&zone);
-            let line: Vec<NodeId> = region.map(|r| routers_of(&l, &g.table, r)).unwrap_or_default();
+            let probes = listed.iter().map(|(_, replica)| self.check(replica));
+            let results = futures::future::join_all(probes).await;
+            let table = &configuration.table;
             let mut replicas = Vec::new();
-            for ((id, r), rep) in mine.into_iter().zip(found) {
-                let w = watched.entry(id.clone()).or_default();
-                let was = w.healthy;
-                if full || rep != Checked::Silent {
-                    w.check(rep, self.set.timing.probe_failures, f64::from(tun.slots), now);
-                }
-                if was != w.healthy {
-                    log_event!(Info, "replica health", "peer" => r.addr, "replica" => id, "healthy" => w.healthy);
-                    let (replica, healthy) = (id.clone(), w.healthy);
-                    self.record_event(EventKind::Health { replica, healthy });
-                }
-                replicas.push(ReplicaLoad {
-                    id,
-                    addr: r.addr,
-                    healthy: w.healthy,
-                    capacity: w.capacity,
-                    consumption: w.consumption,
-                    allowance: w.allowance(tun.slow_start_ms, now),
-                });
+            for ((id, replica), result) in listed.into_iter().zip(results) {
+                let known = health.entry(id.clone()).or_default();
+                replicas.push(self.record_probe(known, id, &replica, result, full, table));
             }
             seq += 1;
-            let (service, zone) = (service.clone(), zone.clone());
-            let fig = LoadReport {
-                service,
-                zone,
-                fencing_token: FencingToken(l.epoch.0),
+            let region = table.region_of(&zone);
+            let report = LoadReport {
+                service: service.clone(),
+                zone: zone.clone(),
+                fencing_token: FencingToken(state.epoch.0),
                 seq,
                 age_ms: 0,
                 waited_ms: 0,
-                line: line.clone(),
+                line: region.map(|region| routers_of(&state, table, region)).unwrap_or_default(),
                 replicas,
             };
-            self.install_load_report(fig.clone(), asked);
-            tx.send_replace(Some(fig));
+            self.install_load_report(report.clone(), asked);
+            publisher.send_replace(Some(report));
+        }
+    }
+
+    /// Takes the result of one probe into what is known of a replica, and returns its load.
+    fn record_probe(
+        &self,
+        known: &mut ReplicaHealth,
+        id: ReplicaId,
+        replica: &Replica,
+        result: ProbeResult,
+        full: bool,
+        table: &Table,
+    ) -> ReplicaLoad {
+        let (now, tuning) = (self.now(), &table.tuning);
+        let was_healthy = known.healthy;
+        if full || result != ProbeResult::Silent {
+            known.check(result, self.set.timing.probe_failures, f64::from(tuning.slots), now);
+        }
+        let healthy = known.healthy;
+        if was_healthy != healthy {
+            log_event!(Info, "replica health", "peer" => replica.addr, "replica" => id, "healthy" => healthy);
+            self.record_event(EventKind::Health { replica: id.clone(), healthy });
+        }
+        ReplicaLoad {
+            id,
+            addr: replica.addr,
+            healthy,
+            capacity: known.capacity,
+            consumption: known.consumption,
+            allowance: known.allowance(tuning.slow_start_ms, now),
         }
     }
 
@@ -192,9 +206,9 @@
     }
 
     /// A new home attempts on from the load reports of the last one: what was warm stays warm.
-    fn inherited(&self, service: &Service, zone: &Zone, lost: bool) -> BTreeMap<ReplicaId, Watched> {
+    fn inherited(&self, service: &Service, zone: &Zone, lost: bool) -> BTreeMap<ReplicaId, ReplicaHealth> {
         let b = self.load_view.board();
-        let from = |g: &ReplicaLoad| Watched {
+        let from = |g: &ReplicaLoad| ReplicaHealth {
             fails: 0,
             // What is on its ramp may be away just now: it begins anew with the first check.
             absent: lost || g.allowance.is_some(),
@@ -209,24 +223,24 @@
             .unwrap_or_default()
     }
 
-    async fn check(&self, r: &Replica) -> Checked {
+    async fn check(&self, r: &Replica) -> ProbeResult {
         let (ip, ms) = (self.set.rpc_addr.ip(), (self.set.timing.probe_interval_ms * 3 / 4).max(50));
         let res = ask(ip, r.addr, Method::GET, "/foldshunt/report", &[], "", ms).await;
         let res = match res {
             Ok(r) => r,
-            Err(e) if e.is_refused() => return Checked::Refused,
-            Err(_) => return Checked::Silent,
+            Err(e) if e.is_refused() => return ProbeResult::Refused,
+            Err(_) => return ProbeResult::Silent,
         };
         if res.0.is_success() {
-            return Checked::Told(Report::read(&res.2, r.service.as_str()).unwrap_or_default());
+            return ProbeResult::Told(Report::read(&res.2, r.service.as_str()).unwrap_or_default());
         }
         if res.0.as_u16() != 404 {
-            return Checked::Told(Report { healthy: Some(false), ..Report::default() });
+            return ProbeResult::Told(Report { healthy: Some(false), ..Report::default() });
         }
         let res = ask(ip, r.addr, Method::GET, "/healthz", &[], "", ms).await;
         let well =
             |r: (hyper::StatusCode, _, _)| Report { healthy: Some(r.0.is_success()), ..Report::default() };
-        res.map_or(Checked::Silent, |r| Checked::Told(well(r)))
+        res.map_or(ProbeResult::Silent, |r| ProbeResult::Told(well(r)))
     }
 
     /// `Server-Load` on an answer: a share of the capacity, or per cent of it.
--- a/crates/data-plane/src/load.rs
+++ b/crates/data-plane/src/load.rs
@@ -118,14 +118,14 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct KnownReports {
     pub seen: BTreeMap<(Service, Zone), Seen>,
 }
 
 /// Figures of all homes, and the own open requests beside them.
 #[derive(Debug, Default)]
 pub struct LoadView {
-    board: arc_swap::ArcSwap<Board>,
+    board: arc_swap::ArcSwap<KnownReports>,
     own: Mutex<HashMap<ReplicaId, Arc<LocalLoad>>>,
     write: Mutex<()>,
 }
@@ -136,7 +136,7 @@
         g.entry(id.clone()).or_default().clone()
     }
 
-    pub fn board(&self) -> Arc<Board> {
+    pub fn board(&self) -> Arc<KnownReports> {
         self.board.load_full()
     }
 
@@ -144,7 +144,7 @@
     pub fn take(&self, fig: LoadReport, asked: Tick, now: Tick) -> bool {
         let _w = self.write.lock().unwrap_or_else(|e| e.into_inner());
         let key = (fig.service.clone(), fig.zone.clone());
-        let mut b = Board::clone(&self.board.load());
+        let mut b = KnownReports::clone(&self.board.load());
         let newer = b.seen.get(&key).is_none_or(|s| {
             fig.fencing_token > s.fig.fencing_token
                 || (fig.fencing_token == s.fig.fencing_token && fig.seq >= s.fig.seq)
--- a/crates/data-plane/src/placement_table.rs
+++ b/crates/data-plane/src/placement_table.rs
@@ -43,7 +43,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Row {
+struct StoredPlacement {
     region: Region,
     ver: u64,
     until: Tick,
@@ -51,7 +51,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct PlacementTable {
-    rows: HashMap<(UserKey, Service), Row>,
+    rows: HashMap<(UserKey, Service), StoredPlacement>,
     fencing_tokens: HashMap<u16, FencingToken>,
     vers: u64,
 }
@@ -109,7 +109,7 @@
         self.vers += 1;
         let ver = next;
         if self.rows.len() < MAX_ROWS {
-            self.rows.insert(at, Row { region: region.clone(), ver, until: now + ttl_ms });
+            self.rows.insert(at, StoredPlacement { region: region.clone(), ver, until: now + ttl_ms });
         }
         PlacementOutcome::Held { region, ver, won: true }
     }
@@ -118,7 +118,7 @@
         let at = (c.key, c.service);
         let older = self.rows.get(&at).is_none_or(|r| r.ver <= c.ver || r.until <= now);
         if older && self.rows.len() < MAX_ROWS {
-            self.rows.insert(at, Row { region: c.region, ver: c.ver, until: now + c.ttl_ms });
+            self.rows.insert(at, StoredPlacement { region: c.region, ver: c.ver, until: now + c.ttl_ms });
         }
     }
 
--- a/crates/data-plane/src/plan.rs
+++ b/crates/data-plane/src/plan.rs
@@ -14,7 +14,7 @@
 /// All that is decided from the head alone.
 #[derive(Clone)]
 pub struct Plan {
-    pub job: RequestId,
+    pub request_id: RequestId,
     pub governing: Arc<ActiveConfiguration>,
     pub entry: Entry,
     pub tenant: Option<Tenant>,
@@ -44,7 +44,7 @@
     pub fn make(
         r: &Router,
         g: Arc<ActiveConfiguration>,
-        job: RequestId,
+        request_id: RequestId,
         head: &Parts,
     ) -> Result<Plan, PlanError> {
         let header = header_of(head);
@@ -60,7 +60,7 @@
         }
         let deadline = r.now() + entry.deadline_ms;
         drop(header);
-        Ok(Plan { job, governing: g, entry, tenant, homes, key: None, deadline, inner: false })
+        Ok(Plan { request_id, governing: g, entry, tenant, homes, key: None, deadline, inner: false })
     }
 
     /// The user key, once the body is there.
--- a/crates/data-plane/src/remote_forwarding.rs
+++ b/crates/data-plane/src/remote_forwarding.rs
@@ -1,7 +1,7 @@
 //! Goes to another region (design 5.6): through a router there, which has the last word.
 
 use crate::{
-    attempt::{Outcome, OutgoingRequest, go},
+    attempt::{Outcome, OutgoingRequest, attempt},
     dispatch::{Next, Past},
     forwarding::{self, ForwardedRequest},
     plan::Plan,
@@ -55,7 +55,7 @@
         };
         let left = p.deadline.since(self.now());
         let h = ForwardedRequest {
-            job: p.job.clone(),
+            request_id: p.request_id.clone(),
             from: self.node().clone(),
             epoch: self.member.lease().epoch,
             number: self.forwards_sent.fetch_add(1, Ordering::Relaxed) + 1,
@@ -82,7 +82,7 @@
         let extra = [(forwarding::HEADER, signed)];
         let to = peer.info.http;
         let forbidden = || self.forbidden(p);
-        match go(self.way(p, to, &forbidden), sent, &extra, kept).await {
+        match attempt(self.way_to(p, to, &forbidden), sent, &extra, kept).await {
             Outcome::Done(r) => self.forward_response(p, r, past, region, &peer).await,
             Outcome::NotRun(e) => Next::NotRun(e),
             Outcome::Unknown(e) => Next::MayHaveRun(e),
--- a/crates/data-plane/src/replica_health.rs
+++ b/crates/data-plane/src/replica_health.rs
@@ -4,7 +4,7 @@
 
 /// What a home remembers of one replica between checks.
 #[derive(Clone, Debug, Default)]
-pub struct Watched {
+pub struct ReplicaHealth {
     pub fails: u32,
     pub healthy: bool,
     pub capacity: f64,
@@ -17,7 +17,7 @@
 
 /// What came of one check.
 #[derive(Debug, PartialEq)]
-pub enum Checked {
+pub enum ProbeResult {
     Told(Report),
     Silent,
     /// The connection was refused: the process is not there, and its cache is gone.
@@ -49,11 +49,16 @@
     }
 }
 
-impl Watched {
+impl ReplicaHealth {
+    /// More than half of its capacity is in use.
+    pub fn is_loaded(&self) -> bool {
+        self.healthy && self.consumption * 2.0 > self.capacity
+    }
+
     /// Folds one check in.
-    pub fn check(&mut self, found: Checked, fails: u32, slots: f64, now: Tick) {
+    pub fn check(&mut self, found: ProbeResult, fails: u32, slots: f64, now: Tick) {
         match found {
-            Checked::Told(r) if r.healthy != Some(false) => {
+            ProbeResult::Told(r) if r.healthy != Some(false) => {
                 self.fails = 0;
                 if !self.healthy || self.absent {
                     self.warm_since = Some(now);
@@ -63,9 +68,9 @@
                 self.consumption = r.consumption.unwrap_or(0.0);
             }
             // What says itself that it is unwell is believed at once.
-            Checked::Told(_) => (self.healthy, self.fails) = (false, fails),
-            Checked::Silent | Checked::Refused => {
-                self.absent |= found == Checked::Refused;
+            ProbeResult::Told(_) => (self.healthy, self.fails) = (false, fails),
+            ProbeResult::Silent | ProbeResult::Refused => {
+                self.absent |= found == ProbeResult::Refused;
                 self.fails = (self.fails + 1).min(fails);
                 if self.fails >= fails {
                     self.healthy = false;
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -9,7 +9,7 @@
     request_queue::RequestQueue,
     retry_budget::Budget,
     rpc::{RouterRequest, RouterResponse},
-    serving::{prefill::Reading, replica_report::Board},
+    serving::{prefill::Reading, replica_report::ReplicaReport},
     summary::{Event, EventKind, KEEP, Summary},
 };
 use arc_swap::ArcSwapOption;
@@ -22,7 +22,7 @@
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
     sync::{
-        Arc, Mutex, MutexGuard,
+        Arc, Mutex,
         atomic::{AtomicBool, AtomicU64, Ordering},
     },
 };
@@ -48,7 +48,7 @@
 
 /// What this node publishes of a zone, and when it was asked for it last.
 pub struct Publication {
-    pub tx: watch::Sender<Option<(Arc<Board>, Tick)>>,
+    pub tx: watch::Sender<Option<(Arc<ReplicaReport>, Tick)>>,
     pub asked: Tick,
 }
 
@@ -85,9 +85,7 @@
     pub since: AtomicU64,
 }
 
-pub fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
-    m.lock().unwrap_or_else(|e| e.into_inner())
-}
+pub use common::lock;
 
 impl Router {
     pub fn new(set: Settings, member: Arc<membership::Member>, clock: Clock) -> Arc<Self> {
--- a/crates/data-plane/src/rpc.rs
+++ b/crates/data-plane/src/rpc.rs
@@ -4,7 +4,7 @@
     capacity_grant::{CapacityGrant, GrantUse},
     load::LoadReport,
     placement_table::{Copy, PlacementOutcome, UserKey},
-    serving::{prefill::PromptSent, replica_report::Board},
+    serving::{prefill::PromptSent, replica_report::ReplicaReport},
 };
 use common::{FencingToken, Incarnation, Index, NodeId, Region, Service, Zone};
 use control_plane::state_machine::state_update::StateUpdate;
@@ -74,7 +74,8 @@
         note: PromptSent,
     },
     /// What this node publishes of a zone's replicas; being asked makes it publish.
-    Board {
+    #[serde(rename = "Board")]
+    ReplicaReport {
         #[serde(rename = "area")]
         zone: Zone,
         seq: u64,
@@ -103,7 +104,8 @@
     LoadReport(LoadReport),
     #[serde(rename = "Pass")]
     CapacityGrant(Option<CapacityGrant>),
-    Board(Option<Box<Board>>),
+    #[serde(rename = "Board")]
+    ReplicaReport(Option<Box<ReplicaReport>>),
     Done,
     /// Not done, for a named reason.
     #[serde(rename = "Bounced")]
@@ -123,7 +125,7 @@
             RouterRequest::Passes { .. } => "points.passes",
             RouterRequest::Redeem { .. } => "points.redeem",
             RouterRequest::PromptSent { .. } => "points.note",
-            RouterRequest::Board { .. } => "points.board",
+            RouterRequest::ReplicaReport { .. } => "points.board",
         }
     }
 }
--- a/crates/data-plane/src/rpc_service.rs
+++ b/crates/data-plane/src/rpc_service.rs
@@ -70,8 +70,8 @@
                 self.note_prompt(&note);
                 RouterResponse::Done
             }
-            RouterRequest::Board { zone, seq, wait_ms } => {
-                RouterResponse::Board(self.wait_for_report(zone, seq, wait_ms).await.map(Box::new))
+            RouterRequest::ReplicaReport { zone, seq, wait_ms } => {
+                RouterResponse::ReplicaReport(self.wait_for_report(zone, seq, wait_ms).await.map(Box::new))
             }
             RouterRequest::Redeem { spent } => match self.redeem_here(&spent) {
                 Ok(()) => RouterResponse::Done,
--- a/crates/data-plane/src/serving/dispatch.rs
+++ b/crates/data-plane/src/serving/dispatch.rs
@@ -6,14 +6,11 @@
     attempt_state::{AttemptEnd, Attempts, FinalStatus, Permit},
     connection::{Answer, AnswerBody},
     plan::Plan,
-    replica_choice::{self, ChoiceContext, READS_PER_MS},
     replica_view::Candidate,
     retry_budget::{self, BudgetShare},
-    slow_start,
     state::Serving,
     stream_relay,
 };
-use crate::router::lock;
 use common::{
     PeerError, ReplicaId, Service,
     http::{Body, OpenGuard, full, json},
@@ -27,12 +24,12 @@
 const WHOLE: usize = 1 << 20;
 
 /// What became of a request so far.
-pub struct Past {
+pub struct AttemptHistory {
     pub tried: Vec<ReplicaId>,
     tries: Attempts,
 }
 
-impl Past {
+impl AttemptHistory {
     pub fn of(p: &Plan) -> Self {
         Self { tried: Vec::new(), tries: Attempts::new(p.repeatable(), p.route.tries) }
     }
@@ -58,69 +55,6 @@
 }
 
 impl Serving {
-    /// Chooses a replica among those that may take the request now.
-    pub fn pick(self: &Arc<Self>, p: &Plan, past: &mut Past) -> Result<Candidate, &'static str> {
-        let (now, fleet) = (self.now(), self.fleet.load_full());
-        let routers = self.routers();
-        let most = (p.backend.max_conns as usize * 9 / 10 / routers.len().max(1)).max(2);
-        let bound = p.backend.cold_per_s * self.site.bounds.cold_overrun + self.site.bounds.cold_slack;
-        let rate = |c: &Candidate| slow_start::rate(bound, &c.id, self.router.node(), &routers);
-        let warm = |c: &Candidate| {
-            !self.cold(c, &p.backend, now) || rate(c).is_some_and(|_| lock(&c.own.bucket).ready(now))
-        };
-        let there = |c: &Candidate| self.usable(c) && !past.tried.contains(&c.id);
-        let usable = |c: &Candidate| there(c) && c.well && !c.own.avoided(now);
-        let conns =
-            |c: &Candidate| (c.own.open.load(std::sync::atomic::Ordering::Relaxed).max(0) as usize) < most;
-        let reading = lock(&self.router.reading);
-        let mut wish = ChoiceContext {
-            prompt: &p.prompt,
-            zone: self.router.zone(),
-            region: &self.site.region,
-            sticky: p.route.sticky,
-            long: p.long,
-            apart: false,
-            pause_ms: p.route.gap_target_ms.unwrap_or(p.route.target_ms) as f64,
-            reading: &reading,
-            prefixes: &p.prefixes,
-            reads_per_ms: READS_PER_MS,
-            now,
-            hold_ms: self.hold_ms(&p.service),
-            unit: common::runtime::random(),
-        };
-        let fit = |c: &&Candidate| replica_choice::fits(c, &p.prompt) && warm(c) && conns(c);
-        let home = |c: &Candidate| p.route.homes.is_empty() || p.route.homes.contains(&c.region);
-        let all = fleet.of(&p.service);
-        let mut found = None;
-        for r in self.regions(p, &usable) {
-            let cands: Vec<&Candidate> =
-                all.iter().filter(|c| c.region == r && usable(c)).filter(fit).collect();
-            wish.apart = lock(&self.isolation).meet(&p.service, &r, now);
-            if replica_choice::all_overdue(&cands, &wish, p.route.target_ms as f64) {
-                continue;
-            }
-            found = replica_choice::best(&cands, &wish).cloned();
-            if found.is_some() {
-                break;
-            }
-        }
-        // Better a doubtful one than none.
-        let found = found.or_else(|| {
-            let cands: Vec<&Candidate> = all.iter().filter(|c| home(c) && there(c)).filter(fit).collect();
-            let cands: Vec<&Candidate> =
-                cands.into_iter().filter(|c| !c.well || c.own.avoided(now)).collect();
-            replica_choice::best(&cands, &wish).cloned()
-        });
-        let c = found.ok_or("no room at any replica")?;
-        if self.cold(&c, &p.backend, now) {
-            lock(&c.own.bucket).take(rate(&c).unwrap_or(1.0), now);
-        }
-        drop(reading);
-        self.announce_prompt(p, &c);
-        past.tried.push(c.id.clone());
-        Ok(c)
-    }
-
     /// Keeps the connection of an answer that came whole, where it may be used again.
     pub fn keep(&self, c: &Candidate, body: AnswerBody) {
         let routers = self.routers().len().max(1);
@@ -130,7 +64,7 @@
     }
 
     /// Begins another attempt, where there may be one: chooses a replica and pays.
-    pub fn begin(self: &Arc<Self>, p: &Plan, past: &mut Past) -> Result<Candidate, &'static str> {
+    pub fn begin(self: &Arc<Self>, p: &Plan, past: &mut AttemptHistory) -> Result<Candidate, &'static str> {
         let permit = past.tries.permit();
         let paid = permit == Permit::Paid;
         let past_deadline = self.now() >= p.deadline;
@@ -156,7 +90,7 @@
 
     pub async fn carry(self: &Arc<Self>, p: Arc<Plan>, open_count: Arc<OpenGuard>) -> Response<Body> {
         self.earn_retries(&p.service);
-        let mut past = Past::of(&p);
+        let mut past = AttemptHistory::of(&p);
         loop {
             let c = match self.begin(&p, &mut past) {
                 Ok(c) => c,
@@ -190,7 +124,7 @@
     async fn whole(
         self: &Arc<Self>,
         p: &Plan,
-        past: &mut Past,
+        past: &mut AttemptHistory,
         c: &Candidate,
         mut answer: Answer,
     ) -> Option<Response<Body>> {
@@ -217,7 +151,7 @@
 
     /// The final answer, at once: refused only where nothing of it can have run, with when to come
     /// back.
-    pub fn given_up(&self, p: &Plan, past: &Past, why: &'static str) -> Response<Body> {
+    pub fn given_up(&self, p: &Plan, past: &AttemptHistory, why: &'static str) -> Response<Body> {
         let code = match past.tries.last_word(self.now() >= p.deadline) {
             FinalStatus::Refused => {
                 let back = retry_after_ms(p.left_ms(self.now()));
--- a/crates/data-plane/src/serving/event_splitter.rs
+++ b/crates/data-plane/src/serving/event_splitter.rs
@@ -79,7 +79,7 @@
     }
 
     /// A line for each stream that came late or paused too long.
-    pub fn announce_prompt(&self, p: &Plan, open: &Open) {
+    pub fn log_if_late(&self, p: &Plan, open: &Open) {
         let first = self.first.unwrap_or(0);
         if first > p.route.target_ms || p.route.gap_target_ms.is_some_and(|g| self.gap > g) {
             log_event!(Info, "late stream", "peer" => open.at.addr, "route" => p.route.name, "first_ms" => first,
--- a/crates/data-plane/src/serving/gateway.rs
+++ b/crates/data-plane/src/serving/gateway.rs
@@ -7,13 +7,15 @@
     state::Serving,
 };
 use crate::{attempt::strip, router::lock};
+use bytes::Bytes;
 use common::{
+    Tick,
     http::{Body, BodyError, BoxErr, ConnectionLimits, LimitsInForce, OpenCount, read_body, serve_within},
     log_event,
     runtime::Listener,
 };
 use configuration::Route;
-use hyper::{Request, Response, StatusCode, body::Incoming};
+use hyper::{Request, Response, StatusCode, body::Incoming, http::request::Parts};
 use std::{
     net::SocketAddr,
     sync::{Arc, atomic::Ordering},
@@ -75,7 +77,7 @@
     /// quarter of a voter's election time-out for that: it is told when to come back. A later one, of which the
     /// client has spent some of the route's time, has no other: it waits for a lease, or half of
     /// what it has left.
-    async fn await_fit(&self, head: &hyper::http::request::Parts, left: u64) -> Option<&'static str> {
+    async fn await_fit(&self, head: &Parts, left: u64) -> Option<&'static str> {
         let (began, t) = (self.now(), &self.router.set.timing);
         while let Some(why) = self.refusing().filter(|w| *w != "draining") {
             let later = self.route(head).is_some_and(|r| left > 0 && left + SPENT_MS < r.hold_ms);
@@ -88,51 +90,33 @@
         None
     }
 
-    fn route(&self, head: &hyper::http::request::Parts) -> Option<Arc<Route>> {
+    fn route(&self, head: &Parts) -> Option<Arc<Route>> {
         let host = head.headers.get("host").and_then(|v| v.to_str().ok());
         let host = host.or_else(|| head.uri.host()).unwrap_or("");
         self.map.load().as_ref()?.find(host, head.uri.path()).cloned()
     }
 
+    /// The plan for a request, made from its head and body, or the final answer.
     async fn plan(&self, req: Request<Incoming>, peer: SocketAddr) -> Result<Plan, Box<Res>> {
         let came = self.now();
-        let no = |code, why, back: Option<u64>| Err(Box::new(self.refused(code, why, back)));
         let (head, body) = req.into_parts();
-        let left = head.headers.get(&self.dialect.names().time_left);
-        let left = left.and_then(|v| v.to_str().ok()?.trim().parse().ok()).unwrap_or(0);
-        if let Some(why) = self.await_fit(&head, left).await {
-            return no(StatusCode::SERVICE_UNAVAILABLE, why, Some(retry_after_ms(left)));
+        let left_ms = self.announced_time_left(&head);
+        if let Some(why) = self.await_fit(&head, left_ms).await {
+            return self.refuse_for_now(why, left_ms);
         }
         let Some(map) = self.map.load_full() else {
-            return no(StatusCode::SERVICE_UNAVAILABLE, "no configuration", Some(retry_after_ms(left)));
+            return self.refuse_for_now("no configuration", left_ms);
         };
         let Some(route) = self.route(&head) else {
-            return no(StatusCode::NOT_FOUND, "no route", None);
+            return self.refuse(StatusCode::NOT_FOUND, "no route");
         };
         let service = route.service(common::runtime::random()).cloned();
-        let Some((service, backend)) = service.and_then(|s| map.backends.get(&s).cloned().map(|b| (s, b)))
-        else {
-            return no(StatusCode::NOT_FOUND, "the route has no service", None);
+        let backend = service.as_ref().and_then(|service| map.backends.get(service).cloned());
+        let (Some(service), Some(backend)) = (service, backend) else {
+            return self.refuse(StatusCode::NOT_FOUND, "the route has no service");
         };
         let deadline = deadline(self.dialect.names(), &head.headers, &route, came);
-        let long = head.headers.get("content-length").and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
-        if long.is_some_and(|n| n > map.limits.max_body_bytes) {
-            return no(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit", None)
-                .map_err(|r| Box::new(close(*r)));
-        }
-        let left = Duration::from_millis(deadline.since(self.now()).max(1));
-        let body = match tokio::time::timeout(left, read_body(body, map.limits.max_body_bytes)).await {
-            Ok(Ok(b)) => b,
-            Ok(Err(BodyError::TooLarge)) => {
-                return no(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit", None)
-                    .map_err(|r| Box::new(close(*r)));
-            }
-            Ok(Err(BodyError::Broken)) => {
-                log_event!(Debug, "read body", "peer" => peer, "cause" => "it broke off");
-                return no(StatusCode::BAD_REQUEST, "body broke off", None).map_err(|r| Box::new(close(*r)));
-            }
-            Err(_) => return no(StatusCode::REQUEST_TIMEOUT, "body not here in time", None),
-        };
+        let body = self.read_request_body(&head, body, map.limits.max_body_bytes, deadline, peer).await?;
         let prompt = self.dialect.prompt(&head.headers);
         let long = lock(&self.isolation).long(&route, prompt.tokens_in, came);
         let prefixes = if long { prefill::prefixes(&prompt) } else { Vec::new() };
@@ -158,4 +142,51 @@
             request_id,
         })
     }
+
+    /// How long the client says that it still waits, in milliseconds; 0 where it says nothing.
+    fn announced_time_left(&self, head: &Parts) -> u64 {
+        let value = head.headers.get(&self.dialect.names().time_left);
+        value.and_then(|v| v.to_str().ok()?.trim().parse().ok()).unwrap_or(0)
+    }
+
+    async fn read_request_body(
+        &self,
+        head: &Parts,
+        body: Incoming,
+        max_bytes: usize,
+        deadline: Tick,
+        peer: SocketAddr,
+    ) -> Result<Bytes, Box<Res>> {
+        let announced = head.headers.get("content-length");
+        let announced = announced.and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
+        if announced.is_some_and(|bytes| bytes > max_bytes) {
+            return self.refuse_and_close(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit");
+        }
+        let left = Duration::from_millis(deadline.since(self.now()).max(1));
+        match tokio::time::timeout(left, read_body(body, max_bytes)).await {
+            Ok(Ok(body)) => Ok(body),
+            Ok(Err(BodyError::TooLarge)) => {
+                self.refuse_and_close(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit")
+            }
+            Ok(Err(BodyError::Broken)) => {
+                log_event!(Debug, "read body", "peer" => peer, "cause" => "it broke off");
+                self.refuse_and_close(StatusCode::BAD_REQUEST, "body broke off")
+            }
+            Err(_) => self.refuse(StatusCode::REQUEST_TIMEOUT, "body not here in time"),
+        }
+    }
+
+    fn refuse<T>(&self, code: StatusCode, why: &'static str) -> Result<T, Box<Res>> {
+        Err(Box::new(self.refused(code, why, None)))
+    }
+
+    fn refuse_and_close<T>(&self, code: StatusCode, why: &'static str) -> Result<T, Box<Res>> {
+        Err(Box::new(close(self.refused(code, why, None))))
+    }
+
+    /// Refuses what may succeed later, with when to come back.
+    fn refuse_for_now<T>(&self, why: &'static str, left_ms: u64) -> Result<T, Box<Res>> {
+        let retry_after_ms = Some(retry_after_ms(left_ms));
+        Err(Box::new(self.refused(StatusCode::SERVICE_UNAVAILABLE, why, retry_after_ms)))
+    }
 }
--- a/crates/data-plane/src/serving/health_prober.rs
+++ b/crates/data-plane/src/serving/health_prober.rs
@@ -5,7 +5,7 @@
 use super::{
     protocol::ListedReplica,
     replica_list::ListReader,
-    replica_report::{Board, Probed, Watched, lends},
+    replica_report::{ProbeResult, ReplicaHealth, ReplicaReport, lends},
     state::Serving,
 };
 use crate::{
@@ -23,6 +23,8 @@
 
 /// Looks without an answer after which a replica counts as unwell.
 const FAILS: u32 = 2;
+/// Report intervals after which a report that nobody asked for is published no more.
+const ASKED_INTERVALS: u64 = 4;
 /// Share of a region's headroom that it lends out.
 const LEND_SHARE: f64 = 0.8;
 
@@ -49,7 +51,7 @@
         }
     }
 
-    fn take_board(&self, b: Board, at: Tick) {
+    fn take_board(&self, b: ReplicaReport, at: Tick) {
         let mut g = lock(&self.reports);
         if g.take(b, at) {
             let valid = self.router.set.timing.report_max_age_ms();
@@ -80,10 +82,10 @@
             let told = if node == *self.router.node() {
                 Ok(self.router.wait_for_report(zone.clone(), seq, wait_ms).await)
             } else {
-                let q = RouterRequest::Board { zone: zone.clone(), seq, wait_ms };
+                let q = RouterRequest::ReplicaReport { zone: zone.clone(), seq, wait_ms };
                 let ms = wait_ms + self.router.set.timing.rpc_timeout_ms;
                 match self.router.lines.call_within(ms, "board", home.info.rpc_addr, q).await {
-                    Ok(RouterResponse::Board(b)) => Ok(b.map(|b| *b)),
+                    Ok(RouterResponse::ReplicaReport(b)) => Ok(b.map(|b| *b)),
                     Ok(_) => Err(PeerError::new("board", home.info.rpc_addr, "another answer")),
                     Err(e) => Err(e),
                 }
@@ -104,67 +106,92 @@
     }
 
     async fn publish(self: Arc<Self>, zone: Zone) {
-        let mut wakeup = tokio::time::interval(Duration::from_millis(self.report_interval_ms()));
-        wakeup.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let mut watched: BTreeMap<ReplicaId, Watched> = BTreeMap::new();
+        let mut ticks = tokio::time::interval(Duration::from_millis(self.report_interval_ms()));
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut health: BTreeMap<ReplicaId, ReplicaHealth> = BTreeMap::new();
         let mut list = ListReader::new(zone.clone());
-        let (mut seq, mut even) = (0u64, false);
+        let (mut seq, mut probe_all) = (0u64, false);
         loop {
-            wakeup.tick().await;
-            let now = self.now();
-            let wanted = lock(&self.router.boards)
-                .get(&zone)
-                .is_some_and(|p| now.since(p.asked) < 4 * self.report_interval_ms());
-            if !wanted {
+            ticks.tick().await;
+            if !self.is_asked_for(&zone) {
                 list.reset();
                 continue;
             }
-            let Some(rows) = list.refreshed(&self, self.report_interval_ms() / 2).await else {
+            let Some(listed) = list.refreshed(&self, self.report_interval_ms() / 2).await else {
                 continue;
             };
-            even = !even;
+            probe_all = !probe_all;
             let asked = self.now();
-            watched.retain(|id, _| rows.iter().any(|r| r.id == *id));
-            // What was well is probed each second time: answers and refusals on the way tell more.
-            let due = |r: &&ListedReplica| even || watched.get(&r.id).is_none_or(|w| w.fails > 0);
-            let probes = rows.iter().filter(due).map(|r| async { (r.id.clone(), self.probe(r).await) });
-            for (id, p) in futures::future::join_all(probes).await {
-                let w = watched.entry(id.clone()).or_default();
-                let was = w.well(FAILS);
-                w.fold(p, FAILS);
-                if was != w.well(FAILS) {
-                    log_event!(Info, "replica health", "peer" => id, "well" => w.well(FAILS));
-                }
-            }
+            self.probe_listed(&listed, &mut health, probe_all).await;
             seq += 1;
-            let fresh = Watched::default();
-            let rows: Vec<_> =
-                rows.iter().map(|l| watched.get(&l.id).unwrap_or(&fresh).row(l, FAILS)).collect();
-            let region = self.site.zones.get(&zone);
-            let askers = self
-                .router
-                .cluster_state()
-                .routers()
-                .into_iter()
-                .filter(|m| self.site.zones.get(&m.info.zone) != region)
-                .count();
-            let board = Board {
-                zone: zone.clone(),
-                publisher: self.router.node().clone(),
-                fencing_token: FencingToken(self.router.cluster_state().epoch.0),
-                seq,
-                age_ms: 0,
-                waited_ms: 0,
-                lends: lends(&rows, LEND_SHARE, askers),
-                rows,
-            };
-            if let Some(p) = lock(&self.router.boards).get(&zone) {
-                p.tx.send_replace(Some((Arc::new(board), asked)));
+            let report = self.report(&zone, seq, &listed, &health);
+            if let Some(publication) = lock(&self.router.boards).get(&zone) {
+                publication.tx.send_replace(Some((Arc::new(report), asked)));
+            }
+        }
+    }
+
+    /// Whether somebody asked for a zone's report lately.
+    fn is_asked_for(&self, zone: &Zone) -> bool {
+        let recent = |asked: Tick| self.now().since(asked) < ASKED_INTERVALS * self.report_interval_ms();
+        lock(&self.router.boards).get(zone).is_some_and(|publication| recent(publication.asked))
+    }
+
+    /// Probes the listed replicas. What was healthy is probed each second time: answers and refusals of requests
+    /// tell more.
+    async fn probe_listed(
+        &self,
+        listed: &[ListedReplica],
+        health: &mut BTreeMap<ReplicaId, ReplicaHealth>,
+        probe_all: bool,
+    ) {
+        health.retain(|id, _| listed.iter().any(|replica| replica.id == *id));
+        let due = |replica: &&ListedReplica| {
+            probe_all || health.get(&replica.id).is_none_or(|known| known.fails > 0)
+        };
+        let probes = listed
+            .iter()
+            .filter(due)
+            .map(|replica| async { (replica.id.clone(), self.probe(replica).await) });
+        let results: Vec<_> = futures::future::join_all(probes).await;
+        for (id, result) in results {
+            let known = health.entry(id.clone()).or_default();
+            let was_well = known.well(FAILS);
+            known.fold(result, FAILS);
+            let well = known.well(FAILS);
+            if was_well != well {
+                log_event!(Info, "replica health", "peer" => id, "well" => well);
             }
         }
     }
 
-    async fn probe(&self, l: &ListedReplica) -> Probed {
+    fn report(
+        &self,
+        zone: &Zone,
+        seq: u64,
+        listed: &[ListedReplica],
+        health: &BTreeMap<ReplicaId, ReplicaHealth>,
+    ) -> ReplicaReport {
+        let unknown = ReplicaHealth::default();
+        let row = |replica: &ListedReplica| health.get(&replica.id).unwrap_or(&unknown).row(replica, FAILS);
+        let rows: Vec<_> = listed.iter().map(row).collect();
+        let state = self.router.cluster_state();
+        let region = self.site.zones.get(zone);
+        let elsewhere = |member: &&&Member| self.site.zones.get(&member.info.zone) != region;
+        let askers = state.routers().iter().filter(elsewhere).count();
+        ReplicaReport {
+            zone: zone.clone(),
+            publisher: self.router.node().clone(),
+            fencing_token: FencingToken(state.epoch.0),
+            seq,
+            age_ms: 0,
+            waited_ms: 0,
+            lends: lends(&rows, LEND_SHARE, askers),
+            rows,
+        }
+    }
+
+    async fn probe(&self, l: &ListedReplica) -> ProbeResult {
         let map = self.map.load();
         let backend = map.as_ref().and_then(|m| m.backends.get(&l.service));
         let engine = backend.is_some_and(|b| b.engine.is_some());
@@ -177,16 +204,16 @@
             Ok((code, head, body)) if code.is_success() => {
                 let names = self.dialect.names();
                 let told = if engine { self.dialect.report(&body) } else { load_of(&head, &names.load) };
-                Probed::Told(told.unwrap_or_default())
+                ProbeResult::Told(told.unwrap_or_default())
             }
             // Full, not unwell: it turned the probe away as it would a request.
             Ok((_, head, _)) if head.contains_key(&self.dialect.names().not_run) => {
                 let told = load_of(&head, &self.dialect.names().load).unwrap_or_default();
-                Probed::Told(told)
+                ProbeResult::Told(told)
             }
-            Ok(_) => Probed::Unwell,
-            Err(e) if e.is_refused() => Probed::Refused,
-            Err(_) => Probed::Silent,
+            Ok(_) => ProbeResult::Unwell,
+            Err(e) if e.is_refused() => ProbeResult::Refused,
+            Err(_) => ProbeResult::Silent,
         }
     }
 }
--- a/crates/data-plane/src/serving/mod.rs
+++ b/crates/data-plane/src/serving/mod.rs
@@ -20,6 +20,7 @@
 pub mod replica_choice;
 pub mod replica_list;
 pub mod replica_report;
+pub mod replica_selection;
 pub mod replica_view;
 pub mod report_publication;
 pub mod request_flush;
--- a/crates/data-plane/src/serving/replica_report.rs
+++ b/crates/data-plane/src/serving/replica_report.rs
@@ -7,7 +7,7 @@
 
 /// One replica of a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct ReplicaRow {
     pub id: common::ReplicaId,
     pub service: Service,
     pub addr: SocketAddr,
@@ -24,7 +24,7 @@
 
 /// All replicas of a zone, numbered by their publisher.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Board {
+pub struct ReplicaReport {
     #[serde(rename = "area")]
     pub zone: Zone,
     pub publisher: common::NodeId,
@@ -34,13 +34,13 @@
     /// How old the load reports were when they were sent, and how long the question lay before that.
     pub age_ms: u64,
     pub waited_ms: u64,
-    pub rows: Vec<Row>,
+    pub rows: Vec<ReplicaRow>,
     /// Lending grants: requests that one router of another region may have open here, by service
     /// (design 5.5).
     pub lends: BTreeMap<Service, u32>,
 }
 
-impl Board {
+impl ReplicaReport {
     /// When the load reports were fresh on the clock of whoever asked at `asked`, at the latest.
     pub fn fresh_at(&self, asked: Tick, now: Tick) -> Tick {
         (asked + self.waited_ms).min(now) - self.age_ms
@@ -49,7 +49,7 @@
 
 /// What the publisher remembers of a replica between looks.
 #[derive(Clone, Debug, Default)]
-pub struct Watched {
+pub struct ReplicaHealth {
     pub fails: u32,
     pub gone: bool,
     pub report: EngineReport,
@@ -57,7 +57,7 @@
 
 /// What came of one probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Probed {
+pub enum ProbeResult {
     Told(EngineReport),
     /// It says itself that it is unwell or leaving.
     Unwell,
@@ -66,14 +66,14 @@
     Refused,
 }
 
-impl Watched {
+impl ReplicaHealth {
     /// Folds one probe in: a refusal counts at once, silence after `fails` looks.
-    pub fn fold(&mut self, p: Probed, fails: u32) {
+    pub fn fold(&mut self, p: ProbeResult, fails: u32) {
         match p {
-            Probed::Told(r) => *self = Watched { report: r, ..Watched::default() },
-            Probed::Unwell => (self.fails, self.gone) = (fails, false),
-            Probed::Refused => (self.fails, self.gone) = (fails, true),
-            Probed::Silent => self.fails = (self.fails + 1).min(fails),
+            ProbeResult::Told(r) => *self = ReplicaHealth { report: r, ..ReplicaHealth::default() },
+            ProbeResult::Unwell => (self.fails, self.gone) = (fails, false),
+            ProbeResult::Refused => (self.fails, self.gone) = (fails, true),
+            ProbeResult::Silent => self.fails = (self.fails + 1).min(fails),
         }
     }
 
@@ -81,8 +81,8 @@
         self.fails < fails
     }
 
-    pub fn row(&self, l: &ListedReplica, fails: u32) -> Row {
-        Row {
+    pub fn row(&self, l: &ListedReplica, fails: u32) -> ReplicaRow {
+        ReplicaRow {
             id: l.id.clone(),
             service: l.service.clone(),
             addr: l.addr,
@@ -99,7 +99,7 @@
 }
 
 /// Passes for each router of other regions: a share of the measured headroom of what is warm.
-pub fn lends(rows: &[Row], share: f64, askers: usize) -> BTreeMap<Service, u32> {
+pub fn lends(rows: &[ReplicaRow], share: f64, askers: usize) -> BTreeMap<Service, u32> {
     let mut room: BTreeMap<Service, f64> = BTreeMap::new();
     for r in rows.iter().filter(|r| r.well && !r.draining && r.cold_left_ms == 0) {
         let used = f64::from(r.running + r.waiting);
--- a/crates/data-plane/src/serving/replica_view.rs
+++ b/crates/data-plane/src/serving/replica_view.rs
@@ -1,7 +1,7 @@
 //! The replicas as this router sees them (design 9.3): the homes' load reports, and what it has open
 //! itself. Read by read-copy-update on a request's way; knows no request.
 
-use super::{replica_report::Board, slow_start::Bucket};
+use super::{replica_report::ReplicaReport, slow_start::Bucket};
 use crate::load::RegionLoad;
 use common::{Region, ReplicaId, Service, Tick, Zone};
 use std::{
@@ -20,7 +20,7 @@
     /// Own failures: not to be used until then, where there is another.
     pub avoid_until: AtomicU64,
     /// When it last said anything here.
-    pub last_contacts: AtomicU64,
+    pub last_contact: AtomicU64,
     pub bucket: Mutex<Bucket>,
 }
 
@@ -34,7 +34,7 @@
     }
 
     pub fn note_contact(&self, now: Tick) {
-        self.last_contacts.fetch_max(now.0, Ordering::Relaxed);
+        self.last_contact.fetch_max(now.0, Ordering::Relaxed);
         self.avoid_until.store(0, Ordering::Relaxed);
     }
 }
@@ -72,7 +72,7 @@
 /// One zone's load reports as they came.
 #[derive(Clone, Debug)]
 pub struct ReceivedReport {
-    pub board: Board,
+    pub board: ReplicaReport,
     pub at: Tick,
 }
 
@@ -87,19 +87,19 @@
 /// Owns what outlives single boards.
 #[derive(Default)]
 pub struct ReportStore {
-    pub last_contacts: BTreeMap<Zone, ReceivedReport>,
+    pub by_zone: BTreeMap<Zone, ReceivedReport>,
     owns: HashMap<ReplicaId, Arc<LocalLoad>>,
 }
 
 impl ReportStore {
     /// Takes a report unless it is older than what is held.
-    pub fn take(&mut self, board: Board, at: Tick) -> bool {
+    pub fn take(&mut self, board: ReplicaReport, at: Tick) -> bool {
         let older = self
-            .last_contacts
+            .by_zone
             .get(&board.zone)
             .is_some_and(|h| h.at > at || (h.board.publisher == board.publisher && h.board.seq >= board.seq));
         if !older {
-            self.last_contacts.insert(board.zone.clone(), ReceivedReport { board, at });
+            self.by_zone.insert(board.zone.clone(), ReceivedReport { board, at });
         }
         !older
     }
@@ -107,7 +107,7 @@
     /// Folds all boards into what may be chosen. `valid_ms` is how long load reports lend.
     pub fn fleet(&mut self, zones: &BTreeMap<Zone, Region>, routers: usize, valid_ms: u64) -> ReplicaView {
         let mut out = ReplicaView::default();
-        for (zone, h) in &self.last_contacts {
+        for (zone, h) in &self.by_zone {
             let Some(region) = zones.get(zone) else { continue };
             for r in &h.board.rows {
                 let own = self.owns.entry(r.id.clone()).or_default().clone();
--- a/crates/data-plane/src/serving/stream_relay.rs
+++ b/crates/data-plane/src/serving/stream_relay.rs
@@ -6,7 +6,7 @@
     attempt::{Open, Outcome},
     attempt_state::AttemptEnd,
     connection::{Answer, AnswerBody},
-    dispatch::Past,
+    dispatch::AttemptHistory,
     event_splitter::EventPauses,
     plan::Plan,
     state::Serving,
@@ -37,22 +37,27 @@
     Left,
 }
 
-/// Passes a stream on from its own task; the answer keeps the head of its first replica.
+/// Events that wait for the client, at most.
+const CLIENT_BACKLOG: usize = 4;
+
+/// Passes a stream on from its own task; the response keeps the head of its first replica.
 pub fn relay(
-    s: &Arc<Serving>,
-    p: Arc<Plan>,
-    past: Past,
+    serving: &Arc<Serving>,
+    plan: Arc<Plan>,
+    history: AttemptHistory,
     open: Open,
     open_count: Arc<OpenGuard>,
     Answer { head, body }: Answer,
 ) -> Response<Body> {
-    let (out, mut rx) = mpsc::channel(4);
-    let s = s.clone();
+    let (client, mut frames) = mpsc::channel(CLIENT_BACKLOG);
+    let pauses = EventPauses::new(plan.came);
+    let events = Splitter::default();
+    let relay = Relay { serving: serving.clone(), plan, history, events, pauses, client };
     common::runtime::spawn(async move {
-        let _busy = open_count;
-        run(s, p, past, (open, body), out).await;
+        let _open = open_count;
+        relay.run(open, body).await;
     });
-    let stream = futures::stream::poll_fn(move |cx| rx.poll_recv(cx));
+    let stream = futures::stream::poll_fn(move |cx| frames.poll_recv(cx));
     Response::from_parts(head, BodyExt::boxed(StreamBody::new(SyncStream(std::sync::Mutex::new(stream)))))
 }
 
@@ -70,66 +75,135 @@
     }
 }
 
-async fn run(
-    s: Arc<Serving>,
-    p: Arc<Plan>,
-    mut past: Past,
-    (mut open, mut body): (Open, AnswerBody),
-    out: Out,
-) {
-    let mut parts = Splitter::default();
-    let mut beat = EventPauses::new(p.came);
-    // What came while another replica was asked to go on.
-    let mut held = None;
-    loop {
-        match forward(&s, &p, &open, &mut body, &mut held, (&mut parts, &mut beat), &out).await {
-            Ended::Whole => {
-                let rest = parts.rest();
-                if !rest.is_empty() {
-                    let _ = out.send(Ok(Frame::data(rest))).await;
-                }
-                s.learn_duration(&p.service, s.now().since(p.came) as f64);
-                beat.announce_prompt(&p, &open);
-                s.keep(&open.at, body);
-                return;
-            }
-            Ended::Left => return,
-            // Silence alone ends nothing (design 9.8): the stream attempts on elsewhere, or waits here.
-            Ended::Silent => {
-                let woke = tokio::select! {
-                    biased;
-                    () = out.closed() => return,
-                    f = body.frame() => Ok(f),
-                    next = resume(&s, &p, &mut past, parts.last.as_deref()) => Err(next),
-                };
-                match woke {
-                    Ok(f) => held = Some(f),
-                    Err(Some(next)) => {
-                        parts.forget();
-                        (open, body) = next;
+/// A stream on its way from replicas to one client.
+struct Relay {
+    serving: Arc<Serving>,
+    plan: Arc<Plan>,
+    history: AttemptHistory,
+    events: Splitter,
+    pauses: EventPauses,
+    client: Out,
+}
+
+impl Relay {
+    async fn run(mut self, mut open: Open, mut body: AnswerBody) {
+        // A frame that came while another replica was asked to go on.
+        let mut held = None;
+        loop {
+            match self.forward(&open, &mut body, &mut held).await {
+                Ended::Whole => return self.finish(&open, body).await,
+                Ended::Left => return,
+                Ended::Silent => match self.wait_or_resume(&mut body).await {
+                    Woken::ClientLeft => return,
+                    Woken::Frame(frame) => held = Some(frame),
+                    Woken::Resumed(next) => (open, body) = *next,
+                    Woken::NoReplica => {}
+                },
+                Ended::Cut(why) => {
+                    self.events.forget();
+                    log_event!(Info, "stream", "peer" => open.at.addr, "cause" => why, "after" => self.events.last);
+                    drop((body, open));
+                    match self.resume_after_cut().await {
+                        Woken::Resumed(next) => (open, body) = *next,
+                        Woken::ClientLeft => return,
+                        Woken::Frame(_) | Woken::NoReplica => {
+                            let _ = self.client.send(Err(why.into())).await;
+                            return;
+                        }
                     }
-                    Err(None) => {}
                 }
             }
-            Ended::Cut(why) => {
-                parts.forget();
-                log_event!(Info, "stream", "peer" => open.at.addr, "cause" => why, "after" => parts.last);
-                drop((body, open));
-                let next = tokio::select! {
-                    biased;
-                    () = out.closed() => return,
-                    next = resume(&s, &p, &mut past, parts.last.as_deref()) => next,
-                };
-                match next {
-                    Some(next) => (open, body) = next,
-                    None => {
-                        let _ = out.send(Err(why.into())).await;
-                        return;
+        }
+    }
+
+    /// The stream came whole.
+    async fn finish(mut self, open: &Open, body: AnswerBody) {
+        let rest = self.events.rest();
+        if !rest.is_empty() {
+            let _ = self.client.send(Ok(Frame::data(rest))).await;
+        }
+        let duration_ms = self.serving.now().since(self.plan.came) as f64;
+        self.serving.learn_duration(&self.plan.service, duration_ms);
+        self.pauses.log_if_late(&self.plan, open);
+        self.serving.keep(&open.at, body);
+    }
+
+    /// Silence alone ends nothing (design 9.8): the stream goes on at another replica, or waits here.
+    async fn wait_or_resume(&mut self, body: &mut AnswerBody) -> Woken {
+        let last = self.events.last.clone();
+        let next = tokio::select! {
+            biased;
+            () = self.client.closed() => return Woken::ClientLeft,
+            frame = body.frame() => return Woken::Frame(frame),
+            next = resume(&self.serving, &self.plan, &mut self.history, last.as_deref()) => next,
+        };
+        let Some(next) = next else { return Woken::NoReplica };
+        self.events.forget();
+        Woken::Resumed(Box::new(next))
+    }
+
+    async fn resume_after_cut(&mut self) -> Woken {
+        let last = self.events.last.clone();
+        tokio::select! {
+            biased;
+            () = self.client.closed() => Woken::ClientLeft,
+            next = resume(&self.serving, &self.plan, &mut self.history, last.as_deref()) => {
+                next.map_or(Woken::NoReplica, |next| Woken::Resumed(Box::new(next)))
+            }
+        }
+    }
+
+    /// Passes whole events on until the upstream ends, in whatever way.
+    async fn forward(&mut self, open: &Open, body: &mut AnswerBody, held: &mut Option<NextFrame>) -> Ended {
+        let silence = silence(&self.plan);
+        loop {
+            let frame = tokio::select! {
+                biased;
+                frame = next(held, body) => frame,
+                () = self.client.closed() => return Ended::Left,
+                () = tokio::time::sleep(silence) => {
+                    if self.is_silent(open, silence) {
+                        return Ended::Silent;
                     }
+                    continue;
                 }
+            };
+            let frame = match frame {
+                None => return Ended::Whole,
+                Some(Err(e)) => return Ended::Cut(e.to_string()),
+                Some(Ok(frame)) => frame,
+            };
+            let Some(data) = frame.data_ref() else { continue };
+            self.events.push(data);
+            if !self.events.continues() {
+                return Ended::Cut("its replica does not go on behind the last event".into());
+            }
+            open.at.own.note_contact(self.serving.now());
+            let Some(events) = self.events.whole() else { continue };
+            self.pauses.event(self.serving.now());
+            if self.client.send(Ok(Frame::data(events))).await.is_err() {
+                return Ended::Left;
             }
         }
     }
+
+    /// Whether the replica told nobody here anything for long, and another one may be asked in time.
+    fn is_silent(&self, open: &Open, silence: Duration) -> bool {
+        let now = self.serving.now();
+        let quiet_ms = now.since(Tick(open.at.own.last_contact.load(Ordering::Relaxed)));
+        self.plan.repeatable() && now < self.plan.deadline && quiet_ms >= silence.as_millis() as u64
+    }
+}
+
+/// What ends the wait for another replica.
+enum Woken {
+    ClientLeft,
+    /// The silent replica spoke again.
+    Frame(NextFrame),
+    /// Another replica goes on.
+    Resumed(Box<(Open, AnswerBody)>),
+    /// None may be asked.
+    NoReplica,
 }
 
 /// A frame, an error, or the end.
@@ -137,53 +211,11 @@
 
 async fn next(held: &mut Option<NextFrame>, body: &mut AnswerBody) -> NextFrame {
     match held.take() {
-        Some(f) => f,
+        Some(frame) => frame,
         None => body.frame().await,
     }
 }
 
-async fn forward(
-    s: &Serving,
-    p: &Plan,
-    open: &Open,
-    body: &mut AnswerBody,
-    held: &mut Option<NextFrame>,
-    (parts, beat): (&mut Splitter, &mut EventPauses),
-    out: &Out,
-) -> Ended {
-    loop {
-        let frame = tokio::select! {
-            biased;
-            f = next(held, body) => f,
-            () = out.closed() => return Ended::Left,
-            () = tokio::time::sleep(silence(p)) => {
-                let quiet = s.now().since(Tick(open.at.own.last_contacts.load(Ordering::Relaxed)));
-                if p.repeatable() && s.now() < p.deadline && quiet >= silence(p).as_millis() as u64 {
-                    return Ended::Silent;
-                }
-                continue;
-            }
-        };
-        match frame {
-            None => return Ended::Whole,
-            Some(Err(e)) => return Ended::Cut(e.to_string()),
-            Some(Ok(f)) => {
-                let Some(data) = f.data_ref() else { continue };
-                parts.push(data);
-                if !parts.continues() {
-                    return Ended::Cut("its replica does not go on behind the last event".into());
-                }
-                open.at.own.note_contact(s.now());
-                let Some(events) = parts.whole() else { continue };
-                beat.event(s.now());
-                if out.send(Ok(Frame::data(events))).await.is_err() {
-                    return Ended::Left;
-                }
-            }
-        }
-    }
-}
-
 /// How long a silence is borne before another replica is looked for: twice the pause that keeps an
 /// answer in time.
 fn silence(p: &Plan) -> Duration {
@@ -194,7 +226,7 @@
 async fn resume(
     s: &Arc<Serving>,
     p: &Plan,
-    past: &mut Past,
+    past: &mut AttemptHistory,
     last: Option<&str>,
 ) -> Option<(Open, AnswerBody)> {
     if !p.repeatable() {
--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -12,7 +12,7 @@
     rpc::{RouterRequest, RouterResponse},
     serving::{
         prefill::PromptSent,
-        replica_report::{Board, Row},
+        replica_report::{ReplicaReport, ReplicaRow},
     },
     summary::{Event, EventKind, Summary},
 };
@@ -57,8 +57,8 @@
     vec![Copy { key: UserKey(99), service: service(), region: "centro".into(), ver: 3, ttl_ms: 900_000 }]
 }
 
-fn board() -> Board {
-    let row = Row {
+fn board() -> ReplicaReport {
+    let row = ReplicaRow {
         id: ReplicaId::new("r-1"),
         service: service(),
         addr: address(),
@@ -71,7 +71,7 @@
         memory_used: 4_000,
         memory_total: 318_206,
     };
-    Board {
+    ReplicaReport {
         zone: "centro-1".into(),
         publisher: NodeId::new("p1"),
         fencing_token: FencingToken(4),
@@ -106,7 +106,7 @@
 
 fn forwarded() -> ForwardedRequest {
     ForwardedRequest {
-        job: RequestId::new("p1-1-1"),
+        request_id: RequestId::new("p1-1-1"),
         from: "p1".into(),
         epoch: Epoch(12),
         number: 5,
@@ -156,7 +156,7 @@
         ("lend", RouterRequest::Passes { region: "norte".into(), service: service(), node: "p1".into() }),
         ("redeem", RouterRequest::Redeem { spent: spent() }),
         ("prompt", RouterRequest::PromptSent { note: note() }),
-        ("load-report", RouterRequest::Board { zone: zone(), seq: 3, wait_ms: 500 }),
+        ("load-report", RouterRequest::ReplicaReport { zone: zone(), seq: 3, wait_ms: 500 }),
     ];
     for (name, request) in requests {
         fixtures().assert_wire(&format!("request-{name}"), &request);
@@ -191,7 +191,7 @@
         ("rows", RouterResponse::Rows(rows())),
         ("figures", RouterResponse::LoadReport(figures())),
         ("pass", RouterResponse::CapacityGrant(Some(pass))),
-        ("load-report", RouterResponse::Board(Some(Box::new(board())))),
+        ("load-report", RouterResponse::ReplicaReport(Some(Box::new(board())))),
         ("done", RouterResponse::Done),
         ("rejected", RouterResponse::Rejected("stale fence".into())),
     ];
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -39,11 +39,11 @@
 )]
 #[case::malformed("NONSENSE\r\n\r\n", "HTTP/1.1 400", "")]
 #[tokio::test]
-async fn from_the_head_alone(#[case] job: &str, #[case] line: &str, #[case] says: &str) {
+async fn from_the_head_alone(#[case] request_id: &str, #[case] line: &str, #[case] says: &str) {
     let b = back(WHOLE).await;
     let (r, at) = router("verdict", std::slice::from_ref(&b)).await;
     hears_p9(&r);
-    let got = say(at, job).await;
+    let got = say(at, request_id).await;
     assert!(got.starts_with(line) && got.contains(says), "{got}");
     assert_eq!(b.runs.load(Ordering::Acquire), 0);
 }
@@ -69,8 +69,8 @@
     }
     let service = if once { "verdict" } else { "contacts" };
     let (_r, at) = router(service, &backs).await;
-    let job = if once { post("/v1/verdicts", "", "{\"station\":\"x\"}") } else { LOOKUP.into() };
-    let got = say(at, &job).await;
+    let request_id = if once { post("/v1/verdicts", "", "{\"station\":\"x\"}") } else { LOOKUP.into() };
+    let got = say(at, &request_id).await;
     assert!(got.contains(outcome) && got.contains(also), "{got}");
     assert_eq!(backs.iter().map(|b| b.runs.load(Ordering::Acquire)).sum::<usize>(), runs);
 }
--- a/crates/data-plane/tests/goes.rs
+++ b/crates/data-plane/tests/goes.rs
@@ -1,7 +1,7 @@
 //! A go against an upstream that fails at each stage (design 6.2, 6.3): what is certain
 //! afterwards, and that no cut body ever ends cleanly.
 
-use data_plane::attempt::{AttemptTarget, Outcome, OutgoingRequest, go, strip};
+use data_plane::attempt::{AttemptTarget, Outcome, OutgoingRequest, attempt, strip};
 use http_body_util::BodyExt;
 use rstest::rstest;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -75,7 +75,7 @@
 /// What became of it, in words: the outcome, and for answers how the body ended.
 async fn outcome(u: Upstream) -> String {
     let at = upstream(u).await;
-    match go(way(at, &|| None), &sent(), &[], ()).await {
+    match attempt(way(at, &|| None), &sent(), &[], ()).await {
         Outcome::NotRun(_) => "not run".into(),
         Outcome::Unknown(_) => "unknown".into(),
         Outcome::Done(r) => match r.into_body().collect().await {
@@ -138,7 +138,7 @@
         let _ = s.read_to_end(&mut got).await;
         got.len()
     });
-    let res = go(way(at, &|| Some("cut off")), &sent(), &[], ()).await;
+    let res = attempt(way(at, &|| Some("cut off")), &sent(), &[], ()).await;
     assert!(matches!(res, Outcome::NotRun(e) if e.cause() == "cut off" && e.step == "last look"));
     assert_eq!(last_contacts.await.unwrap(), 0);
 }
--- a/crates/data-plane/tests/modules/forwarding.rs
+++ b/crates/data-plane/tests/modules/forwarding.rs
@@ -9,7 +9,7 @@
 #[test]
 fn only_what_a_member_signed_passes() {
     let h = ForwardedRequest {
-        job: "j".into(),
+        request_id: "j".into(),
         from: "n".into(),
         epoch: Epoch(1),
         number: 1,
--- a/crates/data-plane/tests/replay.rs
+++ b/crates/data-plane/tests/replay.rs
@@ -20,7 +20,7 @@
     let g = r.governing.load_full().unwrap();
     let entry = g.table.entries.iter().find(|e| e.name == "match-verdicts").unwrap();
     ForwardedRequest {
-        job: format!("job-{number}").as_str().into(),
+        request_id: format!("job-{number}").as_str().into(),
         from: "p9".into(),
         epoch: l.members[&"p9".into()].epoch,
         number,
--- a/crates/data-plane/tests/serving/carried.rs
+++ b/crates/data-plane/tests/serving/carried.rs
@@ -6,7 +6,7 @@
 };
 use common::{Region, http::full};
 use configuration::{Route, RouteKind};
-use data_plane::serving::replica_report::Row;
+use data_plane::serving::replica_report::ReplicaRow;
 use rstest::rstest;
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -214,22 +214,22 @@
 }
 
 /// Replicas 1 and 2 in the north, 3 and 4 in the south; what became of those of each.
-fn regions(north: impl Fn(Row) -> Row, south: impl Fn(Row) -> Row) -> Cast {
+fn regions(north: impl Fn(ReplicaRow) -> ReplicaRow, south: impl Fn(ReplicaRow) -> ReplicaRow) -> Cast {
     let north = [1, 2].map(|n| north(row(n, 0))).to_vec();
     let south = [3, 4].map(|n| south(row(n, 0))).to_vec();
     Cast { rows: [("n1", north), ("s1", south)].into(), ..Cast::default() }
 }
 
-fn two_regions(south: impl Fn(Row) -> Row) -> Cast {
+fn two_regions(south: impl Fn(ReplicaRow) -> ReplicaRow) -> Cast {
     regions(|r| r, south)
 }
 
-fn unwell(r: Row) -> Row {
-    Row { well: false, ..r }
+fn unwell(r: ReplicaRow) -> ReplicaRow {
+    ReplicaRow { well: false, ..r }
 }
 
-fn draining(r: Row) -> Row {
-    Row { draining: true, ..r }
+fn draining(r: ReplicaRow) -> ReplicaRow {
+    ReplicaRow { draining: true, ..r }
 }
 
 /// Nobody outside the homes is asked, also when all inside are gone.
@@ -238,7 +238,7 @@
 #[case::unwell(two_regions(unwell), &[], true)]
 #[case::draining(two_regions(draining), &[], false)]
 #[case::evacuated(Cast { evacuated: Some("s1"), ..two_regions(|r| r) }, &[], false)]
-#[case::full(two_regions(|r| Row { running: 100_000, ..r }), &[], false)]
+#[case::full(two_regions(|r| ReplicaRow { running: 100_000, ..r }), &[], false)]
 #[case::all_unwell(regions(unwell, unwell), &[], true)]
 #[case::none_well_none_at_home(regions(unwell, draining), &[], false)]
 #[case::declining(two_regions(|r| r), &[Declines(503, 0); 4], false)]
@@ -267,7 +267,7 @@
 #[case::evacuated(vec![row(1, 0), row(2, 0)], Some("n1"), &[])]
 #[case::another_area(vec![row(1, 0), row(2, 0)], Some("n2"), &["r1", "r2"])]
 fn what_leaves_is_asked_nothing(
-    #[case] rows: Vec<Row>,
+    #[case] rows: Vec<ReplicaRow>,
     #[case] evacuated: Option<&'static str>,
     #[case] may: &'static [&'static str],
     #[values(1, 2, 3)] seed: u64,
--- a/crates/data-plane/tests/serving/kit.rs
+++ b/crates/data-plane/tests/serving/kit.rs
@@ -4,7 +4,7 @@
 use configuration::{Route, RouteKind};
 use data_plane::serving::{
     HeaderNames, Prompt,
-    replica_report::{Board, Row},
+    replica_report::{ReplicaReport, ReplicaRow},
     replica_view::{Candidate, ReportStore},
 };
 use hyper::header::HeaderName;
@@ -15,8 +15,8 @@
 }
 
 /// A well replica of the service `chat` with nothing open.
-pub fn row(n: usize, running: u32) -> Row {
-    Row {
+pub fn row(n: usize, running: u32) -> ReplicaRow {
+    ReplicaRow {
         id: format!("r{n}").as_str().into(),
         service: "chat".into(),
         addr: ([10, 0, 1, n as u8], 80).into(),
@@ -31,8 +31,8 @@
     }
 }
 
-pub fn board(zone: &str, seq: u64, rows: Vec<Row>) -> Board {
-    Board {
+pub fn board(zone: &str, seq: u64, rows: Vec<ReplicaRow>) -> ReplicaReport {
+    ReplicaReport {
         zone: zone.into(),
         publisher: "p0".into(),
         fencing_token: FencingToken(1),
@@ -50,7 +50,7 @@
 }
 
 /// Candidates of one zone, as a router among so many sees them.
-pub fn candidates(rows: Vec<Row>, routers: usize) -> Vec<Candidate> {
+pub fn candidates(rows: Vec<ReplicaRow>, routers: usize) -> Vec<Candidate> {
     let mut f = ReportStore::default();
     assert!(f.take(board("n1", 1, rows), Tick(0)));
     f.fleet(&zones(), routers, 3_000).of(&"chat".into()).to_vec()
--- a/crates/data-plane/tests/serving/replica_choice.rs
+++ b/crates/data-plane/tests/serving/replica_choice.rs
@@ -120,7 +120,9 @@
 #[case::exactly(1_100, 1_000, true)]
 #[case::one_less(1_099, 1_000, false)]
 fn fits_by_memory(#[case] memory_total: u64, #[case] tokens_in: u32, #[case] want: bool) {
-    let c = &candidates(vec![data_plane::serving::replica_report::Row { memory_total, ..row(0, 0) }], 1)[0];
+    let c =
+        &candidates(vec![data_plane::serving::replica_report::ReplicaRow { memory_total, ..row(0, 0) }], 1)
+            [0];
     assert_eq!(fits(c, &prompt(&[], tokens_in)), want);
 }
 
--- a/crates/data-plane/tests/serving/replica_report.rs
+++ b/crates/data-plane/tests/serving/replica_report.rs
@@ -5,7 +5,7 @@
 use data_plane::serving::{
     EngineReport, ListedReplica,
     health_prober::load_of,
-    replica_report::{Probed, Row, Watched, lends},
+    replica_report::{ProbeResult, ReplicaHealth, ReplicaRow, lends},
 };
 use hyper::{HeaderMap, header::HeaderValue};
 use rstest::rstest;
@@ -14,12 +14,12 @@
 
 /// Well or not after each of these, where two looks in silence are too many.
 #[rstest]
-#[case::silence(&[Probed::Silent, Probed::Silent, Probed::Silent], &[true, false, false])]
-#[case::heard_between(&[Probed::Silent, Probed::Told(TOLD), Probed::Silent], &[true, true, true])]
-#[case::refused(&[Probed::Refused, Probed::Told(TOLD)], &[false, true])]
-#[case::unwell(&[Probed::Unwell, Probed::Silent], &[false, false])]
-fn wellness(#[case] probes: &[Probed], #[case] want: &[bool]) {
-    let mut w = Watched::default();
+#[case::silence(&[ProbeResult::Silent, ProbeResult::Silent, ProbeResult::Silent], &[true, false, false])]
+#[case::heard_between(&[ProbeResult::Silent, ProbeResult::Told(TOLD), ProbeResult::Silent], &[true, true, true])]
+#[case::refused(&[ProbeResult::Refused, ProbeResult::Told(TOLD)], &[false, true])]
+#[case::unwell(&[ProbeResult::Unwell, ProbeResult::Silent], &[false, false])]
+fn wellness(#[case] probes: &[ProbeResult], #[case] want: &[bool]) {
+    let mut w = ReplicaHealth::default();
     let got: Vec<bool> = probes
         .iter()
         .map(|p| {
@@ -36,9 +36,9 @@
 #[case::draining(true, None, true)]
 #[case::to_be_taken_away(false, Some(30_000), true)]
 fn rows_join_list_and_report(#[case] draining: bool, #[case] time_left_ms: Option<u64>, #[case] want: bool) {
-    let mut w = Watched::default();
-    w.fold(Probed::Told(TOLD), 2);
-    w.fold(Probed::Silent, 2);
+    let mut w = ReplicaHealth::default();
+    w.fold(ProbeResult::Told(TOLD), 2);
+    w.fold(ProbeResult::Silent, 2);
     let l = ListedReplica {
         id: "r1".into(),
         service: "chat".into(),
@@ -49,8 +49,8 @@
         cold_left_ms: 700,
         time_left_ms,
     };
-    let told = Row { waiting: 1, memory_used: 5, memory_total: 9, cold_left_ms: 700, ..row(1, 3) };
-    assert_eq!(w.row(&l, 2), Row { draining: want, ..told });
+    let told = ReplicaRow { waiting: 1, memory_used: 5, memory_total: 9, cold_left_ms: 700, ..row(1, 3) };
+    assert_eq!(w.row(&l, 2), ReplicaRow { draining: want, ..told });
 }
 
 /// A share of the room below 0.95 of the slots, by service, cut into equal parts for those who ask.
@@ -62,12 +62,12 @@
 fn lends_a_share_of_warm_room(#[case] share: f64, #[case] askers: usize, #[case] want: u32) {
     let rows = [
         row(1, 9),
-        Row { waiting: 9, ..row(2, 0) },
+        ReplicaRow { waiting: 9, ..row(2, 0) },
         row(3, 40),
-        Row { well: false, ..row(4, 0) },
-        Row { draining: true, ..row(5, 0) },
-        Row { cold_left_ms: 1, ..row(6, 0) },
-        Row { service: "draw".into(), ..row(7, 19) },
+        ReplicaRow { well: false, ..row(4, 0) },
+        ReplicaRow { draining: true, ..row(5, 0) },
+        ReplicaRow { cold_left_ms: 1, ..row(6, 0) },
+        ReplicaRow { service: "draw".into(), ..row(7, 19) },
     ];
     assert_eq!(lends(&rows, share, askers), [("chat".into(), want), ("draw".into(), 0)].into());
 }
--- a/crates/data-plane/tests/serving/replica_view.rs
+++ b/crates/data-plane/tests/serving/replica_view.rs
@@ -27,7 +27,7 @@
     let mut b = board("n1", seq, vec![row(0, 9)]);
     b.publisher = publisher.into();
     assert_eq!(f.take(b, Tick(at)), taken);
-    let running = f.last_contacts[&"n1".into()].board.rows[0].running;
+    let running = f.by_zone[&"n1".into()].board.rows[0].running;
     assert_eq!(running, if taken { 9 } else { 7 });
     assert!(f.take(board("n2", 1, vec![]), Tick(1)), "areas have nothing to do with each other");
 }
@@ -127,7 +127,7 @@
 #[test]
 fn regions_count_what_is_usable() {
     let mut f = ReportStore::default();
-    let gone = data_plane::serving::replica_report::Row { draining: true, ..row(2, 5) };
+    let gone = data_plane::serving::replica_report::ReplicaRow { draining: true, ..row(2, 5) };
     assert!(f.take(board("n1", 1, vec![row(0, 3), gone]), Tick(0)));
     assert!(f.take(board("n2", 1, vec![row(1, 4)]), Tick(0)));
     assert!(f.take(board("s1", 1, vec![row(3, 19)]), Tick(0)));
--- a/crates/data-plane/tests/serving/stage.rs
+++ b/crates/data-plane/tests/serving/stage.rs
@@ -19,7 +19,7 @@
     router::{Router, lock},
     serving::{
         Bounds, EngineReport, HeaderNames, ListPage, Lookup, Prompt, ProtocolAdapter, Serving, Site,
-        replica_report::Row, retry_budget::BudgetShare,
+        replica_report::ReplicaRow, retry_budget::BudgetShare,
     },
 };
 use futures::StreamExt;
@@ -311,7 +311,7 @@
 
 /// Replicas by zone; those of `gone` are listed and nobody listens there.
 pub struct Cast {
-    pub rows: BTreeMap<&'static str, Vec<Row>>,
+    pub rows: BTreeMap<&'static str, Vec<ReplicaRow>>,
     pub gone: Vec<usize>,
     pub evacuated: Option<&'static str>,
     /// Further tries in hand.
@@ -394,7 +394,7 @@
         s.map.store(Some(Arc::new(RouteMap::new(1, routes, vec![backend], limits))));
         let script: Arc<Script> = Arc::default();
         lock(&script.acts).extend(acts);
-        let here = |zone: &str, rows: &[Row]| board(zone, 1, rows.to_vec());
+        let here = |zone: &str, rows: &[ReplicaRow]| board(zone, 1, rows.to_vec());
         let boards: Vec<_> = cast.rows.iter().map(|(a, rows)| here(a, rows)).collect();
         for rows in cast.rows.into_values() {
             for (_, r) in rows.iter().enumerate().filter(|(n, _)| !cast.gone.contains(n)) {
--- a/crates/simulator/src/scale/hollow.rs
+++ b/crates/simulator/src/scale/hollow.rs
@@ -66,7 +66,8 @@
         let key = Some(UserKey::of("t0", "header", &random_in(0..users).to_le_bytes()));
         let homes = governing.table.homes(&entry, None);
         let (job, deadline) = (RequestId::new("scale"), r.now() + entry.deadline_ms);
-        let plan = Plan { job, governing, entry, tenant: None, homes, key, deadline, inner: false };
+        let plan =
+            Plan { request_id: job, governing, entry, tenant: None, homes, key, deadline, inner: false };
         let me = r.clone();
         common::runtime::spawn(async move {
             let _ = me.place(&plan, &BTreeSet::new()).await;
