--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -1,10 +1,10 @@
-//! From the document to the plan table; every flaw is reported, not just the first (design 4.2).
+//! From the document to the plan table; every diagnostic is reported, not just the first (design 4.2).
 
 use crate::{
-    doc::{self, Doc},
-    lang::{Args, Block, blocks},
-    place::{Flaw, flaw, locate},
-    table::{Entry, KeyPart, Kind, Policy, Table},
+    diagnostic::{Diagnostic, diagnostic, locate},
+    document::{self, ConfigDocument},
+    parser::{Block, Operands, blocks},
+    routing_table::{Entry, KeyPart, Kind, Policy, RoutingTable},
 };
 use common::{Region, Service, Tenant, Zone, is_valid_name};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,24 +13,24 @@
 const MAX_BODY: f64 = 64.0 * 1048576.0;
 const METHODS: &[&str] = &["ANY", "GET", "POST", "PUT", "PATCH", "DELETE", "HEAD"];
 
-/// Where the text of the small language starts within the document.
-pub fn timetable_offset(src: &str) -> usize {
+/// Byte offset of the text in the routing language within the document.
+pub fn routing_offset(src: &str) -> usize {
     let at = locate(src, &["timetable".into()]);
     let rest = &src[at..];
     let quotes = if rest.starts_with("'''") || rest.starts_with("\"\"\"") { 3 } else { 1 };
     at + quotes + usize::from(rest.get(quotes..).is_some_and(|r| r.starts_with('\n')))
 }
 
-struct Work<'a> {
+struct Compiler<'a> {
     src: &'a str,
-    doc: &'a Doc,
-    flaws: Vec<Flaw>,
+    doc: &'a ConfigDocument,
+    diagnostics: Vec<Diagnostic>,
 }
 
-impl Work<'_> {
+impl Compiler<'_> {
     fn add(&mut self, path: &[&str], msg: String) {
         let path: Vec<String> = path.iter().map(|s| s.to_string()).collect();
-        self.flaws.push(flaw(self.src, locate(self.src, &path), msg));
+        self.diagnostics.push(diagnostic(self.src, locate(self.src, &path), msg));
     }
 
     fn names(&mut self, list: &str, names: &[String]) {
@@ -47,10 +47,10 @@
     }
 }
 
-/// Compiles a document; on failure all its flaws, in the order in which they stand.
-pub fn compile(src: &str) -> Result<Table, Vec<Flaw>> {
-    let doc = doc::read(src)?;
-    let mut w = Work { src, doc: &doc, flaws: Vec::new() };
+/// Compiles a document; on failure all its diagnostics, in the order in which they stand.
+pub fn compile(src: &str) -> Result<RoutingTable, Vec<Diagnostic>> {
+    let doc = document::read(src)?;
+    let mut w = Compiler { src, doc: &doc, diagnostics: Vec::new() };
     let list = |f: &dyn Fn(usize) -> Option<String>| (0..).map_while(f).collect::<Vec<_>>();
     w.names("areas", &list(&|n| doc.zones.get(n).map(|a| a.name.clone())));
     w.names("services", &list(&|n| doc.services.get(n).map(|a| a.name.clone())));
@@ -66,7 +66,7 @@
     let regions: BTreeSet<Region> = zones.values().cloned().collect();
     let tenants = tenants(&mut w, &regions);
     let services = doc.services.iter().map(|s| (Service::new(&s.name), s.kind)).collect();
-    let mut tab = Table {
+    let mut table = RoutingTable {
         cluster: doc.cluster.clone(),
         // All there is came with the first version; what comes later raises this where it is used.
         lang: 1,
@@ -79,18 +79,18 @@
         entries: Vec::new(),
         policies: vec![Policy::standard("standard")],
     };
-    if let Some(d) = tab.tenant_default.clone().filter(|d| !tab.tenants.contains_key(d)) {
+    if let Some(d) = table.tenant_default.clone().filter(|d| !table.tenants.contains_key(d)) {
         w.add(&["tenancy", "default"], format!("tenancy.default: no tenant '{d}'"));
     }
-    let mut inner = language(&doc.timetable, &mut tab);
-    let (l0, _) = crate::place::line_col(src, timetable_offset(src));
+    let mut inner = language(&doc.routing, &mut table);
+    let (l0, _) = crate::diagnostic::line_col(src, routing_offset(src));
     inner.iter_mut().for_each(|f| f.line += l0 - 1);
-    w.flaws.extend(inner);
-    w.flaws.sort_by_key(|f| (f.line, f.column));
-    if w.flaws.is_empty() { Ok(tab) } else { Err(w.flaws) }
+    w.diagnostics.extend(inner);
+    w.diagnostics.sort_by_key(|f| (f.line, f.column));
+    if w.diagnostics.is_empty() { Ok(table) } else { Err(w.diagnostics) }
 }
 
-fn tenants(w: &mut Work, regions: &BTreeSet<Region>) -> BTreeMap<Tenant, Option<BTreeSet<Region>>> {
+fn tenants(w: &mut Compiler, regions: &BTreeSet<Region>) -> BTreeMap<Tenant, Option<BTreeSet<Region>>> {
     let mut out = BTreeMap::new();
     for (n, t) in w.doc.tenants.iter().enumerate() {
         let homes: Option<BTreeSet<Region>> = t.homes.as_ref().map(|h| h.iter().map(Region::new).collect());
@@ -106,46 +106,46 @@
     out
 }
 
-fn language(text: &str, tab: &mut Table) -> Vec<Flaw> {
-    let (blks, mut flaws) = blocks(text);
+fn language(text: &str, table: &mut RoutingTable) -> Vec<Diagnostic> {
+    let (parsed, mut diagnostics) = blocks(text);
     let mut seen = BTreeSet::new();
-    for b in &blks {
+    for b in &parsed {
         if !seen.insert((&b.kind, &b.name)) {
-            flaws.push(flaw(text, b.off, format!("{} '{}' is there twice", b.kind, b.name)));
+            diagnostics.push(diagnostic(text, b.off, format!("{} '{}' is there twice", b.kind, b.name)));
         }
     }
-    for b in blks.iter().filter(|b| b.kind == "policy") {
+    for b in parsed.iter().filter(|b| b.kind == "policy") {
         let mut p = Policy::standard(&b.name);
         let mut own_key = Vec::new();
-        flaws.extend(each(text, b, |a| policy_line(a, &mut p, &mut own_key)));
+        diagnostics.extend(each(text, b, |a| policy_line(a, &mut p, &mut own_key)));
         if !own_key.is_empty() {
             p.key = own_key;
         }
-        tab.policies.push(p);
+        table.policies.push(p);
     }
-    for b in blks.iter().filter(|b| b.kind == "entry") {
-        match entry(text, b, tab) {
+    for b in parsed.iter().filter(|b| b.kind == "entry") {
+        match entry(text, b, table) {
             Ok(e) => {
-                if let Some(by) = tab.entries.iter().find(|o| o.covers(&e)) {
+                if let Some(by) = table.entries.iter().find(|o| o.covers(&e)) {
                     let msg = format!("entry '{}' can never match: '{}' takes all its jobs", e.name, by.name);
-                    flaws.push(flaw(text, b.off, msg));
+                    diagnostics.push(diagnostic(text, b.off, msg));
                 }
-                tab.entries.push(e);
+                table.entries.push(e);
             }
-            Err(f) => flaws.extend(f),
+            Err(f) => diagnostics.extend(f),
         }
     }
-    if tab.entries.is_empty() && flaws.is_empty() {
-        flaws.push(flaw(text, 0, "no entry: nothing would ever be served"));
+    if table.entries.is_empty() && diagnostics.is_empty() {
+        diagnostics.push(diagnostic(text, 0, "no entry: nothing would ever be served"));
     }
-    flaws
+    diagnostics
 }
 
-fn each(text: &str, b: &Block, mut f: impl FnMut(&Args) -> Result<(), Flaw>) -> Vec<Flaw> {
-    b.lines.iter().filter_map(|line| f(&Args { src: text, line }).err()).collect()
+fn each(text: &str, b: &Block, mut f: impl FnMut(&Operands) -> Result<(), Diagnostic>) -> Vec<Diagnostic> {
+    b.lines.iter().filter_map(|line| f(&Operands { src: text, line }).err()).collect()
 }
 
-fn policy_line(a: &Args, p: &mut Policy, key: &mut Vec<KeyPart>) -> Result<(), Flaw> {
+fn policy_line(a: &Operands, p: &mut Policy, key: &mut Vec<KeyPart>) -> Result<(), Diagnostic> {
     match a.line.verb.as_str() {
         "ttl" => a.span_ms(0, 1e3, 8.64e7).map(|v| p.ttl_ms = v),
         "overload" => a.plain(0, 0.1, 1.0).map(|v| p.overload = v),
@@ -164,7 +164,7 @@
     }
 }
 
-fn entry(text: &str, b: &Block, tab: &Table) -> Result<Entry, Vec<Flaw>> {
+fn entry(text: &str, b: &Block, table: &RoutingTable) -> Result<Entry, Vec<Diagnostic>> {
     let mut e = Entry {
         name: b.name.clone(),
         off: b.off,
@@ -175,21 +175,21 @@
         to: Service::new(""),
         kind: Kind::Model,
         homes: None,
-        repeatable: false,
+        idempotent: false,
         limit: 1 << 20,
         deadline_ms: 30_000,
         policy: 0,
     };
-    let mut flaws = each(text, b, |a| entry_line(a, &mut e, tab));
+    let mut diagnostics = each(text, b, |a| entry_line(a, &mut e, table));
     for (missing, what) in [(e.path.is_empty(), "match"), (e.to.as_str().is_empty(), "to")] {
         if missing && !b.lines.iter().any(|l| l.verb == what) {
-            flaws.push(flaw(text, b.off, format!("entry '{}': '{what}' is missing", b.name)));
+            diagnostics.push(diagnostic(text, b.off, format!("entry '{}': '{what}' is missing", b.name)));
         }
     }
-    if flaws.is_empty() { Ok(e) } else { Err(flaws) }
+    if diagnostics.is_empty() { Ok(e) } else { Err(diagnostics) }
 }
 
-fn entry_line(a: &Args, e: &mut Entry, tab: &Table) -> Result<(), Flaw> {
+fn entry_line(a: &Operands, e: &mut Entry, table: &RoutingTable) -> Result<(), Diagnostic> {
     match a.line.verb.as_str() {
         "match" => {
             a.count(2)?;
@@ -207,7 +207,7 @@
         "header" => e.headers.push((a.text(0)?.to_ascii_lowercase(), a.text(1)?)),
         "to" => {
             let to = Service::new(a.name(0)?);
-            match tab.services.get(&to) {
+            match table.services.get(&to) {
                 Some(k) => e.kind = *k,
                 None => return a.fail(format!("no service '{to}'")),
             }
@@ -215,19 +215,19 @@
         }
         "homes" => {
             let names = a.names()?;
-            let regions = tab.regions();
+            let regions = table.regions();
             if let Some((_, r)) = names.iter().find(|(_, r)| !regions.contains(&Region::new(r))) {
                 return a.fail(format!("no region '{r}'"));
             }
             e.homes = Some(names.into_iter().map(|(_, r)| Region::new(r)).collect());
         }
-        "once" => e.repeatable = false,
-        "repeatable" => e.repeatable = true,
+        "once" => e.idempotent = false,
+        "repeatable" => e.idempotent = true,
         "limit" => e.limit = a.size(0, MAX_BODY)?,
         "deadline" => e.deadline_ms = a.span_ms(0, 100.0, MAX_DEADLINE)?,
         "policy" => {
             let n = a.name(0)?;
-            match tab.policies.iter().position(|p| p.name == n) {
+            match table.policies.iter().position(|p| p.name == n) {
                 Some(ix) => e.policy = ix,
                 None => return a.fail(format!("no policy '{n}'")),
             }
--- a/crates/configuration/src/place.rs
+++ b/crates/configuration/src/diagnostic.rs
@@ -5,13 +5,16 @@
 
 /// One thing that is wrong with a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Flaw {
+pub struct Diagnostic {
+    /// Line, from 1.
     pub line: usize,
+    /// Column, from 1.
     pub column: usize,
+    /// What is wrong and what is allowed.
     pub message: String,
 }
 
-impl fmt::Display for Flaw {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: {}", self.line, self.column, self.message)
     }
@@ -25,9 +28,17 @@
     (line, col)
 }
 
-pub fn flaw(src: &str, off: usize, message: impl Into<String>) -> Flaw {
+/// A diagnostic at a byte offset of the source.
+pub fn diagnostic(src: &str, off: usize, message: impl Into<String>) -> Diagnostic {
     let (line, column) = line_col(src, off);
-    Flaw { line, column, message: message.into() }
+    Diagnostic { line, column, message: message.into() }
+}
+
+/// Top-level fields of a document that have another name in earlier releases.
+const RENAMED: [(&str, &str); 2] = [("areas", "zones"), ("timetable", "routing")];
+
+fn standard_name(old: &str) -> Option<&'static str> {
+    RENAMED.iter().find(|(name, _)| *name == old).map(|(_, standard)| *standard)
 }
 
 /// Finds where a dotted path such as `zones.2.region` stands in the TOML source; falls back to
@@ -41,7 +52,10 @@
     let mut here: Option<&DeValue> = None;
     for (n, part) in path.iter().enumerate() {
         let next = match (n, here) {
-            (0, _) => root.get_ref().get(part.as_str()),
+            (0, _) => {
+                let root = root.get_ref();
+                root.get(part.as_str()).or_else(|| root.get(standard_name(part)?))
+            }
             (_, Some(DeValue::Table(t))) => t.get(part.as_str()),
             (_, Some(DeValue::Array(a))) => part.parse::<usize>().ok().and_then(|i| a.get(i)),
             _ => None,
--- a/crates/configuration/src/doc.rs
+++ b/crates/configuration/src/document.rs
@@ -1,44 +1,58 @@
 //! The document as written: TOML, read and checked by figment (design 4.1).
 
-use crate::place::{Flaw, flaw, locate};
+use crate::diagnostic::{Diagnostic, diagnostic, locate};
 use figment::{
     Figment,
     providers::{Format, Toml},
 };
 use serde::Deserialize;
 
+/// The operator's document.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Doc {
+pub struct ConfigDocument {
     /// Must equal the cluster's name, so that one firm's file is not applied at the other.
     pub cluster: String,
-    #[serde(rename = "areas")]
+    /// Failure domains; `zones` and, in earlier releases, `areas`.
+    #[serde(rename = "areas", alias = "zones")]
     pub zones: Vec<ZoneDoc>,
+    /// What requests are routed to.
     pub services: Vec<ServiceDoc>,
+    /// How tenants are told apart.
     #[serde(default)]
     pub tenancy: Tenancy,
+    /// The tenants.
     #[serde(default)]
     pub tenants: Vec<TenantDoc>,
+    /// Bounds for the whole fleet.
     #[serde(default)]
     pub tuning: Tuning,
-    /// Entries and policies in the small language.
-    pub timetable: String,
+    /// Entries and policies in the routing language; `routing` and, in earlier releases, `timetable`.
+    #[serde(rename = "timetable", alias = "routing")]
+    pub routing: String,
 }
 
+/// A failure domain and the region that it belongs to.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneDoc {
+    /// Its name.
     pub name: String,
+    /// Its region.
     pub region: String,
 }
 
+/// A service and its kind.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceDoc {
+    /// Its name.
     pub name: String,
-    pub kind: crate::table::Kind,
+    /// What it serves.
+    pub kind: crate::routing_table::Kind,
 }
 
+/// How a request names its tenant.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tenancy {
@@ -54,9 +68,11 @@
     }
 }
 
+/// A tenant and where its requests may run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantDoc {
+    /// Its name.
     pub name: String,
     /// Regions that this tenant's work may run in; all when left out.
     pub homes: Option<Vec<String>>,
@@ -97,13 +113,13 @@
     }
 }
 
-/// Reads the document; a syntax or shape error is one flaw with its place.
-pub fn read(src: &str) -> Result<Doc, Vec<Flaw>> {
+/// Reads the document; a syntax or shape error is one diagnostic with its place.
+pub fn read(src: &str) -> Result<ConfigDocument, Vec<Diagnostic>> {
     if let Err(e) = toml::de::DeTable::parse(src) {
         let off = e.span().map(|s| s.start).unwrap_or(0);
-        return Err(vec![flaw(src, off, format!("syntax: {}", e.message()))]);
+        return Err(vec![diagnostic(src, off, format!("syntax: {}", e.message()))]);
     }
-    Figment::new().merge(Toml::string(src)).extract::<Doc>().map_err(|e| {
+    Figment::new().merge(Toml::string(src)).extract::<ConfigDocument>().map_err(|e| {
         e.into_iter()
             .map(|one| {
                 let path = one.path.clone();
@@ -113,13 +129,14 @@
                     _ => None,
                 };
                 let full: Vec<String> = path.iter().cloned().chain(unknown).collect();
-                flaw(src, locate(src, &full), format!("{at}: {}", one.kind))
+                diagnostic(src, locate(src, &full), format!("{at}: {}", one.kind))
             })
             .collect()
     })
 }
 
 impl Tuning {
+    /// Values out of range: the field, and what is allowed.
     pub fn faults(&self) -> Vec<(&'static str, String)> {
         let ranged = [
             ("lend_share", self.lend_share, 0.0, 1.0),
--- /dev/null
+++ b/crates/configuration/src/fleet_check.rs
@@ -0,0 +1,49 @@
+//! Checks of a document against the replicas that are listed (design 4.2).
+
+use crate::{
+    diagnostic::{Diagnostic, diagnostic, locate},
+    routing_table::RoutingTable,
+};
+use common::{Region, Service, Zone};
+use std::collections::BTreeSet;
+
+/// Homes in which no replica of the needed service is listed.
+pub fn check_fleet(src: &str, table: &RoutingTable, listed: &[(Service, Zone)]) -> Vec<Diagnostic> {
+    let served: BTreeSet<(&Service, &Region)> =
+        listed.iter().filter_map(|(s, a)| table.region_of(a).map(|r| (s, r))).collect();
+    let base = crate::compile::routing_offset(src);
+    let homeless = |svc: &Service, homes: &BTreeSet<Region>| -> Vec<Region> {
+        homes.iter().filter(|r| !served.contains(&(svc, *r))).cloned().collect()
+    };
+    let mut out = Vec::new();
+    for e in &table.entries {
+        let at = base + e.off;
+        match &e.homes {
+            Some(h) => out.extend(homeless(&e.to, h).into_iter().map(|r| {
+                diagnostic(src, at, format!("entry '{}': home '{r}' has no replica of '{}'", e.name, e.to))
+            })),
+            None if homeless(&e.to, &table.regions()).len() == table.regions().len() => out.push(diagnostic(
+                src,
+                at,
+                format!("entry '{}': no region has a replica of '{}'", e.name, e.to),
+            )),
+            None => {}
+        }
+    }
+    let order: Vec<String> = crate::document::read(src)
+        .map(|d| d.tenants.into_iter().map(|t| t.name).collect())
+        .unwrap_or_default();
+    for (t, homes) in &table.tenants {
+        let n = order.iter().position(|o| o == t.as_str()).unwrap_or_default();
+        let path = ["tenants".to_string(), n.to_string()];
+        let Some(h) = homes else { continue };
+        for e in &table.entries {
+            let both: BTreeSet<Region> = table.homes(e, Some(t));
+            if !both.is_empty() && homeless(&e.to, &both).len() == both.len() {
+                let msg = format!("tenant '{t}': no replica of '{}' in its homes {h:?}", e.to);
+                out.push(diagnostic(src, locate(src, &path), msg));
+            }
+        }
+    }
+    out
+}
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,20 +1,22 @@
 //! The operator's document: reading, checks, the small language and its compiler (design 4).
 //! Pure: no input or output, the same result on every node.
 
+#![warn(missing_docs)]
+
 /// Version of the language; a node that reads an older one is told by `foldshunt-check`.
-pub const LANG: u32 = 1;
+pub const LANGUAGE_VERSION: u32 = 1;
 
 pub mod compile;
-pub mod doc;
-pub mod fleet;
-pub mod lang;
-pub mod lex;
-pub mod place;
+pub mod diagnostic;
+pub mod document;
+pub mod fleet_check;
+pub mod lexer;
+pub mod parser;
 pub mod routes;
-pub mod table;
+pub mod routing_table;
 
 pub use compile::compile;
-pub use fleet::check_fleet;
-pub use place::Flaw;
-pub use routes::{Backend, Engine, Notation, RequestLimits, Route, RouteKind, RouteMap};
-pub use table::{Entry, KeyPart, Kind, Policy, Table};
+pub use diagnostic::Diagnostic;
+pub use fleet_check::check_fleet;
+pub use routes::{Backend, BatchEngine, DocumentFormat, RequestLimits, Route, RouteKind, RouteMap};
+pub use routing_table::{Entry, KeyPart, Kind, Policy, RoutingTable};
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -1,7 +1,7 @@
 //! Routes by host and path prefix, and what a router needs to know of their services (design 4.8).
 //! A notation reads a document into this form: the product's own, or an adapter's.
 
-use crate::place::Flaw;
+use crate::diagnostic::Diagnostic;
 use common::{Region, Service};
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -19,17 +19,21 @@
     Streaming,
 }
 
+/// What is done with requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
+    /// Name of the route, for logs.
     pub name: String,
+    /// Host that requests name.
     pub host: String,
     /// Begins and ends with a slash.
     pub prefix: String,
+    /// What may be repeated.
     pub kind: RouteKind,
     /// The longest that a request may be held.
     pub hold_ms: u64,
     /// The time within which an answer, or a stream's first event, earns its full worth.
-    pub target_ms: u64,
+    pub latency_target_ms: u64,
     /// 0 comes first, 9 last.
     pub urgency: u8,
     /// Services by weight; weights sum to more than 0.
@@ -37,18 +41,18 @@
     /// Most replicas that one request may be sent to.
     pub tries: u32,
     /// What shares a prefix is worth keeping together.
-    pub sticky: bool,
+    pub affinity: bool,
     /// A cut stream may be taken up at another replica.
     pub resumable: bool,
     /// Longest pause between events that keeps an answer in time.
-    pub gap_target_ms: Option<u64>,
+    pub max_event_gap_ms: Option<u64>,
     /// Regions that may serve it; all where empty.
     pub homes: BTreeSet<Region>,
 }
 
 impl Route {
     /// Whether a request that may have run may run again.
-    pub fn repeatable(&self) -> bool {
+    pub fn idempotent(&self) -> bool {
         match self.kind {
             RouteKind::ReadOnly => true,
             RouteKind::Writing => false,
@@ -70,7 +74,7 @@
 
 /// A batch engine, as far as the document tells.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Engine {
+pub struct BatchEngine {
     /// Requests that one replica works on at once.
     pub slots: u32,
     /// Tokens that fit a replica's memory, running and kept together.
@@ -79,24 +83,33 @@
     pub step_tokens: u32,
 }
 
+/// What a router needs to know of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
+    /// Name of the service.
     pub name: Service,
+    /// Path of its health check.
     pub health_path: String,
     /// Connections that one replica takes from all callers together.
-    pub max_conns: u32,
+    pub max_connections: u32,
     /// How long a replica stays cold after its start, and what it bears a second until then.
-    pub cold_for_ms: u64,
-    pub cold_per_s: f64,
-    pub engine: Option<Engine>,
+    pub slow_start_ms: u64,
+    /// Requests a second that it bears until then.
+    pub slow_start_per_s: f64,
+    /// Its batch engine, if it has one.
+    pub engine: Option<BatchEngine>,
 }
 
 /// What a client may send, and how long it may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
+    /// Largest request line and headers together.
     pub max_header_bytes: usize,
+    /// Largest body.
     pub max_body_bytes: usize,
+    /// Longest time from the first byte of a head to its last.
     pub header_wait_ms: u64,
+    /// Longest time without a request.
     pub idle_ms: u64,
 }
 
@@ -113,11 +126,14 @@
     pub version: u64,
     /// By host; the longest prefix first.
     hosts: HashMap<String, Vec<Arc<Route>>>,
+    /// Services by name.
     pub backends: BTreeMap<Service, Arc<Backend>>,
+    /// Limits on clients' connections and requests.
     pub limits: RequestLimits,
 }
 
 impl RouteMap {
+    /// A map of these routes.
     pub fn new(version: u64, routes: Vec<Route>, backends: Vec<Backend>, limits: RequestLimits) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for r in routes {
@@ -135,14 +151,19 @@
         self.hosts.get(&host)?.iter().find(|r| path.starts_with(&r.prefix))
     }
 
+    /// All routes.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.values().flatten()
     }
 }
 
 /// How a document is written. Reading checks all that can be checked without the fleet.
-pub trait Notation: Send + Sync + 'static {
-    fn read(&self, text: &str) -> Result<RouteMap, Vec<Flaw>>;
+pub trait DocumentFormat: Send + Sync + 'static {
+    /// Parses a document.
+    ///
+    /// # Errors
+    /// All that is wrong with it.
+    fn read(&self, text: &str) -> Result<RouteMap, Vec<Diagnostic>>;
     /// The document that comes of changing named items in `text`, everything else kept as it was.
-    fn amend(&self, text: &str, change: &str) -> Result<String, Vec<Flaw>>;
+    fn amend(&self, text: &str, change: &str) -> Result<String, Vec<Diagnostic>>;
 }
--- a/crates/configuration/src/table.rs
+++ b/crates/configuration/src/routing_table.rs
@@ -1,10 +1,11 @@
 //! The compiled plan table, and how a job finds its entry in it (design 4.5).
 
-use crate::doc::Tuning;
+use crate::document::Tuning;
 use common::{Region, Service, Tenant, Zone};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// What a service serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -17,18 +18,26 @@
 /// One way to learn the user key; the first that yields something is used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyPart {
+    /// The value of a header.
     Header(String),
+    /// The value at a path in the JSON body.
     Json(String),
     /// Hash of the first bytes of the prompt.
     Opening(usize),
 }
 
+/// How requests of an entry are placed (design 5.1).
 #[derive(Clone, Debug)]
 pub struct Policy {
+    /// Its name.
     pub name: String,
+    /// How long a placement lives without use.
     pub ttl_ms: u64,
+    /// Share of a region's capacity in use above which it gets no placement.
     pub overload: f64,
+    /// Smoothing of the weights.
     pub smooth: f64,
+    /// Where the user key is found; the first that yields something is used.
     pub key: Vec<KeyPart>,
 }
 
@@ -45,25 +54,39 @@
     }
 }
 
+/// Which requests go to which service, and under what terms.
 #[derive(Clone, Debug)]
 pub struct Entry {
+    /// Its name.
     pub name: String,
+    /// Byte offset in the source.
     pub off: usize,
+    /// HTTP method, or `ANY`.
     pub method: String,
     /// Exact path, or a prefix where it ended in `*`.
     pub path: String,
+    /// Whether the path is a prefix.
     pub prefix: bool,
+    /// Headers that must have these values.
     pub headers: Vec<(String, String)>,
+    /// The service.
     pub to: Service,
+    /// Its kind.
     pub kind: Kind,
+    /// Regions that may serve it; all where `None`.
     pub homes: Option<BTreeSet<Region>>,
-    pub repeatable: bool,
+    /// Whether a request that may have run may run again.
+    pub idempotent: bool,
+    /// Largest body, in bytes.
     pub limit: usize,
+    /// Time within which a request must be answered.
     pub deadline_ms: u64,
+    /// Index of its policy.
     pub policy: usize,
 }
 
 impl Entry {
+    /// Whether a request belongs to this entry.
     pub fn fits(&self, method: &str, path: &str, header: &dyn Fn(&str) -> Option<String>) -> bool {
         (self.method == "ANY" || self.method == method)
             && if self.prefix { path.starts_with(&self.path) } else { path == self.path }
@@ -82,30 +105,43 @@
     }
 }
 
+/// A compiled document.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct RoutingTable {
+    /// Name of the cluster that it is for.
     pub cluster: String,
     /// Version of the language that a node must read to compile this document.
     pub lang: u32,
+    /// Zones and their regions.
     pub zones: BTreeMap<Zone, Region>,
+    /// Services and their kinds.
     pub services: BTreeMap<Service, Kind>,
+    /// Header that names the tenant.
     pub tenant_header: String,
+    /// Tenant of requests that name none.
     pub tenant_default: Option<Tenant>,
+    /// Tenants and the regions that may serve them; all where `None`.
     pub tenants: BTreeMap<Tenant, Option<BTreeSet<Region>>>,
+    /// Bounds for the whole fleet.
     pub tuning: Tuning,
+    /// Entries in their order; the first that fits is taken.
     pub entries: Vec<Entry>,
+    /// Policies; the first is the standard one.
     pub policies: Vec<Policy>,
 }
 
-impl Table {
+impl RoutingTable {
+    /// The entry of a request.
     pub fn find(&self, method: &str, path: &str, header: &dyn Fn(&str) -> Option<String>) -> Option<&Entry> {
         self.entries.iter().find(|e| e.fits(method, path, header))
     }
 
+    /// All regions.
     pub fn regions(&self) -> BTreeSet<Region> {
         self.zones.values().cloned().collect()
     }
 
+    /// The region of a zone.
     pub fn region_of(&self, zone: &Zone) -> Option<&Region> {
         self.zones.get(zone)
     }
@@ -134,6 +170,7 @@
             .collect()
     }
 
+    /// The policy of an entry.
     pub fn policy(&self, e: &Entry) -> &Policy {
         &self.policies[e.policy]
     }
--- a/crates/configuration/tests/compile.rs
+++ b/crates/configuration/tests/compile.rs
@@ -1,4 +1,4 @@
-//! Conformance of the compiler with design 4.2 to 4.5: every flaw, with its place.
+//! Conformance of the compiler with design 4.2 to 4.5: every diagnostic, with its place.
 
 use common::{Region, Tenant};
 use configuration::{KeyPart, check_fleet, compile};
@@ -49,9 +49,9 @@
 fn each_flaw_has_its_place(#[case] from: &str, #[case] to: &str, #[case] at: &str, #[case] says: &str) {
     assert!(DOC.contains(from));
     let src = DOC.replacen(from, to, 1);
-    let flaws = compile(&src).unwrap_err();
-    let hit = flaws.iter().find(|f| f.message.contains(says));
-    let hit = hit.unwrap_or_else(|| panic!("{flaws:?}"));
+    let diagnostics = compile(&src).unwrap_err();
+    let hit = diagnostics.iter().find(|f| f.message.contains(says));
+    let hit = hit.unwrap_or_else(|| panic!("{diagnostics:?}"));
     let last = src.lines().collect::<Vec<_>>().iter().rposition(|l| l.contains(at)).map(|n| n + 1);
     assert!(hit.line == line_of(&src, at) || Some(hit.line) == last, "{hit}, not at {at:?}");
     assert!(hit.column > 0);
@@ -101,11 +101,27 @@
         zones.iter().flat_map(both).collect()
     };
     assert!(check_fleet(DOC, &t, &all(&["baires-1", "cordoba-1"])).is_empty());
-    let flaws = check_fleet(DOC, &t, &all(&["cordoba-1"]));
-    let says: Vec<&str> = flaws.iter().map(|f| f.message.as_str()).collect();
+    let diagnostics = check_fleet(DOC, &t, &all(&["cordoba-1"]));
+    let says: Vec<&str> = diagnostics.iter().map(|f| f.message.as_str()).collect();
     assert_eq!(says, ["entry 'claimant-replies': home 'buenos-aires' has no replica of 'match'"]);
-    assert_eq!(flaws[0].line, line_of(DOC, "entry claimant-replies"));
-    let flaws = check_fleet(DOC, &t, &all(&["baires-2"]));
-    assert!(flaws.iter().any(|f| f.message.contains("tenant 'cordoba-register'")), "{flaws:?}");
+    assert_eq!(diagnostics[0].line, line_of(DOC, "entry claimant-replies"));
+    let diagnostics = check_fleet(DOC, &t, &all(&["baires-2"]));
+    assert!(diagnostics.iter().any(|f| f.message.contains("tenant 'cordoba-register'")), "{diagnostics:?}");
     assert!(check_fleet(DOC, &t, &[]).len() >= 3);
 }
+
+/// `areas` and `timetable` are names of earlier releases.
+#[test]
+fn standard_field_names_mean_the_same() {
+    let old = include_str!("../../../examples/bitacora.toml");
+    let standard = old
+        .replace("[[areas]]", "[[zones]]")
+        .replace("areas =", "zones =")
+        .replace("timetable =", "routing =");
+    assert_ne!(old, standard);
+    let compiled = |source: &str| format!("{:?}", compile(source).expect("an example that compiles"));
+    assert_eq!(compiled(old), compiled(&standard));
+    let broken =
+        |source: &str| compile(&source.replace("to verdict", "to nobody")).expect_err("no such service");
+    assert_eq!(broken(old), broken(&standard), "the same lines and columns");
+}
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -24,6 +24,6 @@
 pub mod storage;
 pub mod types;
 
-pub use configuration::LANG;
+pub use configuration::LANGUAGE_VERSION;
 pub use state_machine::ClusterState;
 pub use types::{ApplyOutcome, Change, Document, MAX_DOCUMENT_BYTES, Member, Replica, ReplicaChange, Role};
--- a/crates/control-plane/src/operator/api/document.rs
+++ b/crates/control-plane/src/operator/api/document.rs
@@ -11,7 +11,7 @@
     Revision, Service, Zone,
     http::{json, text},
 };
-use configuration::{Flaw, Table};
+use configuration::{Diagnostic, RoutingTable};
 use hyper::StatusCode;
 use serde_json::json as j;
 
@@ -66,13 +66,13 @@
         self.propose(Change::Apply { op: self.op.clone(), base, text }).await
     }
 
-    /// Reports all flaws at once; nothing was logged, so nothing can take effect (design 4.2).
+    /// Reports all diagnostics at once; nothing was logged, so nothing can take effect (design 4.2).
     fn refuse_flawed(&self, source: &str, state: &ClusterState) -> Early<()> {
-        let flaws = check_document(&self.node.settings.cluster, source, state);
-        if flaws.is_empty() {
+        let diagnostics = check_document(&self.node.settings.cluster, source, state);
+        if diagnostics.is_empty() {
             return Ok(());
         }
-        early(json(StatusCode::UNPROCESSABLE_ENTITY, &j!({"outcome": "refused", "flaws": flaws})))
+        early(json(StatusCode::UNPROCESSABLE_ENTITY, &j!({"outcome": "refused", "flaws": diagnostics})))
     }
 
     pub(super) async fn patch_document(&self, body: &Bytes) -> Early<ApiResponse> {
@@ -94,27 +94,27 @@
 }
 
 /// Why a document must not be logged on top of the state as it is; none where it may be.
-pub fn check_document(cluster: &str, source: &str, state: &ClusterState) -> Vec<Flaw> {
+pub fn check_document(cluster: &str, source: &str, state: &ClusterState) -> Vec<Diagnostic> {
     let table = match configuration::compile(source) {
         Ok(table) => table,
-        Err(flaws) => return flaws,
+        Err(diagnostics) => return diagnostics,
     };
     if table.cluster != cluster {
         let message = format!("cluster: {:?}; allowed: {cluster:?}", table.cluster);
-        return vec![Flaw { line: 1, column: 1, message }];
+        return vec![Diagnostic { line: 1, column: 1, message }];
     }
     let replicas = state.replicas.values().filter(|replica| !replica.draining);
     let listed: Vec<(Service, Zone)> =
         replicas.map(|replica| (replica.service.clone(), replica.zone.clone())).collect();
-    let mut flaws = configuration::check_fleet(source, &table, &listed);
-    flaws.extend(outdated_members(&table, state));
-    flaws
+    let mut diagnostics = configuration::check_fleet(source, &table, &listed);
+    diagnostics.extend(outdated_members(&table, state));
+    diagnostics
 }
 
 /// Members that can't compile the document.
-fn outdated_members(table: &Table, state: &ClusterState) -> impl Iterator<Item = Flaw> {
+fn outdated_members(table: &RoutingTable, state: &ClusterState) -> impl Iterator<Item = Diagnostic> {
     let outdated = state.members.values().filter(|member| member.info.lang < table.lang);
-    outdated.map(|member| Flaw {
+    outdated.map(|member| Diagnostic {
         line: 1,
         column: 1,
         message: format!(
--- a/crates/control-plane/src/operator/service.rs
+++ b/crates/control-plane/src/operator/service.rs
@@ -14,7 +14,7 @@
     types::{ApplyOutcome, Change, Document, MAX_DOCUMENT_BYTES},
 };
 use common::{OpId, Revision, Zone, is_valid_name};
-use configuration::{Flaw, Notation};
+use configuration::{Diagnostic, DocumentFormat};
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::{collections::BTreeSet, fmt, hash::Hasher, sync::Arc, time::Duration};
 use tokio::time::Instant;
@@ -36,7 +36,7 @@
         current: Option<u64>,
     },
     /// Nothing was logged, and sending it again would not help.
-    Invalid(Vec<Flaw>),
+    Invalid(Vec<Diagnostic>),
     /// The body or the document is too long.
     TooLarge,
     /// Nothing was logged; it may be sent again.
@@ -53,7 +53,7 @@
     /// No leader answered in time.
     TimedOut,
     /// The document in force can't be parsed.
-    Unparsable(Vec<Flaw>),
+    Unparsable(Vec<Diagnostic>),
 }
 
 impl fmt::Display for ServiceError {
@@ -61,7 +61,9 @@
         match self {
             ServiceError::Read(why) => why.fmt(f),
             ServiceError::TimedOut => f.write_str("no leader answered in time"),
-            ServiceError::Unparsable(flaws) => write!(f, "the current document can't be read: {flaws:?}"),
+            ServiceError::Unparsable(diagnostics) => {
+                write!(f, "the current document can't be read: {diagnostics:?}")
+            }
         }
     }
 }
@@ -84,7 +86,7 @@
 /// Carries out operators' operations at one control node.
 pub struct OperatorService {
     node: Arc<ControlNode>,
-    notation: Arc<dyn Notation>,
+    document_format: Arc<dyn DocumentFormat>,
     /// Zones that exist whether or not a node is in them now.
     zones: BTreeSet<Zone>,
 }
@@ -94,7 +96,7 @@
 }
 
 fn invalid(message: impl Into<String>) -> OperationOutcome {
-    OperationOutcome::Invalid(vec![Flaw { line: 1, column: 1, message: message.into() }])
+    OperationOutcome::Invalid(vec![Diagnostic { line: 1, column: 1, message: message.into() }])
 }
 
 /// The operation's name: the same for the same call on each node and in each version.
@@ -112,8 +114,12 @@
 
 impl OperatorService {
     /// The service of one node, for documents in one notation.
-    pub fn new(node: Arc<ControlNode>, notation: Arc<dyn Notation>, zones: BTreeSet<Zone>) -> Self {
-        Self { node, notation, zones }
+    pub fn new(
+        node: Arc<ControlNode>,
+        document_format: Arc<dyn DocumentFormat>,
+        zones: BTreeSet<Zone>,
+    ) -> Self {
+        Self { node, document_format, zones }
     }
 
     /// Replaces the document, which is kept byte for byte. `base_version` is 0 where there is none yet.
@@ -125,7 +131,7 @@
     /// Changes named items of the document.
     pub async fn amend(&self, base_version: u64, change: &str) -> OperationOutcome {
         let op = name_operation("amend", base_version, change);
-        self.submit(op, base_version, change, |current| self.notation.amend(current, change)).await
+        self.submit(op, base_version, change, |current| self.document_format.amend(current, change)).await
     }
 
     /// The newest committed document and its version.
@@ -175,7 +181,7 @@
         op: OpId,
         base_version: u64,
         body: &str,
-        make: impl FnOnce(&str) -> Result<String, Vec<Flaw>>,
+        make: impl FnOnce(&str) -> Result<String, Vec<Diagnostic>>,
     ) -> OperationOutcome {
         if body.len() > MAX_DOCUMENT_BYTES {
             return OperationOutcome::TooLarge;
@@ -194,7 +200,7 @@
         &self,
         op: OpId,
         base_version: u64,
-        make: impl FnOnce(&str) -> Result<String, Vec<Flaw>>,
+        make: impl FnOnce(&str) -> Result<String, Vec<Diagnostic>>,
         deadline: Instant,
     ) -> Result<OperationOutcome, ServiceError> {
         let state = self.newest_state(deadline).await?;
@@ -229,14 +235,14 @@
         &self,
         state: &ClusterState,
         current: u64,
-        make: impl FnOnce(&str) -> Result<String, Vec<Flaw>>,
+        make: impl FnOnce(&str) -> Result<String, Vec<Diagnostic>>,
     ) -> Result<Document, OperationOutcome> {
         let text = make(state.text.as_deref().unwrap_or("")).map_err(OperationOutcome::Invalid)?;
         let text = Document::from(text);
         if !text.fits() {
             return Err(OperationOutcome::TooLarge);
         }
-        let version = self.notation.read(&text).map_err(OperationOutcome::Invalid)?.version;
+        let version = self.document_format.read(&text).map_err(OperationOutcome::Invalid)?.version;
         if version <= current {
             return Err(invalid(format!("version: {version}; allowed: above {current}, the current one")));
         }
@@ -246,7 +252,7 @@
     /// The version of the document in force; 0 where there is none yet.
     fn version(&self, state: &ClusterState) -> Result<u64, ServiceError> {
         let Some(text) = &state.text else { return Ok(0) };
-        self.notation.read(text).map(|routes| routes.version).map_err(ServiceError::Unparsable)
+        self.document_format.read(text).map(|routes| routes.version).map_err(ServiceError::Unparsable)
     }
 
     async fn propose(&self, change: Change, deadline: Instant) -> OperationOutcome {
--- a/crates/control-plane/src/types/node.rs
+++ b/crates/control-plane/src/types/node.rs
@@ -63,7 +63,7 @@
             node: settings.node.as_str().into(),
             incarnation,
             role,
-            lang: configuration::LANG,
+            lang: configuration::LANGUAGE_VERSION,
             zone: settings.zone.as_str().into(),
             rpc_addr: settings.rpc_addr(),
             http: settings.advertised_http(),
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -9,7 +9,7 @@
     runtime::{Host, Simulation, bind, spawn, spawn_at},
     settings::{Settings, Timing},
 };
-use configuration::{Flaw, Notation, RequestLimits, RouteMap};
+use configuration::{Diagnostic, DocumentFormat, RequestLimits, RouteMap};
 use control_plane::{
     Change, Role,
     consensus::DurableState,
@@ -31,15 +31,15 @@
 /// A document is its version's number on a line of its own, then whatever follows.
 pub struct RpcClient;
 
-impl Notation for RpcClient {
-    fn read(&self, text: &str) -> Result<RouteMap, Vec<Flaw>> {
+impl DocumentFormat for RpcClient {
+    fn read(&self, text: &str) -> Result<RouteMap, Vec<Diagnostic>> {
         let first = text.lines().next().unwrap_or_default();
-        let flaw = |_| vec![Flaw { line: 1, column: 1, message: "no version".into() }];
-        first.parse().map(|v| RouteMap::new(v, vec![], vec![], RequestLimits::default())).map_err(flaw)
+        let diagnostic = |_| vec![Diagnostic { line: 1, column: 1, message: "no version".into() }];
+        first.parse().map(|v| RouteMap::new(v, vec![], vec![], RequestLimits::default())).map_err(diagnostic)
     }
 
     /// The change's first line takes the place of the version; the rest is added at the end.
-    fn amend(&self, text: &str, change: &str) -> Result<String, Vec<Flaw>> {
+    fn amend(&self, text: &str, change: &str) -> Result<String, Vec<Diagnostic>> {
         let body = |t: &str| t.split_once('\n').map(|(_, b)| b.to_string()).unwrap_or_default();
         let version = change.lines().next().unwrap_or_default();
         Ok(format!("{version}\n{}{}", body(text), body(change)))
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -126,7 +126,7 @@
     }
 
     fn again(&self, p: &Plan, past: &Past, after: After) -> bool {
-        may_retry(after, p.entry.repeatable, p.inner, past.attempts)
+        may_retry(after, p.entry.idempotent, p.inner, past.attempts)
             && self.now() < p.deadline
             && self.budget.spend()
     }
--- a/crates/data-plane/src/grant_exchange.rs
+++ b/crates/data-plane/src/grant_exchange.rs
@@ -6,20 +6,20 @@
     rpc::{RouterRequest, RouterResponse},
 };
 use common::{NodeId, Region, Service};
-use configuration::Table;
+use configuration::RoutingTable;
 use control_plane::{Member, state_machine::singleton};
 use std::{sync::Arc, time::Duration};
 
 impl Router {
     /// The one router that lends for a region.
-    pub fn issuer_for(&self, t: &Table, region: &Region) -> Option<Member> {
+    pub fn issuer_for(&self, t: &RoutingTable, region: &Region) -> Option<Member> {
         let l = self.cluster_state();
         singleton::ranked_holders(&l, &format!("lender/{region}"), None)
             .into_iter()
             .find(|m| stands_in(&l, t, m, region))
     }
 
-    fn issues_here(&self, t: &Table) -> Option<Region> {
+    fn issues_here(&self, t: &RoutingTable) -> Option<Region> {
         let own = self.own_region(t)?;
         self.issuer_for(t, &own).filter(|m| m.info.node == *self.node()).map(|_| own)
     }
--- a/crates/data-plane/src/health_prober.rs
+++ b/crates/data-plane/src/health_prober.rs
@@ -10,7 +10,7 @@
     summary::EventKind,
 };
 use common::{FencingToken, ReplicaId, Service, Tick, Zone, http::ask, log_event};
-use configuration::Table;
+use configuration::RoutingTable;
 use control_plane::{ClusterState, Member, Replica, state_machine::singleton};
 use hyper::Method;
 use std::{collections::BTreeMap, sync::Arc, sync::atomic::Ordering, time::Duration};
@@ -26,7 +26,7 @@
 
 impl Router {
     /// The home: a router of the zone; where it has none, one of its region.
-    pub fn home_of(&self, t: &Table, svc: &Service, zone: &Zone) -> Option<Member> {
+    pub fn home_of(&self, t: &RoutingTable, svc: &Service, zone: &Zone) -> Option<Member> {
         let l = self.cluster_state();
         let key = format!("home/{svc}/{zone}");
         singleton::ranked_holders(&l, &key, Some(zone)).into_iter().next().or_else(|| {
@@ -158,7 +158,7 @@
         replica: &Replica,
         result: ProbeResult,
         full: bool,
-        table: &Table,
+        table: &RoutingTable,
     ) -> ReplicaLoad {
         let (now, tuning) = (self.now(), &table.tuning);
         let was_healthy = known.healthy;
--- a/crates/data-plane/src/replica_choice.rs
+++ b/crates/data-plane/src/replica_choice.rs
@@ -6,7 +6,7 @@
     router::{Router, stands_in},
 };
 use common::{NodeId, Region, Service, rendezvous::stable_hash};
-use configuration::{Kind, Table};
+use configuration::{Kind, RoutingTable};
 use control_plane::ClusterState;
 use std::{
     net::SocketAddr,
@@ -39,7 +39,7 @@
     i64::from(whole / n) + i64::from((place as u64) < u64::from(whole % n))
 }
 
-pub fn routers_of(l: &ClusterState, t: &Table, region: &Region) -> Vec<NodeId> {
+pub fn routers_of(l: &ClusterState, t: &RoutingTable, region: &Region) -> Vec<NodeId> {
     l.routers().into_iter().filter(|m| stands_in(l, t, m, region)).map(|m| m.info.node.clone()).collect()
 }
 
@@ -70,7 +70,7 @@
     /// replicas, but none has room; `Err(false)`: there are none.
     pub fn pick(
         self: &Arc<Self>,
-        t: &Table,
+        t: &RoutingTable,
         svc: &Service,
         kind: Kind,
         key: Option<UserKey>,
--- a/crates/data-plane/src/retry_policy.rs
+++ b/crates/data-plane/src/retry_policy.rs
@@ -10,7 +10,7 @@
 }
 
 /// Whether a request may have another go, tokens apart (design 6.2).
-pub fn may_retry(after: After, repeatable: bool, inner: bool, attempts: u32) -> bool {
-    let again = after == After::NotRun || repeatable || common::mutation::enabled("once-goes-again");
+pub fn may_retry(after: After, idempotent: bool, inner: bool, attempts: u32) -> bool {
+    let again = after == After::NotRun || idempotent || common::mutation::enabled("once-goes-again");
     !inner && attempts < MAX_ATTEMPTS && again
 }
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -17,7 +17,7 @@
     Clock, FencingToken, NodeId, Region, Revision, Service, Tick, Zone, event_log::EventLog, http::OpenCount,
     log_event, rpc::RpcClient, settings::Settings,
 };
-use configuration::Table;
+use configuration::RoutingTable;
 use control_plane::{ClusterState, Member, membership};
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -31,7 +31,7 @@
 /// A compiled document and the revision that it came from.
 pub struct ActiveConfiguration {
     pub revision: Revision,
-    pub table: Table,
+    pub table: RoutingTable,
 }
 
 /// A placement as last heard from its owner.
@@ -174,12 +174,12 @@
     }
 
     /// Replicas of the own region that may be given something now.
-    pub fn own_replicas(&self, t: &Table, svc: &Service) -> Vec<Candidate> {
+    pub fn own_replicas(&self, t: &RoutingTable, svc: &Service) -> Vec<Candidate> {
         let own = self.own_region(t);
         self.usable(svc).into_iter().filter(|c| t.region_of(&c.zone) == own.as_ref()).collect()
     }
 
-    pub fn own_region(&self, t: &Table) -> Option<Region> {
+    pub fn own_region(&self, t: &RoutingTable) -> Option<Region> {
         t.region_of(self.zone()).cloned()
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// Pressure by region for one service, with own forwarded requests since the load reports added.
-    pub fn seen(&self, t: &Table, svc: &Service) -> BTreeMap<Region, RegionLoad> {
+    pub fn seen(&self, t: &RoutingTable, svc: &Service) -> BTreeMap<Region, RegionLoad> {
         let mut out = regions(&self.usable(svc), &|a| t.region_of(a).cloned());
         let own = self.own_region(t);
         for (r, p) in out.iter_mut().filter(|(r, _)| Some(*r) != own.as_ref()) {
@@ -233,7 +233,7 @@
 }
 
 /// Whether a router stands in a region, in a zone that is not evacuated.
-pub fn stands_in(l: &ClusterState, t: &Table, m: &Member, region: &Region) -> bool {
+pub fn stands_in(l: &ClusterState, t: &RoutingTable, m: &Member, region: &Region) -> bool {
     t.region_of(&m.info.zone) == Some(region) && !l.evacuated.contains(&m.info.zone)
 }
 
--- a/crates/data-plane/src/serving/attempt_state.rs
+++ b/crates/data-plane/src/serving/attempt_state.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestTraits {
     /// It may run more than once.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// It carries an id, which its answer repeats.
     pub has_id: bool,
 }
@@ -78,7 +78,7 @@
     if !head.ends_surely {
         return Verdict::MayHaveRun("its end can't be told from a cut");
     }
-    if !asked.repeatable && status_promises_not_run(head.status) && !broken("promise-passed-on") {
+    if !asked.idempotent && status_promises_not_run(head.status) && !broken("promise-passed-on") {
         return Verdict::MayHaveRun("its status promises what the replica does not say");
     }
     Verdict::Answer
@@ -117,7 +117,7 @@
 /// The attempts of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Attempts {
-    repeatable: bool,
+    idempotent: bool,
     most: u32,
     /// Replicas that the request has reached or may have reached.
     arrived: u32,
@@ -129,9 +129,9 @@
 }
 
 impl Attempts {
-    pub fn new(repeatable: bool, most: u32) -> Self {
+    pub fn new(idempotent: bool, most: u32) -> Self {
         let (arrived, unsent) = (0, 0);
-        Self { repeatable, most: most.max(1), arrived, unsent, may_have_run: false, under_way: None }
+        Self { idempotent, most: most.max(1), arrived, unsent, may_have_run: false, under_way: None }
     }
 
     pub fn arrived(&self) -> u32 {
@@ -143,7 +143,7 @@
     }
 
     pub fn permit(&self) -> Permit {
-        let once = self.may_have_run() && !self.repeatable && !broken("write-sent-again");
+        let once = self.may_have_run() && !self.idempotent && !broken("write-sent-again");
         let most = if broken("tries-not-counted") { u32::MAX } else { self.most };
         if once || self.unsent >= MAX_UNSENT || self.arrived >= most {
             return Permit::No;
--- a/crates/data-plane/src/serving/connection_reuse.rs
+++ b/crates/data-plane/src/serving/connection_reuse.rs
@@ -10,7 +10,7 @@
 /// Whether a request may be put on a connection that has carried others: only what may run again,
 /// since an idle connection may be reset under it, and only what can tell its own answer.
 pub fn may_reuse(asked: RequestTraits) -> bool {
-    (asked.repeatable || broken("write-on-kept")) && (asked.has_id || broken("no-id-on-kept"))
+    (asked.idempotent || broken("write-on-kept")) && (asked.has_id || broken("no-id-on-kept"))
 }
 
 /// What a replica says of the connection in an answer's head.
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -11,7 +11,7 @@
     runtime::{bind, random, spawn},
     settings::{Listeners, Settings},
 };
-use configuration::Notation;
+use configuration::DocumentFormat;
 use control_plane::{Role, membership::Member, types::NodeInfo};
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -23,7 +23,7 @@
 pub struct Parts {
     pub site: Site,
     pub dialect: Arc<dyn ProtocolAdapter>,
-    pub notation: Arc<dyn Notation>,
+    pub document_format: Arc<dyn DocumentFormat>,
 }
 
 pub async fn run(
@@ -36,11 +36,11 @@
     let clock = Clock::default();
     let member = Member::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock.clone());
-    let Parts { site, dialect, notation } = parts;
+    let Parts { site, dialect, document_format } = parts;
     let extra: Vec<_> = site.readiness.into_iter().chain(site.directory).collect();
     let grace_ms = site.bounds.grace_ms;
     let keep_ms = site.bounds.keep_ms;
-    let s = Serving::new(router.clone(), dialect, notation, site);
+    let s = Serving::new(router.clone(), dialect, document_format, site);
     router.start_serving(&set, listeners.rpc);
     spawn(s.clone().keep_configuration());
     s.watch_all();
--- a/crates/data-plane/src/serving/dispatch.rs
+++ b/crates/data-plane/src/serving/dispatch.rs
@@ -31,7 +31,7 @@
 
 impl AttemptHistory {
     pub fn of(p: &Plan) -> Self {
-        Self { tried: Vec::new(), tries: Attempts::new(p.repeatable(), p.route.tries) }
+        Self { tried: Vec::new(), tries: Attempts::new(p.idempotent(), p.route.tries) }
     }
 
     /// The attempt under way has ended.
--- a/crates/data-plane/src/serving/event_splitter.rs
+++ b/crates/data-plane/src/serving/event_splitter.rs
@@ -81,7 +81,7 @@
     /// A line for each stream that came late or paused too long.
     pub fn log_if_late(&self, p: &Plan, open: &Open) {
         let first = self.first.unwrap_or(0);
-        if first > p.route.target_ms || p.route.gap_target_ms.is_some_and(|g| self.gap > g) {
+        if first > p.route.latency_target_ms || p.route.max_event_gap_ms.is_some_and(|g| self.gap > g) {
             log_event!(Info, "late stream", "peer" => open.at.addr, "route" => p.route.name, "first_ms" => first,
                 "gap_ms" => self.gap, "tokens" => p.prompt.tokens_in, "load" => open.at.load());
         }
--- a/crates/data-plane/src/serving/plan.rs
+++ b/crates/data-plane/src/serving/plan.rs
@@ -38,11 +38,11 @@
     }
 
     pub fn asked(&self) -> RequestTraits {
-        RequestTraits { repeatable: self.repeatable(), has_id: self.request_id.is_some() }
+        RequestTraits { idempotent: self.idempotent(), has_id: self.request_id.is_some() }
     }
 
-    pub fn repeatable(&self) -> bool {
-        self.route.repeatable()
+    pub fn idempotent(&self) -> bool {
+        self.route.idempotent()
     }
 }
 
@@ -55,7 +55,7 @@
 /// The user key: the shared parts of the prompt in their order, and the region it was sent in.
 pub fn user_key(route: &Route, service: &Service, prompt: &Prompt, region: &Region) -> Option<UserKey> {
     let shared = prompt.shared();
-    if !route.sticky || shared.is_empty() {
+    if !route.affinity || shared.is_empty() {
         return None;
     }
     let ids: Vec<u8> = shared.iter().flat_map(|p| p.0.to_le_bytes()).collect();
--- a/crates/data-plane/src/serving/replica_choice.rs
+++ b/crates/data-plane/src/serving/replica_choice.rs
@@ -26,7 +26,7 @@
     pub prompt: &'a Prompt,
     pub zone: &'a Zone,
     pub region: &'a Region,
-    pub sticky: bool,
+    pub affinity: bool,
     /// Reading its prompt holds up what runs beside it.
     pub long: bool,
     /// Long and short prompts both come to these replicas.
@@ -45,7 +45,7 @@
 
 impl ChoiceContext<'_> {
     fn shared(&self) -> u32 {
-        if self.sticky { self.prompt.shared_tokens() } else { 0 }
+        if self.affinity { self.prompt.shared_tokens() } else { 0 }
     }
 
     fn claim(&self, c: &Candidate) -> u64 {
--- a/crates/data-plane/src/serving/replica_selection.rs
+++ b/crates/data-plane/src/serving/replica_selection.rs
@@ -36,7 +36,7 @@
     fn new(serving: &'a Serving, plan: &'a Plan, history: &'a AttemptHistory) -> Self {
         let routers = serving.routers();
         let (used, of) = CONNECTIONS_USED;
-        let connections = plan.backend.max_conns as usize * used / of;
+        let connections = plan.backend.max_connections as usize * used / of;
         let bounds = &serving.site.bounds;
         Self {
             serving,
@@ -44,7 +44,7 @@
             history,
             now: serving.now(),
             max_open: (connections / routers.len().max(1)).max(MIN_CONNECTIONS),
-            warm_up_rate: plan.backend.cold_per_s * bounds.cold_overrun + bounds.cold_slack,
+            warm_up_rate: plan.backend.slow_start_per_s * bounds.cold_overrun + bounds.cold_slack,
             routers,
         }
     }
@@ -89,10 +89,10 @@
             prompt: &plan.prompt,
             zone: serving.router.zone(),
             region: &serving.site.region,
-            sticky: plan.route.sticky,
+            affinity: plan.route.affinity,
             long: plan.long,
             apart: false,
-            pause_ms: plan.route.gap_target_ms.unwrap_or(plan.route.target_ms) as f64,
+            pause_ms: plan.route.max_event_gap_ms.unwrap_or(plan.route.latency_target_ms) as f64,
             reading,
             prefixes: &plan.prefixes,
             reads_per_ms: READS_PER_MS,
@@ -139,7 +139,7 @@
             let candidates: Vec<&Candidate> =
                 here.filter(|replica| usable(replica) && selection.has_room(replica)).collect();
             context.apart = lock(&self.isolation).meet(&plan.service, &region, selection.now);
-            if replica_choice::all_overdue(&candidates, context, plan.route.target_ms as f64) {
+            if replica_choice::all_overdue(&candidates, context, plan.route.latency_target_ms as f64) {
                 continue;
             }
             if let Some(best) = replica_choice::best(&candidates, context) {
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -11,7 +11,7 @@
 use crate::router::{Router, lock};
 use arc_swap::{ArcSwap, ArcSwapOption};
 use common::{NodeId, Region, Service, Tick, Zone, log_event};
-use configuration::{Backend, Notation, RouteMap};
+use configuration::{Backend, DocumentFormat, RouteMap};
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
     net::SocketAddr,
@@ -50,7 +50,7 @@
 pub struct Serving {
     pub router: Arc<Router>,
     pub dialect: Arc<dyn ProtocolAdapter>,
-    pub notation: Arc<dyn Notation>,
+    pub document_format: Arc<dyn DocumentFormat>,
     pub site: Site,
     pub map: ArcSwapOption<RouteMap>,
     pub fleet: ArcSwap<ReplicaView>,
@@ -70,14 +70,14 @@
     pub fn new(
         router: Arc<Router>,
         dialect: Arc<dyn ProtocolAdapter>,
-        notation: Arc<dyn Notation>,
+        document_format: Arc<dyn DocumentFormat>,
         site: Site,
     ) -> Arc<Self> {
         let retries = RetryBudget::started(router.now());
         Arc::new(Self {
             router,
             dialect,
-            notation,
+            document_format,
             site,
             map: ArcSwapOption::empty(),
             fleet: ArcSwap::default(),
@@ -106,7 +106,7 @@
             }
             evacuated = l.evacuated.clone();
             if let Some(text) = l.text.as_ref().filter(|_| l.revision > have) {
-                match self.notation.read(text) {
+                match self.document_format.read(text) {
                     Ok(m) => {
                         have = l.revision;
                         self.map.store(Some(Arc::new(m)));
@@ -133,8 +133,8 @@
 
     /// Until when a replica counts as cold: by its load reports, or since its zone came back.
     pub fn cold(&self, c: &Candidate, b: &Backend, now: Tick) -> bool {
-        let back = lock(&self.zone_returned).get(&c.zone).is_some_and(|t| now.since(*t) < b.cold_for_ms);
-        b.cold_per_s > 0.0 && (back || c.cold_until > now)
+        let back = lock(&self.zone_returned).get(&c.zone).is_some_and(|t| now.since(*t) < b.slow_start_ms);
+        b.slow_start_per_s > 0.0 && (back || c.cold_until > now)
     }
 
     /// Listed, not leaving, in a zone that is not evacuated.
--- a/crates/data-plane/src/serving/stream_relay.rs
+++ b/crates/data-plane/src/serving/stream_relay.rs
@@ -191,7 +191,7 @@
     fn is_silent(&self, open: &Open, silence: Duration) -> bool {
         let now = self.serving.now();
         let quiet_ms = now.since(Tick(open.at.own.last_contact.load(Ordering::Relaxed)));
-        self.plan.repeatable() && now < self.plan.deadline && quiet_ms >= silence.as_millis() as u64
+        self.plan.idempotent() && now < self.plan.deadline && quiet_ms >= silence.as_millis() as u64
     }
 }
 
@@ -219,7 +219,7 @@
 /// How long a silence is borne before another replica is looked for: twice the pause that keeps an
 /// answer in time.
 fn silence(p: &Plan) -> Duration {
-    Duration::from_millis(p.route.gap_target_ms.unwrap_or(p.route.target_ms).max(250) * 2)
+    Duration::from_millis(p.route.max_event_gap_ms.unwrap_or(p.route.latency_target_ms).max(250) * 2)
 }
 
 /// Takes a cut stream up at another replica, behind the last event that went out.
@@ -229,7 +229,7 @@
     past: &mut AttemptHistory,
     last: Option<&str>,
 ) -> Option<(Open, AnswerBody)> {
-    if !p.repeatable() {
+    if !p.idempotent() {
         return None;
     }
     loop {
--- a/crates/data-plane/src/serving/workload_isolation.rs
+++ b/crates/data-plane/src/serving/workload_isolation.rs
@@ -22,7 +22,7 @@
 
 impl Seen {
     fn long(&self) -> bool {
-        let pause = self.route.gap_target_ms.unwrap_or(self.route.target_ms) as f64;
+        let pause = self.route.max_event_gap_ms.unwrap_or(self.route.latency_target_ms) as f64;
         self.tokens / READS_PER_MS > pause * LONG_PART
     }
 
--- a/crates/data-plane/tests/modules/retry_policy.rs
+++ b/crates/data-plane/tests/modules/retry_policy.rs
@@ -12,10 +12,10 @@
 #[case::three_at_most(After::NotRun, true, false, 3, false)]
 fn another_go(
     #[case] after: After,
-    #[case] repeatable: bool,
+    #[case] idempotent: bool,
     #[case] inner: bool,
     #[case] attempts: u32,
     #[case] want: bool,
 ) {
-    assert_eq!(may_retry(after, repeatable, inner, attempts), want);
+    assert_eq!(may_retry(after, idempotent, inner, attempts), want);
 }
--- a/crates/data-plane/tests/serving/attempt_state.rs
+++ b/crates/data-plane/tests/serving/attempt_state.rs
@@ -71,9 +71,9 @@
     fn starts(request: u8, kept: Option<Kept>) -> Vec<Self> {
         let mut out = Vec::new();
         for n in 0..12 {
-            let (repeatable, has_id, most) = (n & 1 == 0, n & 2 == 0, n / 4 + 1);
-            let asked = RequestTraits { repeatable, has_id };
-            let tries = Attempts::new(repeatable, most);
+            let (idempotent, has_id, most) = (n & 1 == 0, n & 2 == 0, n / 4 + 1);
+            let asked = RequestTraits { idempotent, has_id };
+            let tries = Attempts::new(idempotent, most);
             let (reached, ran, paid, told) = (0, 0, 0, Told::Nothing);
             out.push(Self { request, asked, most, tries, reached, ran, paid, kept, told });
         }
@@ -184,10 +184,10 @@
 
     /// What holds at every moment.
     fn check(&self) {
-        assert!(self.asked.repeatable || self.ran <= 1, "run twice: {self:?}");
+        assert!(self.asked.idempotent || self.ran <= 1, "run twice: {self:?}");
         assert!(self.reached <= self.most, "more replicas than tries: {self:?}");
         assert!(self.reached <= self.paid + 1, "a further try that nobody paid for: {self:?}");
-        let nothing_ran = self.asked.repeatable || self.ran == 0;
+        let nothing_ran = self.asked.idempotent || self.ran == 0;
         match self.told {
             Told::Nothing => {}
             Told::Last { refused } => assert!(!refused || nothing_ran, "refused, and it ran: {self:?}"),
@@ -228,7 +228,7 @@
 fn search() -> usize {
     // What may never be put on a connection that others have used.
     for n in 0..3 {
-        let asked = RequestTraits { repeatable: n & 1 != 0, has_id: n & 2 != 0 };
+        let asked = RequestTraits { idempotent: n & 1 != 0, has_id: n & 2 != 0 };
         assert!(!may_reuse(asked), "on a kept connection: {asked:?}");
     }
     let mut open = State::starts(1, None);
--- a/crates/data-plane/tests/serving/carried.rs
+++ b/crates/data-plane/tests/serving/carried.rs
@@ -22,7 +22,7 @@
 
 /// A stream that may be taken up; 500 ms between events are in time, a second of silence is long.
 fn talk() -> Route {
-    Route { resumable: true, gap_target_ms: Some(500), ..route("talk", RouteKind::Streaming) }
+    Route { resumable: true, max_event_gap_ms: Some(500), ..route("talk", RouteKind::Streaming) }
 }
 
 fn replicas(st: &Stage) -> BTreeSet<String> {
--- a/crates/data-plane/tests/serving/kit.rs
+++ b/crates/data-plane/tests/serving/kit.rs
@@ -67,13 +67,13 @@
         prefix: format!("/{name}/"),
         kind,
         hold_ms: 10_000,
-        target_ms: 1_000,
+        latency_target_ms: 1_000,
         urgency: 3,
         shares: vec![("chat".into(), 1)],
         tries: 3,
-        sticky: false,
+        affinity: false,
         resumable: false,
-        gap_target_ms: None,
+        max_event_gap_ms: None,
         homes: Default::default(),
     }
 }
--- a/crates/data-plane/tests/serving/limits.rs
+++ b/crates/data-plane/tests/serving/limits.rs
@@ -186,7 +186,7 @@
 #[test]
 fn an_answer_may_take_longer_than_a_rest() {
     use crate::stage::Act::Pause;
-    let talk = Route { gap_target_ms: Some(100_000), ..route("talk", RouteKind::Streaming) };
+    let talk = Route { max_event_gap_ms: Some(100_000), ..route("talk", RouteKind::Streaming) };
     let talk = Route { hold_ms: 300_000, resumable: false, ..talk };
     scene(1, Cast::default(), vec![talk], &[Pause(3, 20_000)], |st| async move {
         st.limit(RequestLimits { idle_ms: 2_000, header_wait_ms: 500, ..LIMITS });
--- a/crates/data-plane/tests/serving/own_answers.rs
+++ b/crates/data-plane/tests/serving/own_answers.rs
@@ -20,7 +20,7 @@
 }
 
 fn talk() -> Route {
-    Route { resumable: true, gap_target_ms: Some(500), ..route("talk", RouteKind::Streaming) }
+    Route { resumable: true, max_event_gap_ms: Some(500), ..route("talk", RouteKind::Streaming) }
 }
 
 fn alone() -> Cast {
--- a/crates/data-plane/tests/serving/plan.rs
+++ b/crates/data-plane/tests/serving/plan.rs
@@ -45,7 +45,7 @@
     #[case] region: &str,
     #[case] same: bool,
 ) {
-    let r = Route { sticky: true, ..route("talk", RouteKind::ReadOnly) };
+    let r = Route { affinity: true, ..route("talk", RouteKind::ReadOnly) };
     let key = |p: &[(u64, u32)], s: &str, at: &str| user_key(&r, &s.into(), &prompt(p, 60), &at.into());
     let base = key(&[(1, 10), (2, 20), (3, 30)], "chat", "north");
     assert!(base.is_some());
@@ -56,8 +56,8 @@
 #[case::no_parts(true, &[])]
 #[case::only_its_own(true, &[(1, 10)])]
 #[case::not_sticky(false, &[(1, 10), (2, 20)])]
-fn no_key_where_nothing_is_shared(#[case] sticky: bool, #[case] parts: Parts) {
-    let r = Route { sticky, ..route("talk", RouteKind::ReadOnly) };
+fn no_key_where_nothing_is_shared(#[case] affinity: bool, #[case] parts: Parts) {
+    let r = Route { affinity, ..route("talk", RouteKind::ReadOnly) };
     assert_eq!(user_key(&r, &"chat".into(), &prompt(parts, 30), &"north".into()), None);
 }
 
--- a/crates/data-plane/tests/serving/replica_view.rs
+++ b/crates/data-plane/tests/serving/replica_view.rs
@@ -78,7 +78,7 @@
                 prompt: &p,
                 zone: &"n1".into(),
                 region: &"north".into(),
-                sticky: false,
+                affinity: false,
                 long: false,
                 apart: false,
                 reading: &reading,
--- a/crates/data-plane/tests/serving/stage.rs
+++ b/crates/data-plane/tests/serving/stage.rs
@@ -11,7 +11,7 @@
     runtime::{Listener, Simulation, Stream, bind, dial, spawn, spawn_at},
     settings::{Settings, Timing},
 };
-use configuration::{Backend, Notation, RequestLimits, Route, RouteMap, place::Flaw};
+use configuration::{Backend, Diagnostic, DocumentFormat, RequestLimits, Route, RouteMap};
 use control_plane::{
     Change, ClusterState, Role, membership::Member, state_machine::state_update::StateUpdate, types::NodeInfo,
 };
@@ -136,11 +136,11 @@
 
 struct Unread;
 
-impl Notation for Unread {
-    fn read(&self, _: &str) -> Result<RouteMap, Vec<Flaw>> {
+impl DocumentFormat for Unread {
+    fn read(&self, _: &str) -> Result<RouteMap, Vec<Diagnostic>> {
         Err(vec![])
     }
-    fn amend(&self, _: &str, _: &str) -> Result<String, Vec<Flaw>> {
+    fn amend(&self, _: &str, _: &str) -> Result<String, Vec<Diagnostic>> {
         Err(vec![])
     }
 }
@@ -385,9 +385,9 @@
         let backend = Backend {
             name: "chat".into(),
             health_path: "/".into(),
-            max_conns: 100,
-            cold_for_ms: 0,
-            cold_per_s: 0.0,
+            max_connections: 100,
+            slow_start_ms: 0,
+            slow_start_per_s: 0.0,
             engine: None,
         };
         let limits = RequestLimits { max_body_bytes: MOST_BODY, ..RequestLimits::default() };
--- a/crates/data-plane/tests/serving/workload_isolation.rs
+++ b/crates/data-plane/tests/serving/workload_isolation.rs
@@ -11,7 +11,7 @@
     let r = Route {
         homes: homes.iter().map(|h| (*h).into()).collect(),
         shares: vec![(service.into(), 1), ("idle".into(), 0)],
-        gap_target_ms: Some(200),
+        max_event_gap_ms: Some(200),
         ..route(name, RouteKind::Streaming)
     };
     Arc::new(r)
@@ -23,8 +23,8 @@
 #[case::above_it(Some(200), 1_251, true)]
 #[case::by_target(None, 6_250, false)]
 #[case::above_that(None, 6_251, true)]
-fn long_by_the_route(#[case] gap_target_ms: Option<u64>, #[case] tokens: u32, #[case] want: bool) {
-    let r = Arc::new(Route { gap_target_ms, ..route("talk", RouteKind::Streaming) });
+fn long_by_the_route(#[case] max_event_gap_ms: Option<u64>, #[case] tokens: u32, #[case] want: bool) {
+    let r = Arc::new(Route { max_event_gap_ms, ..route("talk", RouteKind::Streaming) });
     assert_eq!(WorkloadIsolation::default().long(&r, tokens, Tick(0)), want);
 }
 
--- a/crates/foldshunt-check/src/lib.rs
+++ b/crates/foldshunt-check/src/lib.rs
@@ -2,7 +2,7 @@
 //! told of its state.
 
 use common::{Region, Service, Zone};
-use configuration::{Table, check_fleet, compile};
+use configuration::{RoutingTable, check_fleet, compile};
 use control_plane::Replica;
 use serde::{Deserialize, Serialize};
 use std::{
@@ -75,8 +75,8 @@
 /// All findings, the heaviest first.
 pub fn tap(src: &str, st: &Status) -> Vec<Finding> {
     let mut out = Vec::new();
-    let flawed = |check, flaws: Vec<configuration::Flaw>| -> Vec<Finding> {
-        flaws
+    let flawed = |check, diagnostics: Vec<configuration::Diagnostic>| -> Vec<Finding> {
+        diagnostics
             .into_iter()
             .map(|f| Finding {
                 line: Some(f.line),
@@ -111,7 +111,7 @@
 }
 
 /// Pairs of tenant and entry that can be served nowhere: told here, not first by a caller's 403.
-fn homeless(t: &Table) -> Vec<Finding> {
+fn homeless(t: &RoutingTable) -> Vec<Finding> {
     let pairs = t.entries.iter().flat_map(|e| t.tenants.keys().map(move |n| (e, n)));
     pairs
         .filter(|(e, n)| t.homes(e, Some(n)).is_empty())
@@ -124,7 +124,7 @@
 }
 
 /// Replicas that the document has no place for.
-fn strays(t: &Table, st: &Status) -> Vec<Finding> {
+fn strays(t: &RoutingTable, st: &Status) -> Vec<Finding> {
     let odd =
         st.replicas.iter().filter_map(|(id, r)| match (t.zones.get(&r.zone), t.services.get(&r.service)) {
             (None, _) => {
@@ -139,7 +139,7 @@
 }
 
 /// What would be left of each entry's replicas after the loss of any one zone.
-fn losses(t: &Table, st: &Status) -> Vec<Finding> {
+fn losses(t: &RoutingTable, st: &Status) -> Vec<Finding> {
     let mut out = Vec::new();
     for e in &t.entries {
         let homes = t.homes(e, None);
@@ -165,7 +165,7 @@
     out
 }
 
-fn routers(t: &Table, st: &Status) -> Vec<Finding> {
+fn routers(t: &RoutingTable, st: &Status) -> Vec<Finding> {
     let in_area = |a: &Zone| st.members.iter().filter(|m| m.role == "Router" && m.zone == *a).count();
     t.zones
         .keys()
@@ -191,12 +191,12 @@
     for m in st.members.iter().filter(|m| m.lags == Some(true)) {
         out.push(found(Weight::Warning, "lag", format!("{} lags behind revision {}", m.node, st.revision)));
     }
-    for m in st.members.iter().filter(|m| m.lang < configuration::LANG) {
+    for m in st.members.iter().filter(|m| m.lang < configuration::LANGUAGE_VERSION) {
         let msg = format!(
             "{} reads language version {}, this document is checked for {}",
             m.node,
             m.lang,
-            configuration::LANG
+            configuration::LANGUAGE_VERSION
         );
         out.push(found(Weight::PeerError, "too old", msg));
     }
--- a/crates/foldshunt-check/tests/tap.rs
+++ b/crates/foldshunt-check/tests/tap.rs
@@ -23,7 +23,7 @@
         zone: zones[n].into(),
         role: role.into(),
         lags: Some(false),
-        lang: configuration::LANG,
+        lang: configuration::LANGUAGE_VERSION,
     };
     Status {
         cluster: "bitacora".into(),
--- a/crates/simulator/tests/modules/deployment.rs
+++ b/crates/simulator/tests/modules/deployment.rs
@@ -19,7 +19,7 @@
         assert_eq!(configuration::check_fleet(&d.document, &tab, &listed), vec![]);
         for k in &d.kinds {
             let e = tab.entries.iter().find(|e| e.name == k.entry).unwrap();
-            assert_eq!(e.repeatable, !k.once);
+            assert_eq!(e.idempotent, !k.once);
         }
     }
 }
