--- a/crates/data-plane/src/contact.rs
+++ b/crates/data-plane/src/contact.rs
@@ -7,10 +7,16 @@
     summary::EventKind,
 };
 use common::{Index, NodeId};
-use control_plane::{Role, rpc as signal};
+use control_plane::{
+    Member, Role,
+    rpc::{ControlRequest, ControlResponse},
+};
 use hyper::{Response, StatusCode};
 use std::{collections::HashMap, sync::Arc, sync::atomic::Ordering, time::Duration};
 
+/// Leases after which a contact is forgotten.
+const FORGOTTEN_LEASES: u64 = 10;
+
 impl Router {
     /// Answered, within a lease's length, a hail from here.
     pub fn is_reachable(&self, n: &NodeId) -> bool {
@@ -47,65 +53,76 @@
         .find_map(|(no, why)| no.then_some(why))
     }
 
+    /// Sends a heartbeat to each other member, once within a renewal interval.
     pub async fn send_heartbeats(self: Arc<Self>) {
-        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.renew_interval_ms()));
-        wakeup.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let interval = Duration::from_millis(self.set.timing.renew_interval_ms());
+        let mut ticks = tokio::time::interval(interval);
+        ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            wakeup.tick().await;
-            let l = self.cluster_state();
+            ticks.tick().await;
+            let state = self.cluster_state();
             self.record_contact();
-            let turns = if common::mutation::enabled("hails-squared") { l.members.len() / 4 } else { 1 };
-            let others = l.members.values().filter(|m| m.info.node != *self.node());
-            for m in others.flat_map(|m| std::iter::repeat_n(m, turns)) {
-                let (me, m, index) = (self.clone(), m.clone(), l.index);
-                // Counted from here: an answer may lie in a socket for as long as this node is frozen.
-                let asked = me.now();
-                common::runtime::spawn(async move {
-                    let to = m.info.rpc_addr;
-                    let index = match m.info.role {
-                        Role::Router => {
-                            match me.lines.call("hail", to, RouterRequest::Heartbeat { index }).await {
-                                Ok(RouterResponse::HeartbeatAck { index, incarnation, fit })
-                                    if incarnation == m.info.incarnation =>
-                                {
-                                    let mut g = lock(&me.refusing);
-                                    if fit {
-                                        g.remove(&m.info.node)
-                                    } else {
-                                        g.insert(m.info.node.clone())
-                                    };
-                                    Some(index)
-                                }
-                                // Nothing listens there any more: no need to wait until it is missed.
-                                Err(e) if e.is_refused() => {
-                                    lock(&me.last_contacts).remove(&m.info.node);
-                                    None
-                                }
-                                _ => None,
-                            }
-                        }
-                        Role::Control => {
-                            let ask = signal::ControlRequest::Heartbeat { index };
-                            match me.member.control.call("hail", to, ask).await {
-                                Ok(signal::ControlResponse::HeartbeatAck { index }) => Some(index),
-                                _ => None,
-                            }
-                        }
-                    };
-                    if let Some(index) = index {
-                        me.note_contact(m.info.node.clone(), asked);
-                        if m.info.role == Role::Router {
-                            me.fetch_state_from(to, index).await;
-                        }
-                    }
-                });
+            let squared = common::mutation::enabled("hails-squared");
+            let copies = if squared { state.members.len() / 4 } else { 1 };
+            let others = state.members.values().filter(|member| member.info.node != *self.node());
+            for member in others.flat_map(|member| std::iter::repeat_n(member, copies)) {
+                common::runtime::spawn(self.clone().send_heartbeat(member.clone(), state.index));
             }
-            let (purged, now) = (self.set.timing.lease_ms * 10, self.now());
-            lock(&self.last_contacts).retain(|_, t| now.since(*t) < purged);
+            let (forgotten_ms, now) = (self.set.timing.lease_ms * FORGOTTEN_LEASES, self.now());
+            lock(&self.last_contacts).retain(|_, at| now.since(*at) < forgotten_ms);
             lock(&self.placements).sweep(now);
         }
     }
 
+    /// A contact counts from before its heartbeat was sent: an answer may lie in a socket for as long as this node
+    /// is frozen. It is polled from a task of its own.
+    fn send_heartbeat(self: Arc<Self>, member: Member, index: Index) -> impl Future<Output = ()> + Send {
+        let sent = self.now();
+        async move {
+            let answered = match member.info.role {
+                Role::Router => self.router_heartbeat(&member, index).await,
+                Role::Control => self.control_heartbeat(&member, index).await,
+            };
+            let Some(answered) = answered else { return };
+            self.note_contact(member.info.node.clone(), sent);
+            if member.info.role == Role::Router {
+                self.fetch_state_from(member.info.rpc_addr, answered).await;
+            }
+        }
+    }
+
+    /// The index that a router answers with; `None` without an answer of that incarnation.
+    async fn router_heartbeat(&self, member: &Member, index: Index) -> Option<Index> {
+        let (to, node) = (member.info.rpc_addr, &member.info.node);
+        match self.lines.call("heartbeat", to, RouterRequest::Heartbeat { index }).await {
+            Ok(RouterResponse::HeartbeatAck { index, incarnation, fit })
+                if incarnation == member.info.incarnation =>
+            {
+                let mut refusing = lock(&self.refusing);
+                if fit {
+                    refusing.remove(node);
+                } else {
+                    refusing.insert(node.clone());
+                }
+                Some(index)
+            }
+            // Nothing listens there any more: no need to wait until it is missed.
+            Err(e) if e.is_refused() => {
+                lock(&self.last_contacts).remove(node);
+                None
+            }
+            _ => None,
+        }
+    }
+
+    async fn control_heartbeat(&self, member: &Member, index: Index) -> Option<Index> {
+        let request = ControlRequest::Heartbeat { index };
+        match self.member.control.call("heartbeat", member.info.rpc_addr, request).await {
+            Ok(ControlResponse::HeartbeatAck { index }) => Some(index),
+            _ => None,
+        }
+    }
+
     fn note_contact(&self, n: NodeId, asked: common::Tick) {
         let mut last_contacts = lock(&self.last_contacts);
         if common::mutation::enabled("hears-by-pair") {
@@ -115,7 +132,7 @@
         last_contacts.insert(n, asked);
     }
 
-    /// Changes of the own standing go into the journal.
+    /// Changes of the own contact go into the event log.
     fn record_contact(&self) {
         let (cut, epoch) = (self.cut_off(), self.member.lease().epoch);
         let d = self.event_log.with(|d| (d.cut_off, d.epoch));
@@ -134,7 +151,7 @@
             return;
         }
         if let Ok(RouterResponse::StateUpdate(n)) =
-            self.lines.call("news", peer, RouterRequest::FetchState { have }).await
+            self.lines.call("fetch state", peer, RouterRequest::FetchState { have }).await
         {
             let _ = self.member.install(n, &peer.to_string());
         }
--- a/crates/data-plane/src/counters.rs
+++ b/crates/data-plane/src/counters.rs
@@ -1,35 +1,89 @@
-//! What a router counts (design 1.7).
+//! Metrics of a router (design 1.7). Counters with a new name are also shown under that of earlier releases.
 
 use common::metrics::Metrics;
 use prometheus::{IntCounterVec, IntGaugeVec};
 
+/// A counter under its name, and under the one that it had in earlier releases.
+pub struct RenamedCounter {
+    current: IntCounterVec,
+    deprecated: IntCounterVec,
+}
+
+impl RenamedCounter {
+    fn new(metrics: &Metrics, [name, old]: [&str; 2], help: &str, labels: &[&str]) -> Self {
+        let deprecated_help = format!("Deprecated name of foldshunt_{name}");
+        Self {
+            current: metrics.counter(name, help, labels),
+            deprecated: metrics.counter(old, &deprecated_help, labels),
+        }
+    }
+
+    /// Counts one.
+    pub fn inc(&self, labels: &[&str]) {
+        self.inc_by(labels, 1);
+    }
+
+    /// Counts several.
+    pub fn inc_by(&self, labels: &[&str], count: u64) {
+        self.current.with_label_values(labels).inc_by(count);
+        self.deprecated.with_label_values(labels).inc_by(count);
+    }
+
+    /// The count so far.
+    pub fn get(&self, labels: &[&str]) -> u64 {
+        self.current.with_label_values(labels).get()
+    }
+}
+
+/// What a router counts.
 pub struct Counters {
+    /// All metrics of the process.
     pub metrics: Metrics,
-    pub requests: IntCounterVec,
-    pub attempts: IntCounterVec,
-    pub rejections: IntCounterVec,
+    /// Requests by entry and outcome.
+    pub requests: RenamedCounter,
+    /// Attempts by kind.
+    pub attempts: RenamedCounter,
+    /// Rejections by reason.
+    pub rejections: RenamedCounter,
+    /// Placements by how they were found.
     pub placements: IntCounterVec,
-    pub passes: IntCounterVec,
+    /// Capacity grants by what became of them.
+    pub grants: RenamedCounter,
+    /// Named states of the router.
     pub state: IntGaugeVec,
 }
 
 impl Default for Counters {
     fn default() -> Self {
-        let m = Metrics::default();
+        let metrics = Metrics::default();
+        let renamed = |names, help, labels| RenamedCounter::new(&metrics, names, help, labels);
         Self {
-            requests: m.counter("jobs_total", "Jobs by entry and outcome", &["entry", "outcome"]),
-            attempts: m.counter("goes_total", "Goes by kind: first, extra, hop", &["kind"]),
-            rejections: m.counter("bounces_total", "Bounces by reason", &["reason"]),
-            placements: m.counter("placements_total", "Placements by how they were found", &["how"]),
-            passes: m.counter("passes_total", "Lending passes by what became of them", &["what"]),
-            state: m.gauge("state", "1 or a count for each named state", &["what"]),
-            metrics: m,
+            requests: renamed(
+                ["requests_total", "jobs_total"],
+                "Requests by entry and outcome",
+                &["entry", "outcome"],
+            ),
+            attempts: renamed(
+                ["attempts_total", "goes_total"],
+                "Attempts by kind: first, extra, hop",
+                &["kind"],
+            ),
+            rejections: renamed(["rejections_total", "bounces_total"], "Rejections by reason", &["reason"]),
+            placements: metrics.counter("placements_total", "Placements by how they were found", &["how"]),
+            grants: renamed(
+                ["grants_total", "passes_total"],
+                "Capacity grants by what became of them",
+                &["what"],
+            ),
+            state: metrics.gauge("state", "1 or a count for each named state", &["what"]),
+            metrics,
         }
     }
 }
 
 impl Counters {
+    /// Counts a rejection.
     pub fn reject(&self, reason: &str) {
-        self.rejections.with_label_values(&[reason]).inc();
+        self.rejections.inc(&[reason]);
     }
 }
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -228,7 +228,7 @@
 
     pub(crate) fn count_attempt(&self, past: &mut Past, kind: &str) {
         let kind = if past.attempts == 0 { kind } else { "extra" };
-        self.counters.attempts.with_label_values(&[kind]).inc();
+        self.counters.attempts.inc(&[kind]);
         past.attempts += 1;
     }
 
--- a/crates/data-plane/src/gateway.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -54,13 +54,13 @@
 }
 
 pub fn rejected(r: &Router, p: &Plan, reason: &str, retry_s: u64) -> Res {
-    r.counters.requests.with_label_values(&[&p.entry.name, "bounced"]).inc();
+    r.counters.requests.inc(&[&p.entry.name, "bounced"]);
     rejected_as(r, &p.request_id, StatusCode::SERVICE_UNAVAILABLE, reason, retry_s)
 }
 
 /// It may have run: never called rejected.
 pub fn unknown(r: &Router, p: &Plan, e: &PeerError, late: bool) -> Res {
-    r.counters.requests.with_label_values(&[&p.entry.name, "unknown"]).inc();
+    r.counters.requests.inc(&[&p.entry.name, "unknown"]);
     r.record_event(EventKind::Unknown(e.step.into()));
     let code = if late { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
     let res = json(code, &j!({"outcome": "unknown", "reason": e.step, "job": p.request_id}));
@@ -69,7 +69,7 @@
 
 impl Router {
     pub fn done(&self, p: &Plan, r: Res) -> Res {
-        self.counters.requests.with_label_values(&[&p.entry.name, "done"]).inc();
+        self.counters.requests.inc(&[&p.entry.name, "done"]);
         with_outcome(r, &p.request_id, "done", "")
     }
 
--- a/crates/data-plane/src/grant_exchange.rs
+++ b/crates/data-plane/src/grant_exchange.rs
@@ -73,10 +73,7 @@
             return Ok(None);
         }
         let pass = grant_issuer.grant(region, svc, node, room * tun.lend_share, askers, tun.grant_ms, now);
-        self.counters
-            .passes
-            .with_label_values(&["granted"])
-            .inc_by(pass.as_ref().map_or(0, |p| u64::from(p.count)));
+        self.counters.grants.inc_by(&["granted"], pass.as_ref().map_or(0, |p| u64::from(p.count)));
         Ok(pass)
     }
 
@@ -87,13 +84,13 @@
             self.redeem_here(s)
         } else {
             let ask = RouterRequest::Redeem { spent: s.clone() };
-            match self.lines.call("redeem", grant_issuer.info.rpc_addr, ask).await {
+            match self.lines.call("redeem grant", grant_issuer.info.rpc_addr, ask).await {
                 Ok(RouterResponse::Done) => Ok(()),
                 Ok(RouterResponse::Rejected(_)) => Err("pass not good"),
                 _ => Err("lender unreachable"),
             }
         };
-        self.counters.passes.with_label_values(&[res.err().unwrap_or("redeemed")]).inc();
+        self.counters.grants.inc(&[res.err().unwrap_or("redeemed")]);
         res
     }
 
@@ -123,7 +120,9 @@
                             service: svc.clone(),
                             node: me.node().clone(),
                         };
-                        if let Ok(RouterResponse::CapacityGrant(p)) = me.lines.call("passes", to, ask).await {
+                        if let Ok(RouterResponse::CapacityGrant(p)) =
+                            me.lines.call("request grant", to, ask).await
+                        {
                             lock(&me.held_grants).put(&region, &svc, p, asked);
                         }
                     });
--- a/crates/data-plane/src/health_prober.rs
+++ b/crates/data-plane/src/health_prober.rs
@@ -88,7 +88,7 @@
             };
             let ms = wait_ms + self.set.timing.rpc_timeout_ms;
             let asked = self.now();
-            match self.lines.call_within(ms, "watch", home.info.rpc_addr, ask).await {
+            match self.lines.call_within(ms, "watch load", home.info.rpc_addr, ask).await {
                 Ok(RouterResponse::LoadReport(f)) => {
                     (seq, fencing_token) = (f.seq, f.fencing_token);
                     self.install_load_report(f, asked);
@@ -190,7 +190,7 @@
         let asks = others.routers().into_iter().filter(|m| m.info.node != *self.node()).map(|m| {
             let ask = RouterRequest::Last { service: service.clone(), zone: zone.clone() };
             Box::pin(async move {
-                match self.lines.call("last figures", m.info.rpc_addr, ask).await {
+                match self.lines.call("last load report", m.info.rpc_addr, ask).await {
                     Ok(RouterResponse::LoadReport(f)) => Ok(f),
                     _ => Err(()),
                 }
--- a/crates/data-plane/src/placement.rs
+++ b/crates/data-plane/src/placement.rs
@@ -134,7 +134,7 @@
             return self.settle_here(fencing_token, key, service, stale, pick, ttl_ms).ok();
         }
         let ask = RouterRequest::Settle { fencing_token, key, service: service.clone(), stale, pick, ttl_ms };
-        match self.lines.call_within(wait_ms, "settle", owner.info.rpc_addr, ask).await {
+        match self.lines.call_within(wait_ms, "resolve placement", owner.info.rpc_addr, ask).await {
             Ok(RouterResponse::PlacementOutcome(s)) => Some(s),
             _ => None,
         }
@@ -183,7 +183,7 @@
             let (me, rows) = (self.clone(), vec![row.clone()]);
             common::runtime::spawn(async move {
                 let ask = RouterRequest::Copy { fencing_token, shard, rows };
-                let _ = me.lines.call("copy", m.info.rpc_addr, ask).await;
+                let _ = me.lines.call("replicate placement", m.info.rpc_addr, ask).await;
             });
         }
     }
@@ -204,7 +204,7 @@
                     let (me, to) = (self.clone(), m.info.rpc_addr);
                     common::runtime::spawn(async move {
                         if let Ok(RouterResponse::Rows(rows)) =
-                            me.lines.call("fetch", to, RouterRequest::Fetch { shard }).await
+                            me.lines.call("fetch shard", to, RouterRequest::Fetch { shard }).await
                         {
                             me.install_rows(rows);
                         }
--- a/crates/data-plane/src/rpc_service.rs
+++ b/crates/data-plane/src/rpc_service.rs
@@ -36,7 +36,7 @@
             RouterRequest::Settle { fencing_token, key, service, stale, pick, ttl_ms } => {
                 match self.settle_here(fencing_token, key, &service, stale, pick, ttl_ms) {
                     Ok(s) => RouterResponse::PlacementOutcome(s),
-                    Err(why) => self.no("settle", &node, why),
+                    Err(why) => self.no("resolve placement", &node, why),
                 }
             }
             RouterRequest::Copy { fencing_token, shard, rows } => {
@@ -46,7 +46,7 @@
                         self.install_rows(rows);
                         RouterResponse::Done
                     }
-                    Err(f) => self.no("copy", &node, format!("stale fence: {f} is known")),
+                    Err(f) => self.no("replicate placement", &node, format!("stale fence: {f} is known")),
                 }
             }
             RouterRequest::Fetch { shard } => {
@@ -75,7 +75,7 @@
             }
             RouterRequest::Redeem { spent } => match self.redeem_here(&spent) {
                 Ok(()) => RouterResponse::Done,
-                Err(why) => self.no("redeem", &node, why.into()),
+                Err(why) => self.no("redeem grant", &node, why.into()),
             },
         }
     }
--- a/crates/data-plane/src/serving/health_prober.rs
+++ b/crates/data-plane/src/serving/health_prober.rs
@@ -84,9 +84,9 @@
             } else {
                 let q = RouterRequest::ReplicaReport { zone: zone.clone(), seq, wait_ms };
                 let ms = wait_ms + self.router.set.timing.rpc_timeout_ms;
-                match self.router.lines.call_within(ms, "board", home.info.rpc_addr, q).await {
+                match self.router.lines.call_within(ms, "watch replicas", home.info.rpc_addr, q).await {
                     Ok(RouterResponse::ReplicaReport(b)) => Ok(b.map(|b| *b)),
-                    Ok(_) => Err(PeerError::new("board", home.info.rpc_addr, "another answer")),
+                    Ok(_) => Err(PeerError::new("watch replicas", home.info.rpc_addr, "another answer")),
                     Err(e) => Err(e),
                 }
             };
--- a/crates/data-plane/src/successor.rs
+++ b/crates/data-plane/src/successor.rs
@@ -21,7 +21,7 @@
             line.into_iter().filter(|m| m.epoch.0 <= s.fig.fencing_token.0 && m.info.node != *self.node());
         let asks = older.map(|m| async move {
             let ask = RouterRequest::Heartbeat { index: self.cluster_state().index };
-            let told = self.lines.call("hail", m.info.rpc_addr, ask).await;
+            let told = self.lines.call("heartbeat", m.info.rpc_addr, ask).await;
             matches!(told, Ok(RouterResponse::HeartbeatAck { incarnation, .. }) if incarnation == m.info.incarnation)
         });
         let mine = self.member.lease().epoch.0 <= s.fig.fencing_token.0 && self.zone() == zone;
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -86,7 +86,7 @@
         assert!(got.contains("outcome: done"), "{got}");
     }
     assert_eq!(backs[1].runs.load(Ordering::Acquire), 8);
-    let extra = r.counters.attempts.with_label_values(&["extra"]).get();
+    let extra = r.counters.attempts.get(&["extra"]);
     assert!(extra <= 3, "{extra}: what failed to connect is shunned");
 }
 
--- a/crates/simulator/src/scale/rows.rs
+++ b/crates/simulator/src/scale/rows.rs
@@ -96,26 +96,29 @@
         .filter_map(|n| control_plane::state_machine::singleton::holder_of(&l, &format!("shard/{n}"), None))
         .map(|d| d.holder.info.node.to_string())
         .collect();
-    [("home", "watch", homes), ("shard owner", "settle", shards), ("lender", "passes", lenders)]
-        .into_iter()
-        .map(|(singleton, step, held)| {
-            let mut by: BTreeMap<&str, usize> = BTreeMap::new();
-            held.iter().for_each(|n| *by.entry(n).or_default() += 1);
-            let served =
-                t.to.iter().filter(|((_, k), _)| *k == (data_plane::rpc::SERVICE, step)).map(|(_, c)| c);
-            let (calls, bytes) =
-                served.fold((0, 0), |a, c| (a.0 + c.calls, a.1 + c.request_bytes + c.response_bytes));
-            let part = 1.0 / secs / held.len().max(1) as f64;
-            DutyRow {
-                singleton,
-                count: held.len(),
-                holders: by.len(),
-                most_held: by.values().copied().max().unwrap_or(0),
-                calls: calls as f64 * part,
-                bytes: bytes as f64 * part,
-            }
-        })
-        .collect()
+    [
+        ("home", "watch load", homes),
+        ("shard owner", "resolve placement", shards),
+        ("lender", "request grant", lenders),
+    ]
+    .into_iter()
+    .map(|(singleton, step, held)| {
+        let mut by: BTreeMap<&str, usize> = BTreeMap::new();
+        held.iter().for_each(|n| *by.entry(n).or_default() += 1);
+        let served = t.to.iter().filter(|((_, k), _)| *k == (data_plane::rpc::SERVICE, step)).map(|(_, c)| c);
+        let (calls, bytes) =
+            served.fold((0, 0), |a, c| (a.0 + c.calls, a.1 + c.request_bytes + c.response_bytes));
+        let part = 1.0 / secs / held.len().max(1) as f64;
+        DutyRow {
+            singleton,
+            count: held.len(),
+            holders: by.len(),
+            most_held: by.values().copied().max().unwrap_or(0),
+            calls: calls as f64 * part,
+            bytes: bytes as f64 * part,
+        }
+    })
+    .collect()
 }
 
 /// Encoded bytes of what a router holds; the mean over all.
