--- a/crates/common/src/rpc.rs
+++ b/crates/common/src/rpc/mod.rs
@@ -1,9 +1,12 @@
 //! RPC between foldshunt nodes: a handshake, then tarpc over the musli codec (design 1.8).
 
+mod server;
+
+pub use server::listen;
+
 use crate::{
     error::{AtPeer, CONNECT, HANDSHAKE, PeerError, Step, within},
-    log_event,
-    runtime::{self, Listener, Stream, spawn},
+    runtime::{self, Stream, spawn},
     sync::lock,
     wire::{Codec, PROTOCOL_VERSION, encode},
 };
@@ -11,7 +14,6 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::{
     collections::BTreeMap,
-    fmt, io,
     net::{IpAddr, SocketAddr},
     sync::{Arc, Mutex, MutexGuard},
     time::{Duration, Instant},
@@ -20,7 +22,6 @@
     RequestName,
     client::{self, Channel},
     context,
-    server::{BaseChannel, Channel as _, serve},
 };
 use tokio::sync::oneshot;
 use tokio_util::codec::Framed;
@@ -65,10 +66,6 @@
 /// Opening a connection takes three round trips, and so may take longer than a call: it goes on behind a call that
 /// gave up, for at most so many times the usual time-out.
 const OPEN_TIMEOUTS: u64 = 4;
-/// How long to wait after the system had no room for another connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Time-outs within which a peer that connected must send its handshake.
-const HANDSHAKE_TIMEOUTS: u64 = 4;
 
 type OpenChannels<Q, R> = BTreeMap<SocketAddr, Channel<Q, R>>;
 
@@ -199,106 +196,3 @@
     spawn(new.dispatch);
     Ok(new.client)
 }
-
-/// Why a handshake is refused.
-#[derive(Clone, Debug, PartialEq, Eq)]
-enum HandshakeError {
-    Protocol(u32),
-    Cluster(String),
-    Service(String),
-}
-
-impl fmt::Display for HandshakeError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            HandshakeError::Protocol(version) => {
-                write!(f, "protocol {version} is not {PROTOCOL_VERSION}")
-            }
-            HandshakeError::Cluster(name) => write!(f, "cluster {name:?} is foreign"),
-            HandshakeError::Service(name) => write!(f, "service {name:?} is not here"),
-        }
-    }
-}
-
-impl std::error::Error for HandshakeError {}
-
-fn check_handshake(
-    handshake: &Handshake,
-    local: &LocalNode,
-    service: &'static str,
-) -> Result<(), HandshakeError> {
-    if handshake.proto != PROTOCOL_VERSION {
-        return Err(HandshakeError::Protocol(handshake.proto));
-    }
-    if handshake.cluster != local.cluster {
-        return Err(HandshakeError::Cluster(handshake.cluster.clone()));
-    }
-    if handshake.service != service {
-        return Err(HandshakeError::Service(handshake.service.clone()));
-    }
-    Ok(())
-}
-
-/// Answers calls of one service until the task is dropped. `handler` gets the name of the calling node.
-pub async fn listen<Q, R, F, Fut>(
-    listener: impl Into<Listener>,
-    local: LocalNode,
-    service: &'static str,
-    handler: F,
-) where
-    Q: RequestName + Serialize + DeserializeOwned + Send + 'static,
-    R: Serialize + Send + 'static,
-    F: Fn(String, Q) -> Fut + Clone + Send + 'static,
-    Fut: Future<Output = R> + Send + 'static,
-{
-    let listener = listener.into();
-    loop {
-        let Ok((stream, peer)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
-            continue;
-        };
-        let (local, handler) = (local.clone(), handler.clone());
-        spawn(async move {
-            if let Err(e) = serve_connection(stream, peer, local, service, handler).await {
-                log_event!(Warn, e.step, "peer" => e.peer, "cause" => e.cause());
-            }
-        });
-    }
-}
-
-async fn serve_connection<Q, R, F, Fut>(
-    stream: Stream,
-    peer: SocketAddr,
-    local: LocalNode,
-    service: &'static str,
-    handler: F,
-) -> Result<(), PeerError>
-where
-    Q: RequestName + Serialize + DeserializeOwned + Send + 'static,
-    R: Serialize + Send + 'static,
-    F: Fn(String, Q) -> Fut + Clone + Send + 'static,
-    Fut: Future<Output = R> + Send + 'static,
-{
-    let mut framed = Framed::new(stream, Codec::<Handshake, HandshakeReply>::handshake());
-    let timeout_ms = local.wait_ms * HANDSHAKE_TIMEOUTS;
-    let handshake = within(timeout_ms, HANDSHAKE, peer, async {
-        let first = framed.next().await;
-        first.unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into())).at_peer(HANDSHAKE, peer)
-    })
-    .await?;
-    let checked = check_handshake(&handshake, &local, service);
-    let rejected = checked.as_ref().err().map(HandshakeError::to_string);
-    framed.send(HandshakeReply { rejected }).await.at_peer(HANDSHAKE, peer)?;
-    checked.at_peer(HANDSHAKE, peer)?;
-    let channel = BaseChannel::with_defaults(with_codec(framed, Codec::default()));
-    let mut requests = Box::pin(channel.requests());
-    while let Some(request) = requests.next().await {
-        let request = request.at_peer("read message", peer)?;
-        let (handler, node) = (handler.clone(), handshake.node.clone());
-        spawn(request.execute(serve(move |_, request| {
-            let response = handler(node, request);
-            async move { Ok(response.await) }
-        })));
-    }
-    Ok(())
-}
--- /dev/null
+++ b/crates/common/src/rpc/server.rs
@@ -0,0 +1,125 @@
+//! The server's side of RPC: handshakes are checked, then calls are answered.
+
+use super::{Handshake, HandshakeReply, LocalNode, with_codec};
+use crate::{
+    error::{AtPeer, HANDSHAKE, PeerError, within},
+    log_event,
+    runtime::{Listener, Stream, spawn},
+    wire::{Codec, PROTOCOL_VERSION},
+};
+use futures::{SinkExt, StreamExt};
+use serde::{Serialize, de::DeserializeOwned};
+use std::{fmt, io, net::SocketAddr, time::Duration};
+use tarpc::{
+    RequestName,
+    server::{BaseChannel, Channel as _, serve},
+};
+use tokio_util::codec::Framed;
+
+/// How long to wait after the system had no room for another connection.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Time-outs within which a peer that connected must send its handshake.
+const HANDSHAKE_TIMEOUTS: u64 = 4;
+
+/// Why a handshake is refused.
+#[derive(Clone, Debug, PartialEq, Eq)]
+enum HandshakeError {
+    Protocol(u32),
+    Cluster(String),
+    Service(String),
+}
+
+impl fmt::Display for HandshakeError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            HandshakeError::Protocol(version) => {
+                write!(f, "protocol {version} is not {PROTOCOL_VERSION}")
+            }
+            HandshakeError::Cluster(name) => write!(f, "cluster {name:?} is foreign"),
+            HandshakeError::Service(name) => write!(f, "service {name:?} is not here"),
+        }
+    }
+}
+
+impl std::error::Error for HandshakeError {}
+
+fn check_handshake(
+    handshake: &Handshake,
+    local: &LocalNode,
+    service: &'static str,
+) -> Result<(), HandshakeError> {
+    if handshake.proto != PROTOCOL_VERSION {
+        return Err(HandshakeError::Protocol(handshake.proto));
+    }
+    if handshake.cluster != local.cluster {
+        return Err(HandshakeError::Cluster(handshake.cluster.clone()));
+    }
+    if handshake.service != service {
+        return Err(HandshakeError::Service(handshake.service.clone()));
+    }
+    Ok(())
+}
+
+/// Answers calls of one service until the task is dropped. `handler` gets the name of the calling node.
+pub async fn listen<Q, R, F, Fut>(
+    listener: impl Into<Listener>,
+    local: LocalNode,
+    service: &'static str,
+    handler: F,
+) where
+    Q: RequestName + Serialize + DeserializeOwned + Send + 'static,
+    R: Serialize + Send + 'static,
+    F: Fn(String, Q) -> Fut + Clone + Send + 'static,
+    Fut: Future<Output = R> + Send + 'static,
+{
+    let listener = listener.into();
+    loop {
+        let Ok((stream, peer)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_PAUSE).await;
+            continue;
+        };
+        let (local, handler) = (local.clone(), handler.clone());
+        spawn(async move {
+            if let Err(e) = serve_connection(stream, peer, local, service, handler).await {
+                log_event!(Warn, e.step, "peer" => e.peer, "cause" => e.cause());
+            }
+        });
+    }
+}
+
+async fn serve_connection<Q, R, F, Fut>(
+    stream: Stream,
+    peer: SocketAddr,
+    local: LocalNode,
+    service: &'static str,
+    handler: F,
+) -> Result<(), PeerError>
+where
+    Q: RequestName + Serialize + DeserializeOwned + Send + 'static,
+    R: Serialize + Send + 'static,
+    F: Fn(String, Q) -> Fut + Clone + Send + 'static,
+    Fut: Future<Output = R> + Send + 'static,
+{
+    let mut framed = Framed::new(stream, Codec::<Handshake, HandshakeReply>::handshake());
+    let timeout_ms = local.wait_ms * HANDSHAKE_TIMEOUTS;
+    let handshake = within(timeout_ms, HANDSHAKE, peer, async {
+        let first = framed.next().await;
+        first.unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into())).at_peer(HANDSHAKE, peer)
+    })
+    .await?;
+    let checked = check_handshake(&handshake, &local, service);
+    let rejected = checked.as_ref().err().map(HandshakeError::to_string);
+    framed.send(HandshakeReply { rejected }).await.at_peer(HANDSHAKE, peer)?;
+    checked.at_peer(HANDSHAKE, peer)?;
+    let channel = BaseChannel::with_defaults(with_codec(framed, Codec::default()));
+    let mut requests = Box::pin(channel.requests());
+    while let Some(request) = requests.next().await {
+        let request = request.at_peer("read message", peer)?;
+        let (handler, node) = (handler.clone(), handshake.node.clone());
+        spawn(request.execute(serve(move |_, request| {
+            let response = handler(node, request);
+            async move { Ok(response.await) }
+        })));
+    }
+    Ok(())
+}
--- a/crates/common/src/settings.rs
+++ b/crates/common/src/settings/mod.rs
@@ -1,16 +1,21 @@
 //! Node settings: a file, then the environment, then flags, read by figment (design 1.10).
 
+mod deprecated;
+mod timing;
+
+pub use deprecated::{DEPRECATED, deprecated_names, warn_deprecated};
+pub use timing::Timing;
+
 use crate::{
     ids::is_valid_name,
-    log_event,
     rpc::LocalNode,
     runtime::{Listener, bind},
 };
+use deprecated::Renamed;
 use eyre::{Result, WrapErr, bail, ensure, eyre};
 use figment::{
-    Figment, Metadata, Profile, Provider,
+    Figment,
     providers::{Env, Format, Serialized, Toml},
-    value::{Dict, Map, Value},
 };
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeSet, net::SocketAddr, path::PathBuf};
@@ -58,18 +63,6 @@
     pub log: String,
 }
 
-/// Names of earlier releases that are still read, each with the one that took its place.
-pub const DEPRECATED: [(&str, &str); 8] = [
-    ("area", "zone"),
-    ("rail", "rpc"),
-    ("rail_advertise", "rpc_advertise"),
-    ("founds", "bootstrap"),
-    ("timing.tenure_ms", "timing.lease_ms"),
-    ("timing.check_ms", "timing.probe_interval_ms"),
-    ("timing.check_fails", "timing.probe_failures"),
-    ("timing.rail_ms", "timing.rpc_timeout_ms"),
-];
-
 fn yes() -> bool {
     true
 }
@@ -78,86 +71,6 @@
     "info".into()
 }
 
-/// The bounds; every other span of time is a ratio to one of these (design 1.3).
-#[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Timing {
-    /// Length of a lease, in milliseconds.
-    pub lease_ms: u64,
-    /// Time between two health checks of a replica, in milliseconds.
-    pub probe_interval_ms: u64,
-    /// Failed health checks in a row after which a replica counts as down.
-    pub probe_failures: u32,
-    /// Longest wait for a response between nodes, in milliseconds.
-    pub rpc_timeout_ms: u64,
-    /// Longest drain after SIGTERM, in milliseconds.
-    pub drain_ms: u64,
-}
-
-impl Default for Timing {
-    fn default() -> Self {
-        Self {
-            lease_ms: 2_000,
-            probe_interval_ms: 1_000,
-            probe_failures: 3,
-            rpc_timeout_ms: 500,
-            drain_ms: 60_000,
-        }
-    }
-}
-
-/// Shortest interval that is derived from another one, in milliseconds.
-const MIN_INTERVAL_MS: u64 = 10;
-
-impl Timing {
-    /// Time between two renewals of a lease.
-    pub fn renew_interval_ms(&self) -> u64 {
-        self.lease_ms / 4
-    }
-    /// Time between two heartbeats of a leader.
-    pub fn heartbeat_ms(&self) -> u64 {
-        self.lease_ms / 20
-    }
-    /// Silence of a leader after which a voter stands for election.
-    pub fn election_timeout_ms(&self) -> u64 {
-        self.lease_ms / 2
-    }
-    /// Added by the leader before it takes a lease as expired.
-    pub fn lease_margin_ms(&self) -> u64 {
-        self.lease_ms / 8
-    }
-    /// Time without a finished sync after which a leader stops counting as one.
-    pub fn sync_timeout_ms(&self) -> u64 {
-        self.lease_ms / 2
-    }
-    /// Age at which load reports no longer count.
-    pub fn report_max_age_ms(&self) -> u64 {
-        self.probe_interval_ms * u64::from(self.probe_failures)
-    }
-    /// Time between two looks at the load.
-    pub fn report_interval_ms(&self) -> u64 {
-        (self.probe_interval_ms / 4).max(MIN_INTERVAL_MS)
-    }
-    /// Time within which the placement table must answer.
-    pub fn placement_timeout_ms(&self) -> u64 {
-        (self.rpc_timeout_ms / 5).max(MIN_INTERVAL_MS)
-    }
-
-    fn check(&self) -> Result<()> {
-        let failures = u64::from(self.probe_failures);
-        for (field, value, least, most) in [
-            ("timing.lease_ms", self.lease_ms, 400, 60_000),
-            ("timing.probe_interval_ms", self.probe_interval_ms, 50, 60_000),
-            ("timing.probe_failures", failures, 1, 100),
-            ("timing.rpc_timeout_ms", self.rpc_timeout_ms, 50, 10_000),
-            ("timing.drain_ms", self.drain_ms, 0, 3_600_000),
-        ] {
-            ensure!((least..=most).contains(&value), "{field}: {value}; allowed: {least} to {most}");
-        }
-        Ok(())
-    }
-}
-
 /// Flags that stand above the file; each program adds its own.
 #[derive(Clone, Debug, Default, Serialize, bpaf::Bpaf)]
 pub struct Flags {
@@ -204,64 +117,10 @@
     key.to_ascii_lowercase().ends_with("_file")
 }
 
-/// A source of settings in which deprecated names are replaced.
-struct Renamed<P>(P);
-
-impl<P: Provider> Provider for Renamed<P> {
-    fn metadata(&self) -> Metadata {
-        self.0.metadata()
-    }
-
-    fn data(&self) -> Result<Map<Profile, Dict>, figment::Error> {
-        let mut data = self.0.data()?;
-        for settings in data.values_mut() {
-            for (old, new) in DEPRECATED {
-                rename(settings, old, new);
-            }
-        }
-        Ok(data)
-    }
-}
-
-/// Moves the value of a dotted name to another name with the same parents, unless that has a value.
-fn rename(settings: &mut Dict, old: &str, new: &str) {
-    match (old.split_once('.'), new.split_once('.')) {
-        (Some((parent, old)), Some((_, new))) => {
-            if let Some(Value::Dict(_, inner)) = settings.get_mut(parent) {
-                rename(inner, old, new);
-            }
-        }
-        _ => {
-            if let Some(value) = settings.remove(old) {
-                settings.entry(new.into()).or_insert(value);
-            }
-        }
-    }
-}
-
 fn environment() -> Env {
     Env::prefixed("FOLDSHUNT_").filter(|key| !names_a_file(key.as_str())).split("__")
 }
 
-/// Deprecated names that the settings file, the environment or the arguments use, each with its new name.
-pub fn deprecated_names(flags: &Flags, arguments: &[String]) -> Vec<(&'static str, &'static str)> {
-    let file = flags.config.iter().fold(Figment::new(), |layers, path| layers.merge(Toml::file_exact(path)));
-    let given = file.merge(environment());
-    let used = |old: &str| {
-        let flag = format!("--{old}");
-        given.contains(old) || arguments.iter().any(|a| *a == flag || a.starts_with(&format!("{flag}=")))
-    };
-    DEPRECATED.into_iter().filter(|(old, _)| used(old)).collect()
-}
-
-/// Logs a warning for each deprecated name in use.
-pub fn warn_deprecated(flags: &Flags) {
-    let arguments: Vec<String> = std::env::args().skip(1).collect();
-    for (old, new) in deprecated_names(flags, &arguments) {
-        log_event!(Warn, "deprecated setting", "name" => old, "use" => new);
-    }
-}
-
 /// Levels of the log, as settings name them.
 const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -8,6 +8,8 @@
 mod durability;
 mod durable;
 mod election;
+mod event;
+mod follower;
 mod join;
 mod leadership;
 mod log;
@@ -15,11 +17,13 @@
 mod replication;
 mod role;
 mod startup;
+mod step;
 mod validation;
 
 pub use durable::{DurableState, Record};
+pub use event::{Effect, Event, NotLogged};
 pub use leadership::Contact;
-pub use message::{Body, Effect, Event, LogTail, Message, NotLogged, VoterId};
+pub use message::{Body, LogTail, Message, VoterId};
 pub(crate) use role::AppendRequest;
 pub use role::{InFlight, Progress, VoterRole};
 pub use validation::InvalidMessage;
@@ -204,76 +208,4 @@
     pub fn is_leader(&self) -> bool {
         matches!(self.role, VoterRole::Leader { .. })
     }
-
-    /// The one entrance: every event goes through here.
-    pub fn step(&mut self, event: Event, now: Tick) -> Vec<Effect> {
-        let mut effects = Vec::new();
-        match event {
-            Event::SyncFailed => self.handle_sync_failed(now, &mut effects),
-            Event::Recovered(durable) => self.handle_recovered(*durable, now, &mut effects),
-            Event::Synced(token) => self.handle_synced(token, now, &mut effects),
-            Event::Propose(change) if self.disk_failed => {
-                effects.push(Effect::NotLogged { change, why: NotLogged::DiskFailed });
-            }
-            _ if self.disk_failed => {}
-            Event::Timer => self.tick(now, &mut effects),
-            Event::Propose(change) => self.handle_propose(change, now, &mut effects),
-            Event::StepDown => self.step_down(now, &mut effects),
-            Event::Msg(from, message) => self.handle_message(from, message, now, &mut effects),
-        }
-        effects
-    }
-
-    fn tick(&mut self, now: Tick, effects: &mut Vec<Effect>) {
-        if !self.initialized {
-            return self.bootstrap_timer(now, effects);
-        }
-        if self.removed {
-            return;
-        }
-        self.query_leader(now, effects);
-        self.election_timer(now, effects);
-        if self.is_leader() && now.since(self.last_heartbeat) >= self.timing.heartbeat_ms() {
-            self.last_heartbeat = now;
-            self.broadcast_append(now, effects);
-        }
-    }
-
-    fn handle_message(&mut self, from: SocketAddr, message: Message, now: Tick, effects: &mut Vec<Effect>) {
-        if let Err(why) = self.validate(&message, now) {
-            return effects.push(Effect::Refused { from, why });
-        }
-        match message {
-            Message::Discover { voter, initialized, voters, index } => {
-                self.handle_discover(from, voter, initialized, (voters, index), now, effects);
-            }
-            Message::Bootstrap { cluster_state } => self.handle_bootstrap(cluster_state, now, effects),
-            Message::LeaderQuery(process_started) => {
-                self.handle_leader_query(from, process_started, effects);
-            }
-            Message::NotLeading(process_started) => self.handle_not_leading(from, process_started, now),
-            Message::StepDown { by, term } => self.handle_step_down(by, term, now),
-            Message::JoinRequest { voter } => self.handle_join_request(voter, now),
-            Message::PreVote { by, term } => self.handle_pre_vote(from, by, term, now, effects),
-            Message::PreVoteGranted { by, term } => self.handle_pre_vote_granted(by, term, now, effects),
-            Message::VoteRequest { by, term, commit_index } => {
-                self.handle_vote_request(from, by, term, commit_index, now, effects);
-            }
-            Message::Vote { by, term, tail } => self.handle_vote(by, term, tail, now, effects),
-            Message::Append { by, to, term, commit_index, sent_at, body } => {
-                let request = AppendRequest { from, by, to, term, commit_index, sent_at, body };
-                self.handle_append(request, now, effects);
-            }
-            Message::AppendReply { by, term, installed, last, commit_index, sent_at } => {
-                let progress = Progress { installed, last, commit_index, sent_at, in_flight: None };
-                self.handle_append_reply(by, term, progress, now, effects);
-            }
-        }
-    }
-
-    fn broadcast(&self, message: Message, effects: &mut Vec<Effect>) {
-        for voter in self.other_voters() {
-            effects.push(Effect::Send { to: voter.rpc_addr, msg: message.clone() });
-        }
-    }
 }
--- /dev/null
+++ b/crates/control-plane/src/consensus/step.rs
@@ -0,0 +1,77 @@
+//! The entrance of a voter: events and messages are handed to the part that handles them.
+
+use super::*;
+
+impl Voter {
+    /// The one entrance: every event goes through here.
+    pub fn step(&mut self, event: Event, now: Tick) -> Vec<Effect> {
+        let mut effects = Vec::new();
+        match event {
+            Event::SyncFailed => self.handle_sync_failed(now, &mut effects),
+            Event::Recovered(durable) => self.handle_recovered(*durable, now, &mut effects),
+            Event::Synced(token) => self.handle_synced(token, now, &mut effects),
+            Event::Propose(change) if self.disk_failed => {
+                effects.push(Effect::NotLogged { change, why: NotLogged::DiskFailed });
+            }
+            _ if self.disk_failed => {}
+            Event::Timer => self.tick(now, &mut effects),
+            Event::Propose(change) => self.handle_propose(change, now, &mut effects),
+            Event::StepDown => self.step_down(now, &mut effects),
+            Event::Msg(from, message) => self.handle_message(from, message, now, &mut effects),
+        }
+        effects
+    }
+
+    fn tick(&mut self, now: Tick, effects: &mut Vec<Effect>) {
+        if !self.initialized {
+            return self.bootstrap_timer(now, effects);
+        }
+        if self.removed {
+            return;
+        }
+        self.query_leader(now, effects);
+        self.election_timer(now, effects);
+        if self.is_leader() && now.since(self.last_heartbeat) >= self.timing.heartbeat_ms() {
+            self.last_heartbeat = now;
+            self.broadcast_append(now, effects);
+        }
+    }
+
+    fn handle_message(&mut self, from: SocketAddr, message: Message, now: Tick, effects: &mut Vec<Effect>) {
+        if let Err(why) = self.validate(&message, now) {
+            return effects.push(Effect::Refused { from, why });
+        }
+        match message {
+            Message::Discover { voter, initialized, voters, index } => {
+                self.handle_discover(from, voter, initialized, (voters, index), now, effects);
+            }
+            Message::Bootstrap { cluster_state } => self.handle_bootstrap(cluster_state, now, effects),
+            Message::LeaderQuery(process_started) => {
+                self.handle_leader_query(from, process_started, effects);
+            }
+            Message::NotLeading(process_started) => self.handle_not_leading(from, process_started, now),
+            Message::StepDown { by, term } => self.handle_step_down(by, term, now),
+            Message::JoinRequest { voter } => self.handle_join_request(voter, now),
+            Message::PreVote { by, term } => self.handle_pre_vote(from, by, term, now, effects),
+            Message::PreVoteGranted { by, term } => self.handle_pre_vote_granted(by, term, now, effects),
+            Message::VoteRequest { by, term, commit_index } => {
+                self.handle_vote_request(from, by, term, commit_index, now, effects);
+            }
+            Message::Vote { by, term, tail } => self.handle_vote(by, term, tail, now, effects),
+            Message::Append { by, to, term, commit_index, sent_at, body } => {
+                let request = AppendRequest { from, by, to, term, commit_index, sent_at, body };
+                self.handle_append(request, now, effects);
+            }
+            Message::AppendReply { by, term, installed, last, commit_index, sent_at } => {
+                let progress = Progress { installed, last, commit_index, sent_at, in_flight: None };
+                self.handle_append_reply(by, term, progress, now, effects);
+            }
+        }
+    }
+
+    pub(super) fn broadcast(&self, message: Message, effects: &mut Vec<Effect>) {
+        for voter in self.other_voters() {
+            effects.push(Effect::Send { to: voter.rpc_addr, msg: message.clone() });
+        }
+    }
+}
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -6,23 +6,21 @@
 mod log_writer;
 mod proposals;
 mod rpc_service;
+mod start;
 
 pub use leader_client::ReadError;
 pub use log_writer::{LogWriter, LogWriterFactory, open_data_folder};
 pub use rpc_service::listen;
+pub use start::Start;
 
 use crate::{
-    consensus::{DurableState, Effect, Event, Voter},
+    consensus::{Effect, Event, Voter},
     membership::Leases,
     rpc::{ControlClient, ControlRequest, ProposalOutcome, SERVICE},
     state_machine::ClusterState,
     types::{ApplyOutcome, Change, LogEntry, VoterInfo},
 };
-use common::{
-    Clock, Index, NodeId, Revision, Tick, lock, log_event,
-    runtime::{random, spawn},
-    settings::Settings,
-};
+use common::{Clock, Index, NodeId, Revision, Tick, lock, log_event, runtime::spawn, settings::Settings};
 use std::{
     collections::BTreeMap,
     net::SocketAddr,
@@ -88,29 +86,6 @@
     committed: watch::Sender<Index>,
 }
 
-/// What a control node starts from.
-pub enum Start {
-    /// What its disk holds.
-    Ready(Box<DurableState>),
-    /// Its disk can't be read or written yet: it takes part in nothing until its log writer recovers.
-    AwaitingDisk(Box<VoterInfo>),
-}
-
-impl From<DurableState> for Start {
-    fn from(state: DurableState) -> Self {
-        Start::Ready(Box::new(state))
-    }
-}
-
-impl Start {
-    fn into_state(self) -> DurableState {
-        match self {
-            Start::Ready(state) => *state,
-            Start::AwaitingDisk(voter) => DurableState::blank(&voter),
-        }
-    }
-}
-
 /// What operators are shown of a control node.
 pub struct Status {
     /// Its copy of the cluster state.
@@ -139,7 +114,7 @@
         log_writer: LogWriterFactory,
     ) -> Arc<ControlNode> {
         let clock = Clock::default();
-        let voter = new_voter(&settings, expected_voters, start.into(), clock.now());
+        let voter = start::new_voter(&settings, expected_voters, start.into(), clock.now());
         let (committed, _) = watch::channel(voter.commit_index());
         let inner = Inner {
             voter,
@@ -250,15 +225,3 @@
         self.committed.send_replace(inner.voter.commit_index());
     }
 }
-
-fn new_voter(settings: &Settings, expected_voters: usize, start: Start, now: Tick) -> Voter {
-    let awaiting_disk = matches!(start, Start::AwaitingDisk(_));
-    let state = start.into_state();
-    let (me, seeds, timing) = (state.me.clone(), settings.seeds.clone(), settings.timing.clone());
-    let mut voter = Voter::new(me, &settings.cluster, seeds, timing, Some(state), now);
-    voter.secret = random();
-    voter.may_bootstrap = settings.may_bootstrap;
-    voter.expected_voters = expected_voters;
-    voter.disk_failed = awaiting_disk;
-    voter
-}
--- /dev/null
+++ b/crates/control-plane/src/membership/follow.rs
@@ -0,0 +1,95 @@
+//! How a node follows the cluster state (design 3.3).
+
+use super::Member;
+use crate::{
+    rpc::{ControlRequest, ControlResponse},
+    state_machine::{
+        ClusterState,
+        state_update::{self, InstallResult, StateUpdate},
+    },
+};
+use common::{Index, PeerError, lock, log_event};
+use std::{
+    net::SocketAddr,
+    sync::{Arc, atomic::Ordering},
+    time::Duration,
+};
+
+impl Member {
+    pub(super) async fn keep_following(self: Arc<Self>) {
+        loop {
+            if !self.follow().await {
+                tokio::time::sleep(Duration::from_millis(self.settings.timing.heartbeat_ms())).await;
+            }
+        }
+    }
+
+    /// Takes updates from a voter in the own zone first, then from the others. Returns whether one answered.
+    async fn follow(&self) -> bool {
+        let mut voters = self.voters();
+        voters.sort_by_key(|voter| !voter.same_zone);
+        // A voter that is cut off from the others may have nothing newer to offer.
+        let behind = !lock(&self.announced).is_empty();
+        if let Some(leader) = self.known_leader().filter(|_| behind) {
+            voters.sort_by_key(|voter| voter.addr != leader);
+        }
+        for voter in voters {
+            match self.request_update(voter.addr).await {
+                Ok(ControlResponse::StateUpdate(update)) => {
+                    // A voter that lags has nothing new; another may know more.
+                    let unchanged = matches!(update, StateUpdate::Unchanged);
+                    if unchanged && self.is_ahead_of(voter.addr).await {
+                        continue;
+                    }
+                    let _ = self.install(update, &voter.addr.to_string());
+                    return true;
+                }
+                Ok(_) => {}
+                Err(e) => log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause()),
+            }
+        }
+        false
+    }
+
+    async fn request_update(&self, to: SocketAddr) -> Result<ControlResponse, PeerError> {
+        let gap = self.gap.swap(false, Ordering::AcqRel);
+        let have = if gap { Index(0) } else { self.cluster_state.load().index };
+        let wait_ms = self.settings.timing.renew_interval_ms();
+        let timeout_ms = wait_ms + self.settings.timing.rpc_timeout_ms;
+        let request = ControlRequest::WatchState { have, wait_ms };
+        self.control.call_within(timeout_ms, "watch state", to, request).await
+    }
+
+    /// Whether a voter that had nothing new is behind what this node has.
+    async fn is_ahead_of(&self, voter: SocketAddr) -> bool {
+        let have = self.cluster_state.load().index;
+        let request = ControlRequest::Heartbeat { index: have };
+        match self.control.call("heartbeat", voter, request).await {
+            Ok(ControlResponse::HeartbeatAck { index }) => index < have || index == Index(0),
+            _ => true,
+        }
+    }
+
+    /// Brings the copy of the state forward with an update from a voter or a peer.
+    pub fn install(&self, update: StateUpdate, from: &str) -> InstallResult {
+        let mut state = ClusterState::clone(&self.cluster_state.load());
+        let result = state_update::install(&mut state, &self.settings.cluster, update);
+        match &result {
+            InstallResult::Advanced => {
+                let index = state.index;
+                self.cluster_state.store(Arc::new(state));
+                lock(&self.announced).retain(|(announced, _)| *announced > index);
+                self.applied.send_replace(index);
+            }
+            InstallResult::Gap => {
+                self.gap.store(true, Ordering::Release);
+                log_event!(Warn, "state update", "peer" => from, "cause" => "gap; taking a snapshot");
+            }
+            InstallResult::Rejected(why) => {
+                log_event!(Warn, "state update", "peer" => from, "cause" => why.to_string());
+            }
+            InstallResult::Unchanged => {}
+        }
+        result
+    }
+}
--- a/crates/control-plane/src/membership/member.rs
+++ b/crates/control-plane/src/membership/member.rs
@@ -4,10 +4,7 @@
 use super::HeldLease;
 use crate::{
     rpc::{ControlClient, ControlRequest, ControlResponse, SERVICE},
-    state_machine::{
-        ClusterState,
-        state_update::{self, InstallResult, StateUpdate},
-    },
+    state_machine::ClusterState,
     types::{MAX_VOTERS, NodeInfo},
 };
 use arc_swap::ArcSwap;
@@ -46,18 +43,18 @@
     /// Who answered the last renewal.
     leader: Mutex<Option<SocketAddr>>,
     /// Indexes that the leader announced and that are not held yet, each with a time before it did.
-    announced: Mutex<VecDeque<(Index, Tick)>>,
+    pub(super) announced: Mutex<VecDeque<(Index, Tick)>>,
     /// A gap was found in the updates: the next request asks for a snapshot.
-    gap: AtomicBool,
+    pub(super) gap: AtomicBool,
     /// On its way out: renews no more.
     leaving: AtomicBool,
 }
 
 /// A voter that may be asked.
 #[derive(Clone, Copy)]
-struct VoterAddr {
-    addr: SocketAddr,
-    same_zone: bool,
+pub(super) struct VoterAddr {
+    pub(super) addr: SocketAddr,
+    pub(super) same_zone: bool,
 }
 
 impl Member {
@@ -99,14 +96,6 @@
         }
     }
 
-    async fn keep_following(self: Arc<Self>) {
-        loop {
-            if !self.follow().await {
-                tokio::time::sleep(Duration::from_millis(self.settings.timing.heartbeat_ms())).await;
-            }
-        }
-    }
-
     /// The lease as it is held now.
     pub fn lease(&self) -> HeldLease {
         *lock(&self.lease)
@@ -153,7 +142,7 @@
     }
 
     /// The control nodes' addresses: those of the voters where they are known, and the seeds.
-    fn voters(&self) -> Vec<VoterAddr> {
+    pub(super) fn voters(&self) -> Vec<VoterAddr> {
         let state = self.cluster_state.load();
         let known = state.voters.iter();
         let mut voters: Vec<VoterAddr> = known
@@ -167,7 +156,7 @@
         voters
     }
 
-    fn known_leader(&self) -> Option<SocketAddr> {
+    pub(super) fn known_leader(&self) -> Option<SocketAddr> {
         *lock(&self.leader)
     }
 
@@ -232,73 +221,4 @@
             }
         }
     }
-
-    /// Takes updates from a voter in the own zone first, then from the others. Returns whether one answered.
-    async fn follow(&self) -> bool {
-        let mut voters = self.voters();
-        voters.sort_by_key(|voter| !voter.same_zone);
-        // A voter that is cut off from the others may have nothing newer to offer.
-        let behind = !lock(&self.announced).is_empty();
-        if let Some(leader) = self.known_leader().filter(|_| behind) {
-            voters.sort_by_key(|voter| voter.addr != leader);
-        }
-        for voter in voters {
-            match self.request_update(voter.addr).await {
-                Ok(ControlResponse::StateUpdate(update)) => {
-                    // A voter that lags has nothing new; another may know more.
-                    let unchanged = matches!(update, StateUpdate::Unchanged);
-                    if unchanged && self.is_ahead_of(voter.addr).await {
-                        continue;
-                    }
-                    let _ = self.install(update, &voter.addr.to_string());
-                    return true;
-                }
-                Ok(_) => {}
-                Err(e) => log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause()),
-            }
-        }
-        false
-    }
-
-    async fn request_update(&self, to: SocketAddr) -> Result<ControlResponse, PeerError> {
-        let gap = self.gap.swap(false, Ordering::AcqRel);
-        let have = if gap { Index(0) } else { self.cluster_state.load().index };
-        let wait_ms = self.settings.timing.renew_interval_ms();
-        let timeout_ms = wait_ms + self.settings.timing.rpc_timeout_ms;
-        let request = ControlRequest::WatchState { have, wait_ms };
-        self.control.call_within(timeout_ms, "watch state", to, request).await
-    }
-
-    /// Whether a voter that had nothing new is behind what this node has.
-    async fn is_ahead_of(&self, voter: SocketAddr) -> bool {
-        let have = self.cluster_state.load().index;
-        let request = ControlRequest::Heartbeat { index: have };
-        match self.control.call("heartbeat", voter, request).await {
-            Ok(ControlResponse::HeartbeatAck { index }) => index < have || index == Index(0),
-            _ => true,
-        }
-    }
-
-    /// Brings the copy of the state forward with an update from a voter or a peer.
-    pub fn install(&self, update: StateUpdate, from: &str) -> InstallResult {
-        let mut state = ClusterState::clone(&self.cluster_state.load());
-        let result = state_update::install(&mut state, &self.settings.cluster, update);
-        match &result {
-            InstallResult::Advanced => {
-                let index = state.index;
-                self.cluster_state.store(Arc::new(state));
-                lock(&self.announced).retain(|(announced, _)| *announced > index);
-                self.applied.send_replace(index);
-            }
-            InstallResult::Gap => {
-                self.gap.store(true, Ordering::Release);
-                log_event!(Warn, "state update", "peer" => from, "cause" => "gap; taking a snapshot");
-            }
-            InstallResult::Rejected(why) => {
-                log_event!(Warn, "state update", "peer" => from, "cause" => why.to_string());
-            }
-            InstallResult::Unchanged => {}
-        }
-        result
-    }
 }
--- /dev/null
+++ b/crates/control-plane/src/operator/outcome.rs
@@ -0,0 +1,64 @@
+//! What became of an operator's operation.
+
+use crate::control_node::ReadError;
+use configuration::Diagnostic;
+use std::fmt;
+
+/// What became of an operation.
+#[derive(Clone, Debug, PartialEq)]
+#[must_use]
+pub enum OperationOutcome {
+    /// It is in force.
+    Accepted,
+    /// Built on another version than the current one; it never takes effect.
+    Conflict {
+        /// The current version, if it is known.
+        current: Option<u64>,
+    },
+    /// Nothing was logged, and sending it again would not help.
+    Invalid(Vec<Diagnostic>),
+    /// The body or the document is too long.
+    TooLarge,
+    /// Nothing was logged; it may be sent again.
+    Unavailable(String),
+    /// It may take effect or not; sending it again tells.
+    Undetermined,
+}
+
+/// Why the current document could not be read.
+#[derive(Debug)]
+pub enum ServiceError {
+    /// The newest state could not be read.
+    Read(ReadError),
+    /// No leader answered in time.
+    TimedOut,
+    /// The document in force can't be parsed.
+    Unparsable(Vec<Diagnostic>),
+}
+
+impl fmt::Display for ServiceError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ServiceError::Read(why) => why.fmt(f),
+            ServiceError::TimedOut => f.write_str("no leader answered in time"),
+            ServiceError::Unparsable(diagnostics) => {
+                write!(f, "the current document can't be read: {diagnostics:?}")
+            }
+        }
+    }
+}
+
+impl std::error::Error for ServiceError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ServiceError::Read(why) => Some(why),
+            ServiceError::TimedOut | ServiceError::Unparsable(_) => None,
+        }
+    }
+}
+
+impl From<ServiceError> for OperationOutcome {
+    fn from(why: ServiceError) -> Self {
+        OperationOutcome::Unavailable(why.to_string())
+    }
+}
--- a/crates/control-plane/src/operator/service.rs
+++ b/crates/control-plane/src/operator/service.rs
@@ -6,9 +6,12 @@
 //! newest committed state, and the change is logged on top of that state's revision, so that applying it decides
 //! between two that were compared with the same state.
 
-use super::api::draw_operation;
+use super::{
+    api::draw_operation,
+    outcome::{OperationOutcome, ServiceError},
+};
 use crate::{
-    control_node::{ControlNode, ReadError},
+    control_node::ControlNode,
     rpc::ProposalOutcome,
     state_machine::{ClusterState, OperationStatus, operation_status},
     types::{ApplyOutcome, Change, Document, MAX_DOCUMENT_BYTES},
@@ -16,7 +19,7 @@
 use common::{OpId, Revision, Zone, is_valid_name};
 use configuration::{Diagnostic, DocumentFormat};
 use siphasher::sip128::{Hasher128, SipHasher13};
-use std::{collections::BTreeSet, fmt, hash::Hasher, sync::Arc, time::Duration};
+use std::{collections::BTreeSet, hash::Hasher, sync::Arc, time::Duration};
 use tokio::time::Instant;
 
 /// Callers ask another node after a second, or somewhat more where they sent much.
@@ -24,65 +27,6 @@
 /// Bytes of a body for which a call has a millisecond more.
 const BYTES_PER_MS: u64 = 2_048;
 
-/// What became of an operation.
-#[derive(Clone, Debug, PartialEq)]
-#[must_use]
-pub enum OperationOutcome {
-    /// It is in force.
-    Accepted,
-    /// Built on another version than the current one; it never takes effect.
-    Conflict {
-        /// The current version, if it is known.
-        current: Option<u64>,
-    },
-    /// Nothing was logged, and sending it again would not help.
-    Invalid(Vec<Diagnostic>),
-    /// The body or the document is too long.
-    TooLarge,
-    /// Nothing was logged; it may be sent again.
-    Unavailable(String),
-    /// It may take effect or not; sending it again tells.
-    Undetermined,
-}
-
-/// Why the current document could not be read.
-#[derive(Debug)]
-pub enum ServiceError {
-    /// The newest state could not be read.
-    Read(ReadError),
-    /// No leader answered in time.
-    TimedOut,
-    /// The document in force can't be parsed.
-    Unparsable(Vec<Diagnostic>),
-}
-
-impl fmt::Display for ServiceError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ServiceError::Read(why) => why.fmt(f),
-            ServiceError::TimedOut => f.write_str("no leader answered in time"),
-            ServiceError::Unparsable(diagnostics) => {
-                write!(f, "the current document can't be read: {diagnostics:?}")
-            }
-        }
-    }
-}
-
-impl std::error::Error for ServiceError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            ServiceError::Read(why) => Some(why),
-            ServiceError::TimedOut | ServiceError::Unparsable(_) => None,
-        }
-    }
-}
-
-impl From<ServiceError> for OperationOutcome {
-    fn from(why: ServiceError) -> Self {
-        OperationOutcome::Unavailable(why.to_string())
-    }
-}
-
 /// Carries out operators' operations at one control node.
 pub struct OperatorService {
     node: Arc<ControlNode>,
--- a/crates/control-plane/src/storage/data_folder.rs
+++ b/crates/control-plane/src/storage/data_folder.rs
@@ -1,8 +1,7 @@
 //! The data folder of a control node (design 2.6).
 
 use super::{
-    Corruption, FileStore, LoadResult, OpenError, OpenedStorage, StateStorage,
-    layout::{Medium, SystemMedium},
+    Corruption, FileStore, LoadResult, Medium, OpenError, OpenedStorage, StateStorage, SystemMedium,
 };
 use crate::{consensus::DurableState, types::VoterInfo};
 use common::{Incarnation, log_event, settings::Settings};
--- a/crates/control-plane/src/storage/file_store.rs
+++ b/crates/control-plane/src/storage/file_store.rs
@@ -6,11 +6,11 @@
 //! only the file that holds no such slot is ever written over.
 
 use super::{
-    Corruption, LoadResult, RecordWriter,
+    Corruption, LoadResult, Medium, RecordWriter, SystemMedium,
     layout::{
-        FILE_KINDS, HEADER_BYTES, Header, LogState, MAGIC, MAGIC_NAME_BYTES, Medium, SystemMedium,
-        fill_with_zeros, find_short_file, load_without_slots, log_follows, log_state, open_for_writing,
-        open_if_present, read_body, read_header, read_piece, record_number, reserve,
+        FILE_KINDS, HEADER_BYTES, Header, LogState, MAGIC, MAGIC_NAME_BYTES, fill_with_zeros,
+        find_short_file, load_without_slots, log_follows, log_state, open_for_writing, open_if_present,
+        read_body, read_header, read_piece, record_number, reserve,
     },
     log_reader::replay_log,
 };
--- a/crates/control-plane/src/storage/layout.rs
+++ b/crates/control-plane/src/storage/layout.rs
@@ -1,7 +1,7 @@
 //! The layout of the store's files: headers, bodies, and how they are read and reserved. At most one piece of
 //! a file is held in memory beyond what is read for use.
 
-use super::{Corruption, LoadResult};
+use super::{Corruption, LoadResult, Medium};
 use crate::types::{SHORT_LOG_BYTES, SLOT_BYTES};
 use std::{
     fs::{File, OpenOptions},
@@ -20,27 +20,6 @@
 /// Most that is filled or searched at once, in bytes: a process's memory at its peak counts.
 pub(super) const PIECE_BYTES: usize = 64 << 10;
 
-/// What changes files. Tests have their own, which refuse, tear or forget what is written.
-pub trait Medium: Send + Sync {
-    /// Writes bytes at an offset.
-    fn write(&self, file: &File, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// All that was written to the file is durable when this returns.
-    fn sync(&self, file: &File) -> io::Result<()>;
-}
-
-/// The operating system's files.
-pub struct SystemMedium;
-
-impl Medium for SystemMedium {
-    fn write(&self, file: &File, offset: u64, bytes: &[u8]) -> io::Result<()> {
-        file.write_all_at(bytes, offset)
-    }
-
-    fn sync(&self, file: &File) -> io::Result<()> {
-        file.sync_data()
-    }
-}
-
 /// Stands before a snapshot, a log or a record: the magic, two numbers, and a checksum of the body and of the
 /// header itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/control-plane/src/storage/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -5,11 +5,12 @@
 mod file_store;
 mod layout;
 mod log_reader;
+mod medium;
 mod recorder;
 
 pub use data_folder::{DataFolder, blank_voter};
 pub use file_store::FileStore;
-pub use layout::{Medium, SystemMedium};
+pub use medium::{Medium, SystemMedium};
 pub use recorder::{Recorder, RecoveryBackoff};
 
 use crate::consensus::{DurableState, Record};
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -16,7 +16,7 @@
     consensus::{Event, Record},
     control_node::{ControlNode, LogWriter, LogWriterFactory, Start},
     membership::Member,
-    operator::service::{OperationOutcome, OperatorService},
+    operator::{OperationOutcome, OperatorService},
     rpc::ProposalOutcome,
     storage::blank_voter,
     types::NodeInfo,
--- a/crates/control-plane/tests/operator/cut_off.rs
+++ b/crates/control-plane/tests/operator/cut_off.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{Cluster, Stand};
 use common::runtime::Simulation;
-use control_plane::operator::service::OperationOutcome;
+use control_plane::operator::OperationOutcome;
 use rstest::rstest;
 use std::time::Duration;
 use tokio::time::sleep;
--- a/crates/data-plane/src/contact.rs
+++ b/crates/data-plane/src/contact.rs
@@ -25,7 +25,7 @@
     }
 
     /// Without a lease, and without a majority of the last known members: new work is rejected.
-    /// With that majority it is the core that is out, and traffic attempts on.
+    /// With that majority it is the core that is out, and traffic goes on.
     pub fn cut_off(&self) -> bool {
         if !self.member.caught_up() {
             return true;
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -2,13 +2,14 @@
 
 use crate::{
     attempt::{AttemptTarget, Outcome, OutgoingRequest, attempt},
+    attempt_history::{AttemptHistory, AttemptStep},
     gateway::{rejected, unknown},
     plan::Plan,
     retry_policy::{After, may_retry},
     router::{Router, lock},
 };
 use common::{
-    PeerError, Region, ReplicaId, Tick,
+    PeerError, Region, ReplicaId,
     http::{Body, OpenGuard},
     log_event,
 };
@@ -24,29 +25,6 @@
 /// The part of its deadline that a request may spend on the request queue.
 const WAIT_RATIO: u64 = 8;
 
-/// What went before, as far as the next go must know it.
-#[derive(Default)]
-pub(crate) struct Past {
-    pub attempts: u32,
-    pub avoid: BTreeSet<Region>,
-    pub tried: Vec<ReplicaId>,
-    pub routers: Vec<String>,
-    /// An earlier go that may have run: from then on the request is never called rejected.
-    pub maybe: Option<PeerError>,
-    pub wait_until: Option<Tick>,
-}
-
-pub(crate) enum Next {
-    Answer(Response<Body>),
-    /// Certain not to have run.
-    NotRun(PeerError),
-    MayHaveRun(PeerError),
-    /// Nothing was tried; the next look leaves out what is to be avoided.
-    Again,
-    /// Nothing to go to now; whether there may be later.
-    NoRoom(bool),
-}
-
 impl Router {
     pub async fn carry(
         self: &Arc<Self>,
@@ -58,35 +36,35 @@
         if !p.inner {
             self.budget.earn(share);
         }
-        let mut past = Past::default();
+        let mut history = AttemptHistory::default();
         // Each go keeps a part of it, so that the request counts as open once, to its last byte.
         let open = Arc::new(open);
         loop {
-            let first = past.attempts == 0;
+            let first = history.attempts == 0;
             // A process that was frozen must not act on what it knew before.
             if let Some(why) = self.forbidden(p) {
-                return self.given_up(p, &past, why, 2);
+                return self.given_up(p, &history, why, 2);
             }
-            match self.attempt_once(p, sent, &mut past, &open).await {
-                Next::Answer(r) => return r,
-                Next::Again => {}
-                Next::NoRoom(false) => return self.given_up(p, &past, "no replica in reach", 2),
-                Next::NoRoom(true) if first => {
-                    if let Err(why) = self.wait_for_room(p, &mut past).await {
+            match self.attempt_once(p, sent, &mut history, &open).await {
+                AttemptStep::Answer(r) => return r,
+                AttemptStep::Again => {}
+                AttemptStep::NoRoom(false) => return self.given_up(p, &history, "no replica in reach", 2),
+                AttemptStep::NoRoom(true) if first => {
+                    if let Err(why) = self.wait_for_room(p, &mut history).await {
                         let secs = lock(&self.queue).retry_after();
-                        return self.given_up(p, &past, why, secs);
+                        return self.given_up(p, &history, why, secs);
                     }
                 }
-                Next::NoRoom(true) => return self.given_up(p, &past, "no room", 1),
-                Next::NotRun(e) => {
-                    let again = self.again(p, &past, After::NotRun);
+                AttemptStep::NoRoom(true) => return self.given_up(p, &history, "no room", 1),
+                AttemptStep::NotRun(e) => {
+                    let again = self.again(p, &history, After::NotRun);
                     log_event!(Info, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.request_id, "again" => again);
                     if !again {
-                        return self.given_up(p, &past, "go failed before it was sent", 1);
+                        return self.given_up(p, &history, "go failed before it was sent", 1);
                     }
                 }
-                Next::MayHaveRun(e) => {
-                    let again = self.again(p, &past, After::MayHaveRun);
+                AttemptStep::MayHaveRun(e) => {
+                    let again = self.again(p, &history, After::MayHaveRun);
                     log_event!(Warn, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.request_id, "again" => again);
                     if !again && common::mutation::enabled("unknown-called-bounced") {
                         return rejected(self, p, "go failed", 1);
@@ -94,7 +72,7 @@
                     if !again {
                         return unknown(self, p, &e, self.now() >= p.deadline);
                     }
-                    past.maybe = Some(e);
+                    history.may_have_run = Some(e);
                 }
             }
         }
@@ -125,8 +103,8 @@
         AttemptTarget { ip, to, connect_ms, left_ms: p.deadline.since(self.now()), forbidden }
     }
 
-    fn again(&self, p: &Plan, past: &Past, after: After) -> bool {
-        may_retry(after, p.entry.idempotent, p.inner, past.attempts)
+    fn again(&self, p: &Plan, history: &AttemptHistory, after: After) -> bool {
+        may_retry(after, p.entry.idempotent, p.inner, history.attempts)
             && self.now() < p.deadline
             && self.budget.spend()
     }
@@ -135,24 +113,24 @@
         self: &Arc<Self>,
         p: &Plan,
         sent: &OutgoingRequest,
-        past: &mut Past,
+        history: &mut AttemptHistory,
         open: &Arc<OpenGuard>,
-    ) -> Next {
+    ) -> AttemptStep {
         let own = self.own_region(&p.governing.table);
         let target = if p.inner {
             own.clone().map(|region| (region, true))
         } else {
-            self.target(p, &past.avoid).await
+            self.target(p, &history.avoid).await
         };
         let Some((region, stored)) = target else {
             let seen = self.seen(&p.governing.table, &p.entry.to);
             let any = own.is_some_and(|o| p.homes.contains(&o) && seen.contains_key(&o));
-            return Next::NoRoom(any || self.starting());
+            return AttemptStep::NoRoom(any || self.starting());
         };
         if own.as_ref() == Some(&region) {
-            self.local(p, sent, past, open).await
+            self.local(p, sent, history, open).await
         } else {
-            self.remote(p, sent, past, open, region, stored).await
+            self.remote(p, sent, history, open, region, stored).await
         }
     }
 
@@ -181,16 +159,16 @@
         self: &Arc<Self>,
         p: &Plan,
         sent: &OutgoingRequest,
-        past: &mut Past,
+        history: &mut AttemptHistory,
         open: &Arc<OpenGuard>,
-    ) -> Next {
+    ) -> AttemptStep {
         let t = &p.governing.table;
-        let picked = match self.pick(t, &p.entry.to, p.entry.kind, p.key, &past.tried) {
+        let picked = match self.pick(t, &p.entry.to, p.entry.kind, p.key, &history.tried) {
             Ok(x) => x,
-            Err(any) => return Next::NoRoom(any || self.starting()),
+            Err(any) => return AttemptStep::NoRoom(any || self.starting()),
         };
-        self.count_attempt(past, "first");
-        past.tried.push(picked.id.clone());
+        self.count_attempt(history, "first");
+        history.tried.push(picked.id.clone());
         let (addr, own, id) = (picked.addr, picked.own.clone(), picked.id.clone());
         let extra = [("foldshunt-job", p.request_id.to_string())];
         let kept = (picked, open.clone());
@@ -200,11 +178,11 @@
             Outcome::Done(r) => {
                 self.note_load(&own, r.headers());
                 // Another may do better; this one says itself that it did not serve the request.
-                if r.status().as_u16() == 503 && self.again(p, past, After::MayHaveRun) {
-                    past.maybe = Some(PeerError::new("replica", id, "answered 503"));
-                    return Next::Again;
+                if r.status().as_u16() == 503 && self.again(p, history, After::MayHaveRun) {
+                    history.may_have_run = Some(PeerError::new("replica", id, "answered 503"));
+                    return AttemptStep::Again;
                 }
-                Next::Answer(self.done(p, r))
+                AttemptStep::Answer(self.done(p, r))
             }
             Outcome::NotRun(e) => {
                 let until = self.now() + self.set.timing.probe_interval_ms;
@@ -212,31 +190,31 @@
                 if e.is_refused() {
                     own.refused_at.store(self.now().0, Ordering::Relaxed);
                 }
-                Next::NotRun(e)
+                AttemptStep::NotRun(e)
             }
-            Outcome::Unknown(e) => Next::MayHaveRun(e),
+            Outcome::Unknown(e) => AttemptStep::MayHaveRun(e),
         }
     }
 
     /// The final answer, at once: rejected only where no go of the request can have run.
-    fn given_up(&self, p: &Plan, past: &Past, why: &'static str, secs: u64) -> Response<Body> {
-        match past.maybe.as_ref().filter(|_| !common::mutation::enabled("unknown-called-bounced")) {
+    fn given_up(&self, p: &Plan, history: &AttemptHistory, why: &'static str, secs: u64) -> Response<Body> {
+        match history.may_have_run.as_ref().filter(|_| !common::mutation::enabled("unknown-called-bounced")) {
             None => rejected(self, p, why, secs),
             Some(e) => unknown(self, p, e, false),
         }
     }
 
-    pub(crate) fn count_attempt(&self, past: &mut Past, kind: &str) {
-        let kind = if past.attempts == 0 { kind } else { "extra" };
+    pub(crate) fn count_attempt(&self, history: &mut AttemptHistory, kind: &str) {
+        let kind = if history.attempts == 0 { kind } else { "extra" };
         self.counters.attempts.inc(&[kind]);
-        past.attempts += 1;
+        history.attempts += 1;
     }
 
     /// A place on the request queue, for a part of the deadline at most; an answer at once where it
     /// would not help.
-    async fn wait_for_room(&self, p: &Plan, past: &mut Past) -> Result<(), &'static str> {
+    async fn wait_for_room(&self, p: &Plan, history: &mut AttemptHistory) -> Result<(), &'static str> {
         let now = self.now();
-        let until = *past.wait_until.get_or_insert(
+        let until = *history.wait_until.get_or_insert(
             now + (p.deadline.since(now) / WAIT_RATIO).min(2 * self.set.timing.probe_interval_ms),
         );
         let bound = p.governing.table.tuning.queue;
--- a/crates/data-plane/src/grant_exchange.rs
+++ b/crates/data-plane/src/grant_exchange.rs
@@ -83,7 +83,7 @@
         let res = if grant_issuer.info.node == *self.node() {
             self.redeem_here(s)
         } else {
-            let ask = RouterRequest::Redeem { spent: s.clone() };
+            let ask = RouterRequest::RedeemGrant { spent: s.clone() };
             match self.lines.call("redeem grant", grant_issuer.info.rpc_addr, ask).await {
                 Ok(RouterResponse::Done) => Ok(()),
                 Ok(RouterResponse::Rejected(_)) => Err("pass not good"),
@@ -115,14 +115,12 @@
                     let to = grant_issuer.info.rpc_addr;
                     common::runtime::spawn(async move {
                         let asked = me.now();
-                        let ask = RouterRequest::Passes {
+                        let ask = RouterRequest::RequestGrant {
                             region: region.clone(),
                             service: svc.clone(),
                             node: me.node().clone(),
                         };
-                        if let Ok(RouterResponse::CapacityGrant(p)) =
-                            me.lines.call("request grant", to, ask).await
-                        {
+                        if let Ok(RouterResponse::Grant(p)) = me.lines.call("request grant", to, ask).await {
                             lock(&me.held_grants).put(&region, &svc, p, asked);
                         }
                     });
--- a/crates/data-plane/src/health_prober.rs
+++ b/crates/data-plane/src/health_prober.rs
@@ -79,7 +79,7 @@
         let (mut seq, mut fencing_token) = (0, FencingToken(0));
         let wait_ms = self.set.timing.probe_interval_ms * 2;
         loop {
-            let ask = RouterRequest::Watch {
+            let ask = RouterRequest::WatchLoad {
                 service: service.clone(),
                 zone: zone.clone(),
                 seq,
@@ -180,49 +180,6 @@
         }
     }
 
-    /// A router that has heard nothing yet asks others for the last load reports: without them a new
-    /// home would take every warm replica for cold, and first requests would wait for the next check.
-    async fn ask_the_last(&self, service: &Service, zone: &Zone) {
-        if self.last_load_report(service, zone).is_some() {
-            return;
-        }
-        let (others, asked) = (self.cluster_state(), self.now());
-        let asks = others.routers().into_iter().filter(|m| m.info.node != *self.node()).map(|m| {
-            let ask = RouterRequest::Last { service: service.clone(), zone: zone.clone() };
-            Box::pin(async move {
-                match self.lines.call("last load report", m.info.rpc_addr, ask).await {
-                    Ok(RouterResponse::LoadReport(f)) => Ok(f),
-                    _ => Err(()),
-                }
-            })
-        });
-        let asks: Vec<_> = asks.collect();
-        // The first that knows is enough: newer ones follow with the next check.
-        if !asks.is_empty()
-            && let Ok((f, _)) = futures::future::select_ok(asks).await
-        {
-            self.install_load_report(f, asked);
-        }
-    }
-
-    /// A new home attempts on from the load reports of the last one: what was warm stays warm.
-    fn inherited(&self, service: &Service, zone: &Zone, lost: bool) -> BTreeMap<ReplicaId, ReplicaHealth> {
-        let b = self.load_view.board();
-        let from = |g: &ReplicaLoad| ReplicaHealth {
-            fails: 0,
-            // What is on its ramp may be away just now: it begins anew with the first check.
-            absent: lost || g.allowance.is_some(),
-            healthy: g.healthy,
-            capacity: g.capacity,
-            consumption: g.consumption,
-            warm_since: None,
-        };
-        b.seen
-            .get(&(service.clone(), zone.clone()))
-            .map(|s| s.fig.replicas.iter().map(|g| (g.id.clone(), from(g))).collect())
-            .unwrap_or_default()
-    }
-
     async fn check(&self, r: &Replica) -> ProbeResult {
         let (ip, ms) = (self.set.rpc_addr.ip(), (self.set.timing.probe_interval_ms * 3 / 4).max(50));
         let res = ask(ip, r.addr, Method::GET, "/foldshunt/report", &[], "", ms).await;
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,6 +1,7 @@
 //! The data plane (design 5 and 6): a plan is made as data, then carried out.
 
 pub mod attempt;
+pub(crate) mod attempt_history;
 pub mod capacity_grant;
 pub mod contact;
 pub mod counters;
--- a/crates/data-plane/src/placement.rs
+++ b/crates/data-plane/src/placement.rs
@@ -2,7 +2,7 @@
 //! that is settled at the owner of the shard.
 
 use crate::{
-    placement_table::{Copy, PlacementOutcome, UserKey},
+    placement_table::{PlacementOutcome, PlacementRow, UserKey},
     plan::Plan,
     region_choice::{candidates, draw, draw_by_key, passes},
     router::{Cached, Router, lock},
@@ -133,9 +133,16 @@
         if owner.info.node == *self.node() {
             return self.settle_here(fencing_token, key, service, stale, pick, ttl_ms).ok();
         }
-        let ask = RouterRequest::Settle { fencing_token, key, service: service.clone(), stale, pick, ttl_ms };
+        let ask = RouterRequest::ResolvePlacement {
+            fencing_token,
+            key,
+            service: service.clone(),
+            stale,
+            pick,
+            ttl_ms,
+        };
         match self.lines.call_within(wait_ms, "resolve placement", owner.info.rpc_addr, ask).await {
-            Ok(RouterResponse::PlacementOutcome(s)) => Some(s),
+            Ok(RouterResponse::Placement(s)) => Some(s),
             _ => None,
         }
     }
@@ -175,14 +182,14 @@
         shard: u16,
         fencing_token: common::FencingToken,
         owners: Vec<Member>,
-        row: Copy,
+        row: PlacementRow,
     ) {
         let (far, near): (Vec<_>, Vec<_>) =
             owners.into_iter().skip(1).partition(|m| m.info.zone != *self.zone());
         for m in far.into_iter().chain(near).take(2) {
             let (me, rows) = (self.clone(), vec![row.clone()]);
             common::runtime::spawn(async move {
-                let ask = RouterRequest::Copy { fencing_token, shard, rows };
+                let ask = RouterRequest::ReplicatePlacements { fencing_token, shard, rows };
                 let _ = me.lines.call("replicate placement", m.info.rpc_addr, ask).await;
             });
         }
@@ -203,8 +210,8 @@
                 for m in owners.into_iter().skip(1).take(3) {
                     let (me, to) = (self.clone(), m.info.rpc_addr);
                     common::runtime::spawn(async move {
-                        if let Ok(RouterResponse::Rows(rows)) =
-                            me.lines.call("fetch shard", to, RouterRequest::Fetch { shard }).await
+                        if let Ok(RouterResponse::Placements(rows)) =
+                            me.lines.call("fetch shard", to, RouterRequest::FetchShard { shard }).await
                         {
                             me.install_rows(rows);
                         }
@@ -217,7 +224,7 @@
         }
     }
 
-    pub fn install_rows(&self, rows: Vec<Copy>) {
+    pub fn install_rows(&self, rows: Vec<PlacementRow>) {
         let now: Tick = self.now();
         let mut t = lock(&self.placements);
         rows.into_iter().for_each(|c| t.copy(c, now));
--- a/crates/data-plane/src/placement_table.rs
+++ b/crates/data-plane/src/placement_table.rs
@@ -23,7 +23,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Copy {
+pub struct PlacementRow {
     pub key: UserKey,
     pub service: Service,
     pub region: Region,
@@ -90,7 +90,7 @@
         let next = (high << 32) | ((self.vers + 1) & 0xffff_ffff);
         let live = self.rows.get_mut(&at).filter(|r| r.until > now);
         if let Some(r) = live.filter(|r| Some(r.ver) != stale || pick.is_none()) {
-            // A row that was inherited attempts on under the own fencing token, so that a late copy from the
+            // A row that was inherited goes on under the own fencing token, so that a late copy from the
             // owner before never stands above it.
             if r.ver >> 32 < high {
                 r.ver = next;
@@ -114,7 +114,7 @@
         PlacementOutcome::Held { region, ver, won: true }
     }
 
-    pub fn copy(&mut self, c: Copy, now: Tick) {
+    pub fn copy(&mut self, c: PlacementRow, now: Tick) {
         let at = (c.key, c.service);
         let older = self.rows.get(&at).is_none_or(|r| r.ver <= c.ver || r.until <= now);
         if older && self.rows.len() < MAX_ROWS {
@@ -122,12 +122,12 @@
         }
     }
 
-    pub fn rows_of(&self, shard: u16, now: Tick) -> Vec<Copy> {
-        let mut out: Vec<Copy> = self
+    pub fn rows_of(&self, shard: u16, now: Tick) -> Vec<PlacementRow> {
+        let mut out: Vec<PlacementRow> = self
             .rows
             .iter()
             .filter(|((k, s), r)| r.until > now && k.shard(s) == shard)
-            .map(|((key, s), r)| Copy {
+            .map(|((key, s), r)| PlacementRow {
                 key: *key,
                 service: s.clone(),
                 region: r.region.clone(),
@@ -139,8 +139,8 @@
         out
     }
 
-    pub fn one(&self, key: UserKey, service: &Service, now: Tick) -> Option<Copy> {
-        self.rows.get(&(key, service.clone())).filter(|r| r.until > now).map(|r| Copy {
+    pub fn one(&self, key: UserKey, service: &Service, now: Tick) -> Option<PlacementRow> {
+        self.rows.get(&(key, service.clone())).filter(|r| r.until > now).map(|r| PlacementRow {
             key,
             service: service.clone(),
             region: r.region.clone(),
--- a/crates/data-plane/src/remote_forwarding.rs
+++ b/crates/data-plane/src/remote_forwarding.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     attempt::{Outcome, OutgoingRequest, attempt},
-    dispatch::{Next, Past},
+    attempt_history::{AttemptHistory, AttemptStep},
     forwarding::{self, ForwardedRequest},
     plan::Plan,
     router::{Router, forward_load_id, lock},
@@ -32,15 +32,15 @@
         self: &Arc<Self>,
         p: &Plan,
         sent: &OutgoingRequest,
-        past: &mut Past,
+        history: &mut AttemptHistory,
         open: &Arc<OpenGuard>,
         region: Region,
         stored: bool,
-    ) -> Next {
+    ) -> AttemptStep {
         let step: Step = "hop";
-        let Some(peer) = self.router_in(p, &region, &past.routers) else {
-            past.avoid.insert(region);
-            return Next::Again;
+        let Some(peer) = self.router_in(p, &region, &history.routers) else {
+            history.avoid.insert(region);
+            return AttemptStep::Again;
         };
         let spent = if stored {
             None
@@ -48,8 +48,8 @@
             match lock(&self.held_grants).spend(&region, &p.entry.to, self.node(), self.now()) {
                 Some(s) => Some(s),
                 None => {
-                    past.avoid.insert(region);
-                    return Next::Again;
+                    history.avoid.insert(region);
+                    return AttemptStep::Again;
                 }
             }
         };
@@ -72,10 +72,10 @@
         };
         let signed = match forwarding::sign(self.cluster_state().secret, &h) {
             Ok(s) => s,
-            Err(e) => return Next::NotRun(PeerError::new(step, &region, e)),
+            Err(e) => return AttemptStep::NotRun(PeerError::new(step, &region, e)),
         };
-        self.count_attempt(past, "hop");
-        past.routers.push(peer.info.node.to_string());
+        self.count_attempt(history, "hop");
+        history.routers.push(peer.info.node.to_string());
         let own = self.load_view.own(&forward_load_id(&region, &p.entry.to));
         own.open.fetch_add(1, Ordering::AcqRel);
         let kept = (OpenForward(own), open.clone());
@@ -83,9 +83,9 @@
         let to = peer.info.http;
         let forbidden = || self.forbidden(p);
         match attempt(self.way_to(p, to, &forbidden), sent, &extra, kept).await {
-            Outcome::Done(r) => self.forward_response(p, r, past, region, &peer).await,
-            Outcome::NotRun(e) => Next::NotRun(e),
-            Outcome::Unknown(e) => Next::MayHaveRun(e),
+            Outcome::Done(r) => self.forward_response(p, r, history, region, &peer).await,
+            Outcome::NotRun(e) => AttemptStep::NotRun(e),
+            Outcome::Unknown(e) => AttemptStep::MayHaveRun(e),
         }
     }
 
@@ -94,23 +94,23 @@
         self: &Arc<Self>,
         p: &Plan,
         r: Response<Body>,
-        past: &mut Past,
+        history: &mut AttemptHistory,
         region: Region,
         peer: &Member,
-    ) -> Next {
+    ) -> AttemptStep {
         let said = |k: &str| r.headers().get(k).and_then(|v| v.to_str().ok()).unwrap_or("").to_string();
         match said("foldshunt-outcome").as_str() {
-            "done" => Next::Answer(self.done(p, r)),
+            "done" => AttemptStep::Answer(self.done(p, r)),
             "bounced" => {
                 let why = said("foldshunt-reason");
                 if forwarding::is_transient(&why) {
                     tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await;
                 } else {
-                    past.avoid.insert(region);
+                    history.avoid.insert(region);
                 }
-                Next::NotRun(PeerError::new("hop", &peer.info.node, format!("bounced: {why}")))
+                AttemptStep::NotRun(PeerError::new("hop", &peer.info.node, format!("bounced: {why}")))
             }
-            _ => Next::MayHaveRun(PeerError::new("hop", &peer.info.node, "outcome unknown there")),
+            _ => AttemptStep::MayHaveRun(PeerError::new("hop", &peer.info.node, "outcome unknown there")),
         }
     }
 }
--- a/crates/data-plane/src/replica_choice.rs
+++ b/crates/data-plane/src/replica_choice.rs
@@ -60,7 +60,7 @@
     c.consumption() + 1.0 <= cap && (added < part || (half_empty && added < 1))
 }
 
-/// Refused a connection here since its load reports were taken: nothing attempts there before newer ones.
+/// Refused a connection here since its load reports were taken: nothing goes there before newer ones.
 fn gone(c: &Candidate) -> bool {
     c.own.refused_at.load(Ordering::Relaxed) > c.at.0
 }
--- a/crates/data-plane/src/rpc_service.rs
+++ b/crates/data-plane/src/rpc_service.rs
@@ -33,13 +33,13 @@
                     SizeLimits::default(),
                 ))
             }
-            RouterRequest::Settle { fencing_token, key, service, stale, pick, ttl_ms } => {
+            RouterRequest::ResolvePlacement { fencing_token, key, service, stale, pick, ttl_ms } => {
                 match self.settle_here(fencing_token, key, &service, stale, pick, ttl_ms) {
-                    Ok(s) => RouterResponse::PlacementOutcome(s),
+                    Ok(s) => RouterResponse::Placement(s),
                     Err(why) => self.no("resolve placement", &node, why),
                 }
             }
-            RouterRequest::Copy { fencing_token, shard, rows } => {
+            RouterRequest::ReplicatePlacements { fencing_token, shard, rows } => {
                 let known = lock(&self.placements).fencing_token(shard, fencing_token);
                 match known {
                     Ok(()) => {
@@ -49,31 +49,33 @@
                     Err(f) => self.no("replicate placement", &node, format!("stale fence: {f} is known")),
                 }
             }
-            RouterRequest::Fetch { shard } => {
-                RouterResponse::Rows(lock(&self.placements).rows_of(shard, self.now()))
+            RouterRequest::FetchShard { shard } => {
+                RouterResponse::Placements(lock(&self.placements).rows_of(shard, self.now()))
             }
-            RouterRequest::Watch { service, zone, seq, fencing_token, wait_ms } => {
+            RouterRequest::WatchLoad { service, zone, seq, fencing_token, wait_ms } => {
                 match self.wait_for_load_report(service, zone, seq, fencing_token, wait_ms).await {
                     Some(f) => RouterResponse::LoadReport(f),
                     None => RouterResponse::Rejected("not the home".into()),
                 }
             }
-            RouterRequest::Last { service, zone } => match self.last_load_report(&service, &zone) {
+            RouterRequest::LastLoad { service, zone } => match self.last_load_report(&service, &zone) {
                 Some(f) => RouterResponse::LoadReport(f),
                 None => RouterResponse::Rejected("nothing heard".into()),
             },
-            RouterRequest::Passes { region, service, node } => match self.grant(&region, &service, &node) {
-                Ok(p) => RouterResponse::CapacityGrant(p),
-                Err(why) => RouterResponse::Rejected(why.into()),
-            },
-            RouterRequest::PromptSent { note } => {
+            RouterRequest::RequestGrant { region, service, node } => {
+                match self.grant(&region, &service, &node) {
+                    Ok(p) => RouterResponse::Grant(p),
+                    Err(why) => RouterResponse::Rejected(why.into()),
+                }
+            }
+            RouterRequest::AnnouncePrompt { note } => {
                 self.note_prompt(&note);
                 RouterResponse::Done
             }
-            RouterRequest::ReplicaReport { zone, seq, wait_ms } => {
+            RouterRequest::WatchReplicas { zone, seq, wait_ms } => {
                 RouterResponse::ReplicaReport(self.wait_for_report(zone, seq, wait_ms).await.map(Box::new))
             }
-            RouterRequest::Redeem { spent } => match self.redeem_here(&spent) {
+            RouterRequest::RedeemGrant { spent } => match self.redeem_here(&spent) {
                 Ok(()) => RouterResponse::Done,
                 Err(why) => self.no("redeem grant", &node, why.into()),
             },
--- a/crates/data-plane/src/serving/health_prober.rs
+++ b/crates/data-plane/src/serving/health_prober.rs
@@ -82,7 +82,7 @@
             let told = if node == *self.router.node() {
                 Ok(self.router.wait_for_report(zone.clone(), seq, wait_ms).await)
             } else {
-                let q = RouterRequest::ReplicaReport { zone: zone.clone(), seq, wait_ms };
+                let q = RouterRequest::WatchReplicas { zone: zone.clone(), seq, wait_ms };
                 let ms = wait_ms + self.router.set.timing.rpc_timeout_ms;
                 match self.router.lines.call_within(ms, "watch replicas", home.info.rpc_addr, q).await {
                     Ok(RouterResponse::ReplicaReport(b)) => Ok(b.map(|b| *b)),
--- a/crates/data-plane/src/serving/mod.rs
+++ b/crates/data-plane/src/serving/mod.rs
@@ -28,6 +28,7 @@
 pub mod slow_start;
 pub mod state;
 pub mod stream_relay;
+pub mod sync_stream;
 pub mod workload_isolation;
 
 pub use protocol::{EngineReport, HeaderNames, ListPage, ListedReplica, Lookup, Prompt, ProtocolAdapter};
--- a/crates/data-plane/src/serving/replica_choice.rs
+++ b/crates/data-plane/src/serving/replica_choice.rs
@@ -21,7 +21,7 @@
 /// What a request avoids among replicas of the other kind.
 const APART_MS: f64 = 60.0;
 
-/// What the choice attempts by, besides the candidates.
+/// What the choice goes by, besides the candidates.
 pub struct ChoiceContext<'a> {
     pub prompt: &'a Prompt,
     pub zone: &'a Zone,
--- a/crates/data-plane/src/serving/replica_list.rs
+++ b/crates/data-plane/src/serving/replica_list.rs
@@ -14,7 +14,7 @@
 };
 use tokio::sync::oneshot;
 
-/// Part of the shared rate that homes use when nothing attempts wrong: a third.
+/// Part of the shared rate that homes use when nothing goes wrong: a third.
 const RATE_HEADROOM: f64 = 3.0;
 /// Longest wait for one page.
 const PAGE_MS: u64 = 1_000;
--- a/crates/data-plane/src/serving/stream_relay.rs
+++ b/crates/data-plane/src/serving/stream_relay.rs
@@ -10,6 +10,7 @@
     event_splitter::EventPauses,
     plan::Plan,
     state::Serving,
+    sync_stream::SyncStream,
 };
 use bytes::Bytes;
 use common::{
@@ -58,21 +59,7 @@
         relay.run(open, body).await;
     });
     let stream = futures::stream::poll_fn(move |cx| frames.poll_recv(cx));
-    Response::from_parts(head, BodyExt::boxed(StreamBody::new(SyncStream(std::sync::Mutex::new(stream)))))
-}
-
-/// A body must be shareable between threads; nobody but its connection ever reads it.
-struct SyncStream<S>(std::sync::Mutex<S>);
-
-impl<S: futures::Stream + Unpin> futures::Stream for SyncStream<S> {
-    type Item = S::Item;
-    fn poll_next(
-        self: std::pin::Pin<&mut Self>,
-        cx: &mut std::task::Context<'_>,
-    ) -> std::task::Poll<Option<S::Item>> {
-        let mut g = self.0.lock().unwrap_or_else(|e| e.into_inner());
-        std::pin::Pin::new(&mut *g).poll_next(cx)
-    }
+    Response::from_parts(head, BodyExt::boxed(StreamBody::new(SyncStream::new(stream))))
 }
 
 /// A stream on its way from replicas to one client.
--- a/crates/data-plane/src/summary.rs
+++ b/crates/data-plane/src/summary.rs
@@ -46,7 +46,7 @@
     fn apply(&mut self, ev: &Event) {
         self.last = ev.at;
         match &ev.what {
-            // What governs never attempts back, whatever order events are told in.
+            // What governs never goes back, whatever order events are told in.
             EventKind::Governs(r) => self.revision = self.revision.max(*r),
             EventKind::Member(e) => self.epoch = self.epoch.max(*e),
             EventKind::CutOff(c) => self.cut_off = *c,
--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -8,7 +8,7 @@
     capacity_grant::{CapacityGrant, GrantUse},
     forwarding::{self, ForwardedRequest},
     load::{LoadReport, ReplicaLoad},
-    placement_table::{Copy, PlacementOutcome, UserKey},
+    placement_table::{PlacementOutcome, PlacementRow, UserKey},
     rpc::{RouterRequest, RouterResponse},
     serving::{
         prefill::PromptSent,
@@ -53,8 +53,14 @@
     }
 }
 
-fn rows() -> Vec<Copy> {
-    vec![Copy { key: UserKey(99), service: service(), region: "centro".into(), ver: 3, ttl_ms: 900_000 }]
+fn rows() -> Vec<PlacementRow> {
+    vec![PlacementRow {
+        key: UserKey(99),
+        service: service(),
+        region: "centro".into(),
+        ver: 3,
+        ttl_ms: 900_000,
+    }]
 }
 
 fn board() -> ReplicaReport {
@@ -131,7 +137,7 @@
         ("updates", RouterRequest::FetchState { have: Index(4) }),
         (
             "place",
-            RouterRequest::Settle {
+            RouterRequest::ResolvePlacement {
                 fencing_token: FencingToken(4),
                 key: UserKey(99),
                 service: service(),
@@ -140,11 +146,14 @@
                 ttl_ms: 900_000,
             },
         ),
-        ("replicate", RouterRequest::Copy { fencing_token: FencingToken(4), shard: 7, rows: rows() }),
-        ("fetch", RouterRequest::Fetch { shard: 7 }),
+        (
+            "replicate",
+            RouterRequest::ReplicatePlacements { fencing_token: FencingToken(4), shard: 7, rows: rows() },
+        ),
+        ("fetch", RouterRequest::FetchShard { shard: 7 }),
         (
             "watch",
-            RouterRequest::Watch {
+            RouterRequest::WatchLoad {
                 service: service(),
                 zone: zone(),
                 seq: 3,
@@ -152,11 +161,14 @@
                 wait_ms: 500,
             },
         ),
-        ("last", RouterRequest::Last { service: service(), zone: zone() }),
-        ("lend", RouterRequest::Passes { region: "norte".into(), service: service(), node: "p1".into() }),
-        ("redeem", RouterRequest::Redeem { spent: spent() }),
-        ("prompt", RouterRequest::PromptSent { note: note() }),
-        ("load-report", RouterRequest::ReplicaReport { zone: zone(), seq: 3, wait_ms: 500 }),
+        ("last", RouterRequest::LastLoad { service: service(), zone: zone() }),
+        (
+            "lend",
+            RouterRequest::RequestGrant { region: "norte".into(), service: service(), node: "p1".into() },
+        ),
+        ("redeem", RouterRequest::RedeemGrant { spent: spent() }),
+        ("prompt", RouterRequest::AnnouncePrompt { note: note() }),
+        ("load-report", RouterRequest::WatchReplicas { zone: zone(), seq: 3, wait_ms: 500 }),
     ];
     for (name, request) in requests {
         fixtures().assert_wire(&format!("request-{name}"), &request);
@@ -179,18 +191,14 @@
             RouterResponse::HeartbeatAck { index: Index(4), incarnation: Incarnation(77), fit: true },
         ),
         ("updates", RouterResponse::StateUpdate(StateUpdate::Unchanged)),
-        ("placed-empty", RouterResponse::PlacementOutcome(PlacementOutcome::Empty)),
+        ("placed-empty", RouterResponse::Placement(PlacementOutcome::Empty)),
         (
             "placed",
-            RouterResponse::PlacementOutcome(PlacementOutcome::Held {
-                region: "norte".into(),
-                ver: 3,
-                won: true,
-            }),
+            RouterResponse::Placement(PlacementOutcome::Held { region: "norte".into(), ver: 3, won: true }),
         ),
-        ("rows", RouterResponse::Rows(rows())),
+        ("rows", RouterResponse::Placements(rows())),
         ("figures", RouterResponse::LoadReport(figures())),
-        ("pass", RouterResponse::CapacityGrant(Some(pass))),
+        ("pass", RouterResponse::Grant(Some(pass))),
         ("load-report", RouterResponse::ReplicaReport(Some(Box::new(board())))),
         ("done", RouterResponse::Done),
         ("rejected", RouterResponse::Rejected("stale fence".into())),
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -75,7 +75,7 @@
     assert_eq!(backs.iter().map(|b| b.runs.load(Ordering::Acquire)).sum::<usize>(), runs);
 }
 
-/// A back end that is gone ran nothing: a `once` request attempts on to the next one.
+/// A back end that is gone ran nothing: a `once` request goes on to the next one.
 #[tokio::test]
 async fn once_goes_on_where_nothing_was_sent() {
     let dead = TcpListener::bind((IP, 0)).await.unwrap().local_addr().unwrap();
--- a/crates/data-plane/tests/heir.rs
+++ b/crates/data-plane/tests/heir.rs
@@ -14,7 +14,7 @@
 const WELL: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 45\r\n\r\n\
     {\"healthy\":true,\"capacity\":8,\"consumption\":0}\n";
 
-/// The load reports of its first check as home of the centre's replicas.
+/// The load report of its first check as home of the centre's replicas.
 async fn first_check(r: &Arc<Router>) -> LoadReport {
     tokio::spawn(r.clone().watch_all());
     let key = (Service::new("verdict"), Zone::new("centro-1"));
--- a/crates/data-plane/tests/modules/placement_table.rs
+++ b/crates/data-plane/tests/modules/placement_table.rs
@@ -1,7 +1,7 @@
 //! Tests of `data_plane::placement_table`.
 
 use common::{FencingToken, Region, Service, Tick};
-use data_plane::placement_table::{Copy, PlacementOutcome, PlacementTable, UserKey};
+use data_plane::placement_table::{PlacementOutcome, PlacementRow, PlacementTable, UserKey};
 
 fn held(s: PlacementOutcome) -> (String, u64, bool) {
     match s {
@@ -37,8 +37,13 @@
 #[test]
 fn an_inherited_row_outranks_late_copies() {
     let (k, svc) = (UserKey(7), Service::new("m"));
-    let row =
-        |region: &str, ver| Copy { key: k, service: svc.clone(), region: region.into(), ver, ttl_ms: 900 };
+    let row = |region: &str, ver| PlacementRow {
+        key: k,
+        service: svc.clone(),
+        region: region.into(),
+        ver,
+        ttl_ms: 900,
+    };
     let (mut owner, mut follower) = (PlacementTable::default(), PlacementTable::default());
     owner.copy(row("north", 24 << 32 | 28), Tick(0));
     follower.copy(row("south", 24 << 32 | 29), Tick(0));
--- a/crates/data-plane/tests/serving/carried.rs
+++ b/crates/data-plane/tests/serving/carried.rs
@@ -112,7 +112,7 @@
     });
 }
 
-/// Where nobody listens nothing ran: a write attempts on without using up its tries.
+/// Where nobody listens nothing ran: a write goes on without using up its tries.
 #[rstest]
 fn nobody_there_is_no_try(#[values(1, 2, 3)] seed: u64) {
     let cast = Cast { gone: vec![0, 1], tries: 1.0, ..Cast::default() };
@@ -125,7 +125,7 @@
     });
 }
 
-/// A cut stream attempts on at another replica behind the last event that went out, each exactly once.
+/// A cut stream goes on at another replica behind the last event that went out, each exactly once.
 #[rstest]
 #[case::before_any(&[Cut(0)], &[None, None])]
 #[case::once(&[Cut(3)], &[None, Some("3")])]
@@ -376,7 +376,7 @@
     });
 }
 
-/// What is tried elsewhere holds up no stream whose own replica attempts on: it pauses for 2.5 s, and who
+/// What is tried elsewhere holds up no stream whose own replica goes on: it pauses for 2.5 s, and who
 /// is asked meanwhile says nothing.
 #[rstest]
 fn an_attempt_elsewhere_holds_up_nothing(#[values(1, 2, 3)] seed: u64) {
--- a/crates/data-plane/tests/serving/replica_list.rs
+++ b/crates/data-plane/tests/serving/replica_list.rs
@@ -22,7 +22,7 @@
 use tokio::{sync::watch, time::sleep};
 
 const LIST: ([u8; 4], u16) = ([10, 0, 0, 1], 9);
-/// Longest time from a change in the list until a router attempts by it: two looks and a page.
+/// Longest time from a change in the list until a router goes by it: two looks and a page.
 const HEARD_MS: u64 = 1_500;
 
 /// How long a replica that the list calls cold stays so.
--- a/crates/data-plane/tests/serving/stage.rs
+++ b/crates/data-plane/tests/serving/stage.rs
@@ -343,7 +343,7 @@
 }
 
 impl Stage {
-    /// The router is made on its own host, whose clock it attempts by.
+    /// The router is made on its own host, whose clock it goes by.
     pub async fn new(world: Arc<Simulation>, cast: Cast, routes: Vec<Route>, acts: &[Act]) -> Self {
         let made = Self::on_its_host(world, cast, routes, acts.to_vec());
         spawn_at(IpAddr::from(ROUTER), made).await.expect("a stage")
--- a/crates/simulator/src/sim/data.rs
+++ b/crates/simulator/src/sim/data.rs
@@ -2,11 +2,11 @@
 //! lenders and purses, with state updates that lags, answers that are lost, and owners that move.
 
 use super::Violation;
-use common::{FencingToken, NodeId, Region, Service, Tick};
+use common::{NodeId, Region, Service, Tick};
 use control_plane::{Change, ClusterState, Role, types::NodeInfo};
 use data_plane::{
-    capacity_grant::{CapacityGrant, GrantIssuer, GrantUse, HeldGrants},
-    placement_table::{Copy, PlacementTable, UserKey},
+    capacity_grant::{GrantIssuer, HeldGrants},
+    placement_table::{PlacementTable, UserKey},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, HashMap};
@@ -38,37 +38,7 @@
     pub owns: BTreeMap<u16, bool>,
 }
 
-pub(super) enum What {
-    Churn,
-    StateUpdate(usize, Box<ClusterState>),
-    Ask(usize),
-    Settle {
-        to: usize,
-        from: usize,
-        fencing_token: FencingToken,
-        key: UserKey,
-        stale: Option<u64>,
-        pick: Region,
-    },
-    Rows {
-        to: usize,
-        fencing_token: Option<FencingToken>,
-        shard: u16,
-        rows: Vec<Copy>,
-    },
-    Look(usize),
-    AskPass(usize),
-    CapacityGrant {
-        to: usize,
-        pass: Option<CapacityGrant>,
-        asked: Tick,
-    },
-    Spend(usize),
-    Redeem {
-        at: usize,
-        spent: GrantUse,
-    },
-}
+pub(super) use super::data_event::What;
 
 pub struct Data {
     seed: u64,
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -5,6 +5,7 @@
 pub mod catch_up;
 pub mod check;
 pub mod data;
+mod data_event;
 pub mod disk;
 pub mod faults;
 pub mod lending;
--- a/crates/simulator/tests/scale.rs
+++ b/crates/simulator/tests/scale.rs
@@ -102,7 +102,7 @@
 /// A placement's length on the wire, by which the table's rows are counted as bytes.
 #[test]
 fn a_row_is_as_long_as_it_is_said_to_be() {
-    let row = data_plane::placement_table::Copy {
+    let row = data_plane::placement_table::PlacementRow {
         key: data_plane::placement_table::UserKey(u64::MAX),
         service: "m5".into(),
         region: "r20".into(),
