--- a/crates/common/src/connection/timing.rs
+++ b/crates/common/src/connection/timing.rs
@@ -78,7 +78,7 @@
         (state.phase, state.since) = (Phase::Idle, Instant::now());
     }
 
-    /// When the connection is to be closed, unless something happens before. A rest that was told to the
+    /// When the connection is to be closed, unless something happens before. An idle time that was announced to the
     /// client is kept to, also when the limit has been lowered since.
     pub(super) fn due(&self, limits: &ConnectionLimits) -> Option<Instant> {
         let state = self.state();
--- a/crates/common/src/settings/mod.rs
+++ b/crates/common/src/settings/mod.rs
@@ -20,10 +20,10 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeSet, net::SocketAddr, path::PathBuf};
 
-/// Most seeds that a node may be told.
+/// Most seeds in the settings.
 const MAX_SEEDS: usize = 4;
 
-/// What a node must be told, and nothing that it can learn.
+/// The settings of a node: nothing in them can be learned from others.
 ///
 /// Names of earlier releases are still read: see [`DEPRECATED`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -40,10 +40,10 @@
     pub rpc_addr: SocketAddr,
     /// Where clients (router) or operators (control node) reach this one.
     pub http: SocketAddr,
-    /// What others are told instead of `rpc`, where a relay stands in between.
+    /// What others are given instead of `rpc`, where a relay stands in between.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rpc_advertise: Option<SocketAddr>,
-    /// What others are told instead of `http`.
+    /// What others are given instead of `http`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub http_advertise: Option<SocketAddr>,
     /// RPC addresses of control nodes.
@@ -178,12 +178,12 @@
         self.timing.check()
     }
 
-    /// The address that other nodes are told.
+    /// The address that other nodes are given.
     pub fn rpc_addr(&self) -> SocketAddr {
         self.rpc_advertise.unwrap_or(self.rpc_addr)
     }
 
-    /// The address that clients or operators are told.
+    /// The address that clients or operators are given.
     pub fn advertised_http(&self) -> SocketAddr {
         self.http_advertise.unwrap_or(self.http)
     }
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -127,7 +127,8 @@
         match entry(text, b, table) {
             Ok(e) => {
                 if let Some(by) = table.entries.iter().find(|o| o.covers(&e)) {
-                    let msg = format!("entry '{}' can never match: '{}' takes all its jobs", e.name, by.name);
+                    let msg =
+                        format!("entry '{}' can never match: '{}' takes all its requests", e.name, by.name);
                     diagnostics.push(diagnostic(text, b.off, msg));
                 }
                 table.entries.push(e);
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -18,7 +18,7 @@
     pub zones: Vec<ZoneDoc>,
     /// What requests are routed to.
     pub services: Vec<ServiceDoc>,
-    /// How tenants are told apart.
+    /// How tenants are distinguished.
     #[serde(default)]
     pub tenancy: Tenancy,
     /// The tenants.
@@ -58,7 +58,7 @@
 pub struct Tenancy {
     /// Header that names the tenant.
     pub header: String,
-    /// Tenant of jobs that name none; empty rejects them where tenants are declared.
+    /// Tenant of requests that name none; empty rejects them where tenants are declared.
     pub default: Option<String>,
 }
 
@@ -87,7 +87,7 @@
     /// Life of a lending pass.
     #[serde(rename = "pass_ms")]
     pub grant_ms: u64,
-    /// Goes beyond the first, as a share of jobs.
+    /// Attempts beyond the first, as a share of requests.
     #[serde(rename = "extra_goes")]
     pub retry_ratio: f64,
     /// Jobs that may wait in one router.
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -3,7 +3,7 @@
 
 #![warn(missing_docs)]
 
-/// Version of the language; a node that reads an older one is told by `foldshunt-check`.
+/// Version of the language; a node that reads an older one is reported by `foldshunt-check`.
 pub const LANGUAGE_VERSION: u32 = 1;
 
 pub mod compile;
--- a/crates/configuration/src/parser.rs
+++ b/crates/configuration/src/parser.rs
@@ -2,7 +2,7 @@
 //!
 //! ```text
 //! policy warm { ttl 15m; overload 0.95; smooth 0.05; key header "x-station"; key opening 512 }
-//! entry verdicts { match POST "/v1/verdicts"; to verdict; homes centre, north; limit 4MB;
+//! entry matches { match POST "/v1/matches"; to matcher; homes centre, north; limit 4MB;
 //!                  deadline 30s; policy warm; once }
 //! ```
 
--- a/crates/configuration/src/routing_table.rs
+++ b/crates/configuration/src/routing_table.rs
@@ -1,4 +1,4 @@
-//! The compiled plan table, and how a job finds its entry in it (design 4.5).
+//! The compiled document, and how a request finds its entry in it (design 4.5).
 
 use crate::document::Tuning;
 use common::{Region, Service, Tenant, Zone};
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// Long prefixes, kept warm: goes by placement.
+    /// Long prefixes, kept warm: requests are placed.
     Model,
     /// Lookups: the least-pressured replica near the caller.
     Application,
@@ -93,7 +93,7 @@
             && self.headers.iter().all(|(k, v)| header(k).as_deref() == Some(v))
     }
 
-    /// Whether each job that `other` would take is taken by this entry first.
+    /// Whether each request that `other` would take is taken by this entry first.
     pub fn covers(&self, other: &Entry) -> bool {
         (self.method == "ANY" || self.method == other.method)
             && if self.prefix {
@@ -146,7 +146,7 @@
         self.zones.get(zone)
     }
 
-    /// The tenant that a job names; `Err` is the name that no tenant has.
+    /// The tenant that a request names; `Err` is the name that no tenant has.
     pub fn tenant(&self, header: &dyn Fn(&str) -> Option<String>) -> Result<Option<Tenant>, String> {
         let named = header(&self.tenant_header).map(Tenant::new).or(self.tenant_default.clone());
         match named {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Regions in which a job may run: the entry's homes met with the tenant's (design 5.2).
+    /// Regions in which a request may run: the entry's homes met with the tenant's (design 5.2).
     pub fn homes(&self, e: &Entry, t: Option<&Tenant>) -> BTreeSet<Region> {
         if common::mutation::enabled("no-homes") {
             return self.regions();
--- a/crates/control-plane/src/consensus/durability.rs
+++ b/crates/control-plane/src/consensus/durability.rs
@@ -111,7 +111,7 @@
     }
 
     /// The disk works again: the voter starts anew from what it holds, as a new process would. It keeps what
-    /// its process was told, and goes on counting its writes, so that a late acknowledgement of an earlier
+    /// its process was given, and goes on counting its writes, so that a late acknowledgement of an earlier
     /// one counts for nothing.
     pub(super) fn handle_recovered(&mut self, durable: DurableState, now: Tick, effects: &mut Vec<Effect>) {
         if !self.disk_failed {
--- a/crates/control-plane/src/consensus/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -14,7 +14,7 @@
         base + base * u64::from(self.me.number) / 4 + base * (self.current_term.0 % 5) / 10
     }
 
-    /// Whether it knows of a leader that was heard too lately for another to be wanted.
+    /// Whether its last contact with a leader is too recent for another to be wanted.
     fn hears_leader(&self, now: Tick) -> bool {
         match &self.role {
             VoterRole::Follower { last_contact, .. } => {
--- a/crates/control-plane/src/consensus/leadership.rs
+++ b/crates/control-plane/src/consensus/leadership.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A voter's contact with its cluster, by its own clock and by what it heard last.
+/// A voter's contact with its cluster, by its own clock and by its last contacts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
     /// Leads, and a majority answered it lately.
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -83,7 +83,7 @@
     started: Tick,
     /// Identifies this run of the process in its leader queries.
     process_started: Tick,
-    /// Addresses of voters that told this run of the process that they do not lead.
+    /// Addresses of voters that answered this run of the process that they do not lead.
     not_leading: BTreeSet<SocketAddr>,
     writes: PendingWrites,
     /// Blank voters that introduced themselves, and when.
--- a/crates/control-plane/src/consensus/role.rs
+++ b/crates/control-plane/src/consensus/role.rs
@@ -62,9 +62,9 @@
 pub enum VoterRole {
     /// Takes appends from a leader, or waits for one.
     Follower {
-        /// The leader of the current term, once it was heard.
+        /// The leader of the current term, once it made contact.
         leader: Option<VoterId>,
-        /// When the leader was last heard.
+        /// When it last had contact with the leader.
         last_contact: Tick,
     },
     /// Asks whether a vote would be granted.
--- a/crates/control-plane/src/control_node/proposals.rs
+++ b/crates/control-plane/src/control_node/proposals.rs
@@ -30,7 +30,7 @@
                 let names: Vec<&str> = members.iter().map(NodeId::as_str).collect();
                 write!(
                     f,
-                    "out of reach, and together enough to be serving on by older news: {}; mend their links, or \
+                    "out of reach, and together enough to be serving on by an older state: {}; mend their links, or \
                      say of each that is down: members/NAME/down",
                     names.join(", ")
                 )
--- a/crates/control-plane/src/control_node/rpc_service.rs
+++ b/crates/control-plane/src/control_node/rpc_service.rs
@@ -25,7 +25,7 @@
 
 /// Answers RPCs until the task is dropped.
 pub async fn listen(listener: Listener, local: LocalNode, node: Arc<ControlNode>) {
-    rpc::listen(listener, local, SERVICE, move |_peer, request| node.clone().answer(request)).await
+    rpc::listen(listener, local, SERVICE, move |_peer, request| node.clone().answer(request)).await;
 }
 
 impl ControlNode {
--- a/crates/control-plane/tests/model/world.rs
+++ b/crates/control-plane/tests/model/world.rs
@@ -439,13 +439,13 @@
             times.push(machine.started + election_timeout);
             match &voter.role {
                 VoterRole::Follower { last_contact, .. } => {
-                    times.extend([*last_contact + election_timeout, *last_contact + stands])
+                    times.extend([*last_contact + election_timeout, *last_contact + stands]);
                 }
                 VoterRole::PreCandidate { since, .. } | VoterRole::Candidate { since, .. } => {
-                    times.push(*since + stands / 2)
+                    times.push(*since + stands / 2);
                 }
                 VoterRole::Leader { since, .. } => {
-                    times.extend([voter.leadership_until(), *since + 2 * election_timeout + 1])
+                    times.extend([voter.leadership_until(), *since + 2 * election_timeout + 1]);
                 }
             }
         }
--- a/crates/control-plane/tests/rig/mod.rs
+++ b/crates/control-plane/tests/rig/mod.rs
@@ -98,7 +98,7 @@
                     }
                 }
                 Effect::Persist { .. } if self.refusing[n] => {
-                    due.extend(self.voters[n].step(Event::SyncFailed, self.now))
+                    due.extend(self.voters[n].step(Event::SyncFailed, self.now));
                 }
                 Effect::Persist { token, record } => match self.disks[n].write(&record) {
                     Ok(()) => match &mut self.slow {
--- a/crates/simulator/src/checks.rs
+++ b/crates/simulator/src/checks.rs
@@ -94,7 +94,7 @@
 fn gaps(a: &mut Audit, ride: &Ride, scene: &Scene, backs: &[Arc<StandIn>], t: &Timeline) {
     let mut by: BTreeMap<(&str, &str), Vec<&Heard>> = BTreeMap::new();
     ride.responses.iter().for_each(|h| by.entry((h.call.entry, h.call.tenant)).or_default().push(h));
-    for ((entry, tenant), v) in by.iter_mut() {
+    for ((entry, tenant), v) in &mut by {
         v.sort_by_key(|h| h.at);
         let mut failing: Option<Instant> = None;
         for h in v.iter() {
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -57,9 +57,9 @@
                     control_plane::operator::api::handle,
                     told,
                 )
-                .await
+                .await;
             } else {
-                data_plane::daemon::run(set, bound, told).await
+                data_plane::daemon::run(set, bound, told).await;
             }
         });
         Hosted { host: w.host(n.ip), world: w.clone(), stop, task }
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -176,7 +176,7 @@
                 tokio::time::timeout(most, c.wait()).await.wrap_err("no end after SIGTERM")??;
             }
             Some(Life::Hosted(h)) => {
-                tokio::time::timeout(most, h.stop(&self.disk)).await.wrap_err("no end after the stop")?
+                tokio::time::timeout(most, h.stop(&self.disk)).await.wrap_err("no end after the stop")?;
             }
             None => bail!("{} does not run", self.name),
         }
--- a/crates/simulator/src/scale/rows.rs
+++ b/crates/simulator/src/scale/rows.rs
@@ -58,9 +58,9 @@
 fn note(r: &mut Rate, c: &Calls, from: bool, part: f64) {
     let calls = c.calls as f64 * part;
     if from {
-        r.calls_from += calls
+        r.calls_from += calls;
     } else {
-        r.calls_to += calls
+        r.calls_to += calls;
     }
     r.failed_from += if from { c.failed as f64 * part } else { 0.0 };
     r.bytes += (c.request_bytes + c.response_bytes) as f64 * part;
--- a/crates/simulator/src/sim/data.rs
+++ b/crates/simulator/src/sim/data.rs
@@ -177,7 +177,7 @@
             What::Look(n) => self.look(n),
             What::AskPass(n) => self.ask_pass(n),
             What::CapacityGrant { to, pass, asked } => {
-                self.nodes[to].purse.put(&region(5), &svc(), pass, asked)
+                self.nodes[to].purse.put(&region(5), &svc(), pass, asked);
             }
             What::Spend(n) => self.spend(n),
             What::Redeem { at, spent } => return self.redeem(at, spent),
--- a/crates/simulator/src/sim/way.rs
+++ b/crates/simulator/src/sim/way.rs
@@ -105,7 +105,7 @@
             Effect::Removed => self.note(format!("s{n} learns that it is out")),
             // What a broken variant sends may be malformed: it is to be caught by what comes of it.
             Effect::Refused { from, why } if self.broken.is_some() => {
-                self.note(format!("s{n} refuses a message of {from}: {why}"))
+                self.note(format!("s{n} refuses a message of {from}: {why}"));
             }
             Effect::Refused { from, why } => return Err(format!("s{n} refuses a message of {from}: {why}")),
             Effect::SnapshotInstalled | Effect::Logged { .. } | Effect::NotLogged { .. } => {}
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -96,7 +96,7 @@
                     }
                     match res {
                         Ok(a) if a.violations().is_empty() => {
-                            sum.lock().unwrap_or_else(|e| e.into_inner()).push(a)
+                            sum.lock().unwrap_or_else(|e| e.into_inner()).push(a);
                         }
                         Ok(a) => {
                             stop.store(!all, Ordering::Release);
