--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -1,5 +1,5 @@
-//! One go at a replica or at a router of another region (design 6.1, 6.2): what is certain
-//! afterwards decides whether another go is allowed.
+//! One attempt at a replica or at a router of another region (design 6.1, 6.2): what is certain
+//! afterwards decides whether another attempt is allowed.
 
 use crate::response_body::{Passing, ends_surely};
 use bytes::Bytes;
@@ -24,7 +24,7 @@
     Unknown(PeerError),
 }
 
-/// What is sent, the same for each go.
+/// What is sent, the same for each attempt.
 #[derive(Clone)]
 pub struct OutgoingRequest {
     pub method: Method,
@@ -67,11 +67,11 @@
     pub to: SocketAddr,
     pub connect_ms: u64,
     pub left_ms: u64,
-    /// Looked at last, before the first byte is sent: why the go may not be made any more.
+    /// Looked at last, before the first byte is sent: why the attempt may not be made any more.
     pub forbidden: &'a (dyn Fn() -> Option<&'static str> + Send + Sync),
 }
 
-/// One go over a fresh connection. `kept` lives until the last byte has passed through.
+/// One attempt over a fresh connection. `kept` lives until the last byte has passed through.
 pub async fn attempt<K: Send + Sync + Unpin + 'static>(
     way: AttemptTarget<'_>,
     sent: &OutgoingRequest,
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -37,7 +37,7 @@
             self.budget.earn(share);
         }
         let mut history = AttemptHistory::default();
-        // Each go keeps a part of it, so that the request counts as open once, to its last byte.
+        // Each attempt keeps a part of it, so that the request counts as open once, to its last byte.
         let open = Arc::new(open);
         loop {
             let first = history.attempts == 0;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Why nothing new may be done for a request: looked at before each go, and once more when its
+    /// Why nothing new may be done for a request: looked at before each attempt, and once more when its
     /// connection is open.
     pub(crate) fn forbidden(&self, p: &Plan) -> Option<&'static str> {
         (self.now() >= p.deadline).then_some("past its deadline").or_else(|| self.refuses_work())
@@ -196,7 +196,7 @@
         }
     }
 
-    /// The final answer, at once: rejected only where no go of the request can have run.
+    /// The final answer, at once: rejected only where no attempt of the request can have run.
     fn given_up(&self, p: &Plan, history: &AttemptHistory, why: &'static str, secs: u64) -> Response<Body> {
         match history.may_have_run.as_ref().filter(|_| !common::mutation::enabled("unknown-called-bounced")) {
             None => rejected(self, p, why, secs),
--- a/crates/data-plane/src/serving/attempt.rs
+++ b/crates/data-plane/src/serving/attempt.rs
@@ -2,7 +2,7 @@
 //! another. Knows connections and heads, not what becomes of the request.
 
 use super::{
-    attempt_state::{self, AnswerHead, AnswerId, Verdict},
+    attempt_state::{self, AnswerCheck, AnswerHead, AnswerId},
     connection::{Answer, Fresh, Ready},
     connection_reuse,
     plan::Plan,
@@ -150,7 +150,7 @@
         let (names, head) = (self.dialect.names(), &answer.head);
         let id = match head.headers.get(&names.request_id) {
             None => AnswerId::Absent,
-            told if told == p.request_id.as_ref() => AnswerId::LocalLoad,
+            told if told == p.request_id.as_ref() => AnswerId::Own,
             Some(_) => AnswerId::Other,
         };
         AnswerHead {
@@ -165,16 +165,16 @@
     /// What an answer's head says: whose it is, whether the request ran, whether its end can be told.
     fn check_answer(&self, p: &Plan, c: &Candidate, mut answer: Answer) -> Outcome {
         match attempt_state::check_answer(p.asked(), &self.answer_head(p, &answer)) {
-            Verdict::Answer => {
+            AnswerCheck::Answer => {
                 c.own.note_contact(self.now());
                 strip(&mut answer.head.headers);
                 Outcome::Answer(answer)
             }
-            Verdict::Declined => {
+            AnswerCheck::Declined => {
                 let why = format!("declined with {}", answer.head.status.as_u16());
                 Outcome::Declined(PeerError::new("replica", &c.id, why))
             }
-            Verdict::MayHaveRun(why) => Outcome::MayHaveRun(PeerError::new("read answer", c.addr, why)),
+            AnswerCheck::MayHaveRun(why) => Outcome::MayHaveRun(PeerError::new("read answer", c.addr, why)),
         }
     }
 }
--- a/crates/data-plane/src/serving/attempt_state.rs
+++ b/crates/data-plane/src/serving/attempt_state.rs
@@ -1,7 +1,6 @@
-//! What may follow an exchange with a replica (design 9.6), as a state machine without I/O: whose an
-//! answer is, whether a request may be tried again, and what its client is told last. [`Attempts`] holds one
-//! client request, from its first attempt to its answer. What may follow on the connection is decided in
-//! [`super::connection_reuse`].
+//! The retry decision of the serving path (design 9.6), as a state machine without I/O: whose an answer is, whether
+//! a request may be tried again, and its final status. [`Attempts`] holds one client request, from its first attempt
+//! to its answer. Whether its connection may carry another request is decided in [`super::connection_reuse`].
 
 use common::mutation::enabled as broken;
 
@@ -20,8 +19,11 @@
 /// The id in an answer, beside that of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AnswerId {
-    LocalLoad,
+    /// The request's own.
+    Own,
+    /// It has none.
     Absent,
+    /// Another request's.
     Other,
 }
 
@@ -39,7 +41,7 @@
 
 /// What an answer's head says of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AnswerCheck {
     /// The answer is the request's own, and may be passed on once its body has come whole.
     Answer,
     /// It was not run.
@@ -58,30 +60,30 @@
 }
 
 /// Judges an answer by its head.
-pub fn check_answer(asked: RequestTraits, head: &AnswerHead) -> Verdict {
+pub fn check_answer(asked: RequestTraits, head: &AnswerHead) -> AnswerCheck {
     let foreign = asked.has_id && head.id == AnswerId::Other;
     if foreign && !broken("foreign-answer-taken") {
-        return Verdict::MayHaveRun("it answers another request");
+        return AnswerCheck::MayHaveRun("it answers another request");
     }
     if declines(head) {
-        return Verdict::Declined;
+        return AnswerCheck::Declined;
     }
     if asked.has_id && head.id == AnswerId::Absent {
-        return Verdict::MayHaveRun("it answers without the request's id");
+        return AnswerCheck::MayHaveRun("it answers without the request's id");
     }
     if head.status < 200 {
-        return Verdict::MayHaveRun("it changes to another protocol");
+        return AnswerCheck::MayHaveRun("it changes to another protocol");
     }
     if (200..300).contains(&head.status) && !head.sealed && !broken("success-without-seal") {
-        return Verdict::MayHaveRun("a success without the replica's seal");
+        return AnswerCheck::MayHaveRun("a success without the replica's seal");
     }
     if !head.ends_surely {
-        return Verdict::MayHaveRun("its end can't be told from a cut");
+        return AnswerCheck::MayHaveRun("its end can't be told from a cut");
     }
     if !asked.idempotent && status_promises_not_run(head.status) && !broken("promise-passed-on") {
-        return Verdict::MayHaveRun("its status promises what the replica does not say");
+        return AnswerCheck::MayHaveRun("its status promises what the replica does not say");
     }
-    Verdict::Answer
+    AnswerCheck::Answer
 }
 
 /// Whether there may be another attempt, and what it costs.
@@ -129,11 +131,13 @@
 }
 
 impl Attempts {
+    /// No attempt yet; `most` are allowed to reach a replica.
     pub fn new(idempotent: bool, most: u32) -> Self {
         let (arrived, unsent) = (0, 0);
         Self { idempotent, most: most.max(1), arrived, unsent, may_have_run: false, under_way: None }
     }
 
+    /// Replicas that the request has reached or may have reached.
     pub fn arrived(&self) -> u32 {
         self.arrived
     }
@@ -142,6 +146,8 @@
         self.may_have_run || self.under_way.is_some()
     }
 
+    /// Whether there may be another attempt: none after one that may have run unless the request is idempotent, none
+    /// beyond the route's number of attempts, and paid for once the request has reached a replica.
     pub fn permit(&self) -> Permit {
         let once = self.may_have_run() && !self.idempotent && !broken("write-sent-again");
         let most = if broken("tries-not-counted") { u32::MAX } else { self.most };
--- a/crates/data-plane/src/serving/replica_list.rs
+++ b/crates/data-plane/src/serving/replica_list.rs
@@ -124,19 +124,19 @@
     pub async fn refreshed(&mut self, serving: &Arc<Serving>, wait_ms: u64) -> Option<Vec<ListedReplica>> {
         let each_ms = serving.list_ms();
         if self.pending.is_none() && self.known.due(serving.now()) {
-            let (announce_prompt, told) = oneshot::channel();
+            let (answer, answered) = oneshot::channel();
             let (me, zone) = (serving.clone(), self.zone.clone());
             spawn(async move {
                 let read = me.read_list(&zone).await;
                 // Spans are counted from when the answer had come: it was made before that, so what is
                 // cold counts as cold no shorter than the list says.
-                let _ = announce_prompt.send((me.now(), read));
+                let _ = answer.send((me.now(), read));
             });
-            self.pending = Some(told);
+            self.pending = Some(answered);
         }
-        if let Some(told) = self.pending.as_mut() {
+        if let Some(answered) = self.pending.as_mut() {
             let wait = Duration::from_millis(wait_ms);
-            if let Ok(result) = tokio::time::timeout(wait, told).await {
+            if let Ok(result) = tokio::time::timeout(wait, answered).await {
                 self.pending = None;
                 match result {
                     Ok((came, Ok(read))) => self.known.read(read, came, each_ms),
--- a/crates/data-plane/src/serving/replica_selection.rs
+++ b/crates/data-plane/src/serving/replica_selection.rs
@@ -6,7 +6,7 @@
     plan::Plan,
     prefill::Reading,
     replica_choice::{self, ChoiceContext, READS_PER_MS},
-    replica_view::Candidate,
+    replica_view::{Candidate, ReplicaView},
     slow_start,
     state::Serving,
 };
@@ -26,6 +26,8 @@
     history: &'a AttemptHistory,
     now: Tick,
     routers: Vec<NodeId>,
+    /// The replicas as they were when the selection began: all of it goes by this one view.
+    replicas: Arc<ReplicaView>,
     /// Most requests that this router may have open at a replica.
     max_open: usize,
     /// Requests a second that all routers together may send to a replica that warms up.
@@ -43,6 +45,7 @@
             plan,
             history,
             now: serving.now(),
+            replicas: serving.fleet.load_full(),
             max_open: (connections / routers.len().max(1)).max(MIN_CONNECTIONS),
             warm_up_rate: plan.backend.slow_start_per_s * bounds.cold_overrun + bounds.cold_slack,
             routers,
@@ -132,10 +135,10 @@
         selection: &Selection<'_>,
         context: &mut ChoiceContext<'_>,
     ) -> Option<Candidate> {
-        let (plan, replicas) = (selection.plan, self.fleet.load_full());
+        let plan = selection.plan;
         let usable = |replica: &Candidate| selection.is_available(replica) && selection.is_healthy(replica);
         for region in self.regions(plan, &usable) {
-            let here = replicas.of(&plan.service).iter().filter(|replica| replica.region == region);
+            let here = selection.replicas.of(&plan.service).iter().filter(|replica| replica.region == region);
             let candidates: Vec<&Candidate> =
                 here.filter(|replica| usable(replica) && selection.has_room(replica)).collect();
             context.apart = lock(&self.isolation).meet(&plan.service, &region, selection.now);
@@ -151,7 +154,6 @@
 
     /// The best of the replicas that may be unhealthy: better a doubtful one than none.
     fn best_doubtful(&self, selection: &Selection<'_>, context: &ChoiceContext<'_>) -> Option<Candidate> {
-        let replicas = self.fleet.load_full();
         let doubtful = |replica: &&Candidate| {
             selection.is_at_home(replica)
                 && selection.is_available(replica)
@@ -159,7 +161,7 @@
                 && !selection.is_healthy(replica)
         };
         let candidates: Vec<&Candidate> =
-            replicas.of(&selection.plan.service).iter().filter(doubtful).collect();
+            selection.replicas.of(&selection.plan.service).iter().filter(doubtful).collect();
         replica_choice::best(&candidates, context).cloned()
     }
 }
--- a/crates/data-plane/src/serving/slow_start.rs
+++ b/crates/data-plane/src/serving/slow_start.rs
@@ -1,12 +1,12 @@
-//! What all routers together may send to a cold replica (design 9.5), cut into parts that need no
-//! talk: a few routers by rank, each with its own bucket. Pure.
+//! Slow start of replicas that warm up (design 9.5): the rate that all routers together may send, divided into parts
+//! that need no messages. A few routers, by rank, each have a token bucket of their own. Pure.
 
 use common::{NodeId, ReplicaId, Tick, rendezvous::stable_hash};
 
 /// Share of the bound that is used: clocks and travel differ a little.
 const USED: f64 = 0.8;
 
-/// The part of one router: nothing, or a bucket of one with its rate a second.
+/// One router's part of `bound` requests a second: `None`, or the rate of its bucket.
 pub fn rate(bound: f64, id: &ReplicaId, me: &NodeId, routers: &[NodeId]) -> Option<f64> {
     let most = (bound * USED / 2.0).floor().max(1.0) as usize;
     let claim = |n: &NodeId| stable_hash(&[id.as_str().as_bytes(), n.as_str().as_bytes()]);
@@ -17,17 +17,19 @@
     (ranked_above < shared).then(|| (bound * USED / shared as f64 - 1.0).max(0.5))
 }
 
-/// One saved at most, so that a second never sees more than its rate and one.
+/// A token bucket of one, so that no second sees more than its rate and one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Bucket {
     next: Tick,
 }
 
 impl Bucket {
+    /// Whether its token is there.
     pub fn ready(&self, now: Tick) -> bool {
         now >= self.next
     }
 
+    /// Takes the token; the next one comes at that rate.
     pub fn take(&mut self, per_s: f64, now: Tick) {
         self.next = now + (1000.0 / per_s.max(0.01)).ceil() as u64;
     }
--- a/crates/data-plane/src/serving/stream_relay.rs
+++ b/crates/data-plane/src/serving/stream_relay.rs
@@ -29,7 +29,7 @@
 type Out = mpsc::Sender<Result<Frame<Bytes>, BoxErr>>;
 
 /// How an upstream ended.
-enum Ended {
+enum StreamEnd {
     Whole,
     Cut(String),
     /// Nothing came for long, from a replica that told nobody here anything meanwhile.
@@ -78,15 +78,15 @@
         let mut held = None;
         loop {
             match self.forward(&open, &mut body, &mut held).await {
-                Ended::Whole => return self.finish(&open, body).await,
-                Ended::Left => return,
-                Ended::Silent => match self.wait_or_resume(&mut body).await {
+                StreamEnd::Whole => return self.finish(&open, body).await,
+                StreamEnd::Left => return,
+                StreamEnd::Silent => match self.wait_or_resume(&mut body).await {
                     Woken::ClientLeft => return,
                     Woken::Frame(frame) => held = Some(frame),
                     Woken::Resumed(next) => (open, body) = *next,
                     Woken::NoReplica => {}
                 },
-                Ended::Cut(why) => {
+                StreamEnd::Cut(why) => {
                     self.events.forget();
                     log_event!(Info, "stream", "peer" => open.at.addr, "cause" => why, "after" => self.events.last);
                     drop((body, open));
@@ -141,35 +141,40 @@
     }
 
     /// Passes whole events on until the upstream ends, in whatever way.
-    async fn forward(&mut self, open: &Open, body: &mut AnswerBody, held: &mut Option<NextFrame>) -> Ended {
+    async fn forward(
+        &mut self,
+        open: &Open,
+        body: &mut AnswerBody,
+        held: &mut Option<NextFrame>,
+    ) -> StreamEnd {
         let silence = silence(&self.plan);
         loop {
             let frame = tokio::select! {
                 biased;
                 frame = next(held, body) => frame,
-                () = self.client.closed() => return Ended::Left,
+                () = self.client.closed() => return StreamEnd::Left,
                 () = tokio::time::sleep(silence) => {
                     if self.is_silent(open, silence) {
-                        return Ended::Silent;
+                        return StreamEnd::Silent;
                     }
                     continue;
                 }
             };
             let frame = match frame {
-                None => return Ended::Whole,
-                Some(Err(e)) => return Ended::Cut(e.to_string()),
+                None => return StreamEnd::Whole,
+                Some(Err(e)) => return StreamEnd::Cut(e.to_string()),
                 Some(Ok(frame)) => frame,
             };
             let Some(data) = frame.data_ref() else { continue };
             self.events.push(data);
             if !self.events.continues() {
-                return Ended::Cut("its replica does not go on behind the last event".into());
+                return StreamEnd::Cut("its replica does not go on behind the last event".into());
             }
             open.at.own.note_contact(self.serving.now());
             let Some(events) = self.events.whole() else { continue };
             self.pauses.event(self.serving.now());
             if self.client.send(Ok(Frame::data(events))).await.is_err() {
-                return Ended::Left;
+                return StreamEnd::Left;
             }
         }
     }
--- a/crates/data-plane/tests/serving/attempt_state.rs
+++ b/crates/data-plane/tests/serving/attempt_state.rs
@@ -6,7 +6,8 @@
 use common::runtime::Simulation;
 use data_plane::serving::{
     attempt_state::{
-        AnswerHead, AnswerId, AttemptEnd, Attempts, FinalStatus, Permit, RequestTraits, Verdict, check_answer,
+        AnswerCheck, AnswerHead, AnswerId, AttemptEnd, Attempts, FinalStatus, Permit, RequestTraits,
+        check_answer,
     },
     connection_reuse::{BodyEnd, ExchangeEnd, KeepAlive, clean_end, may_reuse},
 };
@@ -121,7 +122,7 @@
             for head in heads() {
                 // Its own answer: a replica does not lie about what it has not run, nor about ids.
                 let declined = head.not_run || head.status == 421;
-                let own_id = head.id == AnswerId::LocalLoad || head.id == AnswerId::Absent;
+                let own_id = head.id == AnswerId::Own || head.id == AnswerId::Absent;
                 if own_id && !(declined && ran) {
                     out.push(Event::Head { head, genuine: true, ran });
                 }
@@ -145,9 +146,9 @@
             Event::LostMember { .. } => out.push(self.ended(AttemptEnd::MayHaveRun)),
             Event::Abandoned { .. } => out.push(self),
             Event::Head { head, genuine, .. } => match check_answer(self.asked, &head) {
-                Verdict::Declined => out.push(self.ended(AttemptEnd::Declined)),
-                Verdict::MayHaveRun(_) => out.push(self.ended(AttemptEnd::MayHaveRun)),
-                Verdict::Answer => self.ended(AttemptEnd::MayHaveRun).passes(head, genuine, out),
+                AnswerCheck::Declined => out.push(self.ended(AttemptEnd::Declined)),
+                AnswerCheck::MayHaveRun(_) => out.push(self.ended(AttemptEnd::MayHaveRun)),
+                AnswerCheck::Answer => self.ended(AttemptEnd::MayHaveRun).passes(head, genuine, out),
             },
         }
     }
@@ -214,7 +215,7 @@
 fn heads() -> Vec<AnswerHead> {
     let mut out = vec![];
     for status in STATUSES {
-        for id in [AnswerId::LocalLoad, AnswerId::Absent, AnswerId::Other] {
+        for id in [AnswerId::Own, AnswerId::Absent, AnswerId::Other] {
             for bits in 0..8 {
                 let (not_run, sealed, ends_surely) = (bits & 1 != 0, bits & 2 != 0, bits & 4 != 0);
                 out.push(AnswerHead { status, not_run, sealed, id, ends_surely });
