--- a/crates/foldshunt-admin/src/main.rs
+++ b/crates/foldshunt-admin/src/main.rs
@@ -113,18 +113,38 @@
     wait: u64,
 }
 
-struct Station(Vec<SocketAddr>);
+/// Path of the configuration, and the one that control nodes of earlier versions have it under.
+const CONFIGURATION_PATHS: [&str; 2] = ["/v1/configuration", "/v1/timetable"];
+
+struct ControlNodes(Vec<SocketAddr>);
 
 type Answer = (u16, HeaderMap, Bytes);
 
-impl Station {
+impl ControlNodes {
     async fn ask(&self, method: Method, path: &str, headers: &[(&str, &str)], body: Bytes) -> Result<Answer> {
         let (code, h, b) = ask_in_turn(&self.0, method, path, headers, body, 70_000).await?;
         Ok((code.as_u16(), h, b))
     }
 
+    /// Asks for the configuration. A control node of an earlier version answers 404 under the first path, and has
+    /// then done nothing.
+    async fn ask_configuration(
+        &self,
+        method: Method,
+        query: &str,
+        headers: &[(&str, &str)],
+        body: Bytes,
+    ) -> Result<Answer> {
+        let [path, earlier_path] = CONFIGURATION_PATHS.map(|path| format!("{path}{query}"));
+        let answer = self.ask(method.clone(), &path, headers, body.clone()).await?;
+        if answer.0 != 404 {
+            return Ok(answer);
+        }
+        self.ask(method, &earlier_path, headers, body).await
+    }
+
     async fn newest(&self) -> Result<u64> {
-        let (code, h, b) = self.ask(Method::GET, "/v1/timetable", &[], Bytes::new()).await?;
+        let (code, h, b) = self.ask_configuration(Method::GET, "", &[], Bytes::new()).await?;
         let tag = h.get("etag").and_then(|v| v.to_str().ok()).and_then(|v| v.trim_matches('"').parse().ok());
         match (code, tag) {
             (404, _) => Ok(0),
@@ -143,8 +163,9 @@
         let named =
             c.op.clone().unwrap_or_else(|| format!("sm-{}-{}", std::process::id(), common::clock::wall_ms()));
         let headers = [("if-match", base.as_str()), ("foldshunt-op", named.as_str())];
-        let path = format!("/v1/timetable?wait_ms={}", c.wait);
-        self.ask(method, &path, &headers, body.into()).await.wrap_err_with(|| format!("operation {named}"))
+        let query = format!("?wait_ms={}", c.wait);
+        let answer = self.ask_configuration(method, &query, &headers, body.into()).await;
+        answer.wrap_err_with(|| format!("operation {named}"))
     }
 }
 
@@ -158,11 +179,11 @@
 }
 
 async fn run(o: Opts) -> Result<u8> {
-    let st = Station(o.core);
+    let st = ControlNodes(o.core);
     let none = Bytes::new();
     let (code, _, body) = match &o.cmd {
         Cmd::Status => st.ask(Method::GET, "/v1/status", &[], none).await?,
-        Cmd::Show => st.ask(Method::GET, "/v1/timetable", &[], none).await?,
+        Cmd::Show => st.ask_configuration(Method::GET, "", &[], none).await?,
         Cmd::Replicas => st.ask(Method::GET, "/v1/replicas", &[], none).await?,
         Cmd::Down { node } => st.ask(Method::POST, &format!("/v1/members/{node}/down"), &[], none).await?,
         Cmd::Op { id } => st.ask(Method::GET, &format!("/v1/ops/{id}"), &[], none).await?,
