--- a/crates/common/src/ids.rs
+++ b/crates/common/src/ids.rs
@@ -101,6 +101,9 @@
 /// Longest name in settings and documents, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
+/// What [`is_valid_name`] allows, for error messages.
+pub const NAME_RULE: &str = "allowed: 1 to 64 letters, digits, '-', '_' or '.'";
+
 /// Whether a name may be used in settings and documents.
 pub fn is_valid_name(s: &str) -> bool {
     !s.is_empty()
--- a/crates/common/src/settings/mod.rs
+++ b/crates/common/src/settings/mod.rs
@@ -7,7 +7,7 @@
 pub use timing::Timing;
 
 use crate::{
-    ids::is_valid_name,
+    ids::{NAME_RULE, is_valid_name},
     rpc::LocalNode,
     runtime::{Listener, bind},
 };
@@ -152,10 +152,7 @@
     /// Names the setting, its value and what is allowed.
     pub fn check(&self) -> Result<()> {
         for (field, name) in [("cluster", &self.cluster), ("node", &self.node), ("zone", &self.zone)] {
-            ensure!(
-                is_valid_name(name),
-                "{field}: {name:?}; allowed: 1 to 64 letters, digits, '-', '_' or '.'"
-            );
+            ensure!(is_valid_name(name), "{field}: {name:?}; {NAME_RULE}");
         }
         let distinct: BTreeSet<_> = self.seeds.iter().collect();
         ensure!(
--- a/crates/control-plane/src/operator/api/changes.rs
+++ b/crates/control-plane/src/operator/api/changes.rs
@@ -1,11 +1,11 @@
 //! Changes on their way through the log, and how the operator is answered (design 4.6).
 
-use super::{ApiResponse, Call, Early, NAME_RULE, ReplicaBody, early, error};
+use super::{ApiResponse, Call, Early, ReplicaBody, early, error};
 use crate::{
     rpc::ProposalOutcome,
     types::{ApplyOutcome, Change, ReplicaChange},
 };
-use common::{Index, NodeId, OpId, ReplicaId, Zone, http::json, is_valid_name};
+use common::{Index, NAME_RULE, NodeId, OpId, ReplicaId, Zone, http::json, is_valid_name};
 use hyper::StatusCode;
 use serde_json::json as j;
 use std::time::Duration;
--- a/crates/control-plane/src/operator/api/mod.rs
+++ b/crates/control-plane/src/operator/api/mod.rs
@@ -15,7 +15,7 @@
 };
 use bytes::Bytes;
 use common::{
-    OpId,
+    NAME_RULE, OpId,
     http::{Body, BodyError, BoxErr, json, read_body, text},
     is_valid_name, log_event,
 };
@@ -30,8 +30,6 @@
 
 /// Longest that a call may ask to wait, in milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
-/// What is allowed as a name.
-const NAME_RULE: &str = "allowed: 1 to 64 letters, digits, '-', '_' or '.'";
 
 fn early<T>(response: ApiResponse) -> Early<T> {
     Err(Box::new(response))
--- a/crates/control-plane/src/operator/service.rs
+++ b/crates/control-plane/src/operator/service.rs
@@ -16,7 +16,7 @@
     state_machine::{ClusterState, OperationStatus, operation_status},
     types::{ApplyOutcome, Change, Document, MAX_DOCUMENT_BYTES},
 };
-use common::{OpId, Revision, Zone, is_valid_name};
+use common::{NAME_RULE, OpId, Revision, Zone, is_valid_name};
 use configuration::{Diagnostic, DocumentFormat};
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::{collections::BTreeSet, hash::Hasher, sync::Arc, time::Duration};
@@ -91,7 +91,7 @@
     /// Begins or ends the evacuation of a zone: nothing new goes to its replicas.
     pub async fn evacuate(&self, zone: &str, on: bool) -> OperationOutcome {
         if !is_valid_name(zone) {
-            return invalid("area: allowed: 1 to 64 letters, digits, '-', '_' or '.'");
+            return invalid(format!("area: {NAME_RULE}"));
         }
         let zone = Zone::new(zone);
         let deadline = deadline_in(TIMEOUT_MS);
--- a/crates/data-plane/src/contact.rs
+++ b/crates/data-plane/src/contact.rs
@@ -18,7 +18,7 @@
 const FORGOTTEN_LEASES: u64 = 10;
 
 impl Router {
-    /// Answered, within a lease's length, a hail from here.
+    /// Answered, within a lease's length, a heartbeat from here.
     pub fn is_reachable(&self, n: &NodeId) -> bool {
         let now = self.now();
         lock(&self.last_contacts).get(n).is_some_and(|t| now.since(*t) <= self.set.timing.lease_ms)
@@ -35,8 +35,8 @@
         }
         let l = self.cluster_state();
         let all = l.members.len();
-        let last_contacts = l.members.keys().filter(|n| **n == *self.node() || self.is_reachable(n)).count();
-        last_contacts * 2 <= all
+        let reachable = l.members.keys().filter(|n| **n == *self.node() || self.is_reachable(n)).count();
+        reachable * 2 <= all
     }
 
     /// Why this node takes no new work now (design 3.5, 3.6).
--- a/crates/data-plane/src/load.rs
+++ b/crates/data-plane/src/load.rs
@@ -1,6 +1,6 @@
 //! Pressure (design 5.4): what each home node publishes, and how regions are folded from it.
 
-use common::{FencingToken, NodeId, Region, ReplicaId, Service, Tick, Zone};
+use common::{FencingToken, NodeId, Region, ReplicaId, Service, Tick, Zone, lock};
 use serde::{Deserialize, Serialize};
 use std::{
     collections::{BTreeMap, HashMap},
@@ -132,7 +132,7 @@
 
 impl LoadView {
     pub fn own(&self, id: &ReplicaId) -> Arc<LocalLoad> {
-        let mut g = self.own.lock().unwrap_or_else(|e| e.into_inner());
+        let mut g = lock(&self.own);
         g.entry(id.clone()).or_default().clone()
     }
 
@@ -142,7 +142,7 @@
 
     /// Takes load reports unless they are a past holder's, or older than those in hand.
     pub fn take(&self, fig: LoadReport, asked: Tick, now: Tick) -> bool {
-        let _w = self.write.lock().unwrap_or_else(|e| e.into_inner());
+        let _w = lock(&self.write);
         let key = (fig.service.clone(), fig.zone.clone());
         let mut b = KnownReports::clone(&self.board.load());
         let newer = b.seen.get(&key).is_none_or(|s| {
--- a/crates/data-plane/src/placement.rs
+++ b/crates/data-plane/src/placement.rs
@@ -96,8 +96,8 @@
     fn cached(&self, key: UserKey, svc: &Service) -> Option<Cached> {
         let now = self.now();
         let c = lock(&self.cache).get(&(key, svc.clone())).cloned()?;
-        let fresh = (c.until.since(c.last_contacts) / 180).min(5_000);
-        (now.since(c.last_contacts) < fresh).then_some(c)
+        let fresh = (c.until.since(c.confirmed_at) / 180).min(5_000);
+        (now.since(c.confirmed_at) < fresh).then_some(c)
     }
 
     fn remember(
@@ -107,12 +107,12 @@
         region: &Region,
         ver: u64,
         ttl_ms: u64,
-        last_contacts: Tick,
+        confirmed_at: Tick,
     ) {
-        let c = Cached { region: region.clone(), ver, last_contacts, until: last_contacts + ttl_ms };
+        let c = Cached { region: region.clone(), ver, confirmed_at, until: confirmed_at + ttl_ms };
         let mut g = lock(&self.cache);
         if g.len() >= crate::placement_table::MAX_ROWS / 4 {
-            g.retain(|_, c| c.until > last_contacts);
+            g.retain(|_, c| c.until > confirmed_at);
         }
         g.insert((key, svc.clone()), c);
     }
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -39,7 +39,7 @@
 pub struct Cached {
     pub region: Region,
     pub ver: u64,
-    pub last_contacts: Tick,
+    pub confirmed_at: Tick,
     pub until: Tick,
 }
 
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -5,7 +5,7 @@
     protocol::ProtocolAdapter,
     state::{Serving, Site},
 };
-use crate::router::Router;
+use crate::{daemon::wait_until_drained, router::Router};
 use common::{
     Clock, Incarnation, http, log_event,
     runtime::{bind, random, spawn},
@@ -44,7 +44,7 @@
     router.start_serving(&set, listeners.rpc);
     spawn(s.clone().keep_configuration());
     s.watch_all();
-    let (announce_prompt, told) = watch::channel(false);
+    let (stop_listening, stopped) = watch::channel(false);
     let (end, ended) = watch::channel(false);
     for at in extra {
         let listener = bind(at).await?;
@@ -54,7 +54,7 @@
         }));
     }
     let conns = Arc::new(http::OpenCount::default());
-    let serving = spawn(s.clone().listen(listeners.http, conns.clone(), told));
+    let serving = spawn(s.clone().listen(listeners.http, conns.clone(), stopped));
     let me = s.clone();
     spawn(async move {
         loop {
@@ -72,12 +72,10 @@
     member.leave().await;
     let linger = (keep_ms * 3 + set.timing.renew_interval_ms()).min(grace_ms / 2);
     tokio::time::sleep(Duration::from_millis(linger.saturating_sub(clock.now().since(began)))).await;
-    let _ = announce_prompt.send(true);
+    let _ = stop_listening.send(true);
     let _ = serving.await;
     let until = began + grace_ms * 15 / 16;
-    while (router.open_count.open() > 0 || conns.open() > 0) && clock.now() < until {
-        tokio::time::sleep(Duration::from_millis(20)).await;
-    }
+    wait_until_drained(&router, &conns, until).await;
     let _ = end.send(true);
     log_event!(Info, "stopped", "open" => router.open_count.open());
     Ok(())
--- a/crates/data-plane/src/serving/pool.rs
+++ b/crates/data-plane/src/serving/pool.rs
@@ -2,20 +2,16 @@
 //! on them.
 
 use super::connection::Idle;
-use common::{ReplicaId, Tick};
+use common::{ReplicaId, Tick, lock};
 use std::{collections::HashMap, sync::Mutex};
 
 #[derive(Default)]
 pub struct Pool(Mutex<HashMap<ReplicaId, Vec<Idle>>>);
 
 impl Pool {
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<ReplicaId, Vec<Idle>>> {
-        self.0.lock().unwrap_or_else(|e| e.into_inner())
-    }
-
     /// The one that was used last, if it is open still.
     pub fn take(&self, id: &ReplicaId, now: Tick) -> Option<Idle> {
-        let mut g = self.lock();
+        let mut g = lock(&self.0);
         let idle = g.get_mut(id)?;
         while let Some(i) = idle.pop() {
             if i.usable(now) {
@@ -30,7 +26,7 @@
         if idle.over(now) {
             return;
         }
-        let mut g = self.lock();
+        let mut g = lock(&self.0);
         let kept = g.entry(id.clone()).or_default();
         if kept.len() < most {
             kept.push(idle);
@@ -38,11 +34,11 @@
     }
 
     pub fn idle(&self, id: &ReplicaId) -> usize {
-        self.lock().get(id).map_or(0, Vec::len)
+        lock(&self.0).get(id).map_or(0, Vec::len)
     }
 
     pub fn sweep(&self, now: Tick) {
-        let mut g = self.lock();
+        let mut g = lock(&self.0);
         g.values_mut().for_each(|v| v.retain(|i| !i.over(now)));
         g.retain(|_, v| !v.is_empty());
     }
--- a/crates/data-plane/src/serving/region_choice.rs
+++ b/crates/data-plane/src/serving/region_choice.rs
@@ -74,14 +74,14 @@
         let known = lock(&self.router.cache).get(&(key, p.service.clone())).cloned();
         let good = |r: &Region| seen.get(r).is_some_and(|l| l.passes(OVERLOAD));
         let valid = known.as_ref().filter(|c| c.until > now && good(&c.region));
-        let fresh = valid.is_some_and(|c| now.since(c.last_contacts) < (TTL_MS / 180).min(5_000));
+        let fresh = valid.is_some_and(|c| now.since(c.confirmed_at) < (TTL_MS / 180).min(5_000));
         let pick = valid.map(|c| c.region.clone()).or_else(|| draw_by_key(cands, key.0))?;
         if !fresh {
             let stale = known.filter(|c| c.until > now && !good(&c.region)).map(|c| c.ver);
             self.remember(
                 key,
                 p,
-                Cached { region: pick.clone(), ver: 0, last_contacts: now, until: now + TTL_MS },
+                Cached { region: pick.clone(), ver: 0, confirmed_at: now, until: now + TTL_MS },
             );
             let (me, svc, pick) = (self.clone(), p.service.clone(), pick.clone());
             common::runtime::spawn(async move {
@@ -91,7 +91,7 @@
                     .settle(key, &svc, stale, Some(pick), TTL_MS, me.router.set.timing.rpc_timeout_ms)
                     .await;
                 if let Some(PlacementOutcome::Held { region, ver, .. }) = told {
-                    let c = Cached { region, ver, last_contacts: asked, until: asked + TTL_MS };
+                    let c = Cached { region, ver, confirmed_at: asked, until: asked + TTL_MS };
                     lock(&me.router.cache).insert((key, svc), c);
                 }
             });
@@ -102,7 +102,7 @@
     fn remember(&self, key: UserKey, p: &Plan, c: Cached) {
         let mut g = lock(&self.router.cache);
         if g.len() >= crate::placement_table::MAX_ROWS / 64 {
-            g.retain(|_, x| x.until > c.last_contacts);
+            g.retain(|_, x| x.until > c.confirmed_at);
         }
         g.insert((key, p.service.clone()), c);
     }
--- a/crates/data-plane/src/serving/replica_view.rs
+++ b/crates/data-plane/src/serving/replica_view.rs
@@ -84,7 +84,7 @@
     pub lends: HashMap<(Region, Service), (u32, Tick)>,
 }
 
-/// Owns what outlives single boards.
+/// Owns what outlives single reports.
 #[derive(Default)]
 pub struct ReportStore {
     pub by_zone: BTreeMap<Zone, ReceivedReport>,
@@ -104,7 +104,7 @@
         !older
     }
 
-    /// Folds all boards into what may be chosen. `valid_ms` is how long load reports lend.
+    /// Folds all reports into what may be chosen. `valid_ms` is how long load reports lend.
     pub fn fleet(&mut self, zones: &BTreeMap<Zone, Region>, routers: usize, valid_ms: u64) -> ReplicaView {
         let mut out = ReplicaView::default();
         for (zone, h) in &self.by_zone {
--- a/crates/data-plane/src/serving/request_flush.rs
+++ b/crates/data-plane/src/serving/request_flush.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// A body is dropped once it was taken as far as its told length attempts, or when its connection closes.
+/// A body is dropped once it was taken as far as its announced length goes, or when its connection closes.
 impl Drop for TrackedBody {
     fn drop(&mut self) {
         self.outgoing.taken();
--- a/crates/data-plane/src/serving/retry_budget.rs
+++ b/crates/data-plane/src/serving/retry_budget.rs
@@ -2,7 +2,7 @@
 //! each request's first arrival, divided into shares that need no messages. A token bucket for each
 //! service, which starts empty, so that starting a router adds nothing. Pure but for one lock.
 
-use common::{NodeId, Service, Tick, rendezvous::stable_hash};
+use common::{NodeId, Service, Tick, lock, rendezvous::stable_hash};
 use std::{collections::HashMap, sync::Mutex};
 
 /// Share of the ratio that is used.
@@ -11,7 +11,7 @@
 const SURPLUS_USED: f64 = 0.9;
 /// Share of the surplus that all routers together save up, where each then holds a whole token.
 const SAVED: f64 = 0.5;
-/// Share of the surplus that attempts into whole tokens at most, where few routers can hold one.
+/// Share of the surplus that goes into whole tokens at most, where few routers can hold one.
 const MAX_SAVED: f64 = 0.7;
 
 /// One router's share of the surplus that is granted beyond the ratio.
@@ -65,13 +65,9 @@
         Self { started: now, buckets: Mutex::default() }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<Service, Bucket>> {
-        self.buckets.lock().unwrap_or_else(|e| e.into_inner())
-    }
-
     /// A request for the service came.
     pub fn earn(&self, svc: &Service, ratio: f64, share: BudgetShare, now: Tick) {
-        let mut all = self.lock();
+        let mut all = lock(&self.buckets);
         let first = || Bucket { tokens: 0.0, capacity: 0.0, at: self.started };
         let b = all.entry(svc.clone()).or_insert_with(first);
         let accrued = share.per_ms * now.since(b.at) as f64;
@@ -82,7 +78,7 @@
 
     /// Takes the token for one further try, where there is one.
     pub fn spend(&self, svc: &Service) -> bool {
-        let mut all = self.lock();
+        let mut all = lock(&self.buckets);
         let Some(b) = all.get_mut(svc).filter(|b| b.tokens >= 1.0) else { return false };
         b.tokens -= 1.0;
         true
@@ -90,7 +86,7 @@
 
     /// A try that was paid for reached nobody.
     pub fn give_back(&self, svc: &Service) {
-        if let Some(b) = self.lock().get_mut(svc) {
+        if let Some(b) = lock(&self.buckets).get_mut(svc) {
             b.tokens = (b.tokens + 1.0).min(b.capacity);
         }
     }
--- a/crates/data-plane/src/successor.rs
+++ b/crates/data-plane/src/successor.rs
@@ -12,7 +12,7 @@
 
 impl Router {
     /// Whether no router of the zone outlived the last load reports: then the zone was lost, and what is
-    /// there now is cold. Those that should have are asked, since a expire takes its time.
+    /// there now is cold. Those that should have are asked, since an expiry takes its time.
     pub(crate) async fn lost(&self, service: &Service, zone: &Zone) -> bool {
         let b = self.load_view.board();
         let Some(s) = b.seen.get(&(service.clone(), zone.clone())) else { return false };
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -96,18 +96,18 @@
                     }
                     match res {
                         Ok(a) if a.violations().is_empty() => {
-                            sum.lock().unwrap_or_else(|e| e.into_inner()).push(a);
+                            common::lock(&sum).push(a);
                         }
                         Ok(a) => {
                             stop.store(!all, Ordering::Release);
                             let what = format!("{:?}", a.violations());
                             let trace = [a.acts.clone(), a.examples.clone()].concat();
-                            found.lock().unwrap_or_else(|e| e.into_inner()).push((seed, what, trace));
+                            common::lock(&found).push((seed, what, trace));
                         }
                         Err(e) => {
                             stop.store(!all, Ordering::Release);
                             let what = format!("{e:#}");
-                            found.lock().unwrap_or_else(|e| e.into_inner()).push((seed, what, vec![]));
+                            common::lock(&found).push((seed, what, vec![]));
                         }
                     }
                 }
