--- a/crates/control-plane/tests/consensus.rs
+++ b/crates/control-plane/tests/consensus.rs
@@ -1,5 +1,7 @@
 //! Conformance of a voter with design 2.3 to 2.5, message by message.
 
+mod samples;
+
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
 use control_plane::{
     Change, ClusterState,
@@ -7,6 +9,7 @@
     types::VoterInfo,
 };
 use rstest::rstest;
+use samples::sent;
 use std::net::SocketAddr;
 
 fn addr(n: u8) -> SocketAddr {
@@ -49,16 +52,6 @@
     VoterId { number: n, incarnation: Incarnation(10 + u64::from(n)) }
 }
 
-fn sent(effects: &[Effect]) -> Vec<&Message> {
-    effects
-        .iter()
-        .filter_map(|f| match f {
-            Effect::Send { msg, .. } => Some(msg),
-            _ => None,
-        })
-        .collect()
-}
-
 /// Tells the voter that all its writes are synced; what that releases.
 fn durable_index(s: &mut Voter, effects: &[Effect], now: Tick) -> Vec<Effect> {
     let mut last = effects.iter().filter_map(|f| match f {
--- a/crates/control-plane/tests/damage.rs
+++ b/crates/control-plane/tests/damage.rs
@@ -2,16 +2,17 @@
 //! the damage is told. Never is an older state taken as the newest, but for the last record alone, which
 //! can't be told from a torn end.
 
-use common::{Incarnation, Index, Term};
+mod samples;
+
+use common::{Index, Term};
 use control_plane::{
-    Change, ClusterState,
     consensus::{DurableState, Record},
     storage::FileStore,
     storage::{LoadResult, RecordWriter},
-    types::{LogEntry, VoterInfo},
     types::{SHORT_LOG_BYTES, SLOT_BYTES},
 };
 use rstest::rstest;
+use samples::{entry, one_voter};
 use std::{
     fs::{self, File, OpenOptions},
     os::unix::fs::FileExt,
@@ -23,38 +24,15 @@
 /// Bytes of a header of a file or record.
 const HEAD: usize = 32;
 
-fn image() -> DurableState {
-    let address = "127.0.0.1:1".parse().unwrap();
-    let me = VoterInfo {
-        number: 1,
-        incarnation: Incarnation(5),
-        node: "s1".into(),
-        zone: "a".into(),
-        rpc_addr: address,
-        http: address,
-    };
-    DurableState {
-        initialized: true,
-        cluster_state: ClusterState::bootstrapped("c", vec![me.clone()]),
-        ..DurableState::blank(&me)
-    }
-}
-
 fn append(n: u64) -> Record {
-    let change = Change::Evacuate {
-        op: format!("o{n}").as_str().into(),
-        zone: "a".into(),
-        on: true,
-        seen: Index(u64::MAX),
-    };
-    Record::Append { commit_index: Index(n - 1), entries: vec![LogEntry { index: Index(n), change }] }
+    Record::Append { commit_index: Index(n - 1), entries: vec![entry(n)] }
 }
 
 /// A folder with so many slots, each followed by three records; its states after each record of the
 /// last log, and before the first of them.
 fn filled(slots: u64) -> (TempDir, Vec<DurableState>) {
     let dir = tempdir().unwrap();
-    let (mut image, mut n) = (image(), 0);
+    let (mut image, mut n) = (one_voter(), 0);
     let mut store = FileStore::open(dir.path(), &image).unwrap();
     let mut states = vec![];
     for slot in 0..slots {
@@ -89,7 +67,7 @@
 }
 
 /// Where the content of a file ends: nothing but zeros follows.
-fn hears_leader(path: &Path) -> usize {
+fn content_end(path: &Path) -> usize {
     let bytes = fs::read(path).unwrap();
     bytes.iter().rposition(|b| *b != 0).map_or(0, |at| at + 1)
 }
@@ -123,7 +101,7 @@
     let (dir, states) = filled(slots);
     let last_record = states[states.len() - 2].clone();
     let f = file(dir.path(), name);
-    let len = hears_leader(&dir.path().join(name));
+    let len = content_end(&dir.path().join(name));
     let bytes = fs::read(dir.path().join(name)).unwrap();
     let in_last_log = name == current_name(dir.path());
     for at in 0..len as u64 {
@@ -173,7 +151,7 @@
     let (dir, _) = filled(2);
     let path = dir.path().join(name);
     let whole = fs::read(&path).unwrap();
-    let lengths = (0..hears_leader(&path) + 2).chain([whole.len() / 2, whole.len() - 1]);
+    let lengths = (0..content_end(&path) + 2).chain([whole.len() / 2, whole.len() - 1]);
     for len in lengths {
         file(dir.path(), name).set_len(len as u64).unwrap();
         let found = load(dir.path());
@@ -190,9 +168,9 @@
         let (dir, _) = filled(slots);
         let lost: Vec<&str> = (0..4).filter(|n| set & (1 << n) != 0).map(|n: usize| FILES[n]).collect();
         let begun_log_stays =
-            ["log-0", "log-1"].iter().any(|f| !lost.contains(f) && hears_leader(&dir.path().join(f)) > 0);
+            ["log-0", "log-1"].iter().any(|f| !lost.contains(f) && content_end(&dir.path().join(f)) > 0);
         let slot_stays =
-            ["slot-0", "slot-1"].iter().any(|f| !lost.contains(f) && hears_leader(&dir.path().join(f)) > 0);
+            ["slot-0", "slot-1"].iter().any(|f| !lost.contains(f) && content_end(&dir.path().join(f)) > 0);
         for name in &lost {
             if empty {
                 file(dir.path(), name).set_len(0).unwrap();
@@ -241,7 +219,7 @@
     let slot = current(dir.path(), "slot");
     let name = slot.file_name().unwrap();
     let written = fs::read(&slot).unwrap();
-    let len = hears_leader(&slot);
+    let len = content_end(&slot);
     let torn = copy(before.path());
     for reached in 0..=len {
         let was = fs::read(before.path().join(name)).unwrap();
@@ -358,8 +336,8 @@
         fs::write(dir.path().join(name), vec![0; len]).unwrap();
     }
     assert_eq!(load(dir.path()), LoadResult::Empty);
-    FileStore::open(dir.path(), &image()).unwrap();
-    assert_eq!(load(dir.path()), LoadResult::State(Box::new(image())));
+    FileStore::open(dir.path(), &one_voter()).unwrap();
+    assert_eq!(load(dir.path()), LoadResult::State(Box::new(one_voter())));
 }
 
 /// What can't be read at all is an error of the start, not a blank folder.
@@ -386,7 +364,7 @@
         let last_log = current_name(dir.path());
         let last_record = LoadResult::State(Box::new(states[states.len() - 2].clone()));
         let name = FILES[rng.random_range(0..4)];
-        let len = hears_leader(&dir.path().join(name)).max(64) as u64;
+        let len = content_end(&dir.path().join(name)).max(64) as u64;
         let f = file(dir.path(), name);
         match rng.random_range(0..3) {
             0 => (0..rng.random_range(1..6)).for_each(|_| {
--- a/crates/control-plane/tests/disk_faults.rs
+++ b/crates/control-plane/tests/disk_faults.rs
@@ -2,19 +2,19 @@
 //! lost, and no failed write makes a folder look damaged (design 2.4, 2.6).
 
 mod medium;
+mod samples;
 
 use common::{Incarnation, Index, Term, settings::Settings, settings::Timing};
 use control_plane::{
-    Change, ClusterState,
     consensus::{DurableState, Record},
     storage::FileStore,
     storage::{DataFolder, Recorder, RecoveryBackoff},
     storage::{LoadResult, OpenError, RecordWriter},
-    types::{LogEntry, VoterInfo},
 };
 use medium::{FaultyMedium, Plan, Trouble};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
+use samples::{bootstrapped, entry, voter_at};
 use std::{fs, path::Path, sync::Arc, time::Duration};
 use tempfile::{TempDir, tempdir};
 
@@ -43,29 +43,7 @@
 
 fn image() -> DurableState {
     let set = settings(Path::new("/"));
-    let me = VoterInfo {
-        number: 1,
-        incarnation: Incarnation(5),
-        node: "s1".into(),
-        zone: "a".into(),
-        rpc_addr: set.rpc_addr,
-        http: set.http,
-    };
-    DurableState {
-        initialized: true,
-        cluster_state: ClusterState::bootstrapped("c", vec![me.clone()]),
-        ..DurableState::blank(&me)
-    }
-}
-
-fn entry(n: u64) -> LogEntry {
-    let change = Change::Evacuate {
-        op: format!("o{n}").as_str().into(),
-        zone: "a".into(),
-        on: true,
-        seen: Index(u64::MAX),
-    };
-    LogEntry { index: Index(n), change }
+    bootstrapped(&voter_at(set.rpc_addr, set.http))
 }
 
 /// A folder with three synced records.
--- a/crates/control-plane/tests/malformed.rs
+++ b/crates/control-plane/tests/malformed.rs
@@ -1,18 +1,21 @@
 //! Messages that no voter of this cluster sends (design 2.9): thrown at a blank voter, a follower and a
 //! leader. Each is refused by name, takes no vote and no state, and the voter goes on as before.
 
+mod samples;
+
 use common::{
     Incarnation, Index, Term, Tick,
     settings::Timing,
     wire::{decode, encode},
 };
 use control_plane::{
-    Change, ClusterState,
+    ClusterState,
     consensus::{Body, DurableState, Effect, Event, InvalidMessage, LogTail, Message, Voter, VoterId},
-    types::{LogEntry, VoterInfo},
+    types::VoterInfo,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
+use samples::entry;
 use std::net::SocketAddr;
 
 const NOW: Tick = Tick(20_000);
@@ -41,16 +44,6 @@
     VoterId { number: n, incarnation: Incarnation(10 + u64::from(n)) }
 }
 
-fn entry(n: u64) -> LogEntry {
-    let change = Change::Evacuate {
-        op: format!("o{n}").as_str().into(),
-        zone: "a".into(),
-        on: true,
-        seen: Index(u64::MAX),
-    };
-    LogEntry { index: Index(n), change }
-}
-
 fn state(index: u64) -> ClusterState {
     let mut cluster_state = ClusterState::bootstrapped("c", voters());
     (1..=index.min(5)).for_each(|n| {
--- a/crates/control-plane/tests/modules/lease.rs
+++ b/crates/control-plane/tests/modules/lease.rs
@@ -7,8 +7,8 @@
     types::NodeInfo,
 };
 
-/// Found by the simulator (seed 53): a expire waited in the log behind a slow disk while the
-/// node, thawed, had its lease renewed; the expire then took effect under a valid lease.
+/// Found by the simulator (seed 53): an expiry waited in the log behind a slow disk while the
+/// node, thawed, had its lease renewed; the expiry then took effect under a valid lease.
 #[test]
 fn a_lapsed_tenure_is_not_renewed() {
     let addr = "127.0.0.1:1".parse().unwrap();
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -2,6 +2,7 @@
 //! disk holds (design 2.4).
 
 mod rig;
+mod samples;
 
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
 use control_plane::{
@@ -9,6 +10,7 @@
     consensus::{Body, DurableState, Effect, Event, Message, Voter, VoterId},
 };
 use rstest::rstest;
+use samples::sent;
 use tempfile::tempdir;
 
 /// Three voters with a leader and one accepted document.
@@ -21,16 +23,6 @@
     r
 }
 
-fn sent(effects: &[Effect]) -> Vec<&Message> {
-    effects
-        .iter()
-        .filter_map(|f| match f {
-            Effect::Send { msg, .. } => Some(msg),
-            _ => None,
-        })
-        .collect()
-}
-
 fn stop(voter: &Voter, by: VoterId) -> Event {
     let term = Term(voter.current_term.0 + 80);
     Event::Msg(rig::addr(usize::from(by.number)), Message::VoteRequest { by, term, commit_index: Index(0) })
--- /dev/null
+++ b/crates/control-plane/tests/samples/mod.rs
@@ -0,0 +1,53 @@
+//! Values that several test programs of the control plane begin with.
+
+#![allow(dead_code)]
+
+use common::{Incarnation, Index};
+use control_plane::{
+    Change, ClusterState,
+    consensus::{DurableState, Effect, Message},
+    types::{LogEntry, VoterInfo},
+};
+use std::net::SocketAddr;
+
+/// Voter 1 at those addresses.
+pub fn voter_at(rpc_addr: SocketAddr, http: SocketAddr) -> VoterInfo {
+    VoterInfo { number: 1, incarnation: Incarnation(5), node: "s1".into(), zone: "a".into(), rpc_addr, http }
+}
+
+/// The state of a cluster that was bootstrapped with this voter alone.
+pub fn bootstrapped(me: &VoterInfo) -> DurableState {
+    DurableState {
+        initialized: true,
+        cluster_state: ClusterState::bootstrapped("c", vec![me.clone()]),
+        ..DurableState::blank(me)
+    }
+}
+
+/// The same for a voter whose addresses don't matter.
+pub fn one_voter() -> DurableState {
+    let addr = SocketAddr::from(([127, 0, 0, 1], 1));
+    bootstrapped(&voter_at(addr, addr))
+}
+
+/// An entry that evacuates a zone.
+pub fn entry(n: u64) -> LogEntry {
+    let change = Change::Evacuate {
+        op: format!("o{n}").as_str().into(),
+        zone: "a".into(),
+        on: true,
+        seen: Index(u64::MAX),
+    };
+    LogEntry { index: Index(n), change }
+}
+
+/// The messages among the effects of a step.
+pub fn sent(effects: &[Effect]) -> Vec<&Message> {
+    effects
+        .iter()
+        .filter_map(|effect| match effect {
+            Effect::Send { msg, .. } => Some(msg),
+            _ => None,
+        })
+        .collect()
+}
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -1,41 +1,19 @@
 //! Conformance of the data folder with design 2.6: torn ends are cut, damage is told.
 
-use common::{Incarnation, Index, Term};
+mod samples;
+
+use common::{Index, Term};
 use control_plane::{
-    Change, ClusterState,
-    consensus::{DurableState, Record},
+    consensus::Record,
     storage::FileStore,
     storage::{LoadResult, RecordWriter},
-    types::{LogEntry, VoterInfo},
 };
 use rstest::rstest;
+use samples::{entry, one_voter};
 use std::{fs, path::Path};
 
-fn image() -> DurableState {
-    let addr = "127.0.0.1:1".parse().unwrap();
-    let me = VoterInfo {
-        number: 1,
-        incarnation: Incarnation(5),
-        node: "s1".into(),
-        zone: "a".into(),
-        rpc_addr: addr,
-        http: addr,
-    };
-    DurableState {
-        initialized: true,
-        cluster_state: ClusterState::bootstrapped("c", vec![me.clone()]),
-        ..DurableState::blank(&me)
-    }
-}
-
 fn append(n: u64) -> Record {
-    let change = Change::Evacuate {
-        op: format!("o{n}").as_str().into(),
-        zone: "a".into(),
-        on: true,
-        seen: common::Index(u64::MAX),
-    };
-    Record::Append { commit_index: Index(0), entries: vec![LogEntry { index: Index(n), change }] }
+    Record::Append { commit_index: Index(0), entries: vec![entry(n)] }
 }
 
 fn last(f: LoadResult) -> Option<u64> {
@@ -72,7 +50,7 @@
 }
 
 fn filled(dir: &Path, n: u64) {
-    let mut s = FileStore::open(dir, &image()).unwrap();
+    let mut s = FileStore::open(dir, &one_voter()).unwrap();
     (1..=n).for_each(|k| s.write(&append(k)).unwrap());
 }
 
@@ -80,7 +58,7 @@
 fn what_was_synced_comes_back_over_many_slots() {
     let d = tempfile::tempdir().unwrap();
     assert_eq!(FileStore::load(d.path()).unwrap(), LoadResult::Empty);
-    let mut image = image();
+    let mut image = one_voter();
     for round in 0..5u64 {
         let mut s = FileStore::open(d.path(), &image).unwrap();
         s.write(&Record::Promise(Term(round + 1))).unwrap();
@@ -209,7 +187,7 @@
 #[rstest]
 fn a_mark_torn_at_any_byte_leaves_the_records(#[values(16, 17, 20, 24, 25, 28, 30, 31)] last_sent: usize) {
     let d = tempfile::tempdir().unwrap();
-    let mut s = FileStore::open(d.path(), &image()).unwrap();
+    let mut s = FileStore::open(d.path(), &one_voter()).unwrap();
     (1..=2).for_each(|k| s.write(&append(k)).unwrap());
     let before = fs::read(newest(d.path(), "log")).unwrap()[..32].to_vec();
     s.write(&append(3)).unwrap();
@@ -234,6 +212,6 @@
         let head = crc32fast::hash(&b[..28]);
         b[28..32].copy_from_slice(&head.to_le_bytes());
     });
-    FileStore::open(d.path(), &image()).unwrap();
+    FileStore::open(d.path(), &one_voter()).unwrap();
     assert_eq!(fs::read(&durable_index).unwrap(), bytes);
 }
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -69,8 +69,8 @@
     }
     let service = if once { "verdict" } else { "contacts" };
     let (_r, at) = router(service, &backs).await;
-    let request_id = if once { post("/v1/verdicts", "", "{\"station\":\"x\"}") } else { LOOKUP.into() };
-    let got = say(at, &request_id).await;
+    let request = if once { post("/v1/verdicts", "", "{\"station\":\"x\"}") } else { LOOKUP.into() };
+    let got = say(at, &request).await;
     assert!(got.contains(outcome) && got.contains(also), "{got}");
     assert_eq!(backs.iter().map(|b| b.runs.load(Ordering::Acquire)).sum::<usize>(), runs);
 }
--- a/crates/data-plane/tests/goes.rs
+++ b/crates/data-plane/tests/goes.rs
@@ -132,7 +132,7 @@
 async fn the_last_look_comes_before_the_first_byte() {
     let listener = TcpListener::bind((IP, 0)).await.unwrap();
     let at = listener.local_addr().unwrap();
-    let last_contacts = tokio::spawn(async move {
+    let received = tokio::spawn(async move {
         let (mut s, _) = listener.accept().await.unwrap();
         let mut got = Vec::new();
         let _ = s.read_to_end(&mut got).await;
@@ -140,5 +140,5 @@
     });
     let res = attempt(way(at, &|| Some("cut off")), &sent(), &[], ()).await;
     assert!(matches!(res, Outcome::NotRun(e) if e.cause() == "cut off" && e.step == "last look"));
-    assert_eq!(last_contacts.await.unwrap(), 0);
+    assert_eq!(received.await.unwrap(), 0);
 }
--- a/crates/data-plane/tests/lag.rs
+++ b/crates/data-plane/tests/lag.rs
@@ -14,8 +14,8 @@
 
 async fn asked(at: std::net::SocketAddr) -> (String, String, String) {
     let get = |p: &str| format!("GET {p} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-    let request_id = say(at, &post("/v1/verdicts", "", "{\"station\":\"x\"}")).await;
-    (request_id, say(at, &get("/readyz")).await, say(at, &get("/metrics")).await)
+    let answer = say(at, &post("/v1/verdicts", "", "{\"station\":\"x\"}")).await;
+    (answer, say(at, &get("/readyz")).await, say(at, &get("/metrics")).await)
 }
 
 async fn one(b: &Back) -> (Arc<data_plane::router::Router>, std::net::SocketAddr, Arc<AtomicU64>) {
@@ -49,9 +49,9 @@
     }
     // Later words of the same place do not start the count anew.
     r.member.note_announced(r.cluster_state().index.next(), r.now());
-    let (request_id, ready, counters) = asked(at).await;
-    assert_eq!(request_id.contains("outcome: done"), serves, "{request_id}");
-    assert_eq!(request_id.contains("lags behind the core"), !serves, "{request_id}");
+    let (answer, ready, counters) = asked(at).await;
+    assert_eq!(answer.contains("outcome: done"), serves, "{answer}");
+    assert_eq!(answer.contains("lags behind the core"), !serves, "{answer}");
     assert_eq!(ready.contains("lags behind the core"), !serves, "{ready}");
     assert_eq!(counters.contains("{what=\"lags\"} 1"), !serves);
 }
@@ -78,11 +78,8 @@
     while r.unreadable.load(Ordering::Acquire) == 0 {
         tokio::task::yield_now().await;
     }
-    let (request_id, ready, counters) = asked(at).await;
-    assert!(
-        request_id.contains("document not readable") && request_id.contains("retry-after"),
-        "{request_id}"
-    );
+    let (answer, ready, counters) = asked(at).await;
+    assert!(answer.contains("document not readable") && answer.contains("retry-after"), "{answer}");
     assert!(ready.starts_with("HTTP/1.1 503") && ready.contains("document not readable"), "{ready}");
     assert!(counters.contains("{what=\"unreadable\"} 1"));
     assert_eq!(b.runs.load(Ordering::Acquire), 0);
--- a/crates/data-plane/tests/leap.rs
+++ b/crates/data-plane/tests/leap.rs
@@ -36,19 +36,18 @@
     let fencing_token = FencingToken(r.cluster_state().epoch.0);
     let backs = std::slice::from_ref(&b);
     r.install_load_report(figures("verdict", backs, fencing_token, 2, 8.0), r.now());
-    let request_id =
-        tokio::spawn(async move { say(at, &post("/v1/verdicts", "", "{\"station\":\"x\"}")).await });
+    let answer = tokio::spawn(async move { say(at, &post("/v1/verdicts", "", "{\"station\":\"x\"}")).await });
     while data_plane::router::lock(&r.queue).is_empty() {
         tokio::task::yield_now().await;
     }
     hand.fetch_add(ms, Ordering::AcqRel);
     r.install_load_report(figures("verdict", backs, fencing_token, 3, 0.0), r.now());
-    let got = request_id.await.unwrap();
+    let got = answer.await.unwrap();
     assert!(got.contains(says), "{got}");
     assert_eq!(b.runs.load(Ordering::Acquire), runs);
 }
 
-/// The daemons' clock is the one that counts through suspension, and attempts with the usual one
+/// The daemons' clock is the one that counts through suspension, and goes with the usual one
 /// while there is none.
 #[test]
 fn the_clock_of_the_daemons() {
--- a/crates/data-plane/tests/modules/retry_policy.rs
+++ b/crates/data-plane/tests/modules/retry_policy.rs
@@ -3,7 +3,7 @@
 use data_plane::retry_policy::{After, may_retry};
 use rstest::rstest;
 
-/// Conformance, design 6.2: `once` attempts again only where nothing of it was sent.
+/// Conformance, design 6.2: a `once` request has another attempt only where nothing of it was sent.
 #[rstest]
 #[case::once_not_sent(After::NotRun, false, false, 1, true)]
 #[case::once_may_have_run(After::MayHaveRun, false, false, 1, false)]
--- a/crates/data-plane/tests/serving/attempt_state.rs
+++ b/crates/data-plane/tests/serving/attempt_state.rs
@@ -249,7 +249,7 @@
     Simulation::run(1, broken.map(String::from), |_| async { search() })
 }
 
-/// Nothing that may not be repeated is run twice or called refused though it ran; no answer attempts to
+/// Nothing that may not be repeated is run twice or called refused though it ran; no answer goes to
 /// another's caller; further tries are counted and paid for; only clean ends leave a connection.
 #[test]
 fn every_interleaving_keeps_the_rules() {
--- a/crates/data-plane/tests/serving/kit.rs
+++ b/crates/data-plane/tests/serving/kit.rs
@@ -4,11 +4,13 @@
 use configuration::{Route, RouteKind};
 use data_plane::serving::{
     HeaderNames, Prompt,
+    prefill::Reading,
+    replica_choice::{ChoiceContext, READS_PER_MS},
     replica_report::{ReplicaReport, ReplicaRow},
     replica_view::{Candidate, ReportStore},
 };
 use hyper::header::HeaderName;
-use std::collections::BTreeMap;
+use std::{collections::BTreeMap, sync::LazyLock};
 
 pub fn nodes(n: usize) -> Vec<NodeId> {
     (0..n).map(|i| NodeId::new(format!("p{i}"))).collect()
@@ -44,6 +46,28 @@
     }
 }
 
+static ZONE: LazyLock<Zone> = LazyLock::new(|| "n1".into());
+static REGION: LazyLock<Region> = LazyLock::new(|| "north".into());
+
+/// A choice by a router of zone `n1` for a short request without affinity.
+pub fn context<'a>(prompt: &'a Prompt, reading: &'a Reading) -> ChoiceContext<'a> {
+    ChoiceContext {
+        prompt,
+        zone: &ZONE,
+        region: &REGION,
+        affinity: false,
+        long: false,
+        apart: false,
+        reading,
+        prefixes: &[],
+        reads_per_ms: READS_PER_MS,
+        pause_ms: 200.0,
+        now: Tick(0),
+        hold_ms: 300.0,
+        unit: 0.5,
+    }
+}
+
 /// Two zones in the north, one in the south.
 pub fn zones() -> BTreeMap<Zone, Region> {
     [("n1", "north"), ("n2", "north"), ("s1", "south")].map(|(a, r)| (a.into(), r.into())).into()
--- a/crates/data-plane/tests/serving/prefill.rs
+++ b/crates/data-plane/tests/serving/prefill.rs
@@ -40,7 +40,7 @@
     assert_eq!(r.unread(&"r2".into(), &asked, tokens), tokens);
 }
 
-/// Memory for two of three prompts of 300 tokens: the one that was used last longest ago attempts.
+/// Memory for two of three prompts of 300 tokens: the one that was used last longest ago goes.
 #[rstest]
 #[case::untouched(None, [300, 50, 50])]
 #[case::used_again(Some(1), [50, 300, 50])]
--- a/crates/data-plane/tests/serving/replica_choice.rs
+++ b/crates/data-plane/tests/serving/replica_choice.rs
@@ -1,6 +1,6 @@
 //! Tests of `data_plane::serving::replica_choice`.
 
-use crate::kit::{candidates, prompt, row};
+use crate::kit::{candidates, context, prompt, row};
 use common::{ReplicaId, Tick};
 use data_plane::serving::{
     Prompt,
@@ -26,19 +26,13 @@
     let of = prefixes(a.prompt);
     let one = |n: u32| {
         let w = ChoiceContext {
-            prompt: a.prompt,
-            zone: &"n1".into(),
-            region: &"north".into(),
             affinity: true,
             long: a.long,
             apart: a.apart,
-            reading: a.reading,
             prefixes: if a.long { &of } else { &[] },
-            reads_per_ms: READS_PER_MS,
-            pause_ms: 200.0,
             now: NOW,
-            hold_ms: 300.0,
             unit: f64::from(n) / 400.0,
+            ..context(a.prompt, a.reading)
         };
         best(&cands, &w).expect("candidates").id.clone()
     };
@@ -137,20 +131,6 @@
 fn hopeless_where_nobody_begins_in_time(#[case] running: &[u32], #[case] ms: f64, #[case] want: bool) {
     let cands = candidates(running.iter().enumerate().map(|(n, r)| row(n, *r)).collect(), 1);
     let (p, reading) = (prompt(&[], 10), Reading::default());
-    let w = ChoiceContext {
-        prompt: &p,
-        zone: &"n1".into(),
-        region: &"north".into(),
-        affinity: false,
-        long: false,
-        apart: false,
-        reading: &reading,
-        prefixes: &[],
-        reads_per_ms: READS_PER_MS,
-        pause_ms: 200.0,
-        now: NOW,
-        hold_ms: 300.0,
-        unit: 0.5,
-    };
+    let w = ChoiceContext { now: NOW, ..context(&p, &reading) };
     assert_eq!(all_overdue(&cands.iter().collect::<Vec<_>>(), &w, ms), want);
 }
--- a/crates/data-plane/tests/serving/replica_list.rs
+++ b/crates/data-plane/tests/serving/replica_list.rs
@@ -127,7 +127,7 @@
     });
 }
 
-async fn last_contacts() {
+async fn until_heard() {
     sleep(Duration::from_millis(HEARD_MS)).await;
 }
 
@@ -146,7 +146,7 @@
 fn all_pages_count(#[case] pages: &'static [(&'static str, u16, &'static str)]) {
     watched(List::default(), |stage, list| async move {
         list.says(pages);
-        last_contacts().await;
+        until_heard().await;
         assert_eq!(ids(&stage), ["r1", "r2"]);
     });
 }
@@ -159,7 +159,7 @@
 fn a_reading_counts_whole_or_not_at_all(#[case] code: u16) {
     watched(List::default(), |stage, list| async move {
         list.says(&[("first", 200, "r1 ready\nnext b\n"), ("b", 200, "r2 ready\n")]);
-        last_contacts().await;
+        until_heard().await;
         list.says(&[("first", 200, "r1 draining\nnext b\n"), ("b", code, "r3 ready\n")]);
         sleep(Duration::from_millis(10_000)).await;
         assert_eq!(stage.known(), [("r1".to_string(), false), ("r2".to_string(), false)].into());
@@ -174,15 +174,15 @@
 fn a_replica_that_leaves_is_known_to() {
     watched(List::default(), |stage, list| async move {
         list.says(&[("first", 200, "r1 ready\nnext b\n"), ("b", 200, "r2 ready\n")]);
-        last_contacts().await;
+        until_heard().await;
         list.says(&[("first", 200, "r1 ready\nr2 draining\nnext b\n"), ("b", 200, "r2 ready\n")]);
-        last_contacts().await;
+        until_heard().await;
         assert!(stage.known()["r2"]);
         list.says(&[("first", 200, "r1 ready\nr2 draining\n")]);
         sleep(Duration::from_secs(20)).await;
         assert!(stage.known()["r2"], "it drains for long");
         list.says(&[("first", 200, "r1 ready\n")]);
-        last_contacts().await;
+        until_heard().await;
         assert_eq!(ids(&stage), ["r1"]);
     });
 }
@@ -197,7 +197,7 @@
 fn a_list_in_trouble_holds_up_no_probe(#[case] slow_ms: u64, #[case] code: u16) {
     watched(List::default(), |stage, list| async move {
         list.says(&[("first", 200, "r1 ready\nr2 ready\nr9 ready\n")]);
-        last_contacts().await;
+        until_heard().await;
         assert!(stage.well("r1") && !stage.well("r9"), "nobody listens at r9");
         list.change(|s| s.slow_ms = slow_ms);
         list.says(&[("first", code, "r1 ready\nr2 ready\nr9 ready\n")]);
@@ -252,7 +252,7 @@
         // Later calls fail, so that what is known is of the first one of each zone.
         sleep(Duration::from_millis(slow_ms + 20)).await;
         list.says(&[("first", 500, "")]);
-        last_contacts().await;
+        until_heard().await;
         let (now_ms, left_ms) = stage.cold_left("r2").await;
         assert!(now_ms + left_ms >= said_ms + COLD_MS, "{now_ms} and {left_ms} left, said at {said_ms}");
     });
--- a/crates/data-plane/tests/serving/replica_view.rs
+++ b/crates/data-plane/tests/serving/replica_view.rs
@@ -1,11 +1,11 @@
 //! Tests of `data_plane::serving::replica_view`.
 
-use crate::kit::{board, prompt, row, zones};
+use crate::kit::{board, context, prompt, row, zones};
 use common::{Region, Service, Tick};
 use data_plane::load::RegionLoad;
 use data_plane::serving::{
     prefill::Reading,
-    replica_choice::{ChoiceContext, READS_PER_MS, best},
+    replica_choice::{ChoiceContext, best},
     replica_view::{Candidate, ReplicaView, ReportStore},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -74,21 +74,7 @@
     let (reading, p) = (Reading::default(), prompt(&[], 200));
     for _ in 0..8 {
         for fleet in &fleets {
-            let w = ChoiceContext {
-                prompt: &p,
-                zone: &"n1".into(),
-                region: &"north".into(),
-                affinity: false,
-                long: false,
-                apart: false,
-                reading: &reading,
-                prefixes: &[],
-                reads_per_ms: READS_PER_MS,
-                pause_ms: 1_000.0,
-                now: Tick(0),
-                hold_ms: 300.0,
-                unit: chance.random(),
-            };
+            let w = ChoiceContext { pause_ms: 1_000.0, unit: chance.random(), ..context(&p, &reading) };
             let cands: Vec<&Candidate> = fleet.of(&"chat".into()).iter().collect();
             let c = best(&cands, &w).expect("ten candidates");
             c.own.open.fetch_add(1, Ordering::Relaxed);
