--- a/crates/data-plane/src/serving/attempt.rs
+++ b/crates/data-plane/src/serving/attempt.rs
@@ -82,7 +82,7 @@
         c: &Candidate,
         after: Option<&str>,
     ) -> Result<Request<common::http::Body>, PeerError> {
-        let (step, names) = ("build request", self.dialect.names());
+        let (step, names) = ("build request", self.protocol.header_names());
         let path = p.uri.path_and_query().map_or("/", |x| x.as_str());
         let mut req = Request::builder()
             .method(p.method.clone())
@@ -97,7 +97,7 @@
             Ok(())
         };
         set(&names.time_left, &left.to_string())?;
-        set(&names.wanted, c.id.as_str())?;
+        set(&names.wanted_replica, c.id.as_str())?;
         set(&names.urgency, &p.urgency().to_string())?;
         after.map_or(Ok(()), |id| set(&names.last_event, id))?;
         Ok(req)
@@ -111,7 +111,7 @@
     /// One attempt; `after` names the event after which a stream is to go on. An idle connection is
     /// tried first where that may be; if it had ended before the request was put on it, a fresh one.
     pub async fn attempt(&self, p: &Plan, c: &Candidate, after: Option<&str>) -> Outcome {
-        let reuse = connection_reuse::may_reuse(p.asked());
+        let reuse = connection_reuse::may_reuse(p.request_traits());
         if let Some(idle) = reuse.then(|| self.pool.take(&c.id, self.now())).flatten()
             && let Some(outcome) = self.send(p, c, after, Ready::Idle(idle)).await
         {
@@ -163,8 +163,8 @@
     /// planned.
     fn leave_by(&self, p: &Plan, c: &Candidate) -> Result<Tick, &'static str> {
         let now = self.now();
-        let fleet = self.fleet.load();
-        let listed = fleet.of(&c.service).iter().find(|x| x.id == c.id && self.usable(x));
+        let fleet = self.replica_view.load();
+        let listed = fleet.of(&c.service).iter().find(|x| x.id == c.id && self.is_usable(x));
         let forbidden = [(now >= p.deadline, "past its deadline"), (listed.is_none(), "replica left")];
         let forbidden = forbidden.into_iter().find_map(|(no, why)| no.then_some(why));
         if let Some(why) = forbidden.or_else(|| self.router.refuses_work()) {
@@ -186,7 +186,7 @@
     }
 
     fn answer_head(&self, p: &Plan, answer: &Answer) -> AnswerHead {
-        let (names, head) = (self.dialect.names(), &answer.head);
+        let (names, head) = (self.protocol.header_names(), &answer.head);
         let id = match head.headers.get(&names.request_id) {
             None => AnswerId::Absent,
             told if told == p.request_id.as_ref() => AnswerId::Own,
@@ -203,7 +203,7 @@
 
     /// What an answer's head says: whose it is, whether the request ran, whether its end can be told.
     fn check_answer(&self, p: &Plan, c: &Candidate, mut answer: Answer) -> Outcome {
-        match attempt_state::check_answer(p.asked(), &self.answer_head(p, &answer)) {
+        match attempt_state::check_answer(p.request_traits(), &self.answer_head(p, &answer)) {
             AnswerCheck::Answer => {
                 c.own.note_contact(self.now());
                 strip_hop_by_hop(&mut answer.head.headers);
--- a/crates/data-plane/src/serving/authentication.rs
+++ b/crates/data-plane/src/serving/authentication.rs
@@ -46,7 +46,7 @@
         if map.tenants.is_none() {
             return;
         }
-        let names = self.dialect.names();
+        let names = self.protocol.header_names();
         headers.remove(AUTHORIZATION);
         headers.remove(&names.tenant);
         let name = tenant.and_then(|tenant| HeaderValue::from_str(tenant.name.as_str()).ok());
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -20,29 +20,29 @@
 use tokio::sync::watch;
 
 /// What a serving router is made of, besides its settings.
-pub struct Parts {
+pub struct ServingParts {
     pub site: Site,
-    pub dialect: Arc<dyn ProtocolAdapter>,
+    pub protocol: Arc<dyn ProtocolAdapter>,
     pub document_format: Arc<dyn DocumentFormat>,
 }
 
 pub async fn run(
     set: Settings,
     listeners: Listeners,
-    parts: Parts,
+    parts: ServingParts,
     stop: impl Future<Output = ()>,
 ) -> eyre::Result<()> {
     let info = NodeInfo::of(&set, Role::Router, Incarnation(random::<u64>() >> 1));
     let clock = Clock::default();
     let member = Member::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock.clone());
-    let Parts { site, dialect, document_format } = parts;
-    let extra: Vec<_> = site.readiness.into_iter().chain(site.directory).collect();
+    let ServingParts { site, protocol, document_format } = parts;
+    let extra: Vec<_> = site.readiness_addr.into_iter().chain(site.directory_addr).collect();
     let grace_ms = site.bounds.grace_ms;
-    let keep_ms = site.bounds.keep_ms;
-    let s = Serving::new(router.clone(), dialect, document_format, site);
+    let keep_ms = site.bounds.directory_ttl_ms;
+    let s = Serving::new(router.clone(), protocol, document_format, site);
     router.start_serving(&set, listeners.rpc);
-    spawn(s.clone().keep_configuration());
+    spawn(s.clone().follow_configuration());
     s.watch_all();
     s.keep_usage_reported();
     let (stop_listening, stopped) = watch::channel(false);
--- a/crates/data-plane/src/serving/directory.rs
+++ b/crates/data-plane/src/serving/directory.rs
@@ -43,7 +43,7 @@
     fn edges(&self) -> Vec<RouterAddr> {
         let r = &self.router;
         let l = r.cluster_state();
-        let mine = self.refusing().is_none();
+        let mine = self.not_ready_reason().is_none();
         let fit = |m: &&Member| {
             let node = &m.info.node;
             if node == r.node() { mine } else { r.is_live(m) && !lock(&r.refusing).contains(node) }
@@ -63,23 +63,26 @@
         _peer: SocketAddr,
         req: Request<Incoming>,
     ) -> Result<Response<Body>, BoxErr> {
-        let names = self.dialect.names();
+        let names = self.protocol.header_names();
         let path = req.uri().path();
         if req.method() != Method::GET {
             return Ok(text(StatusCode::METHOD_NOT_ALLOWED, "allowed: GET\n"));
         }
         if path == names.ready_path {
-            let why = self.refusing();
+            let why = self.not_ready_reason();
             let code = if why.is_none() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             return Ok(json(code, &serde_json::json!({"ready": why.is_none(), "why": why})));
         }
         if path == names.lookup_path {
-            let q = self.dialect.lookup(req.uri().query().unwrap_or(""));
+            let q = self.protocol.parse_lookup(req.uri().query().unwrap_or(""));
             let addrs = nearest(&self.edges(), &q.zone, &q.region);
             if addrs.is_empty() {
                 return Ok(text(StatusCode::SERVICE_UNAVAILABLE, "no router is known to be fit\n"));
             }
-            let mut r = text(StatusCode::OK, self.dialect.places(&addrs, self.site.bounds.keep_ms));
+            let mut r = text(
+                StatusCode::OK,
+                self.protocol.directory_answer(&addrs, self.site.bounds.directory_ttl_ms),
+            );
             r.headers_mut()
                 .insert("content-type", hyper::header::HeaderValue::from_static("application/json"));
             return Ok(r);
--- a/crates/data-plane/src/serving/dispatch.rs
+++ b/crates/data-plane/src/serving/dispatch.rs
@@ -25,13 +25,13 @@
 
 /// What became of a request so far.
 pub struct AttemptHistory {
-    pub tried: Vec<ReplicaId>,
+    pub tried_replicas: Vec<ReplicaId>,
     tries: Attempts,
 }
 
 impl AttemptHistory {
     pub fn of(p: &Plan) -> Self {
-        Self { tried: Vec::new(), tries: Attempts::new(p.idempotent(), p.route.tries) }
+        Self { tried_replicas: Vec::new(), tries: Attempts::new(p.idempotent(), p.route.tries) }
     }
 
     /// The attempt under way has ended.
@@ -145,7 +145,7 @@
             log_event!(Info, "replica", "peer" => c.id, "cause" => answer.head.status.as_u16());
             return None;
         }
-        self.learn_duration(&p.service, self.now().since(p.came) as f64);
+        self.learn_duration(&p.service, self.now().since(p.received_at) as f64);
         Some(Response::from_parts(answer.head, full(bytes)))
     }
 
--- a/crates/data-plane/src/serving/gateway.rs
+++ b/crates/data-plane/src/serving/gateway.rs
@@ -49,7 +49,7 @@
     pub async fn serve(self: Arc<Self>, peer: SocketAddr, req: Request<Incoming>) -> Result<Res, BoxErr> {
         let open_count = Arc::new(self.router.open_count.enter());
         let draining = || self.router.draining.load(Ordering::Acquire);
-        let names = self.dialect.names();
+        let names = self.protocol.header_names();
         let id = req.headers().get(&names.request_id).cloned();
         let plan = self.plan(req, peer).await;
         let mut res = match plan {
@@ -64,7 +64,7 @@
 
     /// What clients may send and how long they may take, by the configuration in force.
     pub fn connection_limits(&self) -> ConnectionLimits {
-        let limits = self.map.load().as_ref().map(|map| map.limits).unwrap_or_default();
+        let limits = self.route_map.load().as_ref().map(|map| map.limits).unwrap_or_default();
         ConnectionLimits {
             max_head_bytes: limits.max_header_bytes,
             head_ms: limits.header_wait_ms,
@@ -91,9 +91,9 @@
     /// what it has left.
     async fn await_fit(&self, head: &Parts, left: u64) -> Option<&'static str> {
         let (began, t) = (self.now(), &self.router.set.timing);
-        while let Some(why) = self.refusing().filter(|w| *w != "draining") {
+        while let Some(why) = self.not_ready_reason().filter(|w| *w != "draining") {
             let later = self
-                .map
+                .route_map
                 .load()
                 .as_deref()
                 .and_then(|map| route_of(map, head))
@@ -109,13 +109,13 @@
 
     /// The plan for a request, made from its head and body, or the final answer.
     async fn plan(&self, req: Request<Incoming>, peer: SocketAddr) -> Result<Plan, Box<Res>> {
-        let came = self.now();
+        let received_at = self.now();
         let (head, body) = req.into_parts();
         let left_ms = self.announced_time_left(&head);
         if let Some(why) = self.await_fit(&head, left_ms).await {
             return self.refuse_for_now(why, left_ms);
         }
-        let Some(map) = self.map.load_full() else {
+        let Some(map) = self.route_map.load_full() else {
             return self.refuse_for_now("no configuration", left_ms);
         };
         let Some(route) = route_of(&map, &head) else {
@@ -127,28 +127,28 @@
         let (Some(service), Some(backend)) = (service, backend) else {
             return self.refuse(StatusCode::NOT_FOUND, "the route has no service");
         };
-        let deadline = deadline(self.dialect.names(), &head.headers, &route, came);
+        let deadline = deadline(self.protocol.header_names(), &head.headers, &route, received_at);
         let body = self.read_request_body(&head, body, map.limits.max_body_bytes, deadline, peer).await?;
-        let prompt = self.dialect.prompt(&head.headers);
-        let long = lock(&self.prompt_lengths).note(&route, prompt.tokens_in, came);
-        let prefixes = if long { prefill::prefixes(&prompt) } else { Vec::new() };
-        let key = user_key(&route, &service, &prompt, &self.site.region);
+        let prompt = self.protocol.parse_prompt(&head.headers);
+        let long_prompt = lock(&self.prompt_lengths).note(&route, prompt.tokens_in, received_at);
+        let prefixes = if long_prompt { prefill::prefixes(&prompt) } else { Vec::new() };
+        let user_key = user_key(&route, &service, &prompt, &self.site.region);
         let mut headers = head.headers;
         strip_hop_by_hop(&mut headers);
         self.name_tenant(&map, tenant.as_deref(), &mut headers);
         headers.remove("content-length");
-        let request_id = headers.get(&self.dialect.names().request_id).cloned();
+        let request_id = headers.get(&self.protocol.header_names().request_id).cloned();
         Ok(Plan {
-            homes: home_regions(&route, tenant.as_deref()),
+            home_regions: home_regions(&route, tenant.as_deref()),
             tenant,
             route,
             service,
             backend,
             prompt,
-            long,
+            long_prompt,
             prefixes,
-            key,
-            came,
+            user_key,
+            received_at,
             deadline,
             method: head.method,
             uri: head.uri,
@@ -164,7 +164,7 @@
         route: &Route,
         head: &Parts,
     ) -> Result<Option<Arc<TenantPolicy>>, Box<Res>> {
-        let names = self.dialect.names();
+        let names = self.protocol.header_names();
         authentication::tenant(names, map, route, &head.headers).map_err(|Unauthenticated| {
             let mut refused = self.refused(StatusCode::UNAUTHORIZED, "unknown key", None);
             let scheme = HeaderValue::from_static(names.key_scheme);
@@ -175,7 +175,7 @@
 
     /// How long the client says that it still waits, in milliseconds; 0 where it says nothing.
     fn announced_time_left(&self, head: &Parts) -> u64 {
-        let value = head.headers.get(&self.dialect.names().time_left);
+        let value = head.headers.get(&self.protocol.header_names().time_left);
         value.and_then(|v| v.to_str().ok()?.trim().parse().ok()).unwrap_or(0)
     }
 
--- a/crates/data-plane/src/serving/health_prober.rs
+++ b/crates/data-plane/src/serving/health_prober.rs
@@ -103,7 +103,7 @@
 
     /// For how much longer a replica that came back may be cold, as long as the list can't tell.
     fn unlisted_cold_ms(&self, replica: &ListedReplica, health: &ReplicaHealth, read_begun: Tick) -> u64 {
-        let map = self.map.load();
+        let map = self.route_map.load();
         let backend = map.as_ref().and_then(|map| map.backends.get(&replica.service));
         let slow_start_ms = backend.map_or(0, |backend| backend.slow_start_ms);
         health.unlisted_cold_ms(slow_start_ms, read_begun, self.site.list_lag_ms, self.now())
@@ -141,23 +141,27 @@
     }
 
     async fn probe(&self, l: &ListedReplica) -> ProbeResult {
-        let map = self.map.load();
+        let map = self.route_map.load();
         let backend = map.as_ref().and_then(|m| m.backends.get(&l.service));
         let engine = backend.is_some_and(|b| b.engine.is_some());
         let path = match backend {
             Some(b) if !engine => b.health_path.as_str(),
-            _ => self.dialect.names().report_path,
+            _ => self.protocol.header_names().report_path,
         };
         let ms = self.report_interval_ms().min(400);
         match ask(self.router.set.rpc_addr.ip(), l.addr, Method::GET, path, &[], "", ms).await {
             Ok((code, head, body)) if code.is_success() => {
-                let names = self.dialect.names();
-                let told = if engine { self.dialect.report(&body) } else { load_of(&head, &names.load) };
+                let names = self.protocol.header_names();
+                let told = if engine {
+                    self.protocol.parse_engine_report(&body)
+                } else {
+                    load_of(&head, &names.load)
+                };
                 ProbeResult::Told(told.unwrap_or_default())
             }
             // Full, not unwell: it turned the probe away as it would a request.
-            Ok((_, head, _)) if head.contains_key(&self.dialect.names().not_run) => {
-                let told = load_of(&head, &self.dialect.names().load).unwrap_or_default();
+            Ok((_, head, _)) if head.contains_key(&self.protocol.header_names().not_run) => {
+                let told = load_of(&head, &self.protocol.header_names().load).unwrap_or_default();
                 ProbeResult::Told(told)
             }
             Ok(_) => ProbeResult::Unwell,
--- a/crates/data-plane/src/serving/prefill_announce.rs
+++ b/crates/data-plane/src/serving/prefill_announce.rs
@@ -2,7 +2,8 @@
 //! replica from all else for a while.
 
 use super::{
-    plan::Plan, prefill::PromptSent, replica_choice::READS_PER_MS, replica_view::Candidate, state::Serving,
+    plan::Plan, prefill::PromptSent, replica_choice::PREFILL_TOKENS_PER_MS, replica_view::Candidate,
+    state::Serving,
 };
 use crate::{
     router::{Router, lock},
@@ -15,14 +16,14 @@
 
 impl Router {
     pub fn note_prompt(&self, n: &PromptSent) {
-        lock(&self.reading).note(n, READS_PER_MS, self.now());
+        lock(&self.reading).note(n, PREFILL_TOKENS_PER_MS, self.now());
     }
 }
 
 impl Serving {
     /// Notes a long prompt here, and tells the routers that send to the same replicas.
     pub fn announce_prompt(self: &Arc<Self>, p: &Plan, c: &Candidate) {
-        if !p.long {
+        if !p.long_prompt {
             return;
         }
         let note = PromptSent {
--- a/crates/data-plane/src/serving/prompt_length.rs
+++ b/crates/data-plane/src/serving/prompt_length.rs
@@ -1,6 +1,6 @@
 //! Which routes send long prompts (design 9.5), learned from what comes. Pure.
 
-use super::replica_choice::READS_PER_MS;
+use super::replica_choice::PREFILL_TOKENS_PER_MS;
 use common::Tick;
 use configuration::Route;
 use std::{collections::HashMap, sync::Arc};
@@ -22,7 +22,7 @@
 impl SeenRoute {
     fn is_long(&self) -> bool {
         let pause = self.route.max_event_gap_ms.unwrap_or(self.route.latency_target_ms) as f64;
-        self.mean_tokens / READS_PER_MS > pause * LONG_PART
+        self.mean_tokens / PREFILL_TOKENS_PER_MS > pause * LONG_PART
     }
 }
 
--- a/crates/data-plane/src/serving/region_choice.rs
+++ b/crates/data-plane/src/serving/region_choice.rs
@@ -34,14 +34,14 @@
         }
         let at = (r.clone(), p.service.clone());
         let open = lock(&self.forwarded_open).get(&at).copied().unwrap_or(0);
-        let fleet = self.fleet.load();
+        let fleet = self.replica_view.load();
         fleet.lends.get(&at).is_some_and(|(n, until)| *until > self.now() && open < i64::from(*n))
     }
 
     /// Regions in the order in which they should be tried; none outside the homes.
-    pub fn regions(self: &Arc<Self>, p: &Plan, usable: &dyn Fn(&Candidate) -> bool) -> Vec<Region> {
+    pub fn ranked_regions(self: &Arc<Self>, p: &Plan, usable: &dyn Fn(&Candidate) -> bool) -> Vec<Region> {
         let home = |r: &Region| p.is_home(r);
-        let fleet = self.fleet.load();
+        let fleet = self.replica_view.load();
         let mut seen = fleet.regions(&p.service, usable);
         seen.retain(|r, _| home(r));
         let own_is_home = home(&self.site.region);
@@ -50,7 +50,7 @@
         // The own region first, where it is among them: a pass is for what it cannot take.
         let own: Vec<_> = cands.iter().filter(|c| c.0 == self.site.region).cloned().collect();
         let cands = if own.is_empty() { cands } else { own };
-        let first = match p.key {
+        let first = match p.user_key {
             Some(key) => self.placed(key, p, &seen, &cands),
             None => draw(&cands, common::runtime::random()),
         };
--- a/crates/data-plane/src/serving/replica_choice.rs
+++ b/crates/data-plane/src/serving/replica_choice.rs
@@ -5,7 +5,7 @@
 use common::{Region, Tick, Zone, rendezvous::stable_hash};
 
 /// Prompt tokens that a replica reads in a millisecond, where nothing else is known.
-pub const READS_PER_MS: f64 = 50.0;
+pub const PREFILL_TOKENS_PER_MS: f64 = 50.0;
 /// Share of the slots above which a newcomer may have to wait.
 const FULL: f64 = 0.9;
 /// What keeping even a short prefix where it is, is worth.
@@ -29,17 +29,17 @@
     pub region: &'a Region,
     pub affinity: bool,
     /// Reading its prompt holds up what runs beside it.
-    pub long: bool,
+    pub long_prompt: bool,
     pub reading: &'a Reading,
     pub prefixes: &'a [(u64, u32)],
-    pub reads_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// The longest pause of a stream that is in time.
-    pub pause_ms: f64,
+    pub max_pause_ms: f64,
     pub now: Tick,
     /// How long a request occupies a slot, as seen lately.
-    pub hold_ms: f64,
+    pub service_time_ms: f64,
     /// In [0, 1): keeps routers with the same stale load reports apart.
-    pub unit: f64,
+    pub random_unit: f64,
 }
 
 impl ChoiceContext<'_> {
@@ -57,17 +57,17 @@
         let ids: Vec<u8> = if self.shared() > 0 {
             self.prompt.shared().iter().flat_map(|p| p.0.to_le_bytes()).collect()
         } else {
-            self.unit.to_le_bytes().to_vec()
+            self.random_unit.to_le_bytes().to_vec()
         };
         stable_hash(&[&ids, c.id.as_str().as_bytes()])
     }
 }
 
 /// Milliseconds until the first event if the request went there, the shared prefix apart.
-pub fn delay(c: &Candidate, w: &ChoiceContext<'_>) -> f64 {
+pub fn first_event_delay_ms(c: &Candidate, w: &ChoiceContext<'_>) -> f64 {
     let slots = f64::from(c.slots);
     let over = (c.load() + 1.0 - slots * FULL).max(0.0);
-    let wait = over * w.hold_ms / slots;
+    let wait = over * w.service_time_ms / slots;
     let batch = c.load() / slots * CROWD_MS;
     let reading = w.reading.wait_ms(&c.id, w.now);
     let tokens = u64::from(w.prompt.tokens_in) + u64::from(w.prompt.tokens_out);
@@ -83,19 +83,19 @@
 }
 
 /// Large enough for the request at all.
-pub fn fits(c: &Candidate, p: &Prompt) -> bool {
+pub fn fits_memory(c: &Candidate, p: &Prompt) -> bool {
     c.memory_total == 0 || u64::from(p.tokens_in) + u64::from(p.tokens_out) <= c.memory_total
 }
 
 /// The best of these for the request: of a few, the least time until its first event, and what it costs those that run
 /// beside it.
-pub fn best<'a>(cands: &[&'a Candidate], w: &ChoiceContext<'_>) -> Option<&'a Candidate> {
+pub fn choose_replica<'a>(cands: &[&'a Candidate], w: &ChoiceContext<'_>) -> Option<&'a Candidate> {
     let compared = compared(cands, w);
     let first = compared.first().filter(|_| w.shared() > 0).map(|c| c.id.clone());
     let score = |c: &Candidate| {
-        let spread = stable_hash(&[&w.unit.to_le_bytes(), c.id.as_str().as_bytes()]) % 1000;
-        let base = delay(c, w) + spread as f64 / 1000.0 * 4.0;
-        if w.long {
+        let spread = stable_hash(&[&w.random_unit.to_le_bytes(), c.id.as_str().as_bytes()]) % 1000;
+        let base = first_event_delay_ms(c, w) + spread as f64 / 1000.0 * 4.0;
+        if w.long_prompt {
             return base + reading_costs(c, w);
         }
         base + if first.as_ref().is_some_and(|first| *first != c.id) { LEAST_KEPT_MS } else { 0.0 }
@@ -110,7 +110,7 @@
     let mut ranked: Vec<(u64, &'a Candidate)> = cands.iter().map(|c| (w.claim(c), *c)).collect();
     ranked.sort_unstable_by_key(|(claim, _)| std::cmp::Reverse(*claim));
     let mut few: Vec<&Candidate> = ranked.iter().take(CHOICES).map(|(_, c)| *c).collect();
-    if w.long {
+    if w.long_prompt {
         let keeper = ranked.iter().map(|(_, c)| *c).min_by_key(|c| w.unread(c));
         let keeper = keeper.filter(|c| w.unread(c) < w.prompt.tokens_in);
         few.extend(keeper.filter(|keeper| few.iter().all(|c| c.id != keeper.id)));
@@ -122,9 +122,9 @@
 fn reading_costs(c: &Candidate, w: &ChoiceContext<'_>) -> f64 {
     let tokens = w.unread(c);
     let own = w.prompt.tokens_in.saturating_sub(w.prompt.shared_tokens());
-    let read = f64::from(tokens) / w.reads_per_ms;
-    let again = f64::from(tokens.saturating_sub(own)) / w.reads_per_ms;
-    let over = (w.reading.wait_ms(&c.id, w.now) + read - w.pause_ms * BESIDE).max(0.0);
+    let read = f64::from(tokens) / w.prefill_tokens_per_ms;
+    let again = f64::from(tokens.saturating_sub(own)) / w.prefill_tokens_per_ms;
+    let over = (w.reading.wait_ms(&c.id, w.now) + read - w.max_pause_ms * BESIDE).max(0.0);
     read + again * (AGAIN - 1.0) + over * c.load() * HURT
 }
 
@@ -132,7 +132,7 @@
 pub fn all_overdue(cands: &[&Candidate], w: &ChoiceContext<'_>, ms: f64) -> bool {
     cands.iter().all(|c| {
         let over = (c.load() + 1.0 - f64::from(c.slots)).max(0.0);
-        over * w.hold_ms / f64::from(c.slots) > ms
+        over * w.service_time_ms / f64::from(c.slots) > ms
     })
 }
 
@@ -142,6 +142,6 @@
 }
 
 /// Whether a cold replica is still cold.
-pub fn cold(c: &Candidate, now: Tick) -> bool {
+pub fn is_cold(c: &Candidate, now: Tick) -> bool {
     c.cold_until > now
 }
--- a/crates/data-plane/src/serving/replica_list.rs
+++ b/crates/data-plane/src/serving/replica_list.rs
@@ -198,7 +198,7 @@
     /// Time between two calls for a zone's list, so that all zones together stay far below the rate.
     fn list_ms(&self) -> u64 {
         let zones = self.site.zones.len().max(1) as f64;
-        let least = RATE_HEADROOM * 1_000.0 * zones / self.site.list_per_s.max(0.1);
+        let least = RATE_HEADROOM * 1_000.0 * zones / self.site.list_calls_per_s.max(0.1);
         self.report_interval_ms().max(least as u64)
     }
 
@@ -213,13 +213,13 @@
                 None => return Ok(read),
             }
         }
-        Err(ListError::Failed(PeerError::new("list replicas", self.site.list, "pages without an end")))
+        Err(ListError::Failed(PeerError::new("list replicas", self.site.list_addr, "pages without an end")))
     }
 
     async fn read_page(&self, zone: &Zone, page: Option<&str>) -> Result<ListPage, ListError> {
         const STEP: &str = "list replicas";
-        let (ip, to) = (self.router.set.rpc_addr.ip(), self.site.list);
-        let path = self.dialect.listing_path(zone, page);
+        let (ip, to) = (self.router.set.rpc_addr.ip(), self.site.list_addr);
+        let path = self.protocol.list_page_path(zone, page);
         let answer = ask(ip, to, Method::GET, &path, &[], "", PAGE_MS).await;
         let (code, _, body) = answer.map_err(ListError::Failed)?;
         match code {
@@ -230,6 +230,6 @@
             _ => return Err(ListError::Failed(PeerError::new(STEP, to, code.to_string()))),
         }
         let unread = || ListError::Failed(PeerError::new(STEP, to, "the answer could not be read"));
-        self.dialect.listing(&body).ok_or_else(unread)
+        self.protocol.parse_list_page(&body).ok_or_else(unread)
     }
 }
--- a/crates/data-plane/src/serving/replica_selection.rs
+++ b/crates/data-plane/src/serving/replica_selection.rs
@@ -5,7 +5,7 @@
     dispatch::AttemptHistory,
     plan::Plan,
     prefill::Reading,
-    replica_choice::{self, ChoiceContext, READS_PER_MS},
+    replica_choice::{self, ChoiceContext, PREFILL_TOKENS_PER_MS},
     replica_view::{Candidate, ReplicaView},
     slow_start,
     state::Serving,
@@ -45,7 +45,7 @@
             plan,
             history,
             now: serving.now(),
-            replicas: serving.fleet.load_full(),
+            replicas: serving.replica_view.load_full(),
             max_open: (connections / routers.len().max(1)).max(MIN_CONNECTIONS),
             warm_up_rate: plan.backend.slow_start_per_s * bounds.cold_overrun + bounds.cold_slack,
             routers,
@@ -54,11 +54,11 @@
 
     /// This router's part of the rate at which a replica that warms up may be sent requests.
     fn own_warm_up_rate(&self, replica: &Candidate) -> Option<f64> {
-        slow_start::rate(self.warm_up_rate, &replica.id, self.serving.router.node(), &self.routers)
+        slow_start::send_rate(self.warm_up_rate, &replica.id, self.serving.router.node(), &self.routers)
     }
 
     fn is_warming_up(&self, replica: &Candidate) -> bool {
-        self.serving.cold(replica, &self.plan.backend, self.now)
+        self.serving.is_cold(replica, &self.plan.backend, self.now)
     }
 
     fn allowed_by_slow_start(&self, replica: &Candidate) -> bool {
@@ -67,7 +67,7 @@
     }
 
     fn is_available(&self, replica: &Candidate) -> bool {
-        self.serving.usable(replica) && !self.history.tried.contains(&replica.id)
+        self.serving.is_usable(replica) && !self.history.tried_replicas.contains(&replica.id)
     }
 
     fn is_healthy(&self, replica: &Candidate) -> bool {
@@ -76,7 +76,7 @@
 
     fn has_room(&self, replica: &Candidate) -> bool {
         let open = replica.own.open.load(Ordering::Relaxed).max(0) as usize;
-        replica_choice::fits(replica, &self.plan.prompt)
+        replica_choice::fits_memory(replica, &self.plan.prompt)
             && self.allowed_by_slow_start(replica)
             && open < self.max_open
     }
@@ -92,14 +92,14 @@
             zone: serving.router.zone(),
             region: &serving.site.region,
             affinity: plan.route.affinity,
-            long: plan.long,
-            pause_ms: plan.route.max_event_gap_ms.unwrap_or(plan.route.latency_target_ms) as f64,
+            long_prompt: plan.long_prompt,
+            max_pause_ms: plan.route.max_event_gap_ms.unwrap_or(plan.route.latency_target_ms) as f64,
             reading,
             prefixes: &plan.prefixes,
-            reads_per_ms: READS_PER_MS,
+            prefill_tokens_per_ms: PREFILL_TOKENS_PER_MS,
             now: self.now,
-            hold_ms: serving.hold_ms(&plan.service),
-            unit: common::runtime::random(),
+            service_time_ms: serving.service_time_ms(&plan.service),
+            random_unit: common::runtime::random(),
         }
     }
 }
@@ -123,7 +123,7 @@
         }
         drop(reading);
         self.announce_prompt(plan, &replica);
-        history.tried.push(replica.id.clone());
+        history.tried_replicas.push(replica.id.clone());
         Ok(replica)
     }
 
@@ -135,14 +135,14 @@
     ) -> Option<Candidate> {
         let plan = selection.plan;
         let usable = |replica: &Candidate| selection.is_available(replica) && selection.is_healthy(replica);
-        for region in self.regions(plan, &usable) {
+        for region in self.ranked_regions(plan, &usable) {
             let here = selection.replicas.of(&plan.service).iter().filter(|replica| replica.region == region);
             let candidates: Vec<&Candidate> =
                 here.filter(|replica| usable(replica) && selection.has_room(replica)).collect();
             if replica_choice::all_overdue(&candidates, context, plan.route.latency_target_ms as f64) {
                 continue;
             }
-            if let Some(best) = replica_choice::best(&candidates, context) {
+            if let Some(best) = replica_choice::choose_replica(&candidates, context) {
                 return Some(best.clone());
             }
         }
@@ -159,6 +159,6 @@
         };
         let candidates: Vec<&Candidate> =
             selection.replicas.of(&selection.plan.service).iter().filter(doubtful).collect();
-        replica_choice::best(&candidates, context).cloned()
+        replica_choice::choose_replica(&candidates, context).cloned()
     }
 }
--- a/crates/data-plane/src/serving/report_subscription.rs
+++ b/crates/data-plane/src/serving/report_subscription.rs
@@ -186,7 +186,7 @@
         let fleet = reports.fleet(&self.site.zones, valid, self.list_max_age_ms());
         let listed = |id: &ReplicaId| fleet.by_service.values().flatten().any(|c| c.id == *id);
         lock(&self.router.reading).retain(&listed);
-        self.fleet.store(Arc::new(fleet));
+        self.replica_view.store(Arc::new(fleet));
         listed_at
     }
 }
--- a/crates/data-plane/src/serving/stream_relay.rs
+++ b/crates/data-plane/src/serving/stream_relay.rs
@@ -51,7 +51,7 @@
     Answer { head, body }: Answer,
 ) -> Response<Body> {
     let (client, mut frames) = mpsc::channel(CLIENT_BACKLOG);
-    let pauses = EventPauses::new(plan.came);
+    let pauses = EventPauses::new(plan.received_at);
     let events = Splitter::default();
     let relay = Relay { serving: serving.clone(), plan, history, events, pauses, client };
     common::runtime::spawn(async move {
@@ -109,7 +109,7 @@
         if !rest.is_empty() {
             let _ = self.client.send(Ok(Frame::data(rest))).await;
         }
-        let duration_ms = self.serving.now().since(self.plan.came) as f64;
+        let duration_ms = self.serving.now().since(self.plan.received_at) as f64;
         self.serving.learn_duration(&self.plan.service, duration_ms);
         self.pauses.log_if_late(&self.plan, open);
         self.serving.keep(&open.at, body);
--- a/crates/data-plane/src/serving/usage/call.rs
+++ b/crates/data-plane/src/serving/usage/call.rs
@@ -38,7 +38,7 @@
 
     async fn send(&self, call: &Call) -> Option<Result<StatusCode, PeerError>> {
         let (to, router) = (self.duty.address, &self.serving.router);
-        let made = self.serving.dialect.usage_report(&self.duty.holder, call.fencing_token, &call.report);
+        let made = self.serving.protocol.usage_report(&self.duty.holder, call.fencing_token, &call.report);
         let request = Request::builder().method(Method::POST).uri(made.path).header("host", to.to_string());
         let request =
             made.headers.iter().fold(request, |request, (name, value)| request.header(*name, value));
--- a/crates/data-plane/src/serving/usage/holder.rs
+++ b/crates/data-plane/src/serving/usage/holder.rs
@@ -27,7 +27,7 @@
 impl Serving {
     /// Reports usage whenever this node holds that duty, where the platform gives it.
     pub fn keep_usage_reported(self: &Arc<Self>) {
-        let Some(duty) = self.site.usage.clone() else { return };
+        let Some(duty) = self.site.usage_duty.clone() else { return };
         let plan = Mutex::new(HolderPlan::new(duty.clone(), &self.router.set.timing));
         let holder = Arc::new(UsageHolder { serving: self.clone(), duty, plan, clock: Mutex::default() });
         spawn(holder.clone().keep_counting());
--- a/crates/data-plane/tests/serving/fleet.rs
+++ b/crates/data-plane/tests/serving/fleet.rs
@@ -77,13 +77,13 @@
     Site {
         region: Region::new(region),
         zones: zones().into_iter().filter(|(zone, _)| zone.as_str() != "n2").collect(),
-        readiness: None,
-        directory: None,
-        list: LIST.into(),
-        list_per_s: 100.0,
+        readiness_addr: None,
+        directory_addr: None,
+        list_addr: LIST.into(),
+        list_calls_per_s: 100.0,
         list_lag_ms: 0,
         bounds: bounds(),
-        usage: None,
+        usage_duty: None,
     }
 }
 
@@ -248,8 +248,10 @@
     pub async fn uses(&self, n: usize, id: &'static str) -> bool {
         let serving = self.routers[n].clone();
         let usable = async move {
-            let view = serving.fleet.load();
-            view.of(&"chat".into()).iter().any(|replica| replica.id == id.into() && serving.usable(replica))
+            let view = serving.replica_view.load();
+            view.of(&"chat".into())
+                .iter()
+                .any(|replica| replica.id == id.into() && serving.is_usable(replica))
         };
         let task = self.world.host(ip(n)).spawn(usable);
         let answer = tokio::time::timeout(Duration::from_millis(1), task).await;
@@ -297,7 +299,7 @@
     }
 
     pub fn knows(&self, n: usize) -> usize {
-        self.routers[n].fleet.load().of(&"chat".into()).len()
+        self.routers[n].replica_view.load().of(&"chat".into()).len()
     }
 
     /// What is done at a router, by the clock of its own host.
--- a/crates/data-plane/tests/serving/placement.rs
+++ b/crates/data-plane/tests/serving/placement.rs
@@ -32,7 +32,7 @@
     let homes = homes.iter().map(|home| Region::new(*home)).collect();
     let route = Route { affinity: true, homes, ..route("talk", RouteKind::ReadOnly) };
     Plan {
-        homes: home_regions(&route, None),
+        home_regions: home_regions(&route, None),
         tenant: None,
         route: Arc::new(route),
         service: "chat".into(),
@@ -45,10 +45,10 @@
             engine: None,
         }),
         prompt: prompt(&[(user, 100), (user + 1_000, 10)], 110),
-        long: false,
+        long_prompt: false,
         prefixes: Vec::new(),
-        key: Some(UserKey(user)),
-        came: Tick(0),
+        user_key: Some(UserKey(user)),
+        received_at: Tick(0),
         deadline: Tick(u64::MAX),
         method: Method::GET,
         uri: Uri::from_static("/talk/1"),
@@ -64,14 +64,14 @@
     let now = serving.now();
     assert!(store.take(replica_report("n1", 1, vec![replica_row(1, north)]), now));
     assert!(store.take(replica_report("w1", 1, vec![replica_row(2, west)]), now));
-    serving.fleet.store(Arc::new(store.fleet(&regions_of_zones(), 3_000, LIST_MAX_AGE_MS)));
+    serving.replica_view.store(Arc::new(store.fleet(&regions_of_zones(), 3_000, LIST_MAX_AGE_MS)));
 }
 
 /// The region to which each user's request would go first, at one router.
 async fn first_regions(fleet: &Fleet, n: usize) -> Vec<Region> {
     let choose = |serving: &Arc<Serving>| {
         let first = |user| {
-            let regions = serving.regions(&plan(user, &["north", "west"]), &|_| true);
+            let regions = serving.ranked_regions(&plan(user, &["north", "west"]), &|_| true);
             regions.first().cloned().expect("two regions are home")
         };
         USERS.map(first).collect()
@@ -158,7 +158,7 @@
                 };
                 let at = (UserKey(user), "chat".into());
                 lock(&serving.router.cache).insert(at.clone(), stored("west"));
-                let regions = |homes: &[&str]| serving.regions(&plan(user, homes), &|_| true);
+                let regions = |homes: &[&str]| serving.ranked_regions(&plan(user, homes), &|_| true);
                 assert_eq!(
                     regions(&["north", "west"])[0],
                     "west".into(),
--- a/crates/data-plane/tests/serving/replica_choice.rs
+++ b/crates/data-plane/tests/serving/replica_choice.rs
@@ -5,7 +5,7 @@
 use data_plane::serving::{
     Prompt,
     prefill::{PromptSent, Reading, prefixes},
-    replica_choice::{ChoiceContext, READS_PER_MS, all_overdue, best, fits},
+    replica_choice::{ChoiceContext, PREFILL_TOKENS_PER_MS, all_overdue, choose_replica, fits_memory},
     replica_view::Candidate,
 };
 use rstest::rstest;
@@ -26,13 +26,13 @@
     let one = |n: u32| {
         let w = ChoiceContext {
             affinity: true,
-            long: a.long,
+            long_prompt: a.long,
             prefixes: if a.long { &of } else { &[] },
             now: NOW,
-            unit: f64::from(n) / 400.0,
+            random_unit: f64::from(n) / 400.0,
             ..choice_context(a.prompt, a.reading)
         };
-        best(&cands, &w).expect("candidates").id.clone()
+        choose_replica(&cands, &w).expect("candidates").id.clone()
     };
     (0..400).map(one).collect()
 }
@@ -51,8 +51,8 @@
     let p = prompt(&[(1, 10_000), (2, 8_000), (3, 2_000)], 20_000);
     let mut reading = Reading::default();
     let note = |prefixes, tokens| PromptSent { replica: "r2".into(), prefixes, tokens, memory: 1_000_000 };
-    reading.note(&note(prefixes(&p), 20_000), READS_PER_MS, Tick(0));
-    reading.note(&note(vec![], others), READS_PER_MS, NOW);
+    reading.note(&note(prefixes(&p), 20_000), PREFILL_TOKENS_PER_MS, Tick(0));
+    reading.note(&note(vec![], others), PREFILL_TOKENS_PER_MS, NOW);
     let got = chosen(&idle(6), &RequestTraits { prompt: &p, reading: &reading, long: true });
     assert_eq!(got == BTreeSet::from(["r2".into()]), kept, "{got:?}");
     assert_eq!(got.contains(&"r2".into()), kept, "{got:?}");
@@ -98,7 +98,7 @@
         memory_total,
         ..replica_row(0, 0)
     }])[0];
-    assert_eq!(fits(c, &prompt(&[], tokens_in)), want);
+    assert_eq!(fits_memory(c, &prompt(&[], tokens_in)), want);
 }
 
 /// One request of 300 ms waits for a slot of 20: `over` x 300 / 20.
--- a/crates/data-plane/tests/serving/replica_view.rs
+++ b/crates/data-plane/tests/serving/replica_view.rs
@@ -5,7 +5,7 @@
 use data_plane::load::RegionLoad;
 use data_plane::serving::{
     prefill::Reading,
-    replica_choice::{ChoiceContext, best},
+    replica_choice::{ChoiceContext, choose_replica},
     replica_report::ReplicaReport,
     replica_view::{Candidate, ReceivedReport, ReplicaView, ReportStore},
 };
@@ -80,11 +80,14 @@
     let (reading, p) = (Reading::default(), prompt(&[], 200));
     for _ in 0..8 {
         for fleet in &fleets {
-            let w =
-                ChoiceContext { pause_ms: 1_000.0, unit: chance.random(), ..choice_context(&p, &reading) };
+            let w = ChoiceContext {
+                max_pause_ms: 1_000.0,
+                random_unit: chance.random(),
+                ..choice_context(&p, &reading)
+            };
             let cands: Vec<&Candidate> = fleet.of(&"chat".into()).iter().collect();
             let least = cands.iter().copied().min_by(|a, b| a.load().total_cmp(&b.load()));
-            let c = if best_of_all { least } else { best(&cands, &w) }.expect("candidates");
+            let c = if best_of_all { least } else { choose_replica(&cands, &w) }.expect("candidates");
             c.own.open.fetch_add(1, Ordering::Relaxed);
             load[rows.iter().position(|r| r.id == c.id).expect("a row")] += 1;
         }
--- a/crates/data-plane/tests/serving/router_fixture.rs
+++ b/crates/data-plane/tests/serving/router_fixture.rs
@@ -111,25 +111,25 @@
 pub struct TestProtocol(pub HeaderNames);
 
 impl ProtocolAdapter for TestProtocol {
-    fn names(&self) -> &HeaderNames {
+    fn header_names(&self) -> &HeaderNames {
         &self.0
     }
-    fn report(&self, _: &[u8]) -> Option<EngineReport> {
+    fn parse_engine_report(&self, _: &[u8]) -> Option<EngineReport> {
         None
     }
-    fn listing(&self, body: &[u8]) -> Option<ListPage> {
+    fn parse_list_page(&self, body: &[u8]) -> Option<ListPage> {
         replica_list::read(body)
     }
-    fn listing_path(&self, zone: &Zone, page: Option<&str>) -> String {
+    fn list_page_path(&self, zone: &Zone, page: Option<&str>) -> String {
         replica_list::path(zone, page)
     }
-    fn prompt(&self, _: &HeaderMap) -> Prompt {
+    fn parse_prompt(&self, _: &HeaderMap) -> Prompt {
         prompt(&[], 100)
     }
-    fn lookup(&self, _: &str) -> Lookup {
+    fn parse_lookup(&self, _: &str) -> Lookup {
         Lookup { region: String::new(), zone: String::new() }
     }
-    fn places(&self, _: &[SocketAddr], _: u64) -> String {
+    fn directory_answer(&self, _: &[SocketAddr], _: u64) -> String {
         String::new()
     }
     fn usage_report(&self, holder: &str, fencing_token: FencingToken, report: &UsageReport) -> DutyCall {
@@ -387,14 +387,14 @@
         let site = Site {
             region: Region::new("north"),
             zones: zones(),
-            readiness: None,
-            directory: None,
-            list: (ROUTER, 9).into(),
-            list_per_s: 10.0,
+            readiness_addr: None,
+            directory_addr: None,
+            list_addr: (ROUTER, 9).into(),
+            list_calls_per_s: 10.0,
             list_lag_ms: 0,
             // Reports are made by hand, once: they stay as good as new.
             bounds: Bounds { drain_ms: 3_600_000, ..bounds() },
-            usage: None,
+            usage_duty: None,
         };
         let (router, wire) = (Router::new(set, member, clock), Arc::new(TestProtocol(header_names())));
         let s = Serving::new(router, wire, Arc::new(UnreadableDocuments), site);
@@ -407,7 +407,7 @@
             engine: None,
         };
         let limits = RequestLimits { max_body_bytes: MAX_BODY_BYTES, ..RequestLimits::default() };
-        s.map.store(Some(Arc::new(RouteMap::new(1, routes, vec![backend], limits))));
+        s.route_map.store(Some(Arc::new(RouteMap::new(1, routes, vec![backend], limits))));
         let script: Arc<Script> = Arc::default();
         lock(&script.acts).extend(acts);
         let here = |zone: &str, rows: &[ReplicaRow]| replica_report(zone, 1, rows.to_vec());
@@ -421,7 +421,7 @@
         {
             let mut reports = lock(&s.reports);
             boards.into_iter().for_each(|b| assert!(reports.take(b, s.now())));
-            s.fleet.store(Arc::new(reports.fleet(&zones(), 3_000, LIST_MAX_AGE_MS)));
+            s.replica_view.store(Arc::new(reports.fleet(&zones(), 3_000, LIST_MAX_AGE_MS)));
         }
         let share = BudgetShare { capacity: 64.0, per_ms: 0.0 };
         s.retries.earn(&"chat".into(), cast.tries / 0.8, share, s.now());
@@ -546,7 +546,7 @@
     pub async fn cold_time_left(&self, id: &str) -> (u64, u64) {
         let (s, world, id) = (self.s.clone(), self.world.clone(), id.to_string());
         let look = async move {
-            let fleet = s.fleet.load();
+            let fleet = s.replica_view.load();
             let known = fleet.by_service.values().flatten().find(|c| c.id.as_str() == id);
             (world.ms(), known.expect("a known replica").cold_until.since(s.now()))
         };
@@ -555,7 +555,7 @@
 
     /// Replicas that this router knows, and whether they leave.
     pub fn known_replicas(&self) -> BTreeMap<String, bool> {
-        let fleet = self.s.fleet.load();
+        let fleet = self.s.replica_view.load();
         let all = fleet.by_service.values().flatten();
         let known: Vec<_> = all.map(|c| (c.id.to_string(), c.draining)).collect();
         let by_id: BTreeMap<_, _> = known.iter().cloned().collect();
@@ -570,15 +570,15 @@
 
     /// Whether a replica is taken for well.
     pub fn is_healthy(&self, id: &str) -> bool {
-        let fleet = self.s.fleet.load();
+        let fleet = self.s.replica_view.load();
         fleet.by_service.values().flatten().any(|c| c.id.as_str() == id && c.well)
     }
 
     /// From now on these limits are in force; routes and services stay as they are.
     pub fn set_limits(&self, limits: RequestLimits) {
-        let mut map = RouteMap::clone(&self.s.map.load_full().expect("a configuration"));
+        let mut map = RouteMap::clone(&self.s.route_map.load_full().expect("a configuration"));
         map.limits = limits;
-        self.s.map.store(Some(Arc::new(map)));
+        self.s.route_map.store(Some(Arc::new(map)));
     }
 
     /// What replicas do from now on.
@@ -593,7 +593,7 @@
     /// Nothing is open any more, neither here nor at a replica.
     pub async fn assert_idle(&self) {
         sleep(Duration::from_secs(1)).await;
-        let fleet = self.s.fleet.load();
+        let fleet = self.s.replica_view.load();
         let open: i64 = fleet.by_service.values().flatten().map(|c| c.own.open.load(Ordering::Relaxed)).sum();
         let forwarded_open: i64 = lock(&self.s.forwarded_open).values().sum();
         assert_eq!((open, forwarded_open, self.s.router.open_count.open()), (0, 0, 0), "all was given back");
--- a/crates/data-plane/tests/serving/slow_start.rs
+++ b/crates/data-plane/tests/serving/slow_start.rs
@@ -2,7 +2,7 @@
 
 use crate::test_data::node_ids;
 use common::{ReplicaId, Tick};
-use data_plane::serving::slow_start::{Bucket, rate};
+use data_plane::serving::slow_start::{Bucket, send_rate};
 use rstest::rstest;
 
 /// All times at which greedy routers send, the first of each at its phase.
@@ -33,7 +33,8 @@
     for bound in 5..=100 {
         for replica in ["r1", "r2"] {
             let id = ReplicaId::new(replica);
-            let rates: Vec<f64> = all.iter().filter_map(|me| rate(f64::from(bound), &id, me, &all)).collect();
+            let rates: Vec<f64> =
+                all.iter().filter_map(|me| send_rate(f64::from(bound), &id, me, &all)).collect();
             assert!(!rates.is_empty(), "nobody may send: {n} routers, bound {bound}");
             let phases: [&dyn Fn(usize) -> u64; 4] =
                 [&|_| 0, &|k| k as u64 * 37 % 1_000, &|k| k as u64 * 611 % 997, &|k| (k as u64 % 2) * 999];
@@ -52,7 +53,7 @@
     let all = node_ids(n);
     let id = ReplicaId::new("r1");
     let who = |order: &[common::NodeId]| -> Vec<common::NodeId> {
-        all.iter().filter(|me| rate(bound, &id, me, order).is_some()).cloned().collect()
+        all.iter().filter(|me| send_rate(bound, &id, me, order).is_some()).cloned().collect()
     };
     let mut order = all.clone();
     let first = who(&order);
@@ -63,7 +64,7 @@
         }
         assert_eq!(who(&order), first);
     }
-    let rates: Vec<f64> = first.iter().filter_map(|me| rate(bound, &id, me, &all)).collect();
+    let rates: Vec<f64> = first.iter().filter_map(|me| send_rate(bound, &id, me, &all)).collect();
     assert!(rates.windows(2).all(|w| w[0] == w[1]), "equal parts: {rates:?}");
     assert!(first.len() <= n);
 }
@@ -72,7 +73,8 @@
 #[test]
 fn replicas_have_different_senders() {
     let all = node_ids(40);
-    let who =
-        |id: &str| -> Vec<bool> { all.iter().map(|me| rate(10.0, &id.into(), me, &all).is_some()).collect() };
+    let who = |id: &str| -> Vec<bool> {
+        all.iter().map(|me| send_rate(10.0, &id.into(), me, &all).is_some()).collect()
+    };
     assert!((0..20).map(|n| who(&format!("r{n}"))).any(|w| w != who("r0")));
 }
--- a/crates/data-plane/tests/serving/test_data.rs
+++ b/crates/data-plane/tests/serving/test_data.rs
@@ -5,7 +5,7 @@
 use data_plane::serving::{
     Bounds, HeaderNames, Prompt,
     prefill::Reading,
-    replica_choice::{ChoiceContext, READS_PER_MS},
+    replica_choice::{ChoiceContext, PREFILL_TOKENS_PER_MS},
     replica_report::{ReplicaReport, ReplicaRow},
     replica_view::{Candidate, ReportStore},
 };
@@ -59,14 +59,14 @@
         zone: &ZONE,
         region: &REGION,
         affinity: false,
-        long: false,
+        long_prompt: false,
         reading,
         prefixes: &[],
-        reads_per_ms: READS_PER_MS,
-        pause_ms: 200.0,
+        prefill_tokens_per_ms: PREFILL_TOKENS_PER_MS,
+        max_pause_ms: 200.0,
         now: Tick(0),
-        hold_ms: 300.0,
-        unit: 0.5,
+        service_time_ms: 300.0,
+        random_unit: 0.5,
     }
 }
 
@@ -78,7 +78,7 @@
         retry_ratio: 0.1,
         extra_tries: 64.0,
         retry_window_ms: 10_000,
-        keep_ms: 1_000,
+        directory_ttl_ms: 1_000,
         grace_ms: 10_000,
         drain_ms: 4_000,
     }
@@ -124,7 +124,7 @@
     HeaderNames {
         request_id: h("x-request"),
         time_left: h("x-left"),
-        wanted: h("x-wanted"),
+        wanted_replica: h("x-wanted"),
         urgency: h("x-urgency"),
         seal: h("x-seal"),
         not_run: h("x-not-run"),
--- a/crates/data-plane/tests/serving/usage_world.rs
+++ b/crates/data-plane/tests/serving/usage_world.rs
@@ -83,13 +83,13 @@
     Site {
         region: Region::new("north"),
         zones: zones(),
-        readiness: None,
-        directory: None,
-        list: PLATFORM.into(),
-        list_per_s: 100.0,
+        readiness_addr: None,
+        directory_addr: None,
+        list_addr: PLATFORM.into(),
+        list_calls_per_s: 100.0,
         list_lag_ms: 0,
         bounds: bounds(),
-        usage: Some(duty(n)),
+        usage_duty: Some(duty(n)),
     }
 }
 
