--- a/crates/data-plane/src/serving/attempt_state.rs
+++ b/crates/data-plane/src/serving/attempt_state.rs
@@ -1,118 +1,128 @@
-//! The retry decision of the serving path (design 9.6), as a state machine without I/O: whose an answer is, whether
-//! a request may be tried again, and its final status. [`Attempts`] holds one client request, from its first attempt
-//! to its answer. Whether its connection may carry another request is decided in [`super::connection_reuse`].
+//! The retry decisions for a client's request (design 9.6), as a state machine without I/O: whether an answer belongs
+//! to the request, whether the request may be tried again, and its final status. [`Attempts`] covers one request from
+//! its first attempt to its answer. Whether a connection may carry another request is decided in
+//! [`super::connection_reuse`].
 
 use common::mutation::enabled as broken;
 
-/// Attempts that reach nobody, after which a request is given up.
+/// A request is given up after this many attempts that reached no replica.
 pub const MAX_UNSENT: u32 = 4;
 
-/// What matters of a client's request.
+/// The properties of a client's request that the decisions depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestTraits {
     /// It may run more than once.
     pub idempotent: bool,
-    /// It carries an id, which its answer repeats.
+    /// It carries an id, which its answer has to repeat.
     pub has_id: bool,
 }
 
-/// The id in an answer, beside that of the request.
+/// The request id in an answer, compared with that of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AnswerId {
-    /// The request's own.
+    /// The id of this request.
     Own,
-    /// It has none.
+    /// The answer carries no id.
     Absent,
-    /// Another request's.
+    /// The id of another request.
     Other,
 }
 
-/// What matters of an answer's head.
+/// The properties of an answer's head that the decisions depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AnswerHead {
+    /// The HTTP status.
     pub status: u16,
     /// The replica says that it did not run the request.
     pub not_run: bool,
+    /// It carries the mark of an answer that the replica produced itself.
     pub sealed: bool,
+    /// Whose request id it carries.
     pub id: AnswerId,
-    /// The end of the body can be told from a cut.
-    pub ends_surely: bool,
+    /// A complete body can be told from one that was cut off.
+    pub end_detectable: bool,
 }
 
-/// What an answer's head says of the request.
+/// What is certain about a request by the head of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerCheck {
-    /// The answer is the request's own, and may be passed on once its body has come whole.
+    /// The answer belongs to the request, and may be passed on if its body is complete.
     Answer,
-    /// It was not run.
+    /// The replica did not run the request.
     Declined,
-    /// It may have run, and this answer is not passed on.
+    /// The request may have run, but the answer must not be passed on, for this reason.
     MayHaveRun(&'static str),
 }
 
-/// Statuses by which a client takes it that its request has not run and never will.
+/// Statuses from which a client concludes that its request has not run and never will.
 fn status_promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
+/// Whether the replica says that it did not run the request.
 fn declines(head: &AnswerHead) -> bool {
     head.status == 421 || (head.not_run && matches!(head.status, 400 | 408 | 429 | 503))
 }
 
-/// Judges an answer by its head.
-pub fn check_answer(asked: RequestTraits, head: &AnswerHead) -> AnswerCheck {
-    let foreign = asked.has_id && head.id == AnswerId::Other;
+/// Decides by the head of an answer whether it belongs to the request and may be passed on.
+pub fn check_answer(request: RequestTraits, head: &AnswerHead) -> AnswerCheck {
+    let foreign = request.has_id && head.id == AnswerId::Other;
     if foreign && !broken("foreign-answer-taken") {
-        return AnswerCheck::MayHaveRun("it answers another request");
+        return AnswerCheck::MayHaveRun("the answer carries the id of another request");
     }
     if declines(head) {
         return AnswerCheck::Declined;
     }
-    if asked.has_id && head.id == AnswerId::Absent {
-        return AnswerCheck::MayHaveRun("it answers without the request's id");
+    if request.has_id && head.id == AnswerId::Absent {
+        return AnswerCheck::MayHaveRun("the answer lacks the request's id");
     }
     if head.status < 200 {
-        return AnswerCheck::MayHaveRun("it changes to another protocol");
+        return AnswerCheck::MayHaveRun("the answer switches to another protocol");
     }
     if (200..300).contains(&head.status) && !head.sealed && !broken("success-without-seal") {
-        return AnswerCheck::MayHaveRun("a success without the replica's seal");
+        return AnswerCheck::MayHaveRun("the answer is a success without the replica's seal");
     }
-    if !head.ends_surely {
-        return AnswerCheck::MayHaveRun("its end can't be told from a cut");
+    if !head.end_detectable {
+        return AnswerCheck::MayHaveRun("the end of the answer can't be told from a cut-off");
     }
-    if !asked.idempotent && status_promises_not_run(head.status) && !broken("promise-passed-on") {
-        return AnswerCheck::MayHaveRun("its status promises what the replica does not say");
+    if !request.idempotent && status_promises_not_run(head.status) && !broken("promise-passed-on") {
+        return AnswerCheck::MayHaveRun(
+            "the status means that nothing ran, but the replica does not say so itself",
+        );
     }
     AnswerCheck::Answer
 }
 
-/// Whether there may be another attempt, and what it costs.
+/// Whether another attempt is allowed, and what it costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
+    /// No further attempt.
     No,
-    /// Nothing has arrived anywhere yet.
+    /// Allowed without a token: the request has reached no replica yet.
     Free,
-    /// It needs a token of the budget that all routers share.
+    /// Allowed for a token of the retry budget that all routers share.
     Paid,
 }
 
-/// How an attempt ended, as far as the next one must know it.
+/// How an attempt ended, as far as it matters for the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptEnd {
-    /// Nothing of the request reached anybody.
+    /// No byte of the request reached a replica.
     NotSent,
-    /// The replica says that it did not run it.
+    /// The replica says that it did not run the request.
     Declined,
-    /// It may have run.
+    /// The replica may have run the request.
     MayHaveRun,
 }
 
-/// What the client is told when nothing more is tried.
+/// What the client is told when there is no further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
-    /// The promise that nothing ran.
+    /// 503: the request has certainly not run.
     Refused,
+    /// 502: the request may have run.
     BadGateway,
+    /// 504: the request may have run, and its deadline has passed.
     GatewayTimeout,
 }
 
@@ -120,68 +130,72 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Attempts {
     idempotent: bool,
-    most: u32,
-    /// Replicas that the request has reached or may have reached.
-    arrived: u32,
+    /// How many attempts may reach a replica.
+    max_reached: u32,
+    /// Attempts that reached a replica or may have reached one.
+    reached: u32,
+    /// Attempts that reached no replica.
     unsent: u32,
     may_have_run: bool,
-    /// An attempt is under way; whether it was paid for. It counts as arrived until it is known not
-    /// to be: one that is abandoned midway stays counted.
-    under_way: Option<bool>,
+    /// The current attempt, if there is one, and whether it was paid for. It counts in `reached` until it is known
+    /// not to have reached a replica, so that an attempt that is abandoned midway stays counted.
+    current_paid: Option<bool>,
 }
 
 impl Attempts {
-    /// No attempt yet; `most` are allowed to reach a replica.
-    pub fn new(idempotent: bool, most: u32) -> Self {
-        let (arrived, unsent) = (0, 0);
-        Self { idempotent, most: most.max(1), arrived, unsent, may_have_run: false, under_way: None }
+    /// A request before its first attempt; `max_reached` attempts may reach a replica, but at least one.
+    pub fn new(idempotent: bool, max_reached: u32) -> Self {
+        let (reached, unsent) = (0, 0);
+        let max_reached = max_reached.max(1);
+        Self { idempotent, max_reached, reached, unsent, may_have_run: false, current_paid: None }
     }
 
-    /// Replicas that the request has reached or may have reached.
-    pub fn arrived(&self) -> u32 {
-        self.arrived
+    /// Attempts that reached a replica or may have reached one.
+    pub fn reached(&self) -> u32 {
+        self.reached
     }
 
     fn may_have_run(&self) -> bool {
-        self.may_have_run || self.under_way.is_some()
+        self.may_have_run || self.current_paid.is_some()
     }
 
-    /// Whether there may be another attempt: none after one that may have run unless the request is idempotent, none
-    /// beyond the route's number of attempts, and paid for once the request has reached a replica.
+    /// Whether another attempt is allowed: none if the request may have run and is not idempotent, and none beyond the
+    /// route's number of attempts. It has to be paid for once the request has reached a replica.
     pub fn permit(&self) -> Permit {
-        let once = self.may_have_run() && !self.idempotent && !broken("write-sent-again");
-        let most = if broken("tries-not-counted") { u32::MAX } else { self.most };
-        if once || self.unsent >= MAX_UNSENT || self.arrived >= most {
+        let must_not_repeat = self.may_have_run() && !self.idempotent && !broken("write-sent-again");
+        let max_reached = if broken("tries-not-counted") { u32::MAX } else { self.max_reached };
+        if must_not_repeat || self.unsent >= MAX_UNSENT || self.reached >= max_reached {
             return Permit::No;
         }
-        if self.arrived == 0 { Permit::Free } else { Permit::Paid }
+        if self.reached == 0 { Permit::Free } else { Permit::Paid }
     }
 
-    /// An attempt begins: from here on bytes may leave at any moment.
+    /// An attempt begins: from now on bytes of the request may be sent at any time.
     pub fn begin(&mut self, paid: bool) {
-        let abandoned = self.under_way.replace(paid).is_some();
+        let abandoned = self.current_paid.replace(paid).is_some();
         self.may_have_run |= abandoned;
         if !(abandoned && broken("abandoned-not-counted")) {
-            self.arrived += 1;
+            self.reached += 1;
         }
     }
 
-    /// The attempt under way has ended; whether its token comes back.
-    pub fn ended(&mut self, how: AttemptEnd) -> bool {
-        let paid = self.under_way.take().unwrap_or(false);
-        match how {
+    /// The current attempt has ended. Returns whether its token has to be refunded.
+    pub fn end(&mut self, end: AttemptEnd) -> bool {
+        let paid = self.current_paid.take().unwrap_or(false);
+        match end {
             AttemptEnd::NotSent => {
-                self.arrived -= 1;
+                self.reached -= 1;
                 self.unsent += 1;
             }
             AttemptEnd::Declined => {}
             AttemptEnd::MayHaveRun => self.may_have_run = true,
         }
-        paid && how == AttemptEnd::NotSent
+        paid && end == AttemptEnd::NotSent
     }
 
-    /// The final answer where there is none of a replica: refused only where nothing can have run.
-    pub fn last_word(&self, late: bool) -> FinalStatus {
+    /// The status for the client when no replica gave an answer; `late` if the deadline has passed. The request is
+    /// [`FinalStatus::Refused`] only if no attempt can have run.
+    pub fn final_status(&self, late: bool) -> FinalStatus {
         if !self.may_have_run() || broken("unknown-called-refused") {
             return FinalStatus::Refused;
         }
--- a/crates/data-plane/src/serving/authentication.rs
+++ b/crates/data-plane/src/serving/authentication.rs
@@ -1,5 +1,5 @@
-//! Who a request belongs to (design 9.9): its API key names the tenant. The key stays here; replicas are told the
-//! tenant's name, whatever the client called itself.
+//! Finds the tenant that a request belongs to by its API key (design 9.9). The key is not passed on; replicas get the
+//! tenant's name instead, whatever name the client sent.
 
 use super::{protocol::HeaderNames, state::Serving};
 use configuration::{Route, RouteMap, TenantPolicy};
@@ -9,11 +9,11 @@
 };
 use std::sync::Arc;
 
-/// The request carries a key that no tenant holds, or none where its route asks for one.
+/// The request carries a key that belongs to no tenant, or it carries no key although its route requires one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unauthenticated;
 
-/// The key that a request carries. More than one credential names nobody.
+/// The API key that a request carries. A request with more than one credential counts as having none.
 pub fn api_key<'a>(names: &HeaderNames, headers: &'a HeaderMap) -> Option<&'a str> {
     let mut credentials = headers.get_all(AUTHORIZATION).iter();
     let (credential, None) = (credentials.next()?, credentials.next()) else { return None };
@@ -21,8 +21,8 @@
     scheme.eq_ignore_ascii_case(names.key_scheme).then(|| key.trim()).filter(|key| !key.is_empty())
 }
 
-/// The tenant of a request; `None` where the document has no tenants, or the route asks for no key and the request
-/// carries none.
+/// The tenant of a request; `None` if the configuration has no tenants, or if the route is public and the request
+/// carries no credential.
 ///
 /// # Errors
 /// See [`Unauthenticated`].
@@ -41,7 +41,7 @@
 }
 
 impl Serving {
-    /// Takes the credentials out of a request and names its tenant in their place, where the document has tenants.
+    /// Replaces the credentials of a request by the name of its tenant, if the configuration has tenants.
     pub(super) fn name_tenant(&self, map: &RouteMap, tenant: Option<&TenantPolicy>, headers: &mut HeaderMap) {
         if map.tenants.is_none() {
             return;
--- a/crates/data-plane/src/serving/connection_reuse.rs
+++ b/crates/data-plane/src/serving/connection_reuse.rs
@@ -1,28 +1,30 @@
-//! Whether a connection to a replica may carry another request (design 9.4): pure decisions, and the
-//! proof of a clean end that [`super::connection`] asks for.
+//! Decides whether a connection to a replica may carry another request (design 9.4), without I/O.
+//! [`super::connection`] asks for the [`CleanEnd`] that is made here as the proof.
 
 use super::attempt_state::RequestTraits;
 use common::mutation::enabled as broken;
 
-/// Longest time for which an idle connection is used again.
+/// Longest time that a connection may be idle and still be reused.
 pub const MAX_IDLE_MS: u64 = 2_000;
 
-/// Whether a request may be put on a connection that has carried others: only what may run again,
-/// since an idle connection may be reset under it, and only what can tell its own answer.
-pub fn may_reuse(asked: RequestTraits) -> bool {
-    (asked.idempotent || broken("write-on-kept")) && (asked.has_id || broken("no-id-on-kept"))
+/// Whether a request may be sent on a connection that has carried others: only if it may run more than once, since
+/// the peer may close an idle connection while the request is being sent, and only if it carries an id by which its
+/// own answer can be told from another's.
+pub fn may_reuse(request: RequestTraits) -> bool {
+    (request.idempotent || broken("write-on-kept")) && (request.has_id || broken("no-id-on-kept"))
 }
 
-/// What a replica says of the connection in an answer's head.
+/// What a replica says about the connection in the head of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum KeepAlive {
+    /// The replica closes it.
     Close,
-    /// Kept open, for as long as it told, if it told.
+    /// The replica keeps it open, for this many milliseconds if it said how long.
     Open(Option<u64>),
 }
 
 impl KeepAlive {
-    /// Reads `Connection` and `Keep-Alive`; HTTP/1.0 closes unless it says otherwise.
+    /// Parses the headers `Connection` and `Keep-Alive`; HTTP/1.0 closes the connection unless it says otherwise.
     pub fn of(http_1_0: bool, connection: &str, keep_alive: &str) -> Self {
         let has = |token: &str| connection.split(',').any(|t| t.trim().eq_ignore_ascii_case(token));
         if has("close") || (http_1_0 && !has("keep-alive")) {
@@ -37,24 +39,26 @@
     }
 }
 
-/// How far a body was read.
+/// How reading a body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BodyEnd {
-    /// Not to its end.
+    /// It was not read to its end.
     Unread,
-    Whole,
+    /// It was read to its regular end.
+    Complete,
+    /// It broke off.
     Broken,
 }
 
-/// The proof that an exchange ended cleanly: only [`clean_end`] makes one, and nothing else makes an
-/// idle connection of one in use.
+/// Proof that an exchange ended cleanly. Only [`clean_end`] makes one, and a connection in use becomes idle only with
+/// it.
 #[derive(Debug)]
 pub struct CleanEnd {
     idle_ms: u64,
 }
 
 impl CleanEnd {
-    /// For how long the connection may be used again.
+    /// How many milliseconds the connection may be idle and still be reused.
     pub fn idle_ms(&self) -> u64 {
         self.idle_ms
     }
@@ -63,22 +67,24 @@
 /// How an exchange ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ExchangeEnd {
-    /// All of the request has left: an answer may come before.
+    /// The whole request was sent; an answer may arrive before that.
     pub sent: bool,
+    /// How reading the body of the answer ended.
     pub body: BodyEnd,
-    pub said: KeepAlive,
+    /// What the replica said about the connection.
+    pub keep_alive: KeepAlive,
 }
 
-/// Whether a connection may carry another request: the request has left whole, its own answer came whole,
-/// and the replica keeps the connection for a while. Half of the time that it told is used.
+/// Whether a connection may carry another request: the whole request was sent, the answer is complete, and the replica
+/// keeps the connection open for a while. Half of the time that the replica announced is used.
 pub fn clean_end(end: ExchangeEnd) -> Option<CleanEnd> {
-    if end.body != BodyEnd::Whole && !broken("kept-after-unread") {
+    if end.body != BodyEnd::Complete && !broken("kept-after-unread") {
         return None;
     }
     if !end.sent && !broken("kept-half-sent") {
         return None;
     }
-    let KeepAlive::Open(told_ms) = end.said else { return None };
-    let idle_ms = told_ms.map_or(MAX_IDLE_MS, |t| (t / 2).min(MAX_IDLE_MS));
+    let KeepAlive::Open(announced_ms) = end.keep_alive else { return None };
+    let idle_ms = announced_ms.map_or(MAX_IDLE_MS, |t| (t / 2).min(MAX_IDLE_MS));
     (idle_ms > 0).then_some(CleanEnd { idle_ms })
 }
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -1,5 +1,5 @@
-//! A router that serves by routes, from its start to the end of its drain (design 9.7): the same in
-//! the program and under virtual time.
+//! Runs a router that serves requests by routes, from its start to the end of its drain (design 9.7). The same code
+//! runs in the program and in simulations with virtual time.
 
 use super::{
     protocol::ProtocolAdapter,
@@ -19,13 +19,20 @@
 };
 use tokio::sync::watch;
 
-/// What a serving router is made of, besides its settings.
+/// The platform-specific parts of a router.
 pub struct ServingParts {
+    /// Where the node runs.
     pub site: Site,
+    /// The platform's wire format.
     pub protocol: Arc<dyn ProtocolAdapter>,
+    /// Parses configuration documents.
     pub document_format: Arc<dyn DocumentFormat>,
 }
 
+/// Runs a router until `stop` resolves and its drain is over.
+///
+/// # Errors
+/// An address can't be listened on.
 pub async fn run(
     set: Settings,
     listeners: Listeners,
@@ -37,26 +44,26 @@
     let member = Member::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock.clone());
     let ServingParts { site, protocol, document_format } = parts;
-    let extra: Vec<_> = site.readiness_addr.into_iter().chain(site.directory_addr).collect();
+    let extra_listeners: Vec<_> = site.readiness_addr.into_iter().chain(site.directory_addr).collect();
     let grace_ms = site.bounds.grace_ms;
-    let keep_ms = site.bounds.directory_ttl_ms;
-    let s = Serving::new(router.clone(), protocol, document_format, site);
+    let directory_ttl_ms = site.bounds.directory_ttl_ms;
+    let serving = Serving::new(router.clone(), protocol, document_format, site);
     router.start_serving(&set, listeners.rpc);
-    spawn(s.clone().follow_configuration());
-    s.watch_all();
-    s.keep_usage_reported();
+    spawn(serving.clone().follow_configuration());
+    serving.watch_all();
+    serving.keep_usage_reported();
     let (stop_listening, stopped) = watch::channel(false);
-    let (end, ended) = watch::channel(false);
-    for at in extra {
-        let listener = bind(at).await?;
-        let me = s.clone();
-        spawn(http::serve(listener, Arc::default(), ended.clone(), move |peer, req| {
+    let (stop_extra, extra_stopped) = watch::channel(false);
+    for addr in extra_listeners {
+        let listener = bind(addr).await?;
+        let me = serving.clone();
+        spawn(http::serve(listener, Arc::default(), extra_stopped.clone(), move |peer, req| {
             me.clone().asked(peer, req)
         }));
     }
     let conns = Arc::new(http::OpenCount::default());
-    let serving = spawn(s.clone().listen(listeners.http, conns.clone(), stopped));
-    let me = s.clone();
+    let listening = spawn(serving.clone().listen(listeners.http, conns.clone(), stopped));
+    let me = serving.clone();
     spawn(async move {
         loop {
             tokio::time::sleep(Duration::from_millis(500)).await;
@@ -65,19 +72,20 @@
     });
     log_event!(Info, "started", "rail" => set.rpc_addr, "http" => set.http);
     stop.await;
-    // Not ready and out of the directories first; clients that hold an older answer are served
-    // until it has run out; what was read is finished (design 9.7).
+    // First the router reports that it is not ready and leaves the directory. It serves clients that still use an
+    // older answer of the directory until that has expired, and then finishes the requests that it has read (design
+    // 9.7).
     log_event!(Info, "draining", "open" => router.open_count.open());
     let began = clock.now();
     router.draining.store(true, Ordering::Release);
     member.leave().await;
-    let linger = (keep_ms * 3 + set.timing.renew_interval_ms()).min(grace_ms / 2);
+    let linger = (directory_ttl_ms * 3 + set.timing.renew_interval_ms()).min(grace_ms / 2);
     tokio::time::sleep(Duration::from_millis(linger.saturating_sub(clock.now().since(began)))).await;
     let _ = stop_listening.send(true);
-    let _ = serving.await;
+    let _ = listening.await;
     let until = began + grace_ms * 15 / 16;
     wait_until_drained(&router, &conns, until).await;
-    let _ = end.send(true);
+    let _ = stop_extra.send(true);
     log_event!(Info, "stopped", "open" => router.open_count.open());
     Ok(())
 }
--- a/crates/data-plane/src/serving/dispatch.rs
+++ b/crates/data-plane/src/serving/dispatch.rs
@@ -1,8 +1,8 @@
-//! Carrying a plan out (design 9.6): attempts until one answers, or until what is certain forbids
-//! another. Then the final answer, at once.
+//! Executes a plan (design 9.6): makes attempts until a replica answers or no further attempt is allowed, and then
+//! answers the client at once.
 
 use super::{
-    attempt::{Open, Outcome},
+    attempt::{AttemptOutcome, OpenRequest},
     attempt_state::{AttemptEnd, Attempts, FinalStatus, Permit},
     connection::{Answer, AnswerBody},
     plan::Plan,
@@ -20,160 +20,177 @@
 use hyper::{Response, StatusCode};
 use std::{sync::Arc, time::Duration};
 
-/// Longest answer that is read whole before it is passed on.
-const WHOLE: usize = 1 << 20;
+/// Longest answer that is buffered; streams are relayed event by event instead.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 1 << 20;
 
-/// What became of a request so far.
+/// The attempts made for one request so far.
 pub struct AttemptHistory {
+    /// Replicas that were chosen already.
     pub tried_replicas: Vec<ReplicaId>,
-    tries: Attempts,
+    attempts: Attempts,
 }
 
 impl AttemptHistory {
-    pub fn of(p: &Plan) -> Self {
-        Self { tried_replicas: Vec::new(), tries: Attempts::new(p.idempotent(), p.route.tries) }
+    /// The history of a request before its first attempt.
+    pub fn of(plan: &Plan) -> Self {
+        Self { tried_replicas: Vec::new(), attempts: Attempts::new(plan.idempotent(), plan.route.tries) }
     }
 
-    /// The attempt under way has ended.
-    pub fn ended(&mut self, s: &Serving, p: &Plan, how: AttemptEnd) {
-        if self.tries.ended(how) {
-            s.retries.give_back(&p.service);
+    /// Records how the current attempt ended, and refunds its retry token if it did not reach a replica.
+    pub fn end_attempt(&mut self, serving: &Serving, plan: &Plan, end: AttemptEnd) {
+        if self.attempts.end(end) {
+            serving.retries.give_back(&plan.service);
         }
     }
 
-    /// It ended with nothing to pass on.
-    pub fn failed(&mut self, s: &Serving, p: &Plan, how: AttemptEnd, why: PeerError) {
-        log_event!(Info, why.step, "peer" => why.peer, "cause" => why.cause());
-        self.ended(s, p, how);
+    /// Logs why the current attempt gave no answer to pass on, and records how it ended.
+    pub fn fail_attempt(&mut self, serving: &Serving, plan: &Plan, end: AttemptEnd, error: PeerError) {
+        log_event!(Info, error.step, "peer" => error.peer, "cause" => error.cause());
+        self.end_attempt(serving, plan, end);
     }
 }
 
-/// When a refused client should come back: what refused it is over the sooner the later that is, a
-/// client waits for a third of its time at most, and its aim counts from when it comes.
+/// When a refused client should come back, in milliseconds, by the time that it still has. Late is better: the cause
+/// of the refusal is more likely to have passed, and the latency target is measured from the client's return. But a
+/// client waits for a third of its time at most.
 pub fn retry_after_ms(left_ms: u64) -> u64 {
     (left_ms * 5 / 16).clamp(100, 1_500)
 }
 
 impl Serving {
-    /// Keeps the connection of an answer that came whole, where it may be used again.
-    pub fn keep(&self, c: &Candidate, body: AnswerBody) {
+    /// Returns the connection of an answer to the pool if it was read to its end and may be used again.
+    pub fn keep_connection(&self, replica: &Candidate, body: AnswerBody) {
         let routers = self.routers().len().max(1);
         if let Some(idle) = body.finish(self.now()) {
-            self.pool.keep(&c.id, idle, (200 / routers).clamp(1, 8), self.now());
+            self.pool.keep(&replica.id, idle, (200 / routers).clamp(1, 8), self.now());
         }
     }
 
-    /// Begins another attempt, where there may be one: chooses a replica and pays.
-    pub fn begin(self: &Arc<Self>, p: &Plan, past: &mut AttemptHistory) -> Result<Candidate, &'static str> {
-        let permit = past.tries.permit();
+    /// Begins another attempt if one is allowed: chooses a replica, and pays from the retry budget if the request has
+    /// reached a replica before.
+    ///
+    /// # Errors
+    /// Why there is no further attempt.
+    pub fn begin_attempt(
+        self: &Arc<Self>,
+        plan: &Plan,
+        history: &mut AttemptHistory,
+    ) -> Result<Candidate, &'static str> {
+        let permit = history.attempts.permit();
         let paid = permit == Permit::Paid;
-        let past_deadline = self.now() >= p.deadline;
-        if past_deadline || permit == Permit::No || (paid && !self.retries.spend(&p.service)) {
+        let past_deadline = self.now() >= plan.deadline;
+        if past_deadline || permit == Permit::No || (paid && !self.retries.spend(&plan.service)) {
             return Err("no further attempt");
         }
-        let picked = self.pick(p, past);
+        let picked = self.pick(plan, history);
         match &picked {
-            Ok(_) => past.tries.begin(paid),
-            Err(_) if paid => self.retries.give_back(&p.service),
+            Ok(_) => history.attempts.begin(paid),
+            Err(_) if paid => self.retries.give_back(&plan.service),
             Err(_) => {}
         }
         picked
     }
 
-    /// A request came: it adds its part to the budget of further tries.
-    fn earn_retries(&self, svc: &Service) {
-        let (b, routers) = (&self.site.bounds, self.routers());
-        let ranked_above = retry_budget::ranked_above(svc, self.router.node(), &routers);
-        let share = BudgetShare::of(b.extra_tries, b.retry_window_ms, ranked_above, routers.len());
-        self.retries.earn(svc, b.retry_ratio, share, self.now());
+    /// Adds a new request's share to the retry budget of its service.
+    fn earn_retries(&self, service: &Service) {
+        let (bounds, routers) = (&self.site.bounds, self.routers());
+        let ranked_above = retry_budget::ranked_above(service, self.router.node(), &routers);
+        let share = BudgetShare::of(bounds.extra_tries, bounds.retry_window_ms, ranked_above, routers.len());
+        self.retries.earn(service, bounds.retry_ratio, share, self.now());
     }
 
-    pub async fn carry(self: &Arc<Self>, p: Arc<Plan>, open_count: Arc<OpenGuard>) -> Response<Body> {
-        self.earn_retries(&p.service);
-        let mut past = AttemptHistory::of(&p);
+    /// Executes a plan and returns the client's answer. `open_count` counts the request as open until its last byte.
+    pub async fn execute(self: &Arc<Self>, plan: Arc<Plan>, open_count: Arc<OpenGuard>) -> Response<Body> {
+        self.earn_retries(&plan.service);
+        let mut history = AttemptHistory::of(&plan);
         loop {
-            let c = match self.begin(&p, &mut past) {
-                Ok(c) => c,
-                Err(why) => return self.given_up(&p, &past, why),
+            let replica = match self.begin_attempt(&plan, &mut history) {
+                Ok(replica) => replica,
+                Err(why) => return self.give_up(&plan, &history, why),
             };
-            let open = Open::new(self, c.clone());
-            match self.attempt(&p, &c, None).await {
-                Outcome::Answer(answer) => {
-                    if p.route.kind == RouteKind::Streaming && answer.head.status.is_success() {
-                        past.ended(self, &p, AttemptEnd::MayHaveRun);
-                        return stream_relay::relay(self, p, past, open, open_count, answer);
+            let open = OpenRequest::new(self, replica.clone());
+            match self.attempt(&plan, &replica, None).await {
+                AttemptOutcome::Answer(answer) => {
+                    if plan.route.kind == RouteKind::Streaming && answer.head.status.is_success() {
+                        history.end_attempt(self, &plan, AttemptEnd::MayHaveRun);
+                        return stream_relay::relay(self, plan, history, open, open_count, answer);
                     }
-                    if let Some(r) = self.whole(&p, &mut past, &c, answer).await {
-                        return r;
+                    if let Some(response) = self.buffer_answer(&plan, &mut history, &replica, answer).await {
+                        return response;
                     }
                 }
-                Outcome::NotSent(e) => {
-                    past.failed(self, &p, AttemptEnd::NotSent, e);
-                    c.own.avoid(self.now() + self.router.set.timing.probe_interval_ms);
+                AttemptOutcome::NotSent(error) => {
+                    history.fail_attempt(self, &plan, AttemptEnd::NotSent, error);
+                    replica.own.avoid(self.now() + self.router.set.timing.probe_interval_ms);
+                }
+                AttemptOutcome::Declined(error) => {
+                    history.fail_attempt(self, &plan, AttemptEnd::Declined, error);
                 }
-                Outcome::Declined(e) => past.failed(self, &p, AttemptEnd::Declined, e),
-                Outcome::MayHaveRun(e) => {
-                    past.failed(self, &p, AttemptEnd::MayHaveRun, e);
-                    c.own.avoid(self.now() + self.router.set.timing.probe_interval_ms / 4);
+                AttemptOutcome::MayHaveRun(error) => {
+                    history.fail_attempt(self, &plan, AttemptEnd::MayHaveRun, error);
+                    replica.own.avoid(self.now() + self.router.set.timing.probe_interval_ms / 4);
                 }
             }
         }
     }
 
-    /// An answer that is read whole before it is passed on, so that a cut one may be asked for again.
-    async fn whole(
+    /// Reads an answer to its end before it is passed on, so that the request can be retried if the answer is cut off.
+    /// Returns `None` if the answer is not passed on.
+    async fn buffer_answer(
         self: &Arc<Self>,
-        p: &Plan,
-        past: &mut AttemptHistory,
-        c: &Candidate,
+        plan: &Plan,
+        history: &mut AttemptHistory,
+        replica: &Candidate,
         mut answer: Answer,
     ) -> Option<Response<Body>> {
-        let left = Duration::from_millis(p.left_ms(self.now()).max(1));
-        let read = tokio::time::timeout(left, answer.body.whole(WHOLE)).await;
-        let read = read.unwrap_or_else(|_| Err("not whole within the deadline".into()));
+        let left = Duration::from_millis(plan.left_ms(self.now()).max(1));
+        let read = tokio::time::timeout(left, answer.body.read_to_end(MAX_BUFFERED_ANSWER_BYTES)).await;
+        let read = read.unwrap_or_else(|_| Err("not complete before the deadline".into()));
         let bytes = match read {
             Ok(bytes) => bytes,
             Err(why) => {
-                past.failed(self, p, AttemptEnd::MayHaveRun, PeerError::new("read answer", c.addr, why));
+                let error = PeerError::new("read answer", replica.addr, why);
+                history.fail_attempt(self, plan, AttemptEnd::MayHaveRun, error);
                 return None;
             }
         };
-        past.ended(self, p, AttemptEnd::MayHaveRun);
-        self.keep(c, answer.body);
-        // Another may do better than its own failure, where that is allowed.
-        if answer.head.status.is_server_error() && past.tries.permit() != Permit::No {
-            log_event!(Info, "replica", "peer" => c.id, "cause" => answer.head.status.as_u16());
+        history.end_attempt(self, plan, AttemptEnd::MayHaveRun);
+        self.keep_connection(replica, answer.body);
+        // After a server error another replica may succeed, if a retry is allowed.
+        if answer.head.status.is_server_error() && history.attempts.permit() != Permit::No {
+            log_event!(Info, "replica", "peer" => replica.id, "cause" => answer.head.status.as_u16());
             return None;
         }
-        self.learn_duration(&p.service, self.now().since(p.received_at) as f64);
+        self.learn_duration(&plan.service, self.now().since(plan.received_at) as f64);
         Some(Response::from_parts(answer.head, full(bytes)))
     }
 
-    /// The final answer, at once: refused only where nothing of it can have run, with when to come
-    /// back.
-    pub fn given_up(&self, p: &Plan, past: &AttemptHistory, why: &'static str) -> Response<Body> {
-        let code = match past.tries.last_word(self.now() >= p.deadline) {
+    /// The router's own answer when there is no further attempt: 503 with `Retry-After` only if no attempt can have
+    /// run.
+    pub fn give_up(&self, plan: &Plan, history: &AttemptHistory, why: &'static str) -> Response<Body> {
+        let status = match history.attempts.final_status(self.now() >= plan.deadline) {
             FinalStatus::Refused => {
-                let back = retry_after_ms(p.left_ms(self.now()));
-                return self.refused(StatusCode::SERVICE_UNAVAILABLE, why, Some(back));
+                let retry_after_ms = retry_after_ms(plan.left_ms(self.now()));
+                return self.error_response(StatusCode::SERVICE_UNAVAILABLE, why, Some(retry_after_ms));
             }
             FinalStatus::BadGateway => StatusCode::BAD_GATEWAY,
             FinalStatus::GatewayTimeout => StatusCode::GATEWAY_TIMEOUT,
         };
-        self.refused(code, why, None)
+        self.error_response(status, why, None)
     }
 
-    pub fn refused(
+    /// An error of the router itself, counted by its reason.
+    pub fn error_response(
         &self,
-        code: StatusCode,
+        status: StatusCode,
         why: &'static str,
         retry_after_ms: Option<u64>,
     ) -> Response<Body> {
         self.router.counters.reject(why);
-        let mut r = json(code, &serde_json::json!({"error": why}));
+        let mut response = json(status, &serde_json::json!({"error": why}));
         if let Some(v) = retry_after_ms.and_then(|ms| format!("{:.3}", ms as f64 / 1000.0).parse().ok()) {
-            r.headers_mut().insert("retry-after", v);
+            response.headers_mut().insert("retry-after", v);
         }
-        r
+        response
     }
 }
--- a/crates/data-plane/src/serving/gateway.rs
+++ b/crates/data-plane/src/serving/gateway.rs
@@ -1,4 +1,4 @@
-//! The clients' side (design 9.2): from the head to the answer.
+//! The client-facing HTTP server (design 9.2): reads a request, turns it into a plan, and returns the answer.
 
 use super::{
     authentication::{self, Unauthenticated},
@@ -29,40 +29,49 @@
 };
 use tokio::sync::watch;
 
-type Res = Response<Body>;
+/// A request that arrives with at least this much of the route's time already used up is taken for a retry by the
+/// client.
+const CLIENT_RETRY_MIN_SPENT_MS: u64 = 50;
 
-/// A client that has spent so much of the route's time comes for a second time.
-const SPENT_MS: u64 = 50;
-
-fn route_of(map: &RouteMap, head: &Parts) -> Option<Arc<Route>> {
+/// The route for a request by its host and path.
+fn find_route(map: &RouteMap, head: &Parts) -> Option<Arc<Route>> {
     let host = head.headers.get("host").and_then(|v| v.to_str().ok());
     let host = host.or_else(|| head.uri.host()).unwrap_or("");
     map.find(host, head.uri.path()).cloned()
 }
 
-fn close(mut r: Res) -> Res {
-    r.headers_mut().insert("connection", HeaderValue::from_static("close"));
-    r
+/// Tells the client that the connection closes after this answer.
+fn close(mut response: Response<Body>) -> Response<Body> {
+    response.headers_mut().insert("connection", HeaderValue::from_static("close"));
+    response
 }
 
 impl Serving {
-    pub async fn serve(self: Arc<Self>, peer: SocketAddr, req: Request<Incoming>) -> Result<Res, BoxErr> {
+    /// Serves one request of a client.
+    ///
+    /// # Errors
+    /// Never: each failure is an answer of its own.
+    pub async fn serve(
+        self: Arc<Self>,
+        peer: SocketAddr,
+        req: Request<Incoming>,
+    ) -> Result<Response<Body>, BoxErr> {
         let open_count = Arc::new(self.router.open_count.enter());
         let draining = || self.router.draining.load(Ordering::Acquire);
         let names = self.protocol.header_names();
-        let id = req.headers().get(&names.request_id).cloned();
+        let request_id = req.headers().get(&names.request_id).cloned();
         let plan = self.plan(req, peer).await;
-        let mut res = match plan {
-            Ok(p) => self.carry(Arc::new(p), open_count).await,
-            Err(r) => *r,
+        let mut response = match plan {
+            Ok(plan) => self.execute(Arc::new(plan), open_count).await,
+            Err(response) => *response,
         };
-        if let Some(v) = id {
-            res.headers_mut().entry(names.request_id.clone()).or_insert(v);
+        if let Some(request_id) = request_id {
+            response.headers_mut().entry(names.request_id.clone()).or_insert(request_id);
         }
-        Ok(if draining() { close(res) } else { res })
+        Ok(if draining() { close(response) } else { response })
     }
 
-    /// What clients may send and how long they may take, by the configuration in force.
+    /// Limits on the size of request heads and on how long clients may take, from the configuration in force.
     pub fn connection_limits(&self) -> ConnectionLimits {
         let limits = self.route_map.load().as_ref().map(|map| map.limits).unwrap_or_default();
         ConnectionLimits {
@@ -72,7 +81,7 @@
         }
     }
 
-    /// Serves clients until `stop` turns true.
+    /// Accepts connections of clients and serves them until `stop` turns true.
     pub async fn listen(
         self: Arc<Self>,
         clients: Listener,
@@ -85,40 +94,43 @@
         serve_within(clients, connections, stop, limits, handler).await;
     }
 
-    /// A node that has just started learns within a few heartbeats what is in force. A first try waits a
-    /// quarter of a voter's election time-out for that: it is told when to come back. A later one, of which the
-    /// client has spent some of the route's time, has no other: it waits for a lease, or half of
-    /// what it has left.
-    async fn await_fit(&self, head: &Parts, left: u64) -> Option<&'static str> {
-        let (began, t) = (self.now(), &self.router.set.timing);
-        while let Some(why) = self.not_ready_reason().filter(|w| *w != "draining") {
-            let later = self
+    /// Waits until this router may take requests; returns the reason if it still may not.
+    ///
+    /// A node that has just started receives configuration, replicas and its lease within a few heartbeats. A first
+    /// try of a client waits a quarter of a voter's election timeout for them, since it can be told when to come
+    /// back. A retry, which has used up some of the route's time already, may have no other chance: it waits for up
+    /// to a lease, but at most half of the time that it has left.
+    async fn wait_until_ready(&self, head: &Parts, left_ms: u64) -> Option<&'static str> {
+        let (began, timing) = (self.now(), &self.router.set.timing);
+        while let Some(why) = self.not_ready_reason().filter(|why| *why != "draining") {
+            let is_retry = self
                 .route_map
                 .load()
                 .as_deref()
-                .and_then(|map| route_of(map, head))
-                .is_some_and(|r| left > 0 && left + SPENT_MS < r.hold_ms);
-            let most = if later { t.lease_ms.min(left / 2) } else { t.election_timeout_ms() / 4 };
-            if self.now().since(began) >= most {
+                .and_then(|map| find_route(map, head))
+                .is_some_and(|route| left_ms > 0 && left_ms + CLIENT_RETRY_MIN_SPENT_MS < route.hold_ms);
+            let max_wait_ms =
+                if is_retry { timing.lease_ms.min(left_ms / 2) } else { timing.election_timeout_ms() / 4 };
+            if self.now().since(began) >= max_wait_ms {
                 return Some(why);
             }
-            tokio::time::sleep(Duration::from_millis(t.heartbeat_ms() / 4)).await;
+            tokio::time::sleep(Duration::from_millis(timing.heartbeat_ms() / 4)).await;
         }
         None
     }
 
-    /// The plan for a request, made from its head and body, or the final answer.
-    async fn plan(&self, req: Request<Incoming>, peer: SocketAddr) -> Result<Plan, Box<Res>> {
+    /// Makes the plan for a request from its head and body, or returns the answer that refuses it.
+    async fn plan(&self, req: Request<Incoming>, peer: SocketAddr) -> Result<Plan, Box<Response<Body>>> {
         let received_at = self.now();
         let (head, body) = req.into_parts();
         let left_ms = self.announced_time_left(&head);
-        if let Some(why) = self.await_fit(&head, left_ms).await {
+        if let Some(why) = self.wait_until_ready(&head, left_ms).await {
             return self.refuse_for_now(why, left_ms);
         }
         let Some(map) = self.route_map.load_full() else {
             return self.refuse_for_now("no configuration", left_ms);
         };
-        let Some(route) = route_of(&map, &head) else {
+        let Some(route) = find_route(&map, &head) else {
             return self.refuse(StatusCode::NOT_FOUND, "no route");
         };
         let tenant = self.authenticate(&map, &route, &head)?;
@@ -158,27 +170,29 @@
         })
     }
 
+    /// The tenant that a request belongs to, or the answer that refuses it.
     fn authenticate(
         &self,
         map: &RouteMap,
         route: &Route,
         head: &Parts,
-    ) -> Result<Option<Arc<TenantPolicy>>, Box<Res>> {
+    ) -> Result<Option<Arc<TenantPolicy>>, Box<Response<Body>>> {
         let names = self.protocol.header_names();
         authentication::tenant(names, map, route, &head.headers).map_err(|Unauthenticated| {
-            let mut refused = self.refused(StatusCode::UNAUTHORIZED, "unknown key", None);
+            let mut refused = self.error_response(StatusCode::UNAUTHORIZED, "unknown key", None);
             let scheme = HeaderValue::from_static(names.key_scheme);
             refused.headers_mut().insert(WWW_AUTHENTICATE, scheme);
             Box::new(refused)
         })
     }
 
-    /// How long the client says that it still waits, in milliseconds; 0 where it says nothing.
+    /// How long the client says that it still waits, in milliseconds; 0 if it does not say.
     fn announced_time_left(&self, head: &Parts) -> u64 {
         let value = head.headers.get(&self.protocol.header_names().time_left);
         value.and_then(|v| v.to_str().ok()?.trim().parse().ok()).unwrap_or(0)
     }
 
+    /// Reads a body to its end, within `max_bytes` and the deadline.
     async fn read_request_body(
         &self,
         head: &Parts,
@@ -186,10 +200,10 @@
         max_bytes: usize,
         deadline: Tick,
         peer: SocketAddr,
-    ) -> Result<Bytes, Box<Res>> {
-        let announced = head.headers.get("content-length");
-        let announced = announced.and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
-        if announced.is_some_and(|bytes| bytes > max_bytes) {
+    ) -> Result<Bytes, Box<Response<Body>>> {
+        let content_length = head.headers.get("content-length");
+        let content_length = content_length.and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
+        if content_length.is_some_and(|bytes| bytes > max_bytes) {
             return self.refuse_and_close(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit");
         }
         let left = Duration::from_millis(deadline.since(self.now()).max(1));
@@ -199,24 +213,26 @@
                 self.refuse_and_close(StatusCode::PAYLOAD_TOO_LARGE, "body over the limit")
             }
             Ok(Err(BodyError::Broken)) => {
-                log_event!(Debug, "read body", "peer" => peer, "cause" => "it broke off");
+                log_event!(Debug, "read body", "peer" => peer, "cause" => "the client ended it early");
                 self.refuse_and_close(StatusCode::BAD_REQUEST, "body broke off")
             }
             Err(_) => self.refuse(StatusCode::REQUEST_TIMEOUT, "body not here in time"),
         }
     }
 
-    fn refuse<T>(&self, code: StatusCode, why: &'static str) -> Result<T, Box<Res>> {
-        Err(Box::new(self.refused(code, why, None)))
+    /// Refuses a request for good.
+    fn refuse<T>(&self, status: StatusCode, why: &'static str) -> Result<T, Box<Response<Body>>> {
+        Err(Box::new(self.error_response(status, why, None)))
     }
 
-    fn refuse_and_close<T>(&self, code: StatusCode, why: &'static str) -> Result<T, Box<Res>> {
-        Err(Box::new(close(self.refused(code, why, None))))
+    /// Refuses a request whose body is not read to its end, and closes the connection.
+    fn refuse_and_close<T>(&self, status: StatusCode, why: &'static str) -> Result<T, Box<Response<Body>>> {
+        Err(Box::new(close(self.error_response(status, why, None))))
     }
 
-    /// Refuses what may succeed later, with when to come back.
-    fn refuse_for_now<T>(&self, why: &'static str, left_ms: u64) -> Result<T, Box<Res>> {
+    /// Refuses a request that may succeed later, with `Retry-After`.
+    fn refuse_for_now<T>(&self, why: &'static str, left_ms: u64) -> Result<T, Box<Response<Body>>> {
         let retry_after_ms = Some(retry_after_ms(left_ms));
-        Err(Box::new(self.refused(StatusCode::SERVICE_UNAVAILABLE, why, retry_after_ms)))
+        Err(Box::new(self.error_response(StatusCode::SERVICE_UNAVAILABLE, why, retry_after_ms)))
     }
 }
--- a/crates/data-plane/src/serving/mod.rs
+++ b/crates/data-plane/src/serving/mod.rs
@@ -1,5 +1,5 @@
-//! Serving by routes (design 9): the way of a request from a client's head to a replica's last
-//! byte. Each room says at its head what it owns and what it may not know.
+//! Serving of requests by routes (design 9), from the head of a client's request to the last byte of the answer. The
+//! documentation of each module says what it is responsible for.
 
 pub mod attempt;
 pub mod attempt_state;
--- a/crates/data-plane/src/serving/plan.rs
+++ b/crates/data-plane/src/serving/plan.rs
@@ -1,4 +1,5 @@
-//! The plan for a request (design 9.2): plain data that is made from the request's head and body, and then carried out.
+//! The plan for a request (design 9.2): plain data that is made from the request's head and body, and then carried
+//! out.
 
 use super::{
     attempt_state::RequestTraits,
@@ -82,8 +83,9 @@
     received_at + announced.unwrap_or(route.hold_ms).min(route.hold_ms)
 }
 
-/// The key of a request's entry in the placement table: a hash of the service, the region that received the request, and
-/// the shared parts of its prompt in order. `None` for a route without affinity and a prompt without shared parts.
+/// The key of a request's entry in the placement table: a hash of the service, the region that received the request,
+/// and the shared parts of its prompt in order. `None` for a route without affinity and a prompt without shared
+/// parts.
 pub fn user_key(route: &Route, service: &Service, prompt: &Prompt, region: &Region) -> Option<UserKey> {
     let shared = prompt.shared();
     if !route.affinity || shared.is_empty() {
--- a/crates/data-plane/src/serving/pool.rs
+++ b/crates/data-plane/src/serving/pool.rs
@@ -1,45 +1,48 @@
-//! Idle connections to replicas (design 9.4), by the life of a replica. Knows nothing of what is sent
-//! on them.
+//! A pool of idle connections to replicas (design 9.4). The id of a replica stands for one run of its process, so
+//! that a restarted replica gets no connection of the previous run.
 
 use super::connection::Idle;
 use common::{ReplicaId, Tick, lock};
 use std::{collections::HashMap, sync::Mutex};
 
+/// Idle connections of each replica.
 #[derive(Default)]
 pub struct Pool(Mutex<HashMap<ReplicaId, Vec<Idle>>>);
 
 impl Pool {
-    /// The one that was used last, if it is open still.
+    /// Takes the most recently used connection that is still usable; drops those that are not.
     pub fn take(&self, id: &ReplicaId, now: Tick) -> Option<Idle> {
-        let mut g = lock(&self.0);
-        let idle = g.get_mut(id)?;
-        while let Some(i) = idle.pop() {
-            if i.usable(now) {
-                return Some(i);
+        let mut pool = lock(&self.0);
+        let connections = pool.get_mut(id)?;
+        while let Some(idle) = connections.pop() {
+            if idle.usable(now) {
+                return Some(idle);
             }
         }
         None
     }
 
-    /// Keeps a connection for another request, `most` of them for a replica.
-    pub fn keep(&self, id: &ReplicaId, idle: Idle, most: usize, now: Tick) {
-        if idle.over(now) {
+    /// Keeps a connection for another request, at most `max` of them for a replica.
+    pub fn keep(&self, id: &ReplicaId, idle: Idle, max: usize, now: Tick) {
+        if idle.expired(now) {
             return;
         }
-        let mut g = lock(&self.0);
-        let kept = g.entry(id.clone()).or_default();
-        if kept.len() < most {
+        let mut pool = lock(&self.0);
+        let kept = pool.entry(id.clone()).or_default();
+        if kept.len() < max {
             kept.push(idle);
         }
     }
 
+    /// The number of idle connections to a replica.
     pub fn idle(&self, id: &ReplicaId) -> usize {
         lock(&self.0).get(id).map_or(0, Vec::len)
     }
 
+    /// Drops connections that can't be used any more.
     pub fn sweep(&self, now: Tick) {
-        let mut g = lock(&self.0);
-        g.values_mut().for_each(|v| v.retain(|i| !i.over(now)));
-        g.retain(|_, v| !v.is_empty());
+        let mut pool = lock(&self.0);
+        pool.values_mut().for_each(|v| v.retain(|idle| !idle.expired(now)));
+        pool.retain(|_, v| !v.is_empty());
     }
 }
--- a/crates/data-plane/src/serving/region_choice.rs
+++ b/crates/data-plane/src/serving/region_choice.rs
@@ -1,5 +1,5 @@
-//! Which region serves a request (design 9.4): the table's entry where it grants the tests, else
-//! the weighted draw among the regions that may.
+//! The choice of the region that serves a request (design 9.4): the region in the placement table if it is healthy and
+//! not overloaded, else a weighted draw among the regions that may serve it.
 
 use super::{plan::Plan, replica_view::Candidate, state::Serving};
 use crate::{
@@ -11,48 +11,51 @@
 use common::Region;
 use std::{collections::BTreeMap, sync::Arc};
 
-/// The source's values (design 0): 15 minutes, 0.95 and 0.05.
-pub const TTL_MS: u64 = 15 * 60_000;
-pub const OVERLOAD: f64 = 0.95;
-pub const SMOOTH: f64 = 0.05;
+/// How long a user stays placed in a region without being confirmed: 15 minutes.
+pub const PLACEMENT_TTL_MS: u64 = 15 * 60_000;
+/// A region is overloaded if its consumption is more than this fraction of its capacity.
+pub const OVERLOAD_RATIO: f64 = 0.95;
+/// Fraction of a region's capacity that is added to capacity and consumption in its weight, so that an idle region
+/// does not get an infinite one.
+pub const WEIGHT_SMOOTHING: f64 = 0.05;
 
-/// Regions that a draw may take, with their weights.
+/// The regions among which may be drawn, with their weights: those that are open, healthy and not overloaded.
 pub fn candidates(
     seen: &BTreeMap<Region, RegionLoad>,
     open_to: &dyn Fn(&Region) -> bool,
 ) -> Vec<(Region, f64)> {
-    let fit = seen.iter().filter(|(r, l)| open_to(r) && l.passes(OVERLOAD));
-    fit.map(|(r, l)| (r.clone(), weight(l, SMOOTH))).collect()
+    let eligible = seen.iter().filter(|(r, l)| open_to(r) && l.passes(OVERLOAD_RATIO));
+    eligible.map(|(r, l)| (r.clone(), weight(l, WEIGHT_SMOOTHING))).collect()
 }
 
 impl Serving {
-    /// Whether this router may send work to a region: its own, or one whose pass is in hand. Where
-    /// the homes leave the own region out, the others are home.
-    fn open_to(&self, p: &Plan, r: &Region, own_is_home: bool) -> bool {
-        if *r == self.site.region || !own_is_home {
+    /// Whether this router may send a request to a region: to its own, or to one that lends it capacity which is not
+    /// used up. If the own region is not a home of the request, its home regions take it without lent capacity.
+    fn open_to(&self, plan: &Plan, region: &Region, own_is_home: bool) -> bool {
+        if *region == self.site.region || !own_is_home {
             return true;
         }
-        let at = (r.clone(), p.service.clone());
-        let open = lock(&self.forwarded_open).get(&at).copied().unwrap_or(0);
-        let fleet = self.replica_view.load();
-        fleet.lends.get(&at).is_some_and(|(n, until)| *until > self.now() && open < i64::from(*n))
+        let key = (region.clone(), plan.service.clone());
+        let open = lock(&self.forwarded_open).get(&key).copied().unwrap_or(0);
+        let view = self.replica_view.load();
+        view.lends.get(&key).is_some_and(|(n, until)| *until > self.now() && open < i64::from(*n))
     }
 
-    /// Regions in the order in which they should be tried; none outside the homes.
-    pub fn ranked_regions(self: &Arc<Self>, p: &Plan, usable: &dyn Fn(&Candidate) -> bool) -> Vec<Region> {
-        let home = |r: &Region| p.is_home(r);
-        let fleet = self.replica_view.load();
-        let mut seen = fleet.regions(&p.service, usable);
+    /// The regions to try, in order; none that is not a home of the request.
+    pub fn ranked_regions(self: &Arc<Self>, plan: &Plan, usable: &dyn Fn(&Candidate) -> bool) -> Vec<Region> {
+        let home = |r: &Region| plan.is_home(r);
+        let view = self.replica_view.load();
+        let mut seen = view.regions(&plan.service, usable);
         seen.retain(|r, _| home(r));
         let own_is_home = home(&self.site.region);
-        let open = |r: &Region| self.open_to(p, r, own_is_home);
-        let cands = candidates(&seen, &open);
-        // The own region first, where it is among them: a pass is for what it cannot take.
-        let own: Vec<_> = cands.iter().filter(|c| c.0 == self.site.region).cloned().collect();
-        let cands = if own.is_empty() { cands } else { own };
-        let first = match p.user_key {
-            Some(key) => self.placed(key, p, &seen, &cands),
-            None => draw(&cands, common::runtime::random()),
+        let open = |r: &Region| self.open_to(plan, r, own_is_home);
+        let candidates = candidates(&seen, &open);
+        // The own region first if it can take the request: lent capacity is for what it can't.
+        let own: Vec<_> = candidates.iter().filter(|c| c.0 == self.site.region).cloned().collect();
+        let candidates = if own.is_empty() { candidates } else { own };
+        let first = match plan.user_key {
+            Some(key) => self.placed_region(key, plan, &seen, &candidates),
+            None => draw(&candidates, common::runtime::random()),
         };
         let mut rest: Vec<Region> =
             seen.keys().filter(|r| Some(*r) != first.as_ref() && open(r)).cloned().collect();
@@ -60,49 +63,60 @@
         first.into_iter().chain(rest).collect()
     }
 
-    /// The table's word for a user; a miss is drawn alike by all routers and settled behind the
-    /// request, so that nobody waits for the table.
-    fn placed(
+    /// The region in which a user is placed, from the cached entry of the placement table. Without a valid entry all
+    /// routers draw the same region by the user's key. The table is asked in the background, so that no request waits
+    /// for it.
+    fn placed_region(
         self: &Arc<Self>,
         key: UserKey,
-        p: &Plan,
+        plan: &Plan,
         seen: &BTreeMap<Region, RegionLoad>,
-        cands: &[(Region, f64)],
+        candidates: &[(Region, f64)],
     ) -> Option<Region> {
         let now = self.now();
-        let known = lock(&self.router.cache).get(&(key, p.service.clone())).cloned();
-        let good = |r: &Region| seen.get(r).is_some_and(|l| l.passes(OVERLOAD));
-        let valid = known.as_ref().filter(|c| c.until > now && good(&c.region));
-        let fresh = valid.is_some_and(|c| now.since(c.confirmed_at) < (TTL_MS / 180).min(5_000));
-        let pick = valid.map(|c| c.region.clone()).or_else(|| draw_by_key(cands, key.0))?;
-        if !fresh {
-            let stale = known.filter(|c| c.until > now && !good(&c.region)).map(|c| c.ver);
+        let cached = lock(&self.router.cache).get(&(key, plan.service.clone())).cloned();
+        let eligible = |r: &Region| seen.get(r).is_some_and(|l| l.passes(OVERLOAD_RATIO));
+        let valid = cached.as_ref().filter(|c| c.until > now && eligible(&c.region));
+        let confirmed_lately =
+            valid.is_some_and(|c| now.since(c.confirmed_at) < (PLACEMENT_TTL_MS / 180).min(5_000));
+        let region = valid.map(|c| c.region.clone()).or_else(|| draw_by_key(candidates, key.0))?;
+        if !confirmed_lately {
+            let stale = cached.filter(|c| c.until > now && !eligible(&c.region)).map(|c| c.ver);
             self.remember(
                 key,
-                p,
-                Cached { region: pick.clone(), ver: 0, confirmed_at: now, until: now + TTL_MS },
+                plan,
+                Cached { region: region.clone(), ver: 0, confirmed_at: now, until: now + PLACEMENT_TTL_MS },
             );
-            let (me, svc, pick) = (self.clone(), p.service.clone(), pick.clone());
+            let (me, service, proposed) = (self.clone(), plan.service.clone(), region.clone());
             common::runtime::spawn(async move {
-                let asked = me.now();
-                let told = me
+                let asked_at = me.now();
+                let outcome = me
                     .router
-                    .settle(key, &svc, stale, Some(pick), TTL_MS, me.router.set.timing.rpc_timeout_ms)
+                    .settle(
+                        key,
+                        &service,
+                        stale,
+                        Some(proposed),
+                        PLACEMENT_TTL_MS,
+                        me.router.set.timing.rpc_timeout_ms,
+                    )
                     .await;
-                if let Some(PlacementOutcome::Held { region, ver, .. }) = told {
-                    let c = Cached { region, ver, confirmed_at: asked, until: asked + TTL_MS };
-                    lock(&me.router.cache).insert((key, svc), c);
+                if let Some(PlacementOutcome::Held { region, ver, .. }) = outcome {
+                    let entry =
+                        Cached { region, ver, confirmed_at: asked_at, until: asked_at + PLACEMENT_TTL_MS };
+                    lock(&me.router.cache).insert((key, service), entry);
                 }
             });
         }
-        Some(pick)
+        Some(region)
     }
 
-    fn remember(&self, key: UserKey, p: &Plan, c: Cached) {
-        let mut g = lock(&self.router.cache);
-        if g.len() >= crate::placement_table::MAX_ROWS / 64 {
-            g.retain(|_, x| x.until > c.confirmed_at);
+    /// Caches an entry; if the cache is large, drops those that have expired.
+    fn remember(&self, key: UserKey, plan: &Plan, entry: Cached) {
+        let mut cache = lock(&self.router.cache);
+        if cache.len() >= crate::placement_table::MAX_ROWS / 64 {
+            cache.retain(|_, x| x.until > entry.confirmed_at);
         }
-        g.insert((key, p.service.clone()), c);
+        cache.insert((key, plan.service.clone()), entry);
     }
 }
--- a/crates/data-plane/src/serving/replica_choice.rs
+++ b/crates/data-plane/src/serving/replica_choice.rs
@@ -1,147 +1,171 @@
-//! Which replica of a region takes a request (design 9.5): the least time until its first event,
-//! as far as load reports and own counts tell. Pure.
+//! The choice of a replica within a region (design 9.5): the one with the shortest expected time until the first
+//! event of the answer, by load reports and this router's own counts. No I/O.
 
 use super::{prefill::Reading, protocol::Prompt, replica_view::Candidate};
 use common::{Region, Tick, Zone, rendezvous::stable_hash};
 
-/// Prompt tokens that a replica reads in a millisecond, where nothing else is known.
+/// Prompt tokens that a replica processes per millisecond (prefill rate).
 pub const PREFILL_TOKENS_PER_MS: f64 = 50.0;
-/// Share of the slots above which a newcomer may have to wait.
-const FULL: f64 = 0.9;
-/// What keeping even a short prefix where it is, is worth.
-const LEAST_KEPT_MS: f64 = 15.0;
-/// What a full batch costs each request in it until its first event.
-const CROWD_MS: f64 = 100.0;
-/// Reading shared tokens once more loads the replica and is priced: this many times their own time.
-const AGAIN: f64 = 6.0;
-/// Part of the pause that streams may make, which reading beside them may take.
-const BESIDE: f64 = 0.6;
-/// What each millisecond above that costs, for each stream that runs there.
-const HURT: f64 = 0.5;
+/// Fraction of the slots above which a new request may have to wait.
+const QUEUEING_LOAD: f64 = 0.9;
+/// Penalty for sending a short shared prefix to another replica than the one that probably has it cached.
+const PREFIX_MISS_MS: f64 = 15.0;
+/// How much longer a request takes until its first event in a full batch than in an empty one.
+const FULL_BATCH_MS: f64 = 100.0;
+/// Processing shared tokens that another replica has cached costs this many times the time it takes, since it also
+/// loads the replica.
+const REPEATED_PREFILL_FACTOR: f64 = 6.0;
+/// Fraction of the longest allowed pause of a stream that prefill beside running streams may take without a penalty.
+const PREFILL_PAUSE_FRACTION: f64 = 0.6;
+/// Penalty for each millisecond above that, for each stream that runs at the replica.
+const DELAYED_STREAM_FACTOR: f64 = 0.5;
 
-/// Replicas that a request compares.
+/// How many replicas are compared for a request.
 const CHOICES: usize = 2;
 
-/// What the choice goes by, besides the candidates.
+/// What the choice depends on besides the candidates.
 pub struct ChoiceContext<'a> {
+    /// The request's prompt.
     pub prompt: &'a Prompt,
+    /// The router's zone.
     pub zone: &'a Zone,
+    /// The router's region.
     pub region: &'a Region,
+    /// Requests with the same shared prefix should go to the same replica.
     pub affinity: bool,
-    /// Reading its prompt holds up what runs beside it.
+    /// The prompt is so long that processing it delays streams that run beside it.
     pub long_prompt: bool,
+    /// Long prompts that replicas process now, and prefixes that they have cached.
     pub reading: &'a Reading,
+    /// Hash and length in tokens of each shared prefix of the prompt, shortest first.
     pub prefixes: &'a [(u64, u32)],
+    /// Prompt tokens that a replica processes per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// The longest pause of a stream that is in time.
+    /// The longest allowed pause between events of a stream.
     pub max_pause_ms: f64,
+    /// The current time.
     pub now: Tick,
-    /// How long a request occupies a slot, as seen lately.
+    /// How long a request occupies a slot, on average.
     pub service_time_ms: f64,
-    /// In [0, 1): keeps routers with the same stale load reports apart.
+    /// A random number in [0, 1): lets routers that have the same outdated load reports choose differently.
     pub random_unit: f64,
 }
 
 impl ChoiceContext<'_> {
-    /// Tokens of the prompt that a replica would have to read.
-    fn unread(&self, c: &Candidate) -> u32 {
-        self.reading.unread(&c.id, self.prefixes, self.prompt.tokens_in)
+    /// Tokens of the prompt that a replica does not have cached.
+    fn uncached_tokens(&self, replica: &Candidate) -> u32 {
+        self.reading.unread(&replica.id, self.prefixes, self.prompt.tokens_in)
     }
 
-    fn shared(&self) -> u32 {
+    /// Tokens of the prefix that requests may share; 0 without affinity.
+    fn shared_tokens(&self) -> u32 {
         if self.affinity { self.prompt.shared_tokens() } else { 0 }
     }
 
-    /// The rendezvous claim of a replica to the request: by its shared prefix, or drawn where it has none.
-    fn claim(&self, c: &Candidate) -> u64 {
-        let ids: Vec<u8> = if self.shared() > 0 {
-            self.prompt.shared().iter().flat_map(|p| p.0.to_le_bytes()).collect()
+    /// The rendezvous hash of a replica for the request: by its shared prefix, or random if it has none.
+    fn rank_hash(&self, replica: &Candidate) -> u64 {
+        let ids: Vec<u8> = if self.shared_tokens() > 0 {
+            self.prompt.shared().iter().flat_map(|part| part.0.to_le_bytes()).collect()
         } else {
             self.random_unit.to_le_bytes().to_vec()
         };
-        stable_hash(&[&ids, c.id.as_str().as_bytes()])
+        stable_hash(&[&ids, replica.id.as_str().as_bytes()])
     }
 }
 
-/// Milliseconds until the first event if the request went there, the shared prefix apart.
-pub fn first_event_delay_ms(c: &Candidate, w: &ChoiceContext<'_>) -> f64 {
-    let slots = f64::from(c.slots);
-    let over = (c.load() + 1.0 - slots * FULL).max(0.0);
-    let wait = over * w.service_time_ms / slots;
-    let batch = c.load() / slots * CROWD_MS;
-    let reading = w.reading.wait_ms(&c.id, w.now);
-    let tokens = u64::from(w.prompt.tokens_in) + u64::from(w.prompt.tokens_out);
-    let tight = c.memory_total > 0 && c.memory_used + tokens > c.memory_total;
-    let way = if c.zone == *w.zone {
+/// Expected milliseconds until the first event if the request went to this replica, without the time to process the
+/// prompt itself.
+pub fn first_event_delay_ms(replica: &Candidate, context: &ChoiceContext<'_>) -> f64 {
+    let slots = f64::from(replica.slots);
+    let queued = (replica.load() + 1.0 - slots * QUEUEING_LOAD).max(0.0);
+    let wait = queued * context.service_time_ms / slots;
+    let batch = replica.load() / slots * FULL_BATCH_MS;
+    let reading = context.reading.wait_ms(&replica.id, context.now);
+    let tokens = u64::from(context.prompt.tokens_in) + u64::from(context.prompt.tokens_out);
+    let memory_short = replica.memory_total > 0 && replica.memory_used + tokens > replica.memory_total;
+    let network_ms = if replica.zone == *context.zone {
         0.0
-    } else if c.region == *w.region {
+    } else if replica.region == *context.region {
         3.0
     } else {
         100.0
     };
-    wait + batch + reading + way + if tight { 300.0 } else { 0.0 }
+    wait + batch + reading + network_ms + if memory_short { 300.0 } else { 0.0 }
 }
 
-/// Large enough for the request at all.
-pub fn fits_memory(c: &Candidate, p: &Prompt) -> bool {
-    c.memory_total == 0 || u64::from(p.tokens_in) + u64::from(p.tokens_out) <= c.memory_total
+/// Whether the replica has enough memory for the request, even if nothing else ran there.
+pub fn fits_memory(replica: &Candidate, prompt: &Prompt) -> bool {
+    replica.memory_total == 0
+        || u64::from(prompt.tokens_in) + u64::from(prompt.tokens_out) <= replica.memory_total
 }
 
-/// The best of these for the request: of a few, the least time until its first event, and what it costs those that run
-/// beside it.
-pub fn choose_replica<'a>(cands: &[&'a Candidate], w: &ChoiceContext<'_>) -> Option<&'a Candidate> {
-    let compared = compared(cands, w);
-    let first = compared.first().filter(|_| w.shared() > 0).map(|c| c.id.clone());
-    let score = |c: &Candidate| {
-        let spread = stable_hash(&[&w.random_unit.to_le_bytes(), c.id.as_str().as_bytes()]) % 1000;
-        let base = first_event_delay_ms(c, w) + spread as f64 / 1000.0 * 4.0;
-        if w.long_prompt {
-            return base + reading_costs(c, w);
+/// The best candidate for the request: of a few, the one with the least expected time until the first event plus what
+/// the request costs those that run beside it.
+pub fn choose_replica<'a>(
+    candidates: &[&'a Candidate],
+    context: &ChoiceContext<'_>,
+) -> Option<&'a Candidate> {
+    let compared = compared(candidates, context);
+    let home = compared.first().filter(|_| context.shared_tokens() > 0).map(|replica| replica.id.clone());
+    let score = |replica: &Candidate| {
+        let jitter =
+            stable_hash(&[&context.random_unit.to_le_bytes(), replica.id.as_str().as_bytes()]) % 1000;
+        let base = first_event_delay_ms(replica, context) + jitter as f64 / 1000.0 * 4.0;
+        if context.long_prompt {
+            return base + prefill_cost(replica, context);
         }
-        base + if first.as_ref().is_some_and(|first| *first != c.id) { LEAST_KEPT_MS } else { 0.0 }
+        base + if home.as_ref().is_some_and(|home| *home != replica.id) { PREFIX_MISS_MS } else { 0.0 }
     };
     compared.into_iter().min_by(|a, b| score(a).total_cmp(&score(b)))
 }
 
-/// The few that a request compares ("power of two choices"): those of the highest claim. Reports are as old as a look at
-/// the replicas, and many routers go by the same one: if each took the best of all by it, all would go to the same few
-/// replicas until the next. A long prompt also looks at the replica that has the longest prefix of it.
-fn compared<'a>(cands: &[&'a Candidate], w: &ChoiceContext<'_>) -> Vec<&'a Candidate> {
-    let mut ranked: Vec<(u64, &'a Candidate)> = cands.iter().map(|c| (w.claim(c), *c)).collect();
-    ranked.sort_unstable_by_key(|(claim, _)| std::cmp::Reverse(*claim));
-    let mut few: Vec<&Candidate> = ranked.iter().take(CHOICES).map(|(_, c)| *c).collect();
-    if w.long_prompt {
-        let keeper = ranked.iter().map(|(_, c)| *c).min_by_key(|c| w.unread(c));
-        let keeper = keeper.filter(|c| w.unread(c) < w.prompt.tokens_in);
-        few.extend(keeper.filter(|keeper| few.iter().all(|c| c.id != keeper.id)));
+/// The few candidates that are compared for a request ("power of two choices"): those with the highest rendezvous
+/// hash. Many routers use the same load report until the next one: if each took the best of all replicas, all would
+/// send to the same few until then. For a long prompt the replica that has the longest prefix of it cached is
+/// compared as well.
+fn compared<'a>(candidates: &[&'a Candidate], context: &ChoiceContext<'_>) -> Vec<&'a Candidate> {
+    let mut ranked: Vec<(u64, &'a Candidate)> =
+        candidates.iter().map(|replica| (context.rank_hash(replica), *replica)).collect();
+    ranked.sort_unstable_by_key(|(hash, _)| std::cmp::Reverse(*hash));
+    let mut few: Vec<&Candidate> = ranked.iter().take(CHOICES).map(|(_, replica)| *replica).collect();
+    if context.long_prompt {
+        let cached_at =
+            ranked.iter().map(|(_, replica)| *replica).min_by_key(|replica| context.uncached_tokens(replica));
+        let cached_at =
+            cached_at.filter(|replica| context.uncached_tokens(replica) < context.prompt.tokens_in);
+        few.extend(cached_at.filter(|cached_at| few.iter().all(|replica| replica.id != cached_at.id)));
     }
     few
 }
 
-/// What reading a long prompt there takes from it and from all that runs beside it.
-fn reading_costs(c: &Candidate, w: &ChoiceContext<'_>) -> f64 {
-    let tokens = w.unread(c);
-    let own = w.prompt.tokens_in.saturating_sub(w.prompt.shared_tokens());
-    let read = f64::from(tokens) / w.prefill_tokens_per_ms;
-    let again = f64::from(tokens.saturating_sub(own)) / w.prefill_tokens_per_ms;
-    let over = (w.reading.wait_ms(&c.id, w.now) + read - w.max_pause_ms * BESIDE).max(0.0);
-    read + again * (AGAIN - 1.0) + over * c.load() * HURT
+/// What processing a long prompt at this replica costs the request and all that run beside it, in milliseconds.
+fn prefill_cost(replica: &Candidate, context: &ChoiceContext<'_>) -> f64 {
+    let tokens = context.uncached_tokens(replica);
+    let own_tokens = context.prompt.tokens_in.saturating_sub(context.prompt.shared_tokens());
+    let prefill_ms = f64::from(tokens) / context.prefill_tokens_per_ms;
+    let repeated_ms = f64::from(tokens.saturating_sub(own_tokens)) / context.prefill_tokens_per_ms;
+    let excess_pause_ms = (context.reading.wait_ms(&replica.id, context.now) + prefill_ms
+        - context.max_pause_ms * PREFILL_PAUSE_FRACTION)
+        .max(0.0);
+    prefill_ms
+        + repeated_ms * (REPEATED_PREFILL_FACTOR - 1.0)
+        + excess_pause_ms * replica.load() * DELAYED_STREAM_FACTOR
 }
 
-/// Whether no candidate could begin the request within `ms`.
-pub fn all_overdue(cands: &[&Candidate], w: &ChoiceContext<'_>, ms: f64) -> bool {
-    cands.iter().all(|c| {
-        let over = (c.load() + 1.0 - f64::from(c.slots)).max(0.0);
-        over * w.service_time_ms / f64::from(c.slots) > ms
+/// Whether the request would wait longer than `ms` for a slot at every candidate.
+pub fn all_overdue(candidates: &[&Candidate], context: &ChoiceContext<'_>, ms: f64) -> bool {
+    candidates.iter().all(|replica| {
+        let over = (replica.load() + 1.0 - f64::from(replica.slots)).max(0.0);
+        over * context.service_time_ms / f64::from(replica.slots) > ms
     })
 }
 
-/// Keeps an average of how long requests take; a tenth of each new one.
-pub fn learn_duration(avg: &mut f64, seen: f64) {
-    *avg += (seen - *avg) * 0.1;
+/// Adds a duration to the moving average of how long requests take, with a weight of a tenth.
+pub fn learn_duration(average: &mut f64, measured: f64) {
+    *average += (measured - *average) * 0.1;
 }
 
-/// Whether a cold replica is still cold.
-pub fn is_cold(c: &Candidate, now: Tick) -> bool {
-    c.cold_until > now
+/// Whether a replica is still cold according to its report.
+pub fn is_cold(replica: &Candidate, now: Tick) -> bool {
+    replica.cold_until > now
 }
--- a/crates/data-plane/src/serving/request_flush.rs
+++ b/crates/data-plane/src/serving/request_flush.rs
@@ -1,7 +1,7 @@
-//! Whether the request of an exchange has left whole: an answer may come before. The HTTP library takes
-//! a body into its buffer and then says nothing more of it, so the body tells when it was taken, and the
-//! stream below when the buffer was emptied after that. The stream also takes no byte of a request later than
-//! that may leave, however long it was held up before.
+//! Tracks whether the whole request of an exchange has been sent, since an answer may arrive before that. The HTTP
+//! library reads a body into its buffer and reports nothing after that. So [`TrackedBody`] notes when the body was
+//! read, and [`FlushTrackingStream`] when the buffer was flushed afterwards. The stream also refuses to write any
+//! byte of a request after its `send_by`, however long the write was blocked before.
 
 use bytes::Bytes;
 use common::{
@@ -27,52 +27,58 @@
     time::{Sleep, sleep},
 };
 
-const LEAVING: u8 = 0;
-const TAKEN: u8 = 1;
-const LEFT: u8 = 2;
+/// The HTTP library has not read the whole body yet.
+const READING: u8 = 0;
+/// The HTTP library has read the whole body into its buffer.
+const BUFFERED: u8 = 1;
+/// The buffer was flushed after that.
+const FLUSHED: u8 = 2;
 
-/// How far the request at hand has left; one for each connection.
+/// How far the current request has been sent; one for each connection.
 #[derive(Clone, Debug, Default)]
 pub struct RequestFlush(Arc<Progress>);
 
 #[derive(Debug, Default)]
 struct Progress {
     step: AtomicU8,
-    /// No byte of the request may leave after this [`Tick`].
-    leave_by: AtomicU64,
+    /// No byte of the request may be written after this [`Tick`].
+    send_by: AtomicU64,
     clock: Clock,
 }
 
 impl RequestFlush {
-    /// A body whose taking is noted: the request at hand is over with it. No byte leaves after `leave_by`.
-    pub fn of(&self, body: Body, leave_by: Tick) -> Body {
-        let taken = body.is_end_stream();
-        self.0.leave_by.store(leave_by.0, Ordering::Release);
-        self.0.step.store(if taken { TAKEN } else { LEAVING }, Ordering::Release);
-        BodyExt::boxed(TrackedBody { body, outgoing: self.clone() })
+    /// Begins to track a new request. Returns its body, which notes when it has been read; no byte of the request is
+    /// written after `send_by`.
+    pub fn track(&self, body: Body, send_by: Tick) -> Body {
+        let empty = body.is_end_stream();
+        self.0.send_by.store(send_by.0, Ordering::Release);
+        self.0.step.store(if empty { BUFFERED } else { READING }, Ordering::Release);
+        BodyExt::boxed(TrackedBody { body, flush: self.clone() })
     }
 
-    pub fn has_left(&self) -> bool {
-        self.0.step.load(Ordering::Acquire) == LEFT
+    /// Whether the whole request was handed to the operating system.
+    pub fn is_flushed(&self) -> bool {
+        self.0.step.load(Ordering::Acquire) == FLUSHED
     }
 
-    /// For how many milliseconds more a byte may leave; `None`: no longer.
+    /// For how many more milliseconds bytes may be written; `None` if no longer.
     fn time_left_ms(&self) -> Option<u64> {
-        self.0.leave_by.load(Ordering::Acquire).checked_sub(self.0.clock.now().0)
+        self.0.send_by.load(Ordering::Acquire).checked_sub(self.0.clock.now().0)
     }
 
-    fn taken(&self) {
-        let _ = self.0.step.compare_exchange(LEAVING, TAKEN, Ordering::AcqRel, Ordering::Acquire);
+    fn note_buffered(&self) {
+        let _ = self.0.step.compare_exchange(READING, BUFFERED, Ordering::AcqRel, Ordering::Acquire);
     }
 
-    fn flushed(&self) {
-        let _ = self.0.step.compare_exchange(TAKEN, LEFT, Ordering::AcqRel, Ordering::Acquire);
+    fn note_flushed(&self) {
+        let _ = self.0.step.compare_exchange(BUFFERED, FLUSHED, Ordering::AcqRel, Ordering::Acquire);
     }
 }
 
+/// A body that notes when the HTTP library has read it to its end.
 struct TrackedBody {
     body: Body,
-    outgoing: RequestFlush,
+    flush: RequestFlush,
 }
 
 impl HttpBody for TrackedBody {
@@ -85,7 +91,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BoxErr>>> {
         let polled = Pin::new(&mut self.body).poll_frame(cx);
         if matches!(polled, Poll::Ready(None)) || self.body.is_end_stream() {
-            self.outgoing.taken();
+            self.flush.note_buffered();
         }
         polled
     }
@@ -99,43 +105,44 @@
     }
 }
 
-/// A body is dropped once it was taken as far as its announced length goes, or when its connection closes.
+/// The HTTP library drops a body once it has read as much as the announced length, or when the connection closes.
 impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.outgoing.taken();
+        self.flush.note_buffered();
     }
 }
 
-/// A stream that notes when all that was written to it has left. The HTTP library flushes it once its own
-/// buffer is empty.
+/// A stream that notes when all that was written to it is flushed. The HTTP library flushes it once its own buffer is
+/// empty.
 pub struct FlushTrackingStream {
     stream: Stream,
-    outgoing: RequestFlush,
-    /// Ends the wait of a writer that is held up.
-    held_up: Option<Pin<Box<Sleep>>>,
+    flush: RequestFlush,
+    /// Ends the wait of a blocked write at `send_by`.
+    write_timeout: Option<Pin<Box<Sleep>>>,
 }
 
 impl FlushTrackingStream {
-    pub fn new(stream: Stream, outgoing: RequestFlush) -> Self {
-        Self { stream, outgoing, held_up: None }
+    /// Wraps the stream of a connection whose requests `flush` tracks.
+    pub fn new(stream: Stream, flush: RequestFlush) -> Self {
+        Self { stream, flush, write_timeout: None }
     }
 
-    /// A write, unless it is too late for one.
+    /// Writes, or fails if it is past `send_by`.
     fn write_in_time(
         &mut self,
         cx: &mut Context<'_>,
         write: impl FnOnce(Pin<&mut Stream>, &mut Context<'_>) -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        let too_late = || io::Error::new(io::ErrorKind::TimedOut, "the request may no longer leave");
-        let Some(left_ms) = self.outgoing.time_left_ms() else { return Poll::Ready(Err(too_late())) };
+        let too_late = || io::Error::new(io::ErrorKind::TimedOut, "the time to send the request has passed");
+        let Some(left_ms) = self.flush.time_left_ms() else { return Poll::Ready(Err(too_late())) };
         let polled = write(Pin::new(&mut self.stream), cx);
         if polled.is_ready() {
-            self.held_up = None;
+            self.write_timeout = None;
             return polled;
         }
         let wait = Duration::from_millis(left_ms + 1);
-        let held_up = self.held_up.get_or_insert_with(|| Box::pin(sleep(wait)));
-        match held_up.poll_unpin(cx) {
+        let write_timeout = self.write_timeout.get_or_insert_with(|| Box::pin(sleep(wait)));
+        match write_timeout.poll_unpin(cx) {
             Poll::Ready(()) => Poll::Ready(Err(too_late())),
             Poll::Pending => Poll::Pending,
         }
@@ -172,7 +179,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let polled = Pin::new(&mut self.stream).poll_flush(cx);
         if matches!(polled, Poll::Ready(Ok(()))) {
-            self.outgoing.flushed();
+            self.flush.note_flushed();
         }
         polled
     }
--- a/crates/data-plane/src/serving/slow_start.rs
+++ b/crates/data-plane/src/serving/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start of cold replicas (design 9.5): the request rate that all routers together may send to a replica while it
-//! warms up is divided between a few routers, chosen by rendezvous hashing so that no messages are needed. Each of them
-//! has its own token bucket. No I/O.
+//! Slow start of cold replicas (design 9.5): the request rate that all routers together may send to a replica while
+//! it warms up is divided between a few routers, chosen by rendezvous hashing so that no messages are needed. Each of
+//! them has its own token bucket. No I/O.
 
 use common::{NodeId, ReplicaId, Tick, rendezvous::stable_hash};
 
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -18,12 +18,12 @@
     sync::{Arc, Mutex, atomic::Ordering},
 };
 
-/// Fraction of `drain_ms` for which a reading of the list of replicas is valid, as numerator and denominator. The rest is
-/// for the delivery of a request that is sent at the last moment.
+/// Fraction of `drain_ms` for which a reading of the list of replicas is valid, as numerator and denominator. The
+/// rest is for the delivery of a request that is sent at the last moment.
 const LIST_MAX_AGE: (u64, u64) = (3, 4);
 
-/// Fraction of `drain_ms` after which no byte of a request is sent, as numerator and denominator. The rest is for bytes
-/// that are still in transit by then.
+/// Fraction of `drain_ms` after which no byte of a request is sent, as numerator and denominator. The rest is for
+/// bytes that are still in transit by then.
 const SEND_MAX_AGE: (u64, u64) = (7, 8);
 
 /// Limits that the platform sets for all routers together.
@@ -170,8 +170,8 @@
         cluster.routers().into_iter().map(|m| m.info.node.clone()).collect()
     }
 
-    /// Whether a replica counts as cold: according to its report, or because the evacuation of its zone ended less than
-    /// `slow_start_ms` ago.
+    /// Whether a replica counts as cold: according to its report, or because the evacuation of its zone ended less
+    /// than `slow_start_ms` ago.
     pub fn is_cold(&self, replica: &Candidate, backend: &Backend, now: Tick) -> bool {
         let returned = lock(&self.zone_returned)
             .get(&replica.zone)
--- a/crates/data-plane/src/serving/stream_relay.rs
+++ b/crates/data-plane/src/serving/stream_relay.rs
@@ -1,9 +1,9 @@
-//! Streams on their way to the client (design 9.8): event by event, counted by id, taken up at
-//! another replica only where the route allows it, and never ended as whole where they were cut.
+//! Relays streams of events to clients (design 9.8), whole events only. A stream that is cut off is resumed at another
+//! replica after the last event passed on, if the route allows it; otherwise it ends as cut off for the client too.
 
-pub use super::event_splitter::Splitter;
+pub use super::event_splitter::EventSplitter;
 use super::{
-    attempt::{Open, Outcome},
+    attempt::{AttemptOutcome, OpenRequest},
     attempt_state::AttemptEnd,
     connection::{Answer, AnswerBody},
     dispatch::AttemptHistory,
@@ -26,33 +26,33 @@
 };
 use tokio::sync::mpsc;
 
-type Out = mpsc::Sender<Result<Frame<Bytes>, BoxErr>>;
+type ClientSender = mpsc::Sender<Result<Frame<Bytes>, BoxErr>>;
 
-/// How an upstream ended.
+/// Why forwarding from a replica stopped.
 enum StreamEnd {
-    Whole,
+    Complete,
+    /// The stream was cut off, for this reason.
     Cut(String),
-    /// Nothing came for long, from a replica that told nobody here anything meanwhile.
+    /// For a long time the replica has sent nothing, neither on this stream nor in any other answer to this router.
     Silent,
-    /// The client has gone.
-    Left,
+    ClientLeft,
 }
 
-/// Events that wait for the client, at most.
+/// Most pieces of the stream that are queued for the client.
 const CLIENT_BACKLOG: usize = 4;
 
-/// Passes a stream on from its own task; the response keeps the head of its first replica.
+/// Starts a task that relays a stream. The response to the client has the head of the first replica's answer.
 pub fn relay(
     serving: &Arc<Serving>,
     plan: Arc<Plan>,
     history: AttemptHistory,
-    open: Open,
+    open: OpenRequest,
     open_count: Arc<OpenGuard>,
     Answer { head, body }: Answer,
 ) -> Response<Body> {
     let (client, mut frames) = mpsc::channel(CLIENT_BACKLOG);
     let pauses = EventPauses::new(plan.received_at);
-    let events = Splitter::default();
+    let events = EventSplitter::default();
     let relay = Relay { serving: serving.clone(), plan, history, events, pauses, client };
     common::runtime::spawn(async move {
         let _open = open_count;
@@ -62,38 +62,39 @@
     Response::from_parts(head, BodyExt::boxed(StreamBody::new(SyncStream::new(stream))))
 }
 
-/// A stream on its way from replicas to one client.
+/// A stream that is relayed from one replica after another to a client.
 struct Relay {
     serving: Arc<Serving>,
     plan: Arc<Plan>,
     history: AttemptHistory,
-    events: Splitter,
+    events: EventSplitter,
     pauses: EventPauses,
-    client: Out,
+    client: ClientSender,
 }
 
 impl Relay {
-    async fn run(mut self, mut open: Open, mut body: AnswerBody) {
-        // A frame that came while another replica was asked to go on.
-        let mut held = None;
+    /// Relays the stream until it ends or the client leaves.
+    async fn run(mut self, mut open: OpenRequest, mut body: AnswerBody) {
+        // A frame that arrived while another replica was asked to resume the stream.
+        let mut held_frame = None;
         loop {
-            match self.forward(&open, &mut body, &mut held).await {
-                StreamEnd::Whole => return self.finish(&open, body).await,
-                StreamEnd::Left => return,
+            match self.forward(&open, &mut body, &mut held_frame).await {
+                StreamEnd::Complete => return self.finish(&open, body).await,
+                StreamEnd::ClientLeft => return,
                 StreamEnd::Silent => match self.wait_or_resume(&mut body).await {
-                    Woken::ClientLeft => return,
-                    Woken::Frame(frame) => held = Some(frame),
-                    Woken::Resumed(next) => (open, body) = *next,
-                    Woken::NoReplica => {}
+                    ResumeOutcome::ClientLeft => return,
+                    ResumeOutcome::Frame(frame) => held_frame = Some(frame),
+                    ResumeOutcome::Resumed(next) => (open, body) = *next,
+                    ResumeOutcome::NoReplica => {}
                 },
                 StreamEnd::Cut(why) => {
-                    self.events.forget();
-                    log_event!(Info, "stream", "peer" => open.at.addr, "cause" => why, "after" => self.events.last);
+                    self.events.prepare_resume();
+                    log_event!(Info, "stream", "peer" => open.replica.addr, "cause" => why, "after" => self.events.last_id);
                     drop((body, open));
                     match self.resume_after_cut().await {
-                        Woken::Resumed(next) => (open, body) = *next,
-                        Woken::ClientLeft => return,
-                        Woken::Frame(_) | Woken::NoReplica => {
+                        ResumeOutcome::Resumed(next) => (open, body) = *next,
+                        ResumeOutcome::ClientLeft => return,
+                        ResumeOutcome::Frame(_) | ResumeOutcome::NoReplica => {
                             let _ = self.client.send(Err(why.into())).await;
                             return;
                         }
@@ -103,146 +104,147 @@
         }
     }
 
-    /// The stream came whole.
-    async fn finish(mut self, open: &Open, body: AnswerBody) {
-        let rest = self.events.rest();
+    /// Ends a stream that is complete: passes on the rest, and keeps the replica's connection.
+    async fn finish(mut self, open: &OpenRequest, body: AnswerBody) {
+        let rest = self.events.take_rest();
         if !rest.is_empty() {
             let _ = self.client.send(Ok(Frame::data(rest))).await;
         }
         let duration_ms = self.serving.now().since(self.plan.received_at) as f64;
         self.serving.learn_duration(&self.plan.service, duration_ms);
         self.pauses.log_if_late(&self.plan, open);
-        self.serving.keep(&open.at, body);
+        self.serving.keep_connection(&open.replica, body);
     }
 
-    /// Silence alone ends nothing (design 9.8): the stream goes on at another replica, or waits here.
-    async fn wait_or_resume(&mut self, body: &mut AnswerBody) -> Woken {
-        let last = self.events.last.clone();
+    /// Looks for another replica while the current one is silent. Silence alone never ends a stream (design 9.8): it
+    /// is resumed at another replica, or goes on waiting for its own.
+    async fn wait_or_resume(&mut self, body: &mut AnswerBody) -> ResumeOutcome {
+        let last = self.events.last_id.clone();
         let next = tokio::select! {
             biased;
-            () = self.client.closed() => return Woken::ClientLeft,
-            frame = body.frame() => return Woken::Frame(frame),
+            () = self.client.closed() => return ResumeOutcome::ClientLeft,
+            frame = body.frame() => return ResumeOutcome::Frame(frame),
             next = resume(&self.serving, &self.plan, &mut self.history, last.as_deref()) => next,
         };
-        let Some(next) = next else { return Woken::NoReplica };
-        self.events.forget();
-        Woken::Resumed(Box::new(next))
+        let Some(next) = next else { return ResumeOutcome::NoReplica };
+        self.events.prepare_resume();
+        ResumeOutcome::Resumed(Box::new(next))
     }
 
-    async fn resume_after_cut(&mut self) -> Woken {
-        let last = self.events.last.clone();
+    /// Looks for another replica after the stream was cut off.
+    async fn resume_after_cut(&mut self) -> ResumeOutcome {
+        let last = self.events.last_id.clone();
         tokio::select! {
             biased;
-            () = self.client.closed() => Woken::ClientLeft,
+            () = self.client.closed() => ResumeOutcome::ClientLeft,
             next = resume(&self.serving, &self.plan, &mut self.history, last.as_deref()) => {
-                next.map_or(Woken::NoReplica, |next| Woken::Resumed(Box::new(next)))
+                next.map_or(ResumeOutcome::NoReplica, |next| ResumeOutcome::Resumed(Box::new(next)))
             }
         }
     }
 
-    /// Passes whole events on until the upstream ends, in whatever way.
+    /// Passes whole events on until the stream ends or has to be resumed elsewhere.
     async fn forward(
         &mut self,
-        open: &Open,
+        open: &OpenRequest,
         body: &mut AnswerBody,
-        held: &mut Option<NextFrame>,
+        held_frame: &mut Option<NextFrame>,
     ) -> StreamEnd {
-        let silence = silence(&self.plan);
+        let max_silence = max_silence(&self.plan);
         loop {
             let frame = tokio::select! {
                 biased;
-                frame = next(held, body) => frame,
-                () = self.client.closed() => return StreamEnd::Left,
-                () = tokio::time::sleep(silence) => {
-                    if self.is_silent(open, silence) {
+                frame = next_frame(held_frame, body) => frame,
+                () = self.client.closed() => return StreamEnd::ClientLeft,
+                () = tokio::time::sleep(max_silence) => {
+                    if self.is_silent(open, max_silence) {
                         return StreamEnd::Silent;
                     }
                     continue;
                 }
             };
             let frame = match frame {
-                None => return StreamEnd::Whole,
+                None => return StreamEnd::Complete,
                 Some(Err(e)) => return StreamEnd::Cut(e.to_string()),
                 Some(Ok(frame)) => frame,
             };
             let Some(data) = frame.data_ref() else { continue };
             self.events.push(data);
-            if !self.events.continues() {
-                return StreamEnd::Cut("its replica does not go on behind the last event".into());
+            if !self.events.continues_after_last() {
+                return StreamEnd::Cut("the replica does not continue after the last event".into());
             }
-            open.at.own.note_contact(self.serving.now());
-            let Some(events) = self.events.whole() else { continue };
+            open.replica.own.note_contact(self.serving.now());
+            let Some(events) = self.events.take_whole_events() else { continue };
             open.note_event(&self.plan);
-            self.pauses.event(self.serving.now());
+            self.pauses.note_event(self.serving.now());
             if self.client.send(Ok(Frame::data(events))).await.is_err() {
-                return StreamEnd::Left;
+                return StreamEnd::ClientLeft;
             }
         }
     }
 
-    /// Whether the replica told nobody here anything for long, and another one may be asked in time.
-    fn is_silent(&self, open: &Open, silence: Duration) -> bool {
+    /// Whether the replica has sent this router nothing for too long, and another one may be asked in time.
+    fn is_silent(&self, open: &OpenRequest, max_silence: Duration) -> bool {
         let now = self.serving.now();
-        let quiet_ms = now.since(Tick(open.at.own.last_contact.load(Ordering::Relaxed)));
-        self.plan.idempotent() && now < self.plan.deadline && quiet_ms >= silence.as_millis() as u64
+        let quiet_ms = now.since(Tick(open.replica.own.last_contact.load(Ordering::Relaxed)));
+        self.plan.idempotent() && now < self.plan.deadline && quiet_ms >= max_silence.as_millis() as u64
     }
 }
 
-/// What ends the wait for another replica.
-enum Woken {
+/// How looking for another replica ended.
+enum ResumeOutcome {
     ClientLeft,
-    /// The silent replica spoke again.
+    /// The silent replica has sent something again.
     Frame(NextFrame),
-    /// Another replica goes on.
-    Resumed(Box<(Open, AnswerBody)>),
-    /// None may be asked.
+    /// Another replica resumes the stream.
+    Resumed(Box<(OpenRequest, AnswerBody)>),
+    /// No other replica may be asked.
     NoReplica,
 }
 
-/// A frame, an error, or the end.
+/// A frame, an error, or the end of the body.
 type NextFrame = Option<Result<Frame<Bytes>, hyper::Error>>;
 
-async fn next(held: &mut Option<NextFrame>, body: &mut AnswerBody) -> NextFrame {
-    match held.take() {
+async fn next_frame(held_frame: &mut Option<NextFrame>, body: &mut AnswerBody) -> NextFrame {
+    match held_frame.take() {
         Some(frame) => frame,
         None => body.frame().await,
     }
 }
 
-/// How long a silence is borne before another replica is looked for: twice the pause that keeps an
-/// answer in time.
-fn silence(p: &Plan) -> Duration {
-    Duration::from_millis(p.route.max_event_gap_ms.unwrap_or(p.route.latency_target_ms).max(250) * 2)
+/// How long a replica may be silent before another one is asked: twice the longest pause that the route allows.
+fn max_silence(plan: &Plan) -> Duration {
+    Duration::from_millis(plan.route.max_event_gap_ms.unwrap_or(plan.route.latency_target_ms).max(250) * 2)
 }
 
-/// Takes a cut stream up at another replica, behind the last event that went out.
+/// Resumes a stream at another replica, after the last event that was passed on.
 async fn resume(
-    s: &Arc<Serving>,
-    p: &Plan,
-    past: &mut AttemptHistory,
-    last: Option<&str>,
-) -> Option<(Open, AnswerBody)> {
-    if !p.idempotent() {
+    serving: &Arc<Serving>,
+    plan: &Plan,
+    history: &mut AttemptHistory,
+    last_id: Option<&str>,
+) -> Option<(OpenRequest, AnswerBody)> {
+    if !plan.idempotent() {
         return None;
     }
     loop {
-        let c = s.begin(p, past).ok()?;
-        let open = Open::new(s, c.clone());
-        match s.attempt(p, &c, last).await {
-            Outcome::Answer(answer) if answer.head.status.is_success() => {
-                past.ended(s, p, AttemptEnd::MayHaveRun);
+        let replica = serving.begin_attempt(plan, history).ok()?;
+        let open = OpenRequest::new(serving, replica.clone());
+        match serving.attempt(plan, &replica, last_id).await {
+            AttemptOutcome::Answer(answer) if answer.head.status.is_success() => {
+                history.end_attempt(serving, plan, AttemptEnd::MayHaveRun);
                 return Some((open, answer.body));
             }
-            Outcome::Answer(answer) => {
-                let why = PeerError::new("resume", c.addr, answer.head.status.to_string());
-                past.failed(s, p, AttemptEnd::MayHaveRun, why);
+            AttemptOutcome::Answer(answer) => {
+                let error = PeerError::new("resume", replica.addr, answer.head.status.to_string());
+                history.fail_attempt(serving, plan, AttemptEnd::MayHaveRun, error);
             }
-            Outcome::NotSent(e) => {
-                past.failed(s, p, AttemptEnd::NotSent, e);
-                c.own.avoid(s.now() + s.router.set.timing.probe_interval_ms);
+            AttemptOutcome::NotSent(e) => {
+                history.fail_attempt(serving, plan, AttemptEnd::NotSent, e);
+                replica.own.avoid(serving.now() + serving.router.set.timing.probe_interval_ms);
             }
-            Outcome::Declined(e) => past.failed(s, p, AttemptEnd::Declined, e),
-            Outcome::MayHaveRun(e) => past.failed(s, p, AttemptEnd::MayHaveRun, e),
+            AttemptOutcome::Declined(e) => history.fail_attempt(serving, plan, AttemptEnd::Declined, e),
+            AttemptOutcome::MayHaveRun(e) => history.fail_attempt(serving, plan, AttemptEnd::MayHaveRun, e),
         }
     }
 }
--- a/crates/data-plane/tests/serving/attempt_state.rs
+++ b/crates/data-plane/tests/serving/attempt_state.rs
@@ -107,7 +107,7 @@
     }
 
     fn gives_up(mut self, late: bool) -> Self {
-        self.told = Told::Last { refused: self.tries.last_word(late) == FinalStatus::Refused };
+        self.told = Told::Last { refused: self.tries.final_status(late) == FinalStatus::Refused };
         self
     }
 
@@ -154,7 +154,7 @@
     }
 
     fn ended(mut self, how: AttemptEnd) -> Self {
-        if self.tries.ended(how) {
+        if self.tries.end(how) {
             self.paid -= 1;
         }
         self
@@ -166,13 +166,13 @@
         out.push(self);
         for end in ends() {
             let clean = clean_end(end).is_some();
-            let kept = !matches!(end.said, KeepAlive::Close | KeepAlive::Open(Some(0)));
-            let may = end.sent && end.body == BodyEnd::Whole && kept;
+            let kept = !matches!(end.keep_alive, KeepAlive::Close | KeepAlive::Open(Some(0)));
+            let may = end.sent && end.body == BodyEnd::Complete && kept;
             assert!(may || !clean, "kept after {end:?}");
             for surplus in [None, Some(self.asked.has_id)] {
                 let mut me = self;
                 me.kept = clean.then_some(Kept { surplus });
-                let whole = end.body == BodyEnd::Whole;
+                let whole = end.body == BodyEnd::Complete;
                 if whole {
                     // Its own failure may be left for another's answer.
                     out.push(me);
@@ -204,9 +204,9 @@
 
 fn ends() -> Vec<ExchangeEnd> {
     let mut out = vec![];
-    for body in [BodyEnd::Whole, BodyEnd::Broken, BodyEnd::Unread] {
-        for said in KEEP_ALIVES {
-            out.extend([true, false].map(|sent| ExchangeEnd { sent, body, said }));
+    for body in [BodyEnd::Complete, BodyEnd::Broken, BodyEnd::Unread] {
+        for keep_alive in KEEP_ALIVES {
+            out.extend([true, false].map(|sent| ExchangeEnd { sent, body, keep_alive }));
         }
     }
     out
@@ -217,8 +217,8 @@
     for status in STATUSES {
         for id in [AnswerId::Own, AnswerId::Absent, AnswerId::Other] {
             for bits in 0..8 {
-                let (not_run, sealed, ends_surely) = (bits & 1 != 0, bits & 2 != 0, bits & 4 != 0);
-                out.push(AnswerHead { status, not_run, sealed, id, ends_surely });
+                let (not_run, sealed, end_detectable) = (bits & 1 != 0, bits & 2 != 0, bits & 4 != 0);
+                out.push(AnswerHead { status, not_run, sealed, id, end_detectable });
             }
         }
     }
--- a/crates/data-plane/tests/serving/connection.rs
+++ b/crates/data-plane/tests/serving/connection.rs
@@ -93,7 +93,7 @@
         })
         .await;
         let Answer { mut body, .. } = ready.send(request(long), NEVER).await.expect("an answer");
-        assert_eq!(body.whole(100).await.expect("a body").as_ref(), b"said");
+        assert_eq!(body.read_to_end(100).await.expect("a body").as_ref(), b"said");
         let now = Clock::default().now();
         let idle = body.finish(now);
         sleep(Duration::from_millis(100)).await;
@@ -129,7 +129,7 @@
         })
         .await;
         let Answer { mut body, .. } = ready.send(request(3), NEVER).await.expect("an answer");
-        let _ = timeout(Duration::from_secs(1), body.whole(100)).await;
+        let _ = timeout(Duration::from_secs(1), body.read_to_end(100)).await;
         let now = Clock::default().now();
         let idle = body.finish(now);
         sleep(Duration::from_millis(100)).await;
@@ -158,7 +158,7 @@
         })
         .await;
         let Answer { mut body, .. } = ready.send(request(3), NEVER).await.expect("an answer");
-        body.whole(100).await.expect("a body");
+        body.read_to_end(100).await.expect("a body");
         let clock = Clock::default();
         let idle = body.finish(clock.now()).expect("a clean end");
         assert!(idle.usable(clock.now()));
@@ -234,7 +234,7 @@
         .await;
         let clock = Clock::default();
         let Answer { mut body, .. } = ready.send(request(0), clock.now() + 100).await.expect("an answer");
-        body.whole(100).await.expect("a body");
+        body.read_to_end(100).await.expect("a body");
         let idle = body.finish(clock.now()).expect("a clean end");
         sleep(Duration::from_millis(500)).await;
         assert!(idle.usable(clock.now()), "its peer keeps it");
--- a/crates/data-plane/tests/serving/placement.rs
+++ b/crates/data-plane/tests/serving/placement.rs
@@ -9,7 +9,7 @@
 use data_plane::{
     placement_table::UserKey,
     router::{Cached, lock},
-    serving::{Serving, plan::Plan, region_choice::TTL_MS, replica_view::ReportStore},
+    serving::{Serving, plan::Plan, region_choice::PLACEMENT_TTL_MS, replica_view::ReportStore},
 };
 use hyper::{HeaderMap, Method, Uri};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
@@ -154,7 +154,7 @@
                     region: region.into(),
                     ver: 7,
                     confirmed_at: serving.now(),
-                    until: serving.now() + TTL_MS,
+                    until: serving.now() + PLACEMENT_TTL_MS,
                 };
                 let at = (UserKey(user), "chat".into());
                 lock(&serving.router.cache).insert(at.clone(), stored("west"));
--- a/crates/data-plane/tests/serving/stream_relay.rs
+++ b/crates/data-plane/tests/serving/stream_relay.rs
@@ -1,21 +1,21 @@
-//! Tests of `data_plane::serving::stream_relay::Splitter`.
+//! Tests of `data_plane::serving::stream_relay::EventSplitter`.
 
-use data_plane::serving::stream_relay::Splitter;
+use data_plane::serving::stream_relay::EventSplitter;
 use rstest::rstest;
 
 const EVENTS: [&str; 4] =
     ["id: 1\ndata: a\n\n", ": note\n\n", "data: é\ndata: id: 9\nid:2\n\n", "id: 3\nevent: end\n\n"];
 
 /// What comes out of these chunks, and how many events each piece held.
-fn out(chunks: &[&[u8]]) -> (String, Splitter) {
-    let (mut s, mut got) = (Splitter::default(), Vec::new());
+fn out(chunks: &[&[u8]]) -> (String, EventSplitter) {
+    let (mut s, mut got) = (EventSplitter::default(), Vec::new());
     for c in chunks {
         s.push(c);
-        if let Some(b) = s.whole() {
+        if let Some(b) = s.take_whole_events() {
             assert!(b.ends_with(b"\n\n"), "only whole events go out");
             got.extend_from_slice(&b);
         }
-        assert!(s.whole().is_none(), "each goes out once");
+        assert!(s.take_whole_events().is_none(), "each goes out once");
     }
     (String::from_utf8(got).expect("text"), s)
 }
@@ -29,8 +29,8 @@
         for j in i..=b.len() {
             let (got, mut s) = out(&[&b[..i], &b[i..j], &b[j..]]);
             assert_eq!(got, all, "cut at {i} and {j}");
-            assert_eq!(s.last.as_deref(), Some("3"));
-            assert!(s.rest().is_empty());
+            assert_eq!(s.last_id.as_deref(), Some("3"));
+            assert!(s.take_rest().is_empty());
         }
     }
 }
@@ -46,8 +46,8 @@
         let whole = ends.iter().filter(|e| **e <= n).count();
         let upto = whole.checked_sub(1).map_or(0, |k| ends[k]);
         assert_eq!(got, all[..upto]);
-        assert_eq!(s.last.as_deref(), whole.checked_sub(1).and_then(|k| ids[k]), "after {n} bytes");
-        assert_eq!(s.rest(), &all.as_bytes()[upto..n]);
+        assert_eq!(s.last_id.as_deref(), whole.checked_sub(1).and_then(|k| ids[k]), "after {n} bytes");
+        assert_eq!(s.take_rest(), &all.as_bytes()[upto..n]);
     }
 }
 
@@ -57,12 +57,12 @@
 #[case(7)]
 #[case(15)]
 fn forgets_half_an_event(#[case] half: usize) {
-    let mut s = Splitter::default();
+    let mut s = EventSplitter::default();
     s.push(EVENTS[0].as_bytes());
     s.push(&EVENTS[2].as_bytes()[..half]);
-    assert_eq!(s.whole().as_deref(), Some(EVENTS[0].as_bytes()));
-    s.forget();
+    assert_eq!(s.take_whole_events().as_deref(), Some(EVENTS[0].as_bytes()));
+    s.prepare_resume();
     s.push(EVENTS[2].as_bytes());
-    assert_eq!(s.whole().as_deref(), Some(EVENTS[2].as_bytes()));
-    assert_eq!(s.last.as_deref(), Some("2"));
+    assert_eq!(s.take_whole_events().as_deref(), Some(EVENTS[2].as_bytes()));
+    assert_eq!(s.last_id.as_deref(), Some("2"));
 }
