--- a/crates/data-plane/tests/serving/answer_attribution.rs
+++ b/crates/data-plane/tests/serving/answer_attribution.rs
@@ -84,8 +84,8 @@
     });
 }
 
-/// Bytes after a complete answer belong to no request, not even to the next one on that connection, whether they arrive
-/// before it, with it or after it.
+/// Bytes after a complete answer belong to no request, not even to the next one on that connection, whether they
+/// arrive before it, with it or after it.
 #[rstest]
 fn surplus_answers_reach_no_client(
     #[values(0, 1, 2, 3, 5, 8, 50)] late: u64,
@@ -183,8 +183,8 @@
     });
 }
 
-/// An attempt that is abandoned because the first replica continues has reached a replica nevertheless: when the stream
-/// is silent again, no replica beyond `tries` is asked.
+/// An attempt that is abandoned because the first replica continues has reached a replica nevertheless: when the
+/// stream is silent again, no replica beyond `tries` is asked.
 #[rstest]
 #[case::two(2, 2)]
 #[case::three(3, 3)]
--- a/crates/data-plane/tests/serving/attempt_state.rs
+++ b/crates/data-plane/tests/serving/attempt_state.rs
@@ -1,7 +1,7 @@
-//! Connection x try x answer, exhaustively: all that can happen to three requests of any kind, one after
-//! the other, by the product's own decisions (`exchange`, `reuse`), with replicas, networks and callers
-//! that do their worst. The bound: three requests, `tries` up to three, one connection kept at a time,
-//! every answer head of the list below.
+//! Exhaustive search over connections, attempts and answers: everything that can happen to three requests of any
+//! kind, one after the other, by the decisions of `attempt_state` and `connection_reuse`, with arbitrary behavior of
+//! replicas, network and clients. It is limited to three requests, up to three `tries`, one idle connection at a
+//! time, and the answer heads of [`heads`].
 
 use common::runtime::Simulation;
 use data_plane::serving::{
@@ -18,49 +18,64 @@
 const STATUSES: [u16; 8] = [101, 200, 400, 408, 421, 429, 500, 503];
 const KEEP_ALIVES: [KeepAlive; 4] =
     [KeepAlive::Close, KeepAlive::Open(None), KeepAlive::Open(Some(0)), KeepAlive::Open(Some(5_000))];
-/// What those statuses promise a client: it has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses from which a client concludes that its request has not run and never will.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// A connection that is kept, and what the one who keeps it can't see.
+/// An idle connection, and what the router can't know about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Kept {
-    /// Another answer will come on it, in the place of the next one that is due; whether with an id.
-    surplus: Option<bool>,
+struct IdleConnection {
+    /// A surplus answer will arrive on it in place of the next one that is due, and whether it carries an id.
+    surplus_with_id: Option<bool>,
 }
 
+/// What the client has received so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Told {
+enum ClientResult {
     Nothing,
-    Answer { status: u16, sealed: bool, genuine: bool, whole: bool },
-    Last { refused: bool },
+    /// A replica's answer; `genuine` if it belongs to the request.
+    Answer {
+        status: u16,
+        sealed: bool,
+        genuine: bool,
+        complete: bool,
+    },
+    /// The router's own error; `refused` if it says that the request has not run.
+    RouterError {
+        refused: bool,
+    },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct State {
+    /// The number of the current request.
     request: u8,
-    asked: RequestTraits,
-    most: u32,
-    tries: Attempts,
-    /// What is true, whoever knows it: replicas that were reached, and those that ran the request.
+    traits: RequestTraits,
+    /// How many attempts may reach a replica.
+    max_reached: u32,
+    attempts: Attempts,
+    /// Replicas that were really reached, whether the router knows it or not.
     reached: u32,
+    /// Replicas that really ran the request.
     ran: u32,
+    /// Retry tokens that were paid and not refunded.
     paid: u32,
-    kept: Option<Kept>,
-    told: Told,
+    idle: Option<IdleConnection>,
+    result: ClientResult,
 }
 
-/// How one attempt went, as the world has it.
+/// What really happened in one attempt.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     NotOpened,
-    /// Reset, silence, or an answer that is none.
-    LostMember {
+    /// The connection was reset, or there was no valid answer.
+    NoAnswer {
         ran: bool,
     },
-    /// Nobody waits for it any more: another replica is asked, or the first one went on.
+    /// The router stopped waiting: it asked another replica, or the stream's first replica continued.
     Abandoned {
         ran: bool,
     },
+    /// The head of an answer arrived; `genuine` if it belongs to the request.
     Head {
         head: AnswerHead,
         genuine: bool,
@@ -69,65 +84,69 @@
 }
 
 impl State {
-    fn starts(request: u8, kept: Option<Kept>) -> Vec<Self> {
+    /// All requests that may come next.
+    fn starts(request: u8, idle: Option<IdleConnection>) -> Vec<Self> {
         let mut out = Vec::new();
         for n in 0..12 {
-            let (idempotent, has_id, most) = (n & 1 == 0, n & 2 == 0, n / 4 + 1);
-            let asked = RequestTraits { idempotent, has_id };
-            let tries = Attempts::new(idempotent, most);
-            let (reached, ran, paid, told) = (0, 0, 0, Told::Nothing);
-            out.push(Self { request, asked, most, tries, reached, ran, paid, kept, told });
+            let (idempotent, has_id, max_reached) = (n & 1 == 0, n & 2 == 0, n / 4 + 1);
+            let traits = RequestTraits { idempotent, has_id };
+            let attempts = Attempts::new(idempotent, max_reached);
+            let (reached, ran, paid, result) = (0, 0, 0, ClientResult::Nothing);
+            out.push(Self { request, traits, max_reached, attempts, reached, ran, paid, idle, result });
         }
         out
     }
 
-    /// All that may come next.
+    /// All states that may follow.
     fn next(self) -> Vec<Self> {
-        if self.told != Told::Nothing {
-            let more = self.request < REQUESTS;
-            return if more { Self::starts(self.request + 1, self.kept) } else { vec![] };
+        if self.result != ClientResult::Nothing {
+            let has_next = self.request < REQUESTS;
+            return if has_next { Self::starts(self.request + 1, self.idle) } else { vec![] };
         }
-        // No replica, no room, no token, no time: at any moment.
-        let mut out: Vec<Self> = [false, true].map(|late| self.gives_up(late)).into();
-        let permit = self.tries.permit();
+        // At any moment the router may give up: without a replica, room, token or time.
+        let mut out: Vec<Self> = [false, true].map(|late| self.give_up(late)).into();
+        let permit = self.attempts.permit();
         if permit == Permit::No {
             return out;
         }
         let mut me = self;
         me.paid += u32::from(permit == Permit::Paid);
-        me.tries.begin(permit == Permit::Paid);
-        let kept = me.kept.filter(|_| may_reuse(me.asked));
-        if let Some(kept) = kept {
-            me.kept = None;
-            me.events(Some(kept)).into_iter().for_each(|e| me.after(e, &mut out));
+        me.attempts.begin(permit == Permit::Paid);
+        let idle = me.idle.filter(|_| may_reuse(me.traits));
+        if let Some(idle) = idle {
+            me.idle = None;
+            me.events(Some(idle)).into_iter().for_each(|e| me.after(e, &mut out));
         }
-        // Fresh, or since the kept one had ended before the request was put on it.
+        // A fresh connection, also if the idle one closed before the request was sent.
         me.events(None).into_iter().for_each(|e| me.after(e, &mut out));
         out
     }
 
-    fn gives_up(mut self, late: bool) -> Self {
-        self.told = Told::Last { refused: self.tries.final_status(late) == FinalStatus::Refused };
+    /// The router gives up.
+    fn give_up(mut self, late: bool) -> Self {
+        self.result =
+            ClientResult::RouterError { refused: self.attempts.final_status(late) == FinalStatus::Refused };
         self
     }
 
-    fn events(&self, kept: Option<Kept>) -> Vec<Event> {
+    /// All that may happen in an attempt on an idle connection, or on a fresh one.
+    fn events(&self, idle: Option<IdleConnection>) -> Vec<Event> {
         let mut out = vec![];
-        if kept.is_none() {
+        if idle.is_none() {
             out.push(Event::NotOpened);
         }
         for ran in [false, true] {
-            out.push(Event::LostMember { ran });
+            out.push(Event::NoAnswer { ran });
             out.push(Event::Abandoned { ran });
             for head in heads() {
-                // Its own answer: a replica does not lie about what it has not run, nor about ids.
+                // The request's own answer: replicas tell the truth about ids and about what they did not run.
                 let declined = head.not_run || head.status == 421;
                 let own_id = head.id == AnswerId::Own || head.id == AnswerId::Absent;
                 if own_id && !(declined && ran) {
                     out.push(Event::Head { head, genuine: true, ran });
                 }
-                // Another's, in its place.
-                let Some(with_id) = kept.and_then(|k| k.surplus) else { continue };
+                // The answer to another request in its place.
+                let Some(with_id) = idle.and_then(|idle| idle.surplus_with_id) else { continue };
                 if head.id == if with_id { AnswerId::Other } else { AnswerId::Absent } {
                     out.push(Event::Head { head, genuine: false, ran });
                 }
@@ -136,72 +155,82 @@
         out
     }
 
+    /// All states after an event.
     fn after(mut self, event: Event, out: &mut Vec<Self>) {
         self.reached += u32::from(!matches!(event, Event::NotOpened));
-        if let Event::LostMember { ran } | Event::Abandoned { ran } | Event::Head { ran, .. } = event {
+        if let Event::NoAnswer { ran } | Event::Abandoned { ran } | Event::Head { ran, .. } = event {
             self.ran += u32::from(ran);
         }
         match event {
-            Event::NotOpened => out.push(self.ended(AttemptEnd::NotSent)),
-            Event::LostMember { .. } => out.push(self.ended(AttemptEnd::MayHaveRun)),
+            Event::NotOpened => out.push(self.end_attempt(AttemptEnd::NotSent)),
+            Event::NoAnswer { .. } => out.push(self.end_attempt(AttemptEnd::MayHaveRun)),
             Event::Abandoned { .. } => out.push(self),
-            Event::Head { head, genuine, .. } => match check_answer(self.asked, &head) {
-                AnswerCheck::Declined => out.push(self.ended(AttemptEnd::Declined)),
-                AnswerCheck::MayHaveRun(_) => out.push(self.ended(AttemptEnd::MayHaveRun)),
-                AnswerCheck::Answer => self.ended(AttemptEnd::MayHaveRun).passes(head, genuine, out),
+            Event::Head { head, genuine, .. } => match check_answer(self.traits, &head) {
+                AnswerCheck::Declined => out.push(self.end_attempt(AttemptEnd::Declined)),
+                AnswerCheck::MayHaveRun(_) => out.push(self.end_attempt(AttemptEnd::MayHaveRun)),
+                AnswerCheck::Answer => {
+                    self.end_attempt(AttemptEnd::MayHaveRun).after_body(head, genuine, out);
+                }
             },
         }
     }
 
-    fn ended(mut self, how: AttemptEnd) -> Self {
-        if self.tries.end(how) {
+    fn end_attempt(mut self, end: AttemptEnd) -> Self {
+        if self.attempts.end(end) {
             self.paid -= 1;
         }
         self
     }
 
-    /// The body of an answer that may be passed on.
-    fn passes(self, head: AnswerHead, genuine: bool, out: &mut Vec<Self>) {
-        // Cut: another try where that is allowed. What has come of a stream may have been passed on.
+    /// All states after the body of an answer that may be passed on.
+    fn after_body(self, head: AnswerHead, genuine: bool, out: &mut Vec<Self>) {
+        // Cut off: another attempt if that is allowed. Part of a stream may have been passed on.
         out.push(self);
         for end in ends() {
             let clean = clean_end(end).is_some();
-            let kept = !matches!(end.keep_alive, KeepAlive::Close | KeepAlive::Open(Some(0)));
-            let may = end.sent && end.body == BodyEnd::Complete && kept;
-            assert!(may || !clean, "kept after {end:?}");
-            for surplus in [None, Some(self.asked.has_id)] {
+            let keeps_open = !matches!(end.keep_alive, KeepAlive::Close | KeepAlive::Open(Some(0)));
+            let may = end.sent && end.body == BodyEnd::Complete && keeps_open;
+            assert!(may || !clean, "reused after {end:?}");
+            for surplus_with_id in [None, Some(self.traits.has_id)] {
                 let mut me = self;
-                me.kept = clean.then_some(Kept { surplus });
-                let whole = end.body == BodyEnd::Complete;
-                if whole {
-                    // Its own failure may be left for another's answer.
+                me.idle = clean.then_some(IdleConnection { surplus_with_id });
+                let complete = end.body == BodyEnd::Complete;
+                if complete {
+                    // A server error may be dropped in favor of another attempt.
                     out.push(me);
                 }
-                me.told = Told::Answer { status: head.status, sealed: head.sealed, genuine, whole };
+                me.result =
+                    ClientResult::Answer { status: head.status, sealed: head.sealed, genuine, complete };
                 out.push(me);
             }
         }
     }
 
-    /// What holds at every moment.
+    /// What must hold in every state.
     fn check(&self) {
-        assert!(self.asked.idempotent || self.ran <= 1, "run twice: {self:?}");
-        assert!(self.reached <= self.most, "more replicas than tries: {self:?}");
-        assert!(self.reached <= self.paid + 1, "a further try that nobody paid for: {self:?}");
-        let nothing_ran = self.asked.idempotent || self.ran == 0;
-        match self.told {
-            Told::Nothing => {}
-            Told::Last { refused } => assert!(!refused || nothing_ran, "refused, and it ran: {self:?}"),
-            Told::Answer { status, sealed, genuine, whole } => {
-                assert!(genuine, "another's answer: {self:?}");
-                assert!(status >= 200, "no answer: {self:?}");
-                assert!(!whole || sealed || !(200..300).contains(&status), "no seal: {self:?}");
-                assert!(!PROMISES.contains(&status) || nothing_ran, "promised, and it ran: {self:?}");
+        assert!(self.traits.idempotent || self.ran <= 1, "run twice: {self:?}");
+        assert!(self.reached <= self.max_reached, "more replicas than tries: {self:?}");
+        assert!(self.reached <= self.paid + 1, "a retry that was not paid for: {self:?}");
+        let nothing_ran = self.traits.idempotent || self.ran == 0;
+        match self.result {
+            ClientResult::Nothing => {}
+            ClientResult::RouterError { refused } => {
+                assert!(!refused || nothing_ran, "refused, and it ran: {self:?}");
+            }
+            ClientResult::Answer { status, sealed, genuine, complete } => {
+                assert!(genuine, "another request's answer: {self:?}");
+                assert!(status >= 200, "not a final answer: {self:?}");
+                assert!(!complete || sealed || !(200..300).contains(&status), "no seal: {self:?}");
+                assert!(
+                    !NOT_RUN_STATUSES.contains(&status) || nothing_ran,
+                    "a not-run status, and it ran: {self:?}"
+                );
             }
         }
     }
 }
 
+/// All ends of an exchange.
 fn ends() -> Vec<ExchangeEnd> {
     let mut out = vec![];
     for body in [BodyEnd::Complete, BodyEnd::Broken, BodyEnd::Unread] {
@@ -212,6 +241,7 @@
     out
 }
 
+/// All heads of an answer.
 fn heads() -> Vec<AnswerHead> {
     let mut out = vec![];
     for status in STATUSES {
@@ -225,12 +255,12 @@
     out
 }
 
-/// Looks at every state that can be reached; their number.
+/// Checks every reachable state, and returns how many there are.
 fn search() -> usize {
-    // What may never be put on a connection that others have used.
+    // Requests that may never be sent on a connection that others have used.
     for n in 0..3 {
-        let asked = RequestTraits { idempotent: n & 1 != 0, has_id: n & 2 != 0 };
-        assert!(!may_reuse(asked), "on a kept connection: {asked:?}");
+        let traits = RequestTraits { idempotent: n & 1 != 0, has_id: n & 2 != 0 };
+        assert!(!may_reuse(traits), "on a used connection: {traits:?}");
     }
     let mut open = State::starts(1, None);
     let mut seen: HashSet<State> = open.iter().copied().collect();
@@ -245,40 +275,41 @@
     seen.len()
 }
 
+/// The search with one decision of the product taken out.
 fn search_with(broken: Option<&str>) -> usize {
     Simulation::run(1, broken.map(String::from), |_| async { search() })
 }
 
-/// Nothing that may not be repeated is run twice or called refused though it ran; no answer goes to
-/// another's caller; further tries are counted and paid for; only clean ends leave a connection.
+/// A request that is not idempotent never runs twice and is never reported as refused if it ran. No answer goes to
+/// another request's client. Retries are counted and paid for. Only connections with a clean end are reused.
 #[test]
-fn every_interleaving_keeps_the_rules() {
+fn every_reachable_state_is_valid() {
     let states = search_with(None);
-    assert!(states > 10_000, "only {states} states were looked at");
+    assert!(states > 10_000, "only {states} states were checked");
     println!("{states} states");
 }
 
-/// Each decision taken out is missed.
+/// The search finds a violation if any one decision of the product is taken out.
 #[rstest]
-#[case::foreign("foreign-answer-taken", "another's answer")]
+#[case::foreign("foreign-answer-taken", "another request's answer")]
 #[case::seal("success-without-seal", "no seal")]
-#[case::promise("promise-passed-on", "promised, and it ran")]
-#[case::write_kept("write-on-kept", "on a kept connection")]
-#[case::no_id_kept("no-id-on-kept", "on a kept connection")]
+#[case::promise("promise-passed-on", "a not-run status, and it ran")]
+#[case::write_on_used_connection("write-on-kept", "on a used connection")]
+#[case::no_id_on_used_connection("no-id-on-kept", "on a used connection")]
 #[case::sent_again("write-sent-again", "run twice")]
 #[case::tries("tries-not-counted", "more replicas than tries")]
 #[case::abandoned("abandoned-not-counted", "more replicas than tries")]
 #[case::refused("unknown-called-refused", "refused, and it ran")]
-#[case::unread("kept-after-unread", "kept after")]
-#[case::half_sent("kept-half-sent", "kept after")]
-fn what_is_taken_out_is_missed(#[case] broken: &'static str, #[case] expected: &str) {
-    let found = std::panic::catch_unwind(|| search_with(Some(broken)));
-    let why = found.expect_err("a broken rule");
-    let why = why.downcast_ref::<String>().expect("a message");
-    assert!(why.contains(expected), "{why}");
+#[case::unread("kept-after-unread", "reused after")]
+#[case::half_sent("kept-half-sent", "reused after")]
+fn each_removed_decision_is_detected(#[case] broken: &'static str, #[case] expected: &str) {
+    let result = std::panic::catch_unwind(|| search_with(Some(broken)));
+    let message = result.expect_err("a violation");
+    let message = message.downcast_ref::<String>().expect("a message");
+    assert!(message.contains(expected), "{message}");
 }
 
-/// `Connection` and `Keep-Alive` as replicas write them.
+/// The headers `Connection` and `Keep-Alive` in all forms that replicas may send.
 #[rstest]
 #[case(false, "", "", KeepAlive::Open(None))]
 #[case(false, "close", "timeout=5", KeepAlive::Close)]
@@ -289,7 +320,7 @@
 #[case(false, "keep-alive", "timeout=\"3\"", KeepAlive::Open(Some(3_000)))]
 #[case(false, "keep-alive", "timeout=soon", KeepAlive::Open(None))]
 #[case(false, "", "timeout=99999999999999999999", KeepAlive::Open(None))]
-fn what_a_head_says_of_its_connection(
+fn keep_alive_headers_are_parsed(
     #[case] http_1_0: bool,
     #[case] connection: &str,
     #[case] keep_alive: &str,
--- a/crates/data-plane/tests/serving/authentication.rs
+++ b/crates/data-plane/tests/serving/authentication.rs
@@ -1,4 +1,4 @@
-//! Whose a request is, by the credentials in its head.
+//! Tests of `data_plane::serving::authentication`: the tenant of a request by its credentials.
 
 use crate::test_data::{header_names, route};
 use configuration::{ApiKey, RequestLimits, Route, RouteKind, RouteMap, TenantPolicy, Tenants};
@@ -6,7 +6,8 @@
 use hyper::{HeaderMap, header::AUTHORIZATION};
 use rstest::rstest;
 
-fn map(with_tenants: bool) -> RouteMap {
+/// A configuration with the tenants `a` (key `k1`) and `b` (key `k2`), or without tenants.
+fn route_map(with_tenants: bool) -> RouteMap {
     let mut tenants = Tenants::default();
     let policy = |name: &str| TenantPolicy { name: name.into(), urgency: None, homes: Default::default() };
     tenants.add(policy("a"), [ApiKey::new("k1")]).unwrap();
@@ -40,15 +41,15 @@
     #[case] expected: Result<Option<&str>, Unauthenticated>,
 ) {
     let route = Route { public, ..route("talk", RouteKind::ReadOnly) };
-    let found = tenant(&header_names(), &map(true), &route, &head(credentials));
+    let found = tenant(&header_names(), &route_map(true), &route, &head(credentials));
     let found = found.map(|tenant| tenant.map(|tenant| tenant.name.to_string()));
     assert_eq!(found, expected.map(|name| name.map(str::to_string)));
 }
 
 #[test]
-fn without_tenants_nobody_needs_a_key() {
+fn without_tenants_no_key_is_needed() {
     let route = route("talk", RouteKind::ReadOnly);
     for credentials in [&[][..], &["Token k3"][..]] {
-        assert_eq!(tenant(&header_names(), &map(false), &route, &head(credentials)), Ok(None));
+        assert_eq!(tenant(&header_names(), &route_map(false), &route, &head(credentials)), Ok(None));
     }
 }
--- a/crates/data-plane/tests/serving/placement.rs
+++ b/crates/data-plane/tests/serving/placement.rs
@@ -1,4 +1,5 @@
-//! Where users are placed, over routers that settle at the owners of the table's shards (design 5.1, 5.3, 9.4).
+//! Placement of users in regions by several routers, which agree through the owners of the placement table's shards
+//! (design 5.1, 5.3, 9.4).
 
 use crate::{
     fleet::{Fleet, REPORTED, SUBSCRIBED, ip},
@@ -15,10 +16,11 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 use tokio::time::sleep;
 
+/// Users by their key.
 const USERS: std::ops::Range<u64> = 0..64;
 /// Long enough for a call to the owner of a shard.
-const SETTLED_MS: u64 = 2_000;
-/// Two routers of the south that users come to.
+const SETTLE_MS: u64 = 2_000;
+/// Two routers in the south that receive the same users' requests at the same time.
 const RACERS: [usize; 2] = [REPORTED, REPORTED + 1];
 
 fn regions_of_zones() -> BTreeMap<Zone, Region> {
@@ -27,7 +29,7 @@
         .into()
 }
 
-/// A user's request that arrives in the south, on a route with these homes.
+/// A user's request that arrives in the south, on a route with these home regions.
 fn plan(user: u64, homes: &[&str]) -> Plan {
     let homes = homes.iter().map(|home| Region::new(*home)).collect();
     let route = Route { affinity: true, homes, ..route("talk", RouteKind::ReadOnly) };
@@ -58,8 +60,8 @@
     }
 }
 
-/// Tells a router how many requests run at the one replica, of 20 slots, of the north and of the west.
-fn tell(serving: &Serving, north: u32, west: u32) {
+/// Gives a router reports on how many requests run at the only replica, of 20 slots, of the north and of the west.
+fn report_load(serving: &Serving, north: u32, west: u32) {
     let mut store = ReportStore::default();
     let now = serving.now();
     assert!(store.take(replica_report("n1", 1, vec![replica_row(1, north)]), now));
@@ -67,7 +69,7 @@
     serving.replica_view.store(Arc::new(store.fleet(&regions_of_zones(), 3_000, LIST_MAX_AGE_MS)));
 }
 
-/// The region to which each user's request would go first, at one router.
+/// The region that one router would try first for each user.
 async fn first_regions(fleet: &Fleet, n: usize) -> Vec<Region> {
     let choose = |serving: &Arc<Serving>| {
         let first = |user| {
@@ -79,37 +81,38 @@
     fleet.on(n, choose).await
 }
 
+/// The first regions at both routers.
 async fn race(fleet: &Fleet) -> [Vec<Region>; 2] {
     let [a, b] = RACERS;
     [first_regions(fleet, a).await, first_regions(fleet, b).await]
 }
 
-/// Two routers with other figures draw other first regions for some users, at the same moment and without waiting; the
-/// owner of each shard decides, and from then on both go by its word.
+/// Two routers with different load reports draw different first regions for some users, at the same time and without
+/// waiting. The owner of each shard decides, and from then on both use its decision.
 #[test]
 fn racing_routers_agree_on_a_first_region() {
     Simulation::run(21, None, |world| async move {
         let fleet = Fleet::start_still(world).await;
         let [a, b] = RACERS;
-        tell(&fleet.routers[a], 2, 18);
-        tell(&fleet.routers[b], 18, 2);
+        report_load(&fleet.routers[a], 2, 18);
+        report_load(&fleet.routers[b], 18, 2);
         let drawn = race(&fleet).await;
-        assert_ne!(drawn[0], drawn[1], "the figures draw alike: nothing is raced for");
-        sleep(Duration::from_millis(SETTLED_MS)).await;
+        assert_ne!(drawn[0], drawn[1], "the reports lead to the same draws: there is no race");
+        sleep(Duration::from_millis(SETTLE_MS)).await;
         let settled = race(&fleet).await;
         assert_eq!(settled[0], settled[1]);
         let either = |user: usize| [&drawn[0][user], &drawn[1][user]].contains(&&settled[0][user]);
-        assert!((0..settled[0].len()).all(either), "a region that nobody drew");
-        // Figures that turn round move nobody while both regions pass the tests.
-        tell(&fleet.routers[a], 18, 2);
+        assert!((0..settled[0].len()).all(either), "a region that neither router drew");
+        // Opposite load reports move no user as long as both regions are healthy and not overloaded.
+        report_load(&fleet.routers[a], 18, 2);
         assert_eq!(first_regions(&fleet, a).await, settled[0]);
     });
 }
 
-/// The owners are out of reach: each router goes on by its own draw, which is the same for the same figures, without a
-/// wait and without a change from one request to the next; once they are back all agree.
+/// The owners are unreachable: each router uses its own draw, which is the same for the same load reports, does not
+/// wait, and does not change from one request to the next. Once the owners are back, all routers agree.
 #[test]
-fn without_the_table_routers_go_on_and_agree_by_key() {
+fn without_the_table_routers_agree_by_key() {
     Simulation::run(22, None, |world| async move {
         let fleet = Fleet::start_still(world).await;
         let [a, b] = RACERS;
@@ -120,18 +123,18 @@
             .collect();
         fleet.world.partition(links.iter().copied());
         for racer in RACERS {
-            tell(&fleet.routers[racer], 9, 11);
+            report_load(&fleet.routers[racer], 9, 11);
         }
         let drawn = race(&fleet).await;
-        assert_eq!(drawn[0], drawn[1], "the same figures draw alike");
+        assert_eq!(drawn[0], drawn[1], "the same reports lead to the same draws");
         let regions: std::collections::BTreeSet<_> = drawn[0].iter().collect();
-        assert_eq!(regions.len(), 2, "all users in one region show nothing");
-        sleep(Duration::from_millis(SETTLED_MS)).await;
-        tell(&fleet.routers[a], 11, 9);
+        assert_eq!(regions.len(), 2, "the test needs users in both regions");
+        sleep(Duration::from_millis(SETTLE_MS)).await;
+        report_load(&fleet.routers[a], 11, 9);
         let later = race(&fleet).await;
-        assert_eq!(later, drawn, "nobody moves while both regions pass the tests");
+        assert_eq!(later, drawn, "no user moves while both regions are eligible");
         fleet.world.heal(&links);
-        // A confirmation is asked for anew with a request that comes later than the last was given up.
+        // Only a request that arrives after the previous call was given up asks the table again.
         for _ in 0..4 {
             race(&fleet).await;
             sleep(Duration::from_millis(6_000)).await;
@@ -141,32 +144,33 @@
     });
 }
 
-/// Homes bind a stored entry: one outside of them is passed over for as long as it lives, and so is a draw.
+/// A cached placement outside the home regions is ignored for as long as it is valid; a draw does not leave them
+/// either.
 #[test]
-fn a_stored_region_outside_the_homes_is_not_used() {
+fn a_cached_region_outside_the_home_regions_is_not_used() {
     Simulation::run(23, None, |world| async move {
         let fleet = Fleet::start_still(world).await;
         let n = RACERS[0];
-        tell(&fleet.routers[n], 2, 2);
-        let look = |serving: &Arc<Serving>| {
+        report_load(&fleet.routers[n], 2, 2);
+        let check = |serving: &Arc<Serving>| {
             for user in USERS {
-                let stored = |region: &str| Cached {
+                let cached = |region: &str| Cached {
                     region: region.into(),
                     ver: 7,
                     confirmed_at: serving.now(),
                     until: serving.now() + PLACEMENT_TTL_MS,
                 };
                 let at = (UserKey(user), "chat".into());
-                lock(&serving.router.cache).insert(at.clone(), stored("west"));
+                lock(&serving.router.cache).insert(at.clone(), cached("west"));
                 let regions = |homes: &[&str]| serving.ranked_regions(&plan(user, homes), &|_| true);
                 assert_eq!(
                     regions(&["north", "west"])[0],
                     "west".into(),
-                    "the stored one, where it is a home"
+                    "the cached one, if it is a home region"
                 );
                 assert_eq!(regions(&["north"]), ["north".into()], "user {user}");
             }
         };
-        fleet.on(n, look).await;
+        fleet.on(n, check).await;
     });
 }
