--- a/crates/control-plane/tests/desk.rs
+++ b/crates/control-plane/tests/desk.rs
@@ -30,12 +30,12 @@
 fn cores_of_any_size_form_and_accept(#[values(1, 2, 3, 5, 6, 7)] voters: usize) {
     Simulation::run(7, None, |w| async move {
         let c = Cluster::initialized(w, voters).await;
-        for s in &c.at {
-            assert_eq!(s.core.status().cluster_state.voters.len(), voters);
+        for s in &c.nodes {
+            assert_eq!(s.control_node.status().cluster_state.voters.len(), voters);
             assert_eq!(s.read().await, Ok(None));
         }
-        assert_eq!(c.at[voters - 1].replace(0, "3\nfirst").await, OperationOutcome::Accepted);
-        for s in &c.at {
+        assert_eq!(c.nodes[voters - 1].replace(0, "3\nfirst").await, OperationOutcome::Accepted);
+        for s in &c.nodes {
             assert_eq!(s.read().await, held(3, "3\nfirst"));
         }
     });
@@ -47,7 +47,7 @@
     Simulation::run(8, None, |w| async move {
         let c = Cluster::start(w, voters, false).await;
         tokio::time::sleep(Duration::from_secs(60)).await;
-        assert!(c.at.iter().all(|s| !s.core.status().initialized));
+        assert!(c.nodes.iter().all(|s| !s.control_node.status().initialized));
     });
 }
 
@@ -57,11 +57,14 @@
     Simulation::run(9, None, |w| async move {
         let c = Cluster::initialized(w, 2).await;
         let at = c.leader();
-        c.cut_off(1 - at);
-        assert_ne!(c.at[at].replace(0, "1\nalone").await, OperationOutcome::Accepted);
-        assert_eq!(c.at[at].core.status().cluster_state.revision.0, 0, "nothing came into force");
-        c.mend(1 - at);
-        c.until("both are led again", |c| c.at.iter().all(|s| s.core.status().leader.is_some())).await;
+        c.isolate(1 - at);
+        assert_ne!(c.nodes[at].replace(0, "1\nalone").await, OperationOutcome::Accepted);
+        assert_eq!(c.nodes[at].control_node.status().cluster_state.revision.0, 0, "nothing came into force");
+        c.heal(1 - at);
+        c.wait_until("both are led again", |c| {
+            c.nodes.iter().all(|s| s.control_node.status().leader.is_some())
+        })
+        .await;
     });
 }
 
@@ -71,7 +74,7 @@
     Amend,
 }
 
-async fn send(s: &cluster::Stand, kind: Kind, base_version: u64, text: &str) -> OperationOutcome {
+async fn send(s: &cluster::ClusterNode, kind: Kind, base_version: u64, text: &str) -> OperationOutcome {
     match kind {
         Kind::Replace => s.replace(base_version, text).await,
         Kind::Amend => s.amend(base_version, text).await,
@@ -89,8 +92,8 @@
 ) {
     Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[0].replace(0, "2\nbase").await, OperationOutcome::Accepted);
-        let (a, b) = (&c.at[at.0], &c.at[at.1]);
+        assert_eq!(c.nodes[0].replace(0, "2\nbase").await, OperationOutcome::Accepted);
+        let (a, b) = (&c.nodes[at.0], &c.nodes[at.1]);
         let (texts, kinds) = (["5\n, one", "6\n, two"], [first, second]);
         let told = tokio::join!(send(a, kinds[0], 2, texts[0]), send(b, kinds[1], 2, texts[1]));
         let told = [told.0, told.1];
@@ -101,7 +104,7 @@
             Kind::Replace => texts[won].to_string(),
             Kind::Amend => texts[won].replacen('\n', "\nbase", 1),
         };
-        for s in &c.at {
+        for s in &c.nodes {
             assert_eq!(s.read().await, held(version, &text));
             let again = send(s, kinds[1 - won], 2, texts[1 - won]).await;
             assert_eq!(again, OperationOutcome::Conflict { current: Some(version) });
@@ -117,11 +120,11 @@
         let c = Cluster::initialized(w, 3).await;
         let all = [(0, "1\na"), (1, "4\nb"), (4, "9\nc")];
         for (n, (base_version, text)) in all.iter().enumerate() {
-            assert_eq!(c.at[n].replace(*base_version, text).await, OperationOutcome::Accepted);
-            assert_eq!(c.at[n].replace(*base_version, text).await, OperationOutcome::Accepted);
+            assert_eq!(c.nodes[n].replace(*base_version, text).await, OperationOutcome::Accepted);
+            assert_eq!(c.nodes[n].replace(*base_version, text).await, OperationOutcome::Accepted);
         }
-        assert_eq!(c.at[1].amend(9, "10\n, d").await, OperationOutcome::Accepted);
-        for s in &c.at {
+        assert_eq!(c.nodes[1].amend(9, "10\n, d").await, OperationOutcome::Accepted);
+        for s in &c.nodes {
             for (base_version, text) in all {
                 assert_eq!(s.replace(base_version, text).await, OperationOutcome::Accepted);
             }
@@ -138,12 +141,12 @@
 fn a_resend_outlives_later_verdicts() {
     Simulation::run(12, None, |w| async move {
         let c = Cluster::initialized(w, 1).await;
-        let s = &c.at[0];
+        let s = &c.nodes[0];
         assert_eq!(s.replace(0, "1\na").await, OperationOutcome::Accepted);
         for n in 0..RECENT_OPERATIONS_KEPT + 1 {
             assert_eq!(s.evacuate("far", n % 2 == 0).await, OperationOutcome::Accepted);
         }
-        assert_eq!(s.outcomes(), RECENT_OPERATIONS_KEPT);
+        assert_eq!(s.recorded_operations(), RECENT_OPERATIONS_KEPT);
         assert_eq!(s.replace(0, "1\na").await, OperationOutcome::Accepted);
         assert_eq!(s.replace(1, "2\nb").await, OperationOutcome::Accepted);
         assert_eq!(s.replace(0, "1\na").await, OperationOutcome::Accepted);
@@ -154,7 +157,7 @@
 fn what_can_not_be_taken_is_told_and_changes_nothing() {
     Simulation::run(13, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        let s = &c.at[1];
+        let s = &c.nodes[1];
         assert_eq!(s.replace(3, "4\n").await, OperationOutcome::Conflict { current: Some(0) });
         assert!(invalid(&s.replace(0, "0\n").await).contains("allowed: above 0"));
         assert_eq!(s.replace(0, "6\nkept").await, OperationOutcome::Accepted);
@@ -179,7 +182,7 @@
         assert_eq!(s.read().await, held(6, "6\nkept"));
         // The longest one is taken, from a node that has to send it to the leader.
         let far = (c.leader() + 1) % 3;
-        assert_eq!(c.at[far].replace(6, &long(MAX_DOCUMENT_BYTES)).await, OperationOutcome::Accepted);
+        assert_eq!(c.nodes[far].replace(6, &long(MAX_DOCUMENT_BYTES)).await, OperationOutcome::Accepted);
         assert_eq!(s.read().await, held(7, &long(MAX_DOCUMENT_BYTES)));
     });
 }
@@ -190,22 +193,22 @@
     Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
         let old = c.leader();
-        assert_eq!(c.at[old].replace(0, "1\na").await, OperationOutcome::Accepted);
-        c.cut_off(old);
-        assert_eq!(c.at[old].replace(1, "2\nb").await, OperationOutcome::Undetermined);
+        assert_eq!(c.nodes[old].replace(0, "1\na").await, OperationOutcome::Accepted);
+        c.isolate(old);
+        assert_eq!(c.nodes[old].replace(1, "2\nb").await, OperationOutcome::Undetermined);
         assert!(matches!(
-            c.at[old].replace(1, "2\nb").await,
+            c.nodes[old].replace(1, "2\nb").await,
             OperationOutcome::Undetermined | OperationOutcome::Unavailable(_)
         ));
-        c.until("another leads", |c| {
-            let v = c.at[(old + 1) % 3].core.status();
+        c.wait_until("another leads", |c| {
+            let v = c.nodes[(old + 1) % 3].control_node.status();
             v.leader.is_some_and(|l| l.node.as_str() != format!("s{old}"))
         })
         .await;
-        c.mend(old);
+        c.heal(old);
         let mut told = OperationOutcome::Undetermined;
         for _ in 0..100 {
-            told = c.at[old].replace(1, "2\nb").await;
+            told = c.nodes[old].replace(1, "2\nb").await;
             if told == OperationOutcome::Accepted {
                 break;
             }
@@ -216,10 +219,10 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         assert_eq!(told, OperationOutcome::Accepted);
-        for s in &c.at {
+        for s in &c.nodes {
             assert_eq!(s.replace(1, "2\nb").await, OperationOutcome::Accepted);
             assert_eq!(s.read().await, held(2, "2\nb"));
-            assert_eq!(s.core.status().cluster_state.revision.0, 2, "each was taken once");
+            assert_eq!(s.control_node.status().cluster_state.revision.0, 2, "each was taken once");
         }
     });
 }
@@ -233,8 +236,8 @@
     let text = text.to_string();
     Simulation::run(21, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[2].replace(0, &text).await, OperationOutcome::Accepted);
-        for s in &c.at {
+        assert_eq!(c.nodes[2].replace(0, &text).await, OperationOutcome::Accepted);
+        for s in &c.nodes {
             assert_eq!(s.read().await, held(1, &text));
         }
     });
@@ -244,21 +247,21 @@
 fn areas_are_evacuated_and_taken_back() {
     Simulation::run(31, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
+        assert_eq!(c.nodes[0].replace(0, "1\na").await, OperationOutcome::Accepted);
         // "far" is known by name only; in "a2" a voter stands.
         for (at, zone) in [(0, "far"), (1, "a2"), (2, "a2")] {
-            assert_eq!(c.at[at].evacuate(zone, true).await, OperationOutcome::Accepted);
+            assert_eq!(c.nodes[at].evacuate(zone, true).await, OperationOutcome::Accepted);
         }
-        assert_eq!(c.at[2].evacuated().await, ["a2", "far"]);
+        assert_eq!(c.nodes[2].evacuated_zones().await, ["a2", "far"]);
         // A document takes none back.
-        assert_eq!(c.at[1].replace(1, "2\nb").await, OperationOutcome::Accepted);
-        assert_eq!(c.at[0].evacuated().await, ["a2", "far"]);
+        assert_eq!(c.nodes[1].replace(1, "2\nb").await, OperationOutcome::Accepted);
+        assert_eq!(c.nodes[0].evacuated_zones().await, ["a2", "far"]);
         for at in 0..2 {
-            assert_eq!(c.at[at].evacuate("far", false).await, OperationOutcome::Accepted);
+            assert_eq!(c.nodes[at].evacuate("far", false).await, OperationOutcome::Accepted);
         }
-        assert_eq!(c.at[0].evacuated().await, ["a2"]);
-        assert!(invalid(&c.at[0].evacuate("nowhere", true).await).contains("known to no node"));
-        assert!(invalid(&c.at[0].evacuate("no name", true).await).contains("allowed"));
-        assert_eq!(c.at[1].evacuated().await, ["a2"]);
+        assert_eq!(c.nodes[0].evacuated_zones().await, ["a2"]);
+        assert!(invalid(&c.nodes[0].evacuate("nowhere", true).await).contains("known to no node"));
+        assert!(invalid(&c.nodes[0].evacuate("no name", true).await).contains("allowed"));
+        assert_eq!(c.nodes[1].evacuated_zones().await, ["a2"]);
     });
 }
--- a/crates/control-plane/tests/operator/cut_off.rs
+++ b/crates/control-plane/tests/operator/cut_off.rs
@@ -1,6 +1,6 @@
 //! A control node that is cut off from the others while an operator asks it (design 2.3, 4.9).
 
-use crate::cluster::{Cluster, Stand};
+use crate::cluster::{Cluster, ClusterNode};
 use common::runtime::Simulation;
 use control_plane::operator::OperationOutcome;
 use rstest::rstest;
@@ -41,25 +41,25 @@
     }
 }
 
-async fn version_at(s: &Stand) -> u64 {
+async fn version_at(s: &ClusterNode) -> u64 {
     s.read().await.unwrap().unwrap().0
 }
 
 fn begin(c: &Cluster, n: usize, how: How) {
     match how {
-        How::Silent => c.cut_off(n),
-        How::Outward => c.cut_outward(n),
-        How::Inward => c.cut_inward(n),
-        How::Frozen => c.at[n].freeze(),
+        How::Silent => c.isolate(n),
+        How::Outward => c.drop_outgoing(n),
+        How::Inward => c.drop_incoming(n),
+        How::Frozen => c.nodes[n].freeze(),
     }
 }
 
 fn end(c: &Cluster, n: usize, how: How) {
-    if how == How::Frozen { c.at[n].thaw() } else { c.mend(n) }
+    if how == How::Frozen { c.nodes[n].thaw() } else { c.heal(n) }
 }
 
 /// Sends a new version, on top of the one in place, until it is taken.
-async fn taken(s: &Stand, version: u64) {
+async fn taken(s: &ClusterNode, version: u64) {
     let base = s.read().await.ok().flatten().map_or(version - 1, |r| r.0);
     for _ in 0..100 {
         let told = s.replace(base, &format!("{version}\n")).await;
@@ -86,7 +86,7 @@
 ) {
     Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w.clone(), voters).await;
-        taken(&c.at[0], 1).await;
+        taken(&c.nodes[0], 1).await;
         let lead = c.leader();
         let n = if whom == Whom::Leader { lead } else { (lead + 1) % voters };
         let other = (lead + 2) % voters;
@@ -98,14 +98,14 @@
         let mut acknowledged = 0;
         while w.ms() < began + CUT_MS {
             let asked = w.ms();
-            let read = c.at[n].read().await;
+            let read = c.nodes[n].read().await;
             let took = w.ms() - asked;
             assert!(took <= SILENCE_MS, "a read took {took} ms, {} ms after the cut", asked - began);
             let held = read.as_ref().ok().and_then(|r| r.as_ref()).map(|r| r.0);
             let may_be = |v: u64| v == version || left_open.contains(&v);
             assert!(held.is_none_or(may_be), "read {held:?} where {version} is accepted");
             let asked_order = w.ms();
-            let told = c.at[n].replace(version, &format!("{}\nx", version + 1_000)).await;
+            let told = c.nodes[n].replace(version, &format!("{}\nx", version + 1_000)).await;
             left_open.push(version + 1_000);
             let took_order = w.ms() - asked_order;
             assert!(took_order <= SILENCE_MS, "an order took {took_order} ms");
@@ -120,8 +120,8 @@
                 );
                 let at_once = took == 0 && took_order == 0;
                 assert!(at_once, "{took} ms and {took_order} ms, {} ms after the cut", asked - began);
-                version = version_at(&c.at[other]).await + 1;
-                taken(&c.at[other], version).await;
+                version = version_at(&c.nodes[other]).await + 1;
+                taken(&c.nodes[other], version).await;
                 left_open.clear();
                 acknowledged += 1;
             }
@@ -130,9 +130,9 @@
         assert!(acknowledged > 10, "the others went on: {acknowledged}");
         end(&c, n, how);
         sleep(Duration::from_millis(SILENCE_MS)).await;
-        let read = c.at[n].read().await.unwrap().unwrap();
+        let read = c.nodes[n].read().await.unwrap().unwrap();
         assert_eq!(read.0, version, "newest within a second of the return");
-        taken(&c.at[n], version + 1).await;
+        taken(&c.nodes[n], version + 1).await;
     });
 }
 
@@ -144,17 +144,17 @@
 ) {
     Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w.clone(), 3).await;
-        taken(&c.at[0], 1).await;
+        taken(&c.nodes[0], 1).await;
         let lead = c.leader();
         let n = if whom == Whom::Leader { lead } else { (lead + 1) % 3 };
         begin(&c, n, How::Frozen);
         sleep(Duration::from_millis(CUT_MS / 2)).await;
-        taken(&c.at[(lead + 2) % 3], 2).await;
+        taken(&c.nodes[(lead + 2) % 3], 2).await;
         sleep(Duration::from_millis(CUT_MS / 2)).await;
         end(&c, n, How::Frozen);
         let mut held = None;
         for _ in 0..10 {
-            if let Ok(read) = c.at[n].read().await {
+            if let Ok(read) = c.nodes[n].read().await {
                 assert_eq!(read, Some((2, "2\n".into())));
                 held = read;
             }
@@ -170,14 +170,14 @@
 fn between_leaders_calls_end_in_time(#[values(1, 2, 3)] seed: u64) {
     Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w.clone(), 3).await;
-        taken(&c.at[0], 1).await;
+        taken(&c.nodes[0], 1).await;
         let lead = c.leader();
-        c.cut_off(lead);
+        c.isolate(lead);
         let began = w.ms();
         let mut refused = 0;
         loop {
             let asked = w.ms();
-            let read = c.at[(lead + 1) % 3].read().await;
+            let read = c.nodes[(lead + 1) % 3].read().await;
             assert!(w.ms() - asked <= SILENCE_MS, "a read took {} ms", w.ms() - asked);
             match read {
                 Ok(read) => break assert_eq!(read.unwrap().0, 1),
@@ -194,13 +194,13 @@
 fn read_while_cut_off(whom: Whom, broken: Option<&str>) -> Result<Option<(u64, String)>, String> {
     Simulation::run(5, broken.map(Into::into), |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        taken(&c.at[0], 1).await;
+        taken(&c.nodes[0], 1).await;
         let lead = c.leader();
         let n = if whom == Whom::Leader { lead } else { (lead + 1) % 3 };
-        c.cut_off(n);
+        c.isolate(n);
         sleep(Duration::from_millis(How::Silent.knows_ms())).await;
-        assert_eq!(c.at[(lead + 2) % 3].replace(1, "2\n").await, OperationOutcome::Accepted);
-        c.at[n].read().await
+        assert_eq!(c.nodes[(lead + 2) % 3].replace(1, "2\n").await, OperationOutcome::Accepted);
+        c.nodes[n].read().await
     })
 }
 
--- a/crates/control-plane/tests/operator/orders.rs
+++ b/crates/control-plane/tests/operator/orders.rs
@@ -1,6 +1,6 @@
 //! Orders that are sent again (design 4.9): an accepted one is accepted again, wherever and whenever.
 
-use crate::cluster::{Cluster, Stand};
+use crate::cluster::{Cluster, ClusterNode};
 use common::{Index, OpId, Revision, runtime::Simulation, wire};
 use control_plane::{
     ApplyOutcome, Change, ClusterState,
@@ -14,7 +14,7 @@
 };
 use rstest::rstest;
 
-async fn send(s: &Stand, kind: &str, base_version: u64, text: &str) -> OperationOutcome {
+async fn send(s: &ClusterNode, kind: &str, base_version: u64, text: &str) -> OperationOutcome {
     match kind {
         "replace" => s.replace(base_version, text).await,
         _ => s.amend(base_version, text).await,
@@ -26,20 +26,23 @@
 fn resend_after_hundreds_of_changes(kind: &'static str, broken: Option<&str>) -> Vec<OperationOutcome> {
     Simulation::run(12, broken.map(Into::into), |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
-        assert_eq!(send(&c.at[1], kind, 1, "2\nb").await, OperationOutcome::Accepted);
+        assert_eq!(c.nodes[0].replace(0, "1\na").await, OperationOutcome::Accepted);
+        assert_eq!(send(&c.nodes[1], kind, 1, "2\nb").await, OperationOutcome::Accepted);
         let mut told = Vec::new();
         for n in 0..RECENT_OPERATIONS_KEPT {
-            assert_eq!(c.at[n % 3].evacuate("far", n % 2 == 0).await, OperationOutcome::Accepted);
+            assert_eq!(c.nodes[n % 3].evacuate("far", n % 2 == 0).await, OperationOutcome::Accepted);
         }
-        for s in &c.at {
+        for s in &c.nodes {
             told.push(send(s, kind, 1, "2\nb").await);
         }
         for version in 2..RECENT_OPERATIONS_KEPT as u64 + 20 {
             let text = format!("{}\n{version}", version + 1);
-            assert_eq!(c.at[version as usize % 3].replace(version, &text).await, OperationOutcome::Accepted);
+            assert_eq!(
+                c.nodes[version as usize % 3].replace(version, &text).await,
+                OperationOutcome::Accepted
+            );
         }
-        for s in &c.at {
+        for s in &c.nodes {
             told.push(send(s, kind, 1, "2\nb").await);
         }
         told
@@ -66,12 +69,16 @@
 ) {
     Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
-        let all = (0..8).map(|n| send(&c.at[n % 3], kind, 1, "2\nb"));
+        assert_eq!(c.nodes[0].replace(0, "1\na").await, OperationOutcome::Accepted);
+        let all = (0..8).map(|n| send(&c.nodes[n % 3], kind, 1, "2\nb"));
         let told = futures::future::join_all(all).await;
         assert!(told.iter().all(|t| *t == OperationOutcome::Accepted), "{told:?}");
-        assert_eq!(c.at[0].read().await.unwrap().unwrap().0, 2);
-        assert_eq!(c.at[c.leader()].core.status().cluster_state.revision, Revision(2), "taken once");
+        assert_eq!(c.nodes[0].read().await.unwrap().unwrap().0, 2);
+        assert_eq!(
+            c.nodes[c.leader()].control_node.status().cluster_state.revision,
+            Revision(2),
+            "taken once"
+        );
     });
 }
 
@@ -80,9 +87,9 @@
 fn another_order_is_not_taken_for_an_accepted_one() {
     Simulation::run(5, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        assert_eq!(c.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
-        assert_eq!(c.at[0].replace(1, "2\nb").await, OperationOutcome::Accepted);
-        for s in &c.at {
+        assert_eq!(c.nodes[0].replace(0, "1\na").await, OperationOutcome::Accepted);
+        assert_eq!(c.nodes[0].replace(1, "2\nb").await, OperationOutcome::Accepted);
+        for s in &c.nodes {
             assert_eq!(s.replace(1, "2\nb ").await, OperationOutcome::Conflict { current: Some(2) });
             assert_eq!(s.replace(0, "2\nb").await, OperationOutcome::Conflict { current: Some(2) });
             assert!(
@@ -150,13 +157,13 @@
 fn evacuated_after_a_late_order(broken: Option<&str>) -> Vec<String> {
     Simulation::run(3, broken.map(Into::into), |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        let s = &c.at[c.leader()];
-        let seen = s.core.status().cluster_state.index;
+        let s = &c.nodes[c.leader()];
+        let seen = s.control_node.status().cluster_state.index;
         let late = Change::Evacuate { op: "late".into(), zone: "far".into(), on: true, seen };
-        assert_eq!(c.at[0].evacuate("far", true).await, OperationOutcome::Accepted);
-        assert_eq!(c.at[1].evacuate("far", false).await, OperationOutcome::Accepted);
+        assert_eq!(c.nodes[0].evacuate("far", true).await, OperationOutcome::Accepted);
+        assert_eq!(c.nodes[1].evacuate("far", false).await, OperationOutcome::Accepted);
         assert!(matches!(s.propose(late).await, ProposalOutcome::Committed { .. }));
-        c.at[2].evacuated().await
+        c.nodes[2].evacuated_zones().await
     })
 }
 
@@ -172,10 +179,10 @@
 fn evacuations_sent_at_once_all_end(#[values(1, 2, 3, 4)] seed: u64) {
     Simulation::run(seed, None, |w| async move {
         let c = Cluster::initialized(w, 3).await;
-        let all = (0..8).map(|n| c.at[n % 3].evacuate("far", n % 2 == 0));
+        let all = (0..8).map(|n| c.nodes[n % 3].evacuate("far", n % 2 == 0));
         let told = futures::future::join_all(all).await;
         assert!(told.iter().all(|t| *t == OperationOutcome::Accepted), "{told:?}");
-        assert_eq!(c.at[0].evacuate("far", false).await, OperationOutcome::Accepted);
-        assert!(c.at[1].evacuated().await.is_empty());
+        assert_eq!(c.nodes[0].evacuate("far", false).await, OperationOutcome::Accepted);
+        assert!(c.nodes[1].evacuated_zones().await.is_empty());
     });
 }
