--- a/crates/control-plane/tests/desk.rs
+++ b/crates/control-plane/tests/desk.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 mod cluster;
-mod noise;
 mod operator;
+mod random_text;
 use cluster::Cluster;
-use noise::noise;
+use random_text::random_text;
 
 fn held(version: u64, text: &str) -> Result<Option<(u64, String)>, String> {
     Ok(Some((version, text.to_string())))
@@ -171,7 +171,7 @@
         let long = |n: usize| format!("7\n{}", "x".repeat(n - 2));
         assert_eq!(s.replace(6, &long(MAX_DOCUMENT_BYTES + 1)).await, OperationOutcome::TooLarge);
         assert_eq!(
-            s.replace(6, &format!("7\n{}", noise(1, MAX_DOCUMENT_BYTES / 4))).await,
+            s.replace(6, &format!("7\n{}", random_text(1, MAX_DOCUMENT_BYTES / 4))).await,
             OperationOutcome::TooLarge
         );
         assert_eq!(
--- a/crates/control-plane/tests/document.rs
+++ b/crates/control-plane/tests/document.rs
@@ -5,8 +5,8 @@
 use control_plane::{Document, MAX_DOCUMENT_BYTES, types::SizeLimits};
 use rstest::rstest;
 
-mod noise;
-use noise::noise;
+mod random_text;
+use random_text::random_text;
 
 fn back(d: &Document) -> Document {
     wire::decode(&wire::encode(d).unwrap()).unwrap()
@@ -17,8 +17,8 @@
 #[case::short("a")]
 #[case::letters(&"ñandú 东 \u{1F682} \u{0} ".repeat(50))]
 #[case::alike(&"x".repeat(MAX_DOCUMENT_BYTES))]
-#[case::unlike(&noise(3, 1 << 20))]
-#[case::half_and_half(&(noise(4, 70_000) + &"y".repeat(70_000)))]
+#[case::unlike(&random_text(3, 1 << 20))]
+#[case::half_and_half(&(random_text(4, 70_000) + &"y".repeat(70_000)))]
 fn texts_come_back_as_they_were(#[case] text: &str) {
     let d = Document::from(text);
     let told = wire::encode(&d).unwrap();
@@ -61,7 +61,7 @@
 #[case(SizeLimits::default().document(), true)]
 #[case(SizeLimits::default().document() + 1, false)]
 fn what_can_not_be_packed_has_less_room(#[case] len: usize, #[case] fits: bool) {
-    assert_eq!(Document::from(noise(5, len)).fits(), fits);
+    assert_eq!(Document::from(random_text(5, len)).fits(), fits);
 }
 
 /// Broken bytes are an error, and reserve no more memory than a document may take.
--- a/crates/control-plane/tests/feed.rs
+++ b/crates/control-plane/tests/feed.rs
@@ -4,16 +4,16 @@
 use common::Index;
 use std::collections::VecDeque;
 
-mod rig;
-use rig::{DOC, Rig, start};
+mod file_cluster;
+use file_cluster::{DOCUMENT_BYTES, FileCluster, start};
 
 /// Feeds to a voter since a moment: those that carry a document, and all.
-fn replication_targets(r: &Rig, to: usize, since: common::Tick) -> (usize, usize) {
-    let to_it = r.replication_targets.iter().filter(|f| f.0 == to && f.1 >= since);
-    (to_it.clone().filter(|f| f.2 >= DOC).count(), to_it.count())
+fn replication_targets(r: &FileCluster, to: usize, since: common::Tick) -> (usize, usize) {
+    let to_it = r.appends_sent.iter().filter(|f| f.0 == to && f.1 >= since);
+    (to_it.clone().filter(|f| f.2 >= DOCUMENT_BYTES).count(), to_it.count())
 }
 
-fn rig(dir: &std::path::Path) -> (Rig, usize) {
+fn rig(dir: &std::path::Path) -> (FileCluster, usize) {
     let mut r = start(dir);
     r.run(5_000);
     let far = (r.leader() + 1) % 3;
@@ -25,17 +25,17 @@
 fn a_long_entry_is_fed_once_while_its_answer_may_be_on_its_way() {
     let dir = tempfile::tempdir().unwrap();
     let (mut r, far) = rig(dir.path());
-    r.slow = Some((far, VecDeque::new()));
+    r.slow_disk = Some((far, VecDeque::new()));
     let since = r.now;
-    r.stalled = true;
-    r.apply(0, DOC);
+    r.slow_disk_stalled = true;
+    r.propose_document(0, DOCUMENT_BYTES);
     r.run(1_000);
     let (long, all) = replication_targets(&r, far, since);
     assert_eq!(long, 1);
     assert!(all >= 10, "{all} beats in a second");
-    r.stalled = false;
+    r.slow_disk_stalled = false;
     r.run(2_000);
-    r.well();
+    r.assert_consistent();
 }
 
 /// What was lost is fed again, once its answer is overdue and not with every heartbeat.
@@ -43,16 +43,16 @@
 fn a_lost_entry_is_fed_again_when_its_answer_is_overdue() {
     let dir = tempfile::tempdir().unwrap();
     let (mut r, far) = rig(dir.path());
-    r.cut = Some(far);
+    r.isolated = Some(far);
     let since = r.now;
-    r.apply(0, DOC);
+    r.propose_document(0, DOCUMENT_BYTES);
     r.run(5_000);
     let (long, all) = replication_targets(&r, far, since);
     assert!((3..=5).contains(&long), "{long} times in five seconds");
     assert!(all >= 50, "{all} beats in five seconds");
-    r.cut = None;
+    r.isolated = None;
     r.run(2_000);
-    r.well();
+    r.assert_consistent();
 }
 
 /// Changes that are logged while a feed is on its way follow with its answer, in their order.
@@ -63,7 +63,7 @@
     let at = r.leader();
     let before = r.voters[at].last_index();
     for n in 0..20 {
-        r.apply(n, 10);
+        r.propose_document(n, 10);
     }
     assert_eq!(r.voters[at].last_index(), Index(before.0 + 20));
     // Once there for the first, there with it and the rest, and there for the last acceptance.
@@ -72,5 +72,5 @@
         assert_eq!(s.last_index(), r.voters[at].last_index());
     }
     r.run(200);
-    r.well();
+    r.assert_consistent();
 }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -1,7 +1,7 @@
 //! A voter whose disk refuses a write steps aside at once, and recovers in its own process by what its
 //! disk holds (design 2.4).
 
-mod rig;
+mod file_cluster;
 mod samples;
 
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
@@ -14,18 +14,21 @@
 use tempfile::tempdir;
 
 /// Three voters with a leader and one accepted document.
-fn settled(dir: &std::path::Path) -> rig::Rig {
-    let mut r = rig::start(dir);
+fn settled(dir: &std::path::Path) -> file_cluster::FileCluster {
+    let mut r = file_cluster::start(dir);
     r.run(6_000);
-    r.apply(1, 200);
+    r.propose_document(1, 200);
     r.run(500);
-    r.well();
+    r.assert_consistent();
     r
 }
 
 fn stop(voter: &Voter, by: VoterId) -> Event {
     let term = Term(voter.current_term.0 + 80);
-    Event::Msg(rig::addr(usize::from(by.number)), Message::VoteRequest { by, term, commit_index: Index(0) })
+    Event::Msg(
+        file_cluster::addr(usize::from(by.number)),
+        Message::VoteRequest { by, term, commit_index: Index(0) },
+    )
 }
 
 /// Before: a leader whose write failed said nothing, and the others waited out its silence.
@@ -62,7 +65,7 @@
         sent_at: r.now,
         body: Body::Heartbeat,
     };
-    let from = rig::addr(lead);
+    let from = file_cluster::addr(lead);
     let late = r.now + 20 * Timing::default().election_timeout_ms();
     let events = [
         stop(&r.voters[at], by),
@@ -92,7 +95,7 @@
     let at = (lead + 1) % 3;
     let late = r.now + 2 * Timing::default().election_timeout_ms();
     let (by, current_term) = (r.voters[lead].id(), r.voters[at].current_term);
-    let image = r.held(at);
+    let image = r.durable_state(at);
     let event = stop(&r.voters[at], by);
     let effects = r.voters[at].step(event, late);
     let token =
@@ -121,7 +124,7 @@
     let lead = r.leader();
     let at = (lead + 1) % 3;
     let by = r.voters[lead].id();
-    let image = r.held(at);
+    let image = r.durable_state(at);
     let now = r.now + 5 * Timing::default().election_timeout_ms();
     r.voters[at].step(Event::SyncFailed, now);
     r.voters[at].step(Event::Recovered(Box::new(image)), now);
@@ -138,7 +141,7 @@
 fn only_a_failed_disk_recovers() {
     let dir = tempdir().unwrap();
     let mut r = settled(dir.path());
-    let image = r.held(0);
+    let image = r.durable_state(0);
     let older = DurableState { current_term: Term(0), ..image };
     let current_term = r.voters[0].current_term;
     assert!(r.voters[0].step(Event::Recovered(Box::new(older)), r.now).is_empty());
@@ -172,17 +175,17 @@
     let mut r = settled(dir.path());
     let second = (first + apart) % 3;
     for (n, at) in [first, second].into_iter().enumerate() {
-        r.refuse(at, true);
+        r.set_disk_failing(at, true);
         let doc = 10 * (n as u64 + 1);
-        if r.has_leadership().is_some() {
-            r.apply(doc, 200);
+        if r.serving_leader().is_some() {
+            r.propose_document(doc, 200);
         }
         r.run(4_000);
-        r.refuse(at, false);
+        r.set_disk_failing(at, false);
         r.run(4_000);
-        r.apply(doc + 1, 200);
+        r.propose_document(doc + 1, 200);
         r.run(1_000);
-        r.well();
+        r.assert_consistent();
         assert!(r.voters.iter().all(|s| !s.disk_failed));
     }
 }
@@ -208,7 +211,7 @@
         sent_at: late,
         body: Body::Heartbeat,
     };
-    assert!(sent(&r.voters[at].step(Event::Msg(rig::addr(lead), send_append), late)).is_empty());
+    assert!(sent(&r.voters[at].step(Event::Msg(file_cluster::addr(lead), send_append), late)).is_empty());
     let said = r.voters[at].step(Event::Synced(token.unwrap()), late);
     let held = |m: &&&Message| matches!(m, Message::AppendReply { term: v, .. } if *v > term);
     assert_eq!(sent(&said).iter().filter(held).count(), 1);
--- a/crates/control-plane/tests/size.rs
+++ b/crates/control-plane/tests/size.rs
@@ -13,30 +13,30 @@
 use rstest::rstest;
 use std::collections::VecDeque;
 
-mod rig;
-use rig::{DOC, addr, noise::noise, start};
+mod file_cluster;
+use file_cluster::{DOCUMENT_BYTES, addr, random_text::random_text, start};
 
 /// Documents in quick succession, while a follower is cut off, slow, or neither.
 #[rstest]
-#[case::all_there(false, false, DOC, 12)]
-#[case::one_cut_off(true, false, DOC, 12)]
-#[case::one_slow(false, true, DOC, 6)]
+#[case::all_there(false, false, DOCUMENT_BYTES, 12)]
+#[case::one_cut_off(true, false, DOCUMENT_BYTES, 12)]
+#[case::one_slow(false, true, DOCUMENT_BYTES, 6)]
 #[case::many_small_ones(true, false, 60_000, 100)]
 fn quick_documents_fit(#[case] cut: bool, #[case] slow: bool, #[case] len: usize, #[case] count: u64) {
     let dir = tempfile::tempdir().unwrap();
     let mut r = start(dir.path());
     r.run(5_000);
     let far = (r.leader() + 1) % 3;
-    r.cut = cut.then_some(far);
-    r.slow = slow.then(|| (far, VecDeque::new()));
+    r.isolated = cut.then_some(far);
+    r.slow_disk = slow.then(|| (far, VecDeque::new()));
     for n in 0..count {
-        r.apply(n, len);
+        r.propose_document(n, len);
         r.run(400);
     }
-    r.cut = None;
-    r.slow = None;
+    r.isolated = None;
+    r.slow_disk = None;
     r.run(5_000);
-    r.well();
+    r.assert_consistent();
     let at = r.leader();
     let s = &r.voters[at];
     assert_eq!(s.cluster_state.revision, Revision(count), "each was accepted");
@@ -52,7 +52,7 @@
         assert!(told.len() < wire::MAX_FRAME, "news of {} bytes after {have}", told.len());
     }
     let kept: usize = s.log.iter().map(|e| wire::encode(e).unwrap().len()).sum();
-    assert!(kept <= 3 * DOC, "{kept} bytes of entries are kept in memory");
+    assert!(kept <= 3 * DOCUMENT_BYTES, "{kept} bytes of entries are kept in memory");
 }
 
 /// Racing documents, all at once: what does not fit now is not logged, and nothing dies of it.
@@ -63,15 +63,20 @@
     let dir = tempfile::tempdir().unwrap();
     let mut r = start(dir.path());
     r.run(5_000);
-    r.cut = cut.then_some((r.leader() + 1) % 3);
+    r.isolated = cut.then_some((r.leader() + 1) % 3);
     for round in 0..3 {
-        (0..6).for_each(|n| r.apply(round * 10 + n, DOC));
+        (0..6).for_each(|n| r.propose_document(round * 10 + n, DOCUMENT_BYTES));
         r.run(1_000);
     }
-    r.cut = None;
+    r.isolated = None;
     r.run(5_000);
-    r.well();
-    assert!(r.logged >= 3 && r.rejected >= 1, "{} logged, {} not", r.logged, r.rejected);
+    r.assert_consistent();
+    assert!(
+        r.logged_proposals >= 3 && r.rejected_proposals >= 1,
+        "{} logged, {} not",
+        r.logged_proposals,
+        r.rejected_proposals
+    );
 }
 
 /// A new leader with long tails to take over, and a voter that comes back to them.
@@ -81,23 +86,23 @@
     let mut r = start(dir.path());
     r.run(5_000);
     let old = r.leader();
-    r.cut = Some((old + 1) % 3);
+    r.isolated = Some((old + 1) % 3);
     for n in 0..6 {
-        r.apply(n, DOC);
+        r.propose_document(n, DOCUMENT_BYTES);
         r.run(400);
     }
     // The leader goes away with changes on their way; the one that was cut off helps to elect.
-    r.apply(90, DOC);
-    r.cut = Some(old);
+    r.propose_document(90, DOCUMENT_BYTES);
+    r.isolated = Some(old);
     r.run(6_000);
     assert_ne!(r.leader(), old);
     for n in 10..13 {
-        r.apply(n, DOC);
+        r.propose_document(n, DOCUMENT_BYTES);
         r.run(400);
     }
-    r.cut = None;
+    r.isolated = None;
     r.run(6_000);
-    r.well();
+    r.assert_consistent();
 }
 
 fn named(op: &str, id: &str, what: ReplicaChange) -> Change {
@@ -119,17 +124,17 @@
     let dir = tempfile::tempdir().unwrap();
     let mut r = start(dir.path());
     r.run(5_000);
-    r.apply(0, DOC);
+    r.propose_document(0, DOCUMENT_BYTES);
     r.run(500);
     let at = r.leader();
-    let before = r.rejected;
+    let before = r.rejected_proposals;
     for n in 0..3 {
         let long = format!("{n}{}", "r".repeat(50_000));
         r.step(at, Event::Propose(named(&format!("x{n}"), &long, ReplicaChange::Drain)));
     }
-    assert_eq!(r.rejected, before + 3, "such names are not logged");
+    assert_eq!(r.rejected_proposals, before + 3, "such names are not logged");
     let mut n = 0;
-    while r.rejected == before + 3 && n < 20_000 {
+    while r.rejected_proposals == before + 3 && n < 20_000 {
         n += 1;
         let id = format!("{n:0>60}");
         r.step(at, Event::Propose(named(&format!("l{n:0>60}"), &id, list())));
@@ -139,11 +144,11 @@
     }
     assert!((1_000..20_000).contains(&n), "{n} replicas fill a slot");
     r.run(3_000);
-    let (at, rejected) = (r.leader(), r.rejected);
+    let (at, rejected) = (r.leader(), r.rejected_proposals);
     r.step(at, Event::Propose(named("gone", &format!("{:0>60}", 1), ReplicaChange::Remove)));
-    assert_eq!(r.rejected, rejected);
+    assert_eq!(r.rejected_proposals, rejected);
     r.run(3_000);
-    r.well();
+    r.assert_consistent();
     // What is on disk is read back whole.
     let back = FileStore::load(&dir.path().join("s0")).unwrap();
     assert!(matches!(back, LoadResult::State(i) if i.cluster_state.replicas.len() > 900));
@@ -172,7 +177,7 @@
     let op = || "o".repeat(64).as_str().into();
     let zone = || info.zone.clone();
     let all = [
-        Change::Apply { op: op(), base: Revision(u64::MAX), text: noise(1, 70_000).into() },
+        Change::Apply { op: op(), base: Revision(u64::MAX), text: random_text(1, 70_000).into() },
         Change::Apply { op: "y".into(), base: Revision(1), text: "t".repeat(70_000).into() },
         Change::Evacuate { op: op(), zone: zone(), on: true, seen: common::Index(u64::MAX) },
         Change::Join(info.clone()),
