--- a/crates/control-plane/src/consensus/durable.rs
+++ b/crates/control-plane/src/consensus/durable.rs
@@ -92,7 +92,7 @@
 
     /// Whether a record can have been written right behind this state: its entries follow where the log
     /// ends, or where the record truncates it.
-    pub fn leads_to(&self, record: &Record) -> bool {
+    pub fn can_precede(&self, record: &Record) -> bool {
         let last = self.last_index();
         let (base, entries) = match record {
             Record::DurableState(_) | Record::Promise(_) => return true,
--- a/crates/control-plane/src/consensus/event.rs
+++ b/crates/control-plane/src/consensus/event.rs
@@ -22,7 +22,7 @@
     /// The voter that was told [`Effect::Removed`] takes up this new identity, of a blank voter.
     BecomeSpare(Box<VoterInfo>),
     /// A learner's own membership holds this committed state.
-    Followed {
+    CommittedState {
         /// The state.
         cluster_state: Box<ClusterState>,
         /// RPC address of the leader, as far as it is known.
--- a/crates/control-plane/src/consensus/follower.rs
+++ b/crates/control-plane/src/consensus/follower.rs
@@ -45,13 +45,13 @@
     }
 
     /// Takes into the log what an append carries, as far as it fits; what must be written for it.
-    fn append_body(&mut self, term: Term, body: Body, effects: &mut Vec<Effect>) -> Option<LogWrite> {
+    fn append_body(&mut self, term: Term, body: AppendBody, effects: &mut Vec<Effect>) -> Option<LogWrite> {
         match body {
-            Body::Heartbeat => None,
-            Body::Install { truncate_to, snapshot, entries } => {
+            AppendBody::Heartbeat => None,
+            AppendBody::Install { truncate_to, snapshot, entries } => {
                 self.append_install(term, truncate_to, snapshot, entries, effects)
             }
-            Body::Append { prev, entries } => self.append_entries(term, prev, entries),
+            AppendBody::Append { prev, entries } => self.append_entries(term, prev, entries),
         }
     }
 
--- a/crates/control-plane/src/consensus/join.rs
+++ b/crates/control-plane/src/consensus/join.rs
@@ -78,7 +78,7 @@
     ) {
         let AppendRequest { from, by, to, term, sent_at, body, .. } = request;
         match body {
-            Body::Install { snapshot: Some(state), entries, .. }
+            AppendBody::Install { snapshot: Some(state), entries, .. }
                 if self.is_admitted_by(&state) && term >= self.current_term =>
             {
                 self.current_term = term;
--- a/crates/control-plane/src/consensus/leadership.rs
+++ b/crates/control-plane/src/consensus/leadership.rs
@@ -12,7 +12,7 @@
     /// Heard neither a majority nor a leader for half of the election time-out.
     Isolated,
     /// Is not a voter, or no longer: it knows of the cluster what others tell it.
-    Outside,
+    NotVoter,
 }
 
 impl Voter {
@@ -25,7 +25,7 @@
     /// Its contact with the cluster now.
     pub fn contact(&self, now: Tick) -> Contact {
         if !self.initialized || self.removed || self.learner {
-            return Contact::Outside;
+            return Contact::NotVoter;
         }
         let silence_ms = self.silence_timeout_ms();
         match &self.role {
--- a/crates/control-plane/src/consensus/learner.rs
+++ b/crates/control-plane/src/consensus/learner.rs
@@ -9,7 +9,7 @@
     pub(super) fn step_as_learner(&mut self, event: Event, now: Tick) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
-            Event::Followed { cluster_state, leader } => {
+            Event::CommittedState { cluster_state, leader } => {
                 self.take_up(*cluster_state, leader, now, &mut effects);
             }
             Event::Propose(change) => {
--- a/crates/control-plane/src/consensus/message.rs
+++ b/crates/control-plane/src/consensus/message.rs
@@ -35,7 +35,7 @@
 
 /// What an append carries.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Body {
+pub enum AppendBody {
     /// Nothing: the leader is there.
     #[serde(rename = "Ping")]
     Heartbeat,
@@ -148,7 +148,7 @@
         #[serde(rename = "stamp")]
         sent_at: Tick,
         /// What it carries.
-        body: Body,
+        body: AppendBody,
     },
     /// What the follower holds, synced.
     AppendReply {
@@ -185,13 +185,13 @@
     },
 }
 
-impl Body {
+impl AppendBody {
     /// Upper bound on the state that it carries, in bytes.
     pub fn weight(&self) -> usize {
         match self {
-            Body::Heartbeat => 0,
-            Body::Install { snapshot, entries, .. } => state_weight(snapshot.as_ref(), entries),
-            Body::Append { entries, .. } => state_weight(None, entries),
+            AppendBody::Heartbeat => 0,
+            AppendBody::Install { snapshot, entries, .. } => state_weight(snapshot.as_ref(), entries),
+            AppendBody::Append { entries, .. } => state_weight(None, entries),
         }
     }
 }
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -26,7 +26,7 @@
 pub use durable::{DurableState, Record};
 pub use event::{Effect, Event, NotLogged};
 pub use leadership::Contact;
-pub use message::{Body, LogTail, Message, VoterId};
+pub use message::{AppendBody, LogTail, Message, VoterId};
 pub(crate) use role::AppendRequest;
 pub use role::{InFlight, Progress, VoterRole};
 pub use validation::InvalidMessage;
--- a/crates/control-plane/src/consensus/replication.rs
+++ b/crates/control-plane/src/consensus/replication.rs
@@ -8,7 +8,7 @@
     /// To all followers: what each lacks, else a heartbeat.
     pub(super) fn broadcast_append(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         for follower in self.replication_targets() {
-            let body = self.next_body(&follower, now).unwrap_or(Body::Heartbeat);
+            let body = self.next_body(&follower, now).unwrap_or(AppendBody::Heartbeat);
             self.send_append(&follower, body, now, effects);
         }
     }
@@ -31,7 +31,7 @@
 
     /// What a follower lacks, once. It is sent again only when the reply is overdue: a long entry on a slow
     /// link would otherwise be sent many times over, and delay the heartbeats (design 2.3).
-    fn next_body(&self, follower: &VoterInfo, now: Tick) -> Option<Body> {
+    fn next_body(&self, follower: &VoterInfo, now: Tick) -> Option<AppendBody> {
         let VoterRole::Leader { peers, .. } = &self.role else { return None };
         let progress = peers.get(&follower.number)?;
         if progress.in_flight.as_ref().is_some_and(|append| !append.overdue(&self.timing, now)) {
@@ -41,18 +41,18 @@
         if !progress.installed || progress.last < self.snapshot_index {
             let truncate_to = progress.commit_index;
             let LogTail { snapshot, entries, .. } = self.log_tail_after(truncate_to);
-            return Some(Body::Install { truncate_to, snapshot, entries });
+            return Some(AppendBody::Install { truncate_to, snapshot, entries });
         }
         let missing = self.log.iter().filter(|entry| entry.index > progress.last);
         let entries = take_batch(missing, self.size_limits.batch());
-        (!entries.is_empty()).then_some(Body::Append { prev: progress.last, entries })
+        (!entries.is_empty()).then_some(AppendBody::Append { prev: progress.last, entries })
     }
 
-    fn send_append(&mut self, follower: &VoterInfo, body: Body, now: Tick, effects: &mut Vec<Effect>) {
+    fn send_append(&mut self, follower: &VoterInfo, body: AppendBody, now: Tick, effects: &mut Vec<Effect>) {
         let last_sent = match &body {
-            Body::Heartbeat => None,
-            Body::Install { .. } => Some(self.last_index()),
-            Body::Append { entries, .. } => entries.last().map(|entry| entry.index),
+            AppendBody::Heartbeat => None,
+            AppendBody::Install { .. } => Some(self.last_index()),
+            AppendBody::Append { entries, .. } => entries.last().map(|entry| entry.index),
         };
         let weight = body.weight();
         let msg = Message::Append {
--- a/crates/control-plane/src/consensus/role.rs
+++ b/crates/control-plane/src/consensus/role.rs
@@ -1,6 +1,6 @@
 //! A voter's part in its term (design 2.3), and what a leader knows of each follower.
 
-use super::{Body, LogTail, VoterId};
+use super::{AppendBody, LogTail, VoterId};
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -54,7 +54,7 @@
     pub term: Term,
     pub commit_index: Index,
     pub sent_at: Tick,
-    pub body: Body,
+    pub body: AppendBody,
 }
 
 /// A voter's part in its term.
--- a/crates/control-plane/src/consensus/step.rs
+++ b/crates/control-plane/src/consensus/step.rs
@@ -24,7 +24,7 @@
             Event::StepDown => self.step_down(now, &mut effects),
             Event::BecomeSpare(identity) => self.become_spare(*identity, now, &mut effects),
             // A voter takes the state from the log only.
-            Event::Followed { .. } => {}
+            Event::CommittedState { .. } => {}
             Event::Msg(from, message) => self.handle_message(from, message, now, &mut effects),
         }
         effects
--- a/crates/control-plane/src/consensus/validation.rs
+++ b/crates/control-plane/src/consensus/validation.rs
@@ -1,7 +1,7 @@
 //! Validation of messages (design 2.9): one that no voter of this cluster would send changes nothing, gets
 //! no answer, and is named in the log.
 
-use super::{Body, LogTail, Message, Voter, VoterId, VoterRole};
+use super::{AppendBody, LogTail, Message, Voter, VoterId, VoterRole};
 use crate::{
     state_machine::ClusterState,
     types::{LogEntry, MAX_VOTERS, VoterInfo},
@@ -25,7 +25,7 @@
     /// It names this voter itself as its sender.
     OwnIdentity,
     /// The term belongs to another candidate than the sender.
-    TermOfAnother,
+    NotTermOwner,
     /// The term is further ahead than any number of elections could bring it.
     TermOutOfRange,
     /// An index beyond all that a log reaches.
@@ -46,7 +46,7 @@
             InvalidMessage::ForeignCluster => "the state of another cluster",
             InvalidMessage::InvalidVoterSet => "a voter set that no cluster has",
             InvalidMessage::OwnIdentity => "this voter's own identity as the sender's",
-            InvalidMessage::TermOfAnother => "a term that belongs to another voter",
+            InvalidMessage::NotTermOwner => "a term that belongs to another voter",
             InvalidMessage::TermOutOfRange => "a term out of range",
             InvalidMessage::IndexOutOfRange => "an index out of range",
             InvalidMessage::Gap => "entries with a gap",
@@ -134,7 +134,7 @@
     /// Only the voter whose number a term bears asks for it, leads it and gives it up.
     fn validate_candidate(&self, by: &VoterId, term: Term) -> Validity {
         let owner = term.0 % (MAX_VOTERS as u64 + 1);
-        ensure(owner == u64::from(by.number), InvalidMessage::TermOfAnother)?;
+        ensure(owner == u64::from(by.number), InvalidMessage::NotTermOwner)?;
         self.validate_sender(by, term)
     }
 
@@ -149,15 +149,15 @@
         valid_voter_set(&cluster_state.voters)
     }
 
-    fn validate_body(&self, body: &Body) -> Validity {
+    fn validate_body(&self, body: &AppendBody) -> Validity {
         match body {
-            Body::Heartbeat => Ok(()),
-            Body::Install { snapshot: Some(state), entries, .. } => {
+            AppendBody::Heartbeat => Ok(()),
+            AppendBody::Install { snapshot: Some(state), entries, .. } => {
                 self.validate_state(state)?;
                 contiguous(state.index, entries)
             }
-            Body::Install { truncate_to, snapshot: None, entries } => contiguous(*truncate_to, entries),
-            Body::Append { prev, entries } => contiguous(*prev, entries),
+            AppendBody::Install { truncate_to, snapshot: None, entries } => contiguous(*truncate_to, entries),
+            AppendBody::Append { prev, entries } => contiguous(*prev, entries),
         }
     }
 
--- a/crates/control-plane/src/control_node/connectivity.rs
+++ b/crates/control-plane/src/control_node/connectivity.rs
@@ -32,7 +32,7 @@
                 inner.last_contact = now;
                 Connectivity::InContact
             }
-            Contact::Outside => Connectivity::Unsure,
+            Contact::NotVoter => Connectivity::Unsure,
             Contact::Isolated if now.since(inner.last_contact) < election_ms => Connectivity::Unsure,
             Contact::Isolated => Connectivity::CutOff,
         }
--- a/crates/control-plane/src/control_node/leader_client.rs
+++ b/crates/control-plane/src/control_node/leader_client.rs
@@ -174,7 +174,7 @@
         self.ask_next(&mut search, first, &mut pending);
         let mut enough = std::pin::pin!(sleep_until(began + timeout / ENOUGH_AFTER_PART));
         // This node's own answer counts where it is one of the voters.
-        let outside = self.lock().voter.contact(self.clock.now()) == Contact::Outside;
+        let outside = self.lock().voter.contact(self.clock.now()) == Contact::NotVoter;
         let mut answered = usize::from(!outside);
         let (majority, mut hedged) = (self.majority(), false);
         let mut failure = ReadError::OutOfContact;
--- a/crates/control-plane/src/control_node/learner.rs
+++ b/crates/control-plane/src/control_node/learner.rs
@@ -65,7 +65,7 @@
         let held = !cluster_state.cluster.is_empty();
         if held && known != (cluster_state.index, leader) {
             let cluster_state = Box::new(crate::ClusterState::clone(&cluster_state));
-            self.step(Event::Followed { cluster_state, leader });
+            self.step(Event::CommittedState { cluster_state, leader });
         }
     }
 
--- a/crates/control-plane/src/storage/log_reader.rs
+++ b/crates/control-plane/src/storage/log_reader.rs
@@ -41,7 +41,7 @@
     let (mut position, mut offset) = (0, HEADER_BYTES as u64);
     while let Some(read) = read_record(&log, offset, slot, position)? {
         let Ok(record) = read.record else { return Ok(LoadResult::IncompatibleFormat) };
-        if !state.leads_to(&record) {
+        if !state.can_precede(&record) {
             return Ok(LoadResult::Corrupt(Corruption::Gap { record: position, slot }));
         }
         state.replay(record);
--- a/crates/control-plane/tests/compatibility/samples.rs
+++ b/crates/control-plane/tests/compatibility/samples.rs
@@ -3,7 +3,7 @@
 use common::{Epoch, Incarnation, Index, NodeId, OpId, ReplicaId, Revision, Service, Term, Tick, Zone};
 use control_plane::{
     ApplyOutcome, Change, ClusterState, Member, Replica, ReplicaChange, Role,
-    consensus::{Body, DurableState, LogTail, Message, Record, VoterId},
+    consensus::{AppendBody, DurableState, LogTail, Message, Record, VoterId},
     state_machine::AcceptedOperations,
     types::LostMember,
     types::{LogEntry, NodeInfo, VoterInfo},
@@ -172,11 +172,15 @@
         ("pre-vote-granted", Message::PreVoteGranted { by: id(2), term: Term(25) }),
         ("vote-request", Message::VoteRequest { by: id(1), term: Term(25), commit_index: Index(40) }),
         ("vote", Message::Vote { by: id(2), term: Term(25), tail }),
-        ("heartbeat", append(Body::Heartbeat)),
-        ("append", append(Body::Append { prev: Index(40), entries: entries() })),
+        ("heartbeat", append(AppendBody::Heartbeat)),
+        ("append", append(AppendBody::Append { prev: Index(40), entries: entries() })),
         (
             "install",
-            append(Body::Install { truncate_to: Index(40), snapshot: Some(state()), entries: entries() }),
+            append(AppendBody::Install {
+                truncate_to: Index(40),
+                snapshot: Some(state()),
+                entries: entries(),
+            }),
         ),
         (
             "append-reply",
--- a/crates/control-plane/tests/consensus.rs
+++ b/crates/control-plane/tests/consensus.rs
@@ -5,7 +5,7 @@
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
 use control_plane::{
     Change, ClusterState,
-    consensus::{Body, DurableState, Effect, Event, LogTail, Message, Record, Voter, VoterId},
+    consensus::{AppendBody, DurableState, Effect, Event, LogTail, Message, Record, Voter, VoterId},
     types::VoterInfo,
 };
 use rstest::rstest;
@@ -228,7 +228,7 @@
         term: Term(9),
         commit_index: Index(3),
         sent_at: now,
-        body: Body::Heartbeat,
+        body: AppendBody::Heartbeat,
     };
     let effects = s.step(Event::Msg(addr(1), send_append), now);
     assert!(matches!(sent(&effects)[..], [Message::AppendReply { installed: false, last: Index(0), .. }]));
@@ -286,7 +286,7 @@
             term: Term(8),
             commit_index: Index(0),
             sent_at: now,
-            body: Body::Heartbeat,
+            body: AppendBody::Heartbeat,
         };
         f.step(Event::Msg(addr(0), send_append), now);
         f.step(Event::Msg(addr(0), Message::StepDown { by: voter(0), term }), now);
--- a/crates/control-plane/tests/learner.rs
+++ b/crates/control-plane/tests/learner.rs
@@ -7,7 +7,7 @@
 };
 use control_plane::{
     ClusterState, Role,
-    consensus::{Body, DurableState, Effect, Event, Message, Record, Voter, VoterId},
+    consensus::{AppendBody, DurableState, Effect, Event, Message, Record, Voter, VoterId},
     control_node::{
         Bootstrap, ControlNode, LogWriter, LogWriterFactory, Start, voters_to_survive, without_disk,
     },
@@ -267,7 +267,7 @@
             term: Term(9),
             commit_index: Index(0),
             sent_at: Tick(5),
-            body: Body::Install { truncate_to: Index(0), snapshot: Some(state), entries: vec![] },
+            body: AppendBody::Install { truncate_to: Index(0), snapshot: Some(state), entries: vec![] },
         },
     ];
     let mut learner = learner();
@@ -287,7 +287,7 @@
         Box::new(ClusterState { index: Index(index), ..state })
     };
     let follow = |learner: &mut Voter, cluster, index| {
-        let event = Event::Followed { cluster_state: state(cluster, index), leader: Some(rpc(1)) };
+        let event = Event::CommittedState { cluster_state: state(cluster, index), leader: Some(rpc(1)) };
         learner.step(event, Tick(2_000)).len()
     };
     assert_eq!(follow(&mut learner, "c", 5), 1);
--- a/crates/control-plane/tests/malformed.rs
+++ b/crates/control-plane/tests/malformed.rs
@@ -10,7 +10,7 @@
 };
 use control_plane::{
     ClusterState,
-    consensus::{Body, DurableState, Effect, Event, InvalidMessage, LogTail, Message, Voter, VoterId},
+    consensus::{AppendBody, DurableState, Effect, Event, InvalidMessage, LogTail, Message, Voter, VoterId},
     types::VoterInfo,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -111,17 +111,21 @@
     Message::AppendReply { by: voter_id(1), term: Term(term), installed: true, last, commit_index, sent_at }
 }
 
-fn send_append(term: u64, commit_index: u64, body: Body) -> Message {
+fn send_append(term: u64, commit_index: u64, body: AppendBody) -> Message {
     let (term, commit_index) = (Term(term), Index(commit_index));
     Message::Append { by: voter_id(1), to: 0, term, commit_index, sent_at: NOW, body }
 }
 
-fn install(cut: u64, snapshot: Option<ClusterState>, entries: &[u64]) -> Body {
-    Body::Install { truncate_to: Index(cut), snapshot, entries: entries.iter().copied().map(entry).collect() }
+fn install(cut: u64, snapshot: Option<ClusterState>, entries: &[u64]) -> AppendBody {
+    AppendBody::Install {
+        truncate_to: Index(cut),
+        snapshot,
+        entries: entries.iter().copied().map(entry).collect(),
+    }
 }
 
-fn append(prev: u64, entries: &[u64]) -> Body {
-    Body::Append { prev: Index(prev), entries: entries.iter().copied().map(entry).collect() }
+fn append(prev: u64, entries: &[u64]) -> AppendBody {
+    AppendBody::Append { prev: Index(prev), entries: entries.iter().copied().map(entry).collect() }
 }
 
 fn stopped(
@@ -182,9 +186,12 @@
 }
 
 #[rstest]
-#[case::feed_of_a_view_out_of_reach(send_append(MOST - 6, 5, Body::Heartbeat), InvalidMessage::TermOutOfRange)]
-#[case::feed_in_the_view_of_another(send_append(18, 5, Body::Heartbeat), InvalidMessage::TermOfAnother)]
-#[case::feed_of_a_place_out_of_reach(send_append(17, MOST, Body::Heartbeat), InvalidMessage::IndexOutOfRange)]
+#[case::feed_of_a_view_out_of_reach(send_append(MOST - 6, 5, AppendBody::Heartbeat), InvalidMessage::TermOutOfRange)]
+#[case::feed_in_the_view_of_another(send_append(18, 5, AppendBody::Heartbeat), InvalidMessage::NotTermOwner)]
+#[case::feed_of_a_place_out_of_reach(
+    send_append(17, MOST, AppendBody::Heartbeat),
+    InvalidMessage::IndexOutOfRange
+)]
 #[case::state_of_another_cluster(send_append(17, 9, install(0, Some(saw_other_cluster(9)), &[])), InvalidMessage::ForeignCluster)]
 #[case::state_at_a_place_out_of_reach(send_append(17, 9, install(0, Some(state(MOST)), &[])), InvalidMessage::IndexOutOfRange)]
 #[case::state_without_a_roster(send_append(17, 9, install(0, Some(with_roster(vec![])), &[])), InvalidMessage::InvalidVoterSet)]
@@ -199,7 +206,7 @@
 #[case::stop_of_a_view_out_of_reach(
     Message::VoteRequest { by: voter_id(1), term: Term(MOST - 6), commit_index: Index(0) }, InvalidMessage::TermOutOfRange)]
 #[case::stop_in_the_view_of_another(
-    Message::VoteRequest { by: voter_id(1), term: Term(24), commit_index: Index(0) }, InvalidMessage::TermOfAnother)]
+    Message::VoteRequest { by: voter_id(1), term: Term(24), commit_index: Index(0) }, InvalidMessage::NotTermOwner)]
 #[case::canvass_of_a_view_out_of_reach(
     Message::PreVote { by: voter_id(1), term: Term(MOST - 6) }, InvalidMessage::TermOutOfRange)]
 #[case::roster_of_nobody(discovered_voters(vec![], 99), InvalidMessage::InvalidVoterSet)]
@@ -217,7 +224,7 @@
 
 #[rstest]
 #[case::send_append(Message::Append {
-    by: voter_id(0), to: 0, term: Term(24), commit_index: Index(5), sent_at: NOW, body: Body::Heartbeat })]
+    by: voter_id(0), to: 0, term: Term(24), commit_index: Index(5), sent_at: NOW, body: AppendBody::Heartbeat })]
 #[case::stop(Message::VoteRequest { by: voter_id(0), term: Term(24), commit_index: Index(5) })]
 #[case::vote(Message::PreVoteGranted { by: voter_id(0), term: Term(16) })]
 #[case::held(Message::AppendReply {
@@ -290,9 +297,11 @@
 #[test]
 fn a_leader_goes_on_behind_all_of_it() {
     let mut s = leader();
-    for msg in
-        [holds(16, MOST, 5, NOW), holds(16, 6, 5, NOW + 9_999), send_append(MOST - 6, 5, Body::Heartbeat)]
-    {
+    for msg in [
+        holds(16, MOST, 5, NOW),
+        holds(16, 6, 5, NOW + 9_999),
+        send_append(MOST - 6, 5, AppendBody::Heartbeat),
+    ] {
         s.step(Event::Msg(address(1), msg), NOW);
     }
     s.step(Event::Synced(3), NOW);
@@ -308,7 +317,7 @@
     let mut s = initialized();
     let effects = s.step(Event::Msg(address(1), send_append(17, 5, install(5, None, &[6, 7]))), NOW);
     assert!(matches!(effects.as_slice(), [Effect::Persist { .. }]), "{effects:?}");
-    let late = s.step(Event::Msg(address(1), send_append(9, 5, Body::Heartbeat)), NOW);
+    let late = s.step(Event::Msg(address(1), send_append(9, 5, AppendBody::Heartbeat)), NOW);
     let held = |f: &Effect| matches!(f, Effect::Send { msg: Message::AppendReply { .. }, .. });
     assert!(!late.iter().any(held), "{late:?}");
     let told = s.step(Event::Synced(1), NOW);
--- a/crates/control-plane/tests/model/describe.rs
+++ b/crates/control-plane/tests/model/describe.rs
@@ -1,7 +1,7 @@
 //! Traces that a reader can follow.
 
 use super::world::{Action, World};
-use control_plane::consensus::{Body, Message};
+use control_plane::consensus::{AppendBody, Message};
 
 impl World {
     /// One line for an action in this state.
@@ -80,15 +80,17 @@
         }
         Message::Append { term, commit_index, body, .. } => {
             let what = match body {
-                Body::Heartbeat => "heartbeat".into(),
-                Body::Install { truncate_to, snapshot, entries } => {
+                AppendBody::Heartbeat => "heartbeat".into(),
+                AppendBody::Install { truncate_to, snapshot, entries } => {
                     format!(
                         "install after {truncate_to}, snapshot {}, {} entries",
                         snapshot.is_some(),
                         entries.len()
                     )
                 }
-                Body::Append { prev, entries } => format!("append after {prev}, {} entries", entries.len()),
+                AppendBody::Append { prev, entries } => {
+                    format!("append after {prev}, {} entries", entries.len())
+                }
             };
             format!("{what} of term {term}, accepted {commit_index}")
         }
--- a/crates/control-plane/tests/model/world.rs
+++ b/crates/control-plane/tests/model/world.rs
@@ -564,7 +564,7 @@
         let (Some(learner), Some(told)) = (self.learner, self.voter(voter)) else { return Ok(()) };
         let cluster_state = Box::new(told.cluster_state.clone());
         let leader = told.leader().map(|leader| leader.rpc_addr);
-        self.raw_step(learner, Event::Followed { cluster_state, leader })
+        self.raw_step(learner, Event::CommittedState { cluster_state, leader })
     }
 
     fn edit<T>(&mut self, machine: usize, change: impl FnOnce(&mut Machine) -> T) -> T {
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -7,7 +7,7 @@
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
 use control_plane::{
     Change,
-    consensus::{Body, DurableState, Effect, Event, Message, Voter, VoterId},
+    consensus::{AppendBody, DurableState, Effect, Event, Message, Voter, VoterId},
 };
 use rstest::rstest;
 use samples::sent;
@@ -63,7 +63,7 @@
         term,
         commit_index: Index(1),
         sent_at: r.now,
-        body: Body::Heartbeat,
+        body: AppendBody::Heartbeat,
     };
     let from = file_cluster::addr(lead);
     let late = r.now + 20 * Timing::default().election_timeout_ms();
@@ -209,7 +209,7 @@
         term,
         commit_index: Index(1),
         sent_at: late,
-        body: Body::Heartbeat,
+        body: AppendBody::Heartbeat,
     };
     assert!(sent(&r.voters[at].step(Event::Msg(file_cluster::addr(lead), send_append), late)).is_empty());
     let said = r.voters[at].step(Event::Synced(token.unwrap()), late);
--- a/crates/simulator/src/sim/catch_up/traffic.rs
+++ b/crates/simulator/src/sim/catch_up/traffic.rs
@@ -8,7 +8,7 @@
 use crate::sim::check::blank_votes_by_right;
 use control_plane::{
     Change, Document,
-    consensus::{Body, Event, Message},
+    consensus::{AppendBody, Event, Message},
     types::SizeLimits,
 };
 use rand::{Rng, rngs::SmallRng};
@@ -36,7 +36,7 @@
         if self.watched == Some(to) {
             self.measured.bytes += msg.weight();
             let snapshot =
-                matches!(&msg, Message::Append { body: Body::Install { snapshot: Some(_), .. }, .. });
+                matches!(&msg, Message::Append { body: AppendBody::Install { snapshot: Some(_), .. }, .. });
             self.measured.snapshots += usize::from(snapshot);
         }
         self.measured.longest = self.measured.longest.max(msg.weight());
