--- a/crates/control-plane/src/consensus/durable.rs
+++ b/crates/control-plane/src/consensus/durable.rs
@@ -67,7 +67,7 @@
             Record::DurableState(_) => 0,
             Record::Promise(_) => PROMISE_BYTES,
             Record::Install { entries, .. } | Record::Append { entries, .. } => {
-                RECORD_OVERHEAD_BYTES + entries.iter().map(LogEntry::weight).sum::<usize>()
+                RECORD_OVERHEAD_BYTES + entries.iter().map(LogEntry::max_encoded_len).sum::<usize>()
             }
         }
     }
--- a/crates/control-plane/src/consensus/log.rs
+++ b/crates/control-plane/src/consensus/log.rs
@@ -27,7 +27,7 @@
     }
 
     fn log_weight_after(&self, index: Index) -> usize {
-        self.log.iter().filter(|entry| entry.index > index).map(LogEntry::weight).sum()
+        self.log.iter().filter(|entry| entry.index > index).map(LogEntry::max_encoded_len).sum()
     }
 
     /// Truncates the log, then appends entries; a snapshot that is not older replaces the whole state.
@@ -74,12 +74,12 @@
     fn compact(&mut self) {
         let commit_index = self.commit_index();
         let committed = self.log.iter().filter(|entry| entry.index <= commit_index);
-        let mut bytes: usize = committed.map(LogEntry::weight).sum();
+        let mut bytes: usize = committed.map(LogEntry::max_encoded_len).sum();
         while self.log.front().is_some_and(|entry| entry.index < commit_index)
             && (self.log.len() > RETAINED_ENTRIES || bytes > self.size_limits.batch())
         {
             if let Some(entry) = self.log.pop_front() {
-                bytes -= entry.weight();
+                bytes -= entry.max_encoded_len();
                 self.snapshot_index = entry.index;
             }
         }
@@ -91,15 +91,15 @@
             Change::Apply { text, .. } => text.packed_len(),
             _ => 0,
         };
-        let pending = self.log_weight_after(self.commit_index()) + LogEntry::weight_of(change);
+        let pending = self.log_weight_after(self.commit_index()) + LogEntry::max_encoded_len_with(change);
         let uncommitted = self.log.iter().filter(|entry| entry.index > self.commit_index());
-        let growth: usize = uncommitted.map(|entry| entry.change.growth()).sum();
-        let state = self.cluster_state.weight() + pending + growth + change.growth();
+        let growth: usize = uncommitted.map(|entry| entry.change.max_state_growth()).sum();
+        let state = self.cluster_state.weight() + pending + growth + change.max_state_growth();
         [
-            (!change.names_fit(), NotLogged::NameTooLong),
+            (!change.names_within_limit(), NotLogged::NameTooLong),
             (document > self.size_limits.document(), NotLogged::DocumentTooLong),
             (pending > self.size_limits.batch(), NotLogged::TooMuchPending),
-            (state > self.size_limits.snapshot(change.grows()), NotLogged::StateTooLarge),
+            (state > self.size_limits.snapshot(change.may_grow_state()), NotLogged::StateTooLarge),
         ]
         .into_iter()
         .find_map(|(exceeds, why)| exceeds.then_some(why))
--- a/crates/control-plane/src/consensus/message.rs
+++ b/crates/control-plane/src/consensus/message.rs
@@ -209,5 +209,5 @@
 }
 
 fn state_weight(snapshot: Option<&ClusterState>, entries: &[LogEntry]) -> usize {
-    snapshot.map_or(0, ClusterState::weight) + entries.iter().map(LogEntry::weight).sum::<usize>()
+    snapshot.map_or(0, ClusterState::weight) + entries.iter().map(LogEntry::max_encoded_len).sum::<usize>()
 }
--- a/crates/control-plane/src/control_node/connectivity.rs
+++ b/crates/control-plane/src/control_node/connectivity.rs
@@ -42,12 +42,12 @@
     /// logged now.
     pub(super) fn members_at_risk(&self, inner: &Inner, change: &Change) -> Option<Vec<NodeId>> {
         let now = self.clock.now();
-        let narrows = change.narrows() && !common::mutation::enabled("narrows-unheard");
-        if !narrows || !inner.voter.can_serve_reads(now) {
+        let restricts = change.restricts_traffic() && !common::mutation::enabled("narrows-unheard");
+        if !restricts || !inner.voter.can_serve_reads(now) {
             return None;
         }
         let state = &inner.voter.cluster_state;
-        let silent = inner.leases.silent(state, &self.settings.timing, now);
+        let silent = inner.leases.silent_members(state, &self.settings.timing, now);
         stale_majority(state, &silent)
     }
 
--- a/crates/control-plane/src/control_node/leader_client.rs
+++ b/crates/control-plane/src/control_node/leader_client.rs
@@ -123,7 +123,7 @@
         }
         while let Some(to) = search.next() {
             let request = ControlRequest::Propose { change: change.clone() };
-            let (client, travel_ms) = self.client_for(change.weight());
+            let (client, travel_ms) = self.client_for(change.max_encoded_len());
             match client.call_within(timeout_ms + travel_ms, "propose", to, request).await {
                 Ok(ControlResponse::Proposed(ProposalOutcome::NotLogged { leader, why: refused })) => {
                     search.add_hint(leader);
--- a/crates/control-plane/src/control_node/learner.rs
+++ b/crates/control-plane/src/control_node/learner.rs
@@ -4,7 +4,7 @@
 use super::{ControlNode, LogWriter, LogWriterFactory, Start};
 use crate::{
     consensus::{Effect, Event, Record},
-    membership::Member,
+    membership::LocalMember,
     storage::blank_voter,
     types::{NodeInfo, Role},
 };
@@ -19,7 +19,7 @@
 }
 
 /// What a control node without a disk starts from.
-pub fn without_disk(settings: &Settings) -> (Start, LogWriterFactory) {
+pub fn diskless_start(settings: &Settings) -> (Start, LogWriterFactory) {
     (Start::Learner(Box::new(blank_voter(settings))), Box::new(|_| Box::new(NoLog)))
 }
 
@@ -30,12 +30,12 @@
     }
 
     /// Where an operator's call is to go instead: a learner sends it on to the leader, as far as that is known.
-    pub fn operators_leader(&self) -> Option<SocketAddr> {
+    pub fn leader_http_addr(&self) -> Option<SocketAddr> {
         self.lock().voter.leader().map(|leader| leader.http)
     }
 
     /// Keeps a learner's copy of the state at what its membership follows, and tells that of voters.
-    pub(crate) fn follow_as_learner(self: &Arc<Self>, member: Arc<Member>) {
+    pub(crate) fn follow_as_learner(self: &Arc<Self>, member: Arc<LocalMember>) {
         let (node, followed) = (self.clone(), member.clone());
         spawn(async move {
             let interval = Duration::from_millis(node.settings.timing.renew_interval_ms());
@@ -54,7 +54,7 @@
     }
 
     /// The copy is handed on only when it or the leader changed.
-    fn take_followed(self: &Arc<Self>, member: &Member) {
+    fn take_followed(self: &Arc<Self>, member: &LocalMember) {
         let cluster_state = member.cluster_state.load_full();
         let leader = member.known_leader();
         let known = {
@@ -82,7 +82,7 @@
         inner.announced_voters = now;
         let state = &inner.voter.cluster_state;
         let votes = |info: &NodeInfo| state.voters.iter().any(|voter| voter.rpc_addr == info.rpc_addr);
-        let silent = inner.leases.silent(state, timing, now);
+        let silent = inner.leases.silent_members(state, timing, now);
         let infos = silent.iter().filter_map(|node| state.members.get(node)).map(|member| &member.info);
         let learners = infos.filter(|info| info.role == Role::Control && !votes(info));
         let mut effects: Vec<Effect> = Vec::new();
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -10,10 +10,10 @@
 mod start;
 
 pub use leader_client::ReadError;
-pub use learner::without_disk;
+pub use learner::diskless_start;
 pub use log_writer::{LogWriter, LogWriterFactory, open_data_folder};
 pub use rpc_service::listen;
-pub use start::{Bootstrap, Start, voters_to_survive};
+pub use start::{Bootstrap, Start, voters_to_tolerate};
 
 use crate::{
     consensus::{Effect, Event, Voter},
--- a/crates/control-plane/src/control_node/proposals.rs
+++ b/crates/control-plane/src/control_node/proposals.rs
@@ -51,7 +51,7 @@
 impl ControlNode {
     /// Proposes here, where this node leads; waits for the outcome for at most `timeout_ms`.
     pub async fn propose_here(self: &Arc<Self>, change: Change, timeout_ms: u64) -> ProposalOutcome {
-        let narrows = change.narrows();
+        let restricts = change.restricts_traffic();
         let Logged { outcome, members } = match self.log(change) {
             Ok(logged) => logged,
             Err((leader, why)) => return ProposalOutcome::NotLogged { leader, why: why.to_string() },
@@ -61,7 +61,7 @@
             Ok(Ok(ProposalOutcome::Committed {
                 index,
                 outcome: accepted @ ApplyOutcome::Accepted { .. },
-            })) if narrows => {
+            })) if restricts => {
                 let held = self.held_by_most(&members, index, until).await;
                 let committed = ProposalOutcome::Committed { index, outcome: accepted };
                 if held { committed } else { ProposalOutcome::Undetermined }
--- a/crates/control-plane/src/control_node/start.rs
+++ b/crates/control-plane/src/control_node/start.rs
@@ -27,7 +27,7 @@
 
 /// How many voters keep a majority when so many of them are lost at once: an odd number, since one voter more would
 /// bear no more losses and need a larger majority.
-pub fn voters_to_survive(losses: usize) -> usize {
+pub fn voters_to_tolerate(losses: usize) -> usize {
     (2 * losses + 1).min(MAX_VOTERS)
 }
 
--- a/crates/control-plane/src/daemon.rs
+++ b/crates/control-plane/src/daemon.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     control_node::{self, Bootstrap, ControlNode, LogWriterFactory, Start},
-    membership::Member,
+    membership::LocalMember,
     types::{NodeInfo, Role},
 };
 use common::{
@@ -40,7 +40,7 @@
 {
     let node = ControlNode::start(settings.clone(), bootstrap, start, log_writer);
     let info = NodeInfo::of(&settings, Role::Control, node.status().me.incarnation);
-    let member = Member::new(settings.clone(), info, Clock::default());
+    let member = LocalMember::new(settings.clone(), info, Clock::default());
     spawn(report_revision(member.clone()));
     if node.is_learner() {
         node.follow_as_learner(member.clone());
@@ -67,10 +67,10 @@
 }
 
 /// A control node follows its own state, so that its lease reports the revision that is in force here.
-async fn report_revision(member: Arc<Member>) {
+async fn report_revision(member: Arc<LocalMember>) {
     let mut applied = member.applied.subscribe();
     while applied.changed().await.is_ok() {
         let revision = member.cluster_state.load().revision;
-        member.revision_in_force.store(revision.0, Ordering::Release);
+        member.active_revision.store(revision.0, Ordering::Release);
     }
 }
--- a/crates/control-plane/src/membership/lease.rs
+++ b/crates/control-plane/src/membership/lease.rs
@@ -96,7 +96,7 @@
     }
 
     /// Members that have not renewed here for two renewal intervals: they may not learn of what is logged now.
-    pub fn silent(&self, state: &ClusterState, timing: &Timing, now: Tick) -> Vec<NodeId> {
+    pub fn silent_members(&self, state: &ClusterState, timing: &Timing, now: Tick) -> Vec<NodeId> {
         let recent = |at: Tick| now.since(at) <= 2 * timing.renew_interval_ms();
         let silent = |info: &&NodeInfo| !self.last_renewal(info).is_some_and(recent);
         state
--- a/crates/control-plane/src/membership/member.rs
+++ b/crates/control-plane/src/membership/local_member.rs
@@ -24,7 +24,7 @@
 use tokio::sync::watch;
 
 /// A node's membership and its copy of the cluster state.
-pub struct Member {
+pub struct LocalMember {
     /// The node's settings.
     pub settings: Settings,
     /// The node's clock.
@@ -39,7 +39,7 @@
     pub applied: watch::Sender<Index>,
     lease: Mutex<HeldLease>,
     /// Revision whose compiled form is in use here.
-    pub revision_in_force: AtomicU64,
+    pub active_revision: AtomicU64,
     /// Who answered the last renewal.
     leader: Mutex<Option<SocketAddr>>,
     /// Voters that others told of, for as long as the state that names them is not here.
@@ -59,7 +59,7 @@
     pub(super) same_zone: bool,
 }
 
-impl Member {
+impl LocalMember {
     /// A node that holds no membership yet.
     pub fn new(settings: Settings, info: NodeInfo, clock: Clock) -> Arc<Self> {
         let control = Arc::new(ControlClient::new(settings.me(), SERVICE));
@@ -71,7 +71,7 @@
             cluster_state: ArcSwap::from_pointee(ClusterState::default()),
             applied: watch::channel(Index(0)).0,
             lease: Mutex::default(),
-            revision_in_force: AtomicU64::new(0),
+            active_revision: AtomicU64::new(0),
             leader: Mutex::default(),
             announced_voters: Mutex::default(),
             announced: Mutex::default(),
@@ -126,7 +126,7 @@
     }
 
     /// The leader announced an index; `before` is a time before it did.
-    pub fn note_announced(&self, index: Index, before: Tick) {
+    pub fn note_announced_index(&self, index: Index, before: Tick) {
         let mut announced = lock(&self.announced);
         let newest = announced.back().map(|(index, _)| *index).unwrap_or_default();
         if index > newest.max(self.cluster_state.load().index) {
@@ -190,7 +190,7 @@
             let sent = self.clock.now();
             match self.request_renewal(to).await {
                 Ok(ControlResponse::Renewed { epoch, index }) => {
-                    self.note_announced(index, sent);
+                    self.note_announced_index(index, sent);
                     self.extend_lease(epoch, sent);
                     return self.set_leader(Some(to));
                 }
@@ -212,7 +212,7 @@
         let request = ControlRequest::Renew {
             info: self.info.clone(),
             index: self.cluster_state.load().index,
-            revision: Revision(self.revision_in_force.load(Ordering::Acquire)),
+            revision: Revision(self.active_revision.load(Ordering::Acquire)),
         };
         self.control.call("renew", to, request).await
     }
--- a/crates/control-plane/src/membership/follow.rs
+++ b/crates/control-plane/src/membership/state_follower.rs
@@ -1,6 +1,6 @@
 //! How a node follows the cluster state (design 3.3).
 
-use super::Member;
+use super::LocalMember;
 use crate::{
     rpc::{ControlRequest, ControlResponse},
     state_machine::{
@@ -15,7 +15,7 @@
     time::Duration,
 };
 
-impl Member {
+impl LocalMember {
     pub(super) async fn keep_following(self: Arc<Self>) {
         loop {
             if !self.follow().await {
--- a/crates/control-plane/src/operator/api/mod.rs
+++ b/crates/control-plane/src/operator/api/mod.rs
@@ -58,7 +58,7 @@
 
 /// A name for a call that has none of its own. It is drawn: two operators in the same moment must never share an
 /// outcome.
-pub fn draw_operation() -> OpId {
+pub fn random_operation_id() -> OpId {
     OpId::new(format!("drawn-{:032x}", common::runtime::random::<u128>()))
 }
 
@@ -117,7 +117,7 @@
         let wait_ms = query.filter_map(|field| field.strip_prefix("wait_ms=")).find_map(|v| v.parse().ok());
         Self {
             node,
-            op: header("foldshunt-op").map_or_else(draw_operation, OpId::new),
+            op: header("foldshunt-op").map_or_else(random_operation_id, OpId::new),
             base: header("if-match"),
             wait_ms: wait_ms.unwrap_or(0u64).min(MAX_WAIT_MS),
         }
--- a/crates/control-plane/src/operator/service.rs
+++ b/crates/control-plane/src/operator/service.rs
@@ -7,7 +7,7 @@
 //! between two that were compared with the same state.
 
 use super::{
-    api::draw_operation,
+    api::random_operation_id,
     outcome::{OperationOutcome, ServiceError},
 };
 use crate::{
@@ -116,7 +116,8 @@
         if !self.zones.contains(zone) && !state.knows_zone(zone) {
             return invalid(format!("area: {zone} is known to no node"));
         }
-        let change = Change::Evacuate { op: draw_operation(), zone: zone.clone(), on, seen: state.index };
+        let change =
+            Change::Evacuate { op: random_operation_id(), zone: zone.clone(), on, seen: state.index };
         self.propose(change, deadline).await
     }
 
--- a/crates/control-plane/src/state_machine/cluster_state.rs
+++ b/crates/control-plane/src/state_machine/cluster_state.rs
@@ -210,7 +210,7 @@
             + self.lost.iter().map(|lost| length(lost.node.as_str(), 16)).sum::<usize>()
             + self.replicas.iter().map(replica).sum::<usize>()
             + self.members.values().map(member).sum::<usize>()
-            + self.voters.iter().map(VoterInfo::weight).sum::<usize>()
+            + self.voters.iter().map(VoterInfo::max_encoded_len).sum::<usize>()
             + self.recent_operations.iter().map(operation).sum::<usize>()
             + self.accepted_operations.weight()
     }
--- a/crates/control-plane/src/state_machine/state_update.rs
+++ b/crates/control-plane/src/state_machine/state_update.rs
@@ -36,7 +36,7 @@
     }
     let missing = || log.iter().filter(|entry| entry.index > have && entry.index <= state.index);
     // Where the changes weigh more than one message should, a snapshot is shorter.
-    if missing().map(LogEntry::weight).sum::<usize>() > limits.batch() {
+    if missing().map(LogEntry::max_encoded_len).sum::<usize>() > limits.batch() {
         return StateUpdate::Snapshot(Box::new(state.clone()));
     }
     StateUpdate::Changes(missing().cloned().collect())
--- a/crates/control-plane/src/types/change.rs
+++ b/crates/control-plane/src/types/change.rs
@@ -123,7 +123,7 @@
 
     /// Whether it may take something away from traffic, so that a router that does not learn of it serves
     /// wrongly (design 3.7).
-    pub fn narrows(&self) -> bool {
+    pub fn restricts_traffic(&self) -> bool {
         match self {
             Change::Apply { .. } | Change::Evacuate { on: true, .. } => true,
             Change::Replica { what, .. } => !matches!(what, ReplicaChange::List { .. }),
@@ -132,7 +132,7 @@
     }
 
     /// Upper bound on its encoded length, in bytes; a test holds it to that.
-    pub fn weight(&self) -> usize {
+    pub fn max_encoded_len(&self) -> usize {
         CHANGE_OVERHEAD_BYTES + self.payload_bytes()
     }
 
@@ -144,20 +144,20 @@
             Change::Join(info) => info.node.as_str().len() + info.zone.as_str().len() + MEMBER_OVERHEAD_BYTES,
             Change::Expire { node, .. } => node.as_str().len(),
             Change::ConfirmDown { op, node } => op.as_str().len() + node.as_str().len(),
-            Change::ReplaceVoter(voter) => voter.weight(),
+            Change::ReplaceVoter(voter) => voter.max_encoded_len(),
         }
     }
 
     /// Upper bound on what applying it adds to the state beyond the entry itself, in bytes: its outcome.
-    pub(crate) fn growth(&self) -> usize {
+    pub(crate) fn max_state_growth(&self) -> usize {
         match self {
             Change::Apply { op, .. } => op.as_str().len() + ACCEPTED_OUTCOME_BYTES,
-            other => other.weight() + OTHER_OUTCOME_BYTES,
+            other => other.max_encoded_len() + OTHER_OUTCOME_BYTES,
         }
     }
 
     /// Whether applying it may make the state larger.
-    pub(crate) fn grows(&self) -> bool {
+    pub(crate) fn may_grow_state(&self) -> bool {
         match self {
             Change::Apply { .. } | Change::Evacuate { on: true, .. } => true,
             Change::Replica { what, .. } => matches!(what, ReplicaChange::List { .. }),
@@ -166,7 +166,7 @@
     }
 
     /// Whether no name in it is longer than a name may be.
-    pub(crate) fn names_fit(&self) -> bool {
+    pub(crate) fn names_within_limit(&self) -> bool {
         self.op().is_none_or(|op| fits(op.as_str())) && self.other_names_fit()
     }
 
@@ -174,7 +174,7 @@
         match self {
             Change::Apply { .. } => true,
             Change::Evacuate { zone, .. } => fits(zone.as_str()),
-            Change::Replica { id, what, .. } => fits(id.as_str()) && what.names_fit(),
+            Change::Replica { id, what, .. } => fits(id.as_str()) && what.names_within_limit(),
             Change::Join(info) => fits(info.node.as_str()) && fits(info.zone.as_str()),
             Change::Expire { node, .. } | Change::ConfirmDown { node, .. } => fits(node.as_str()),
             Change::ReplaceVoter(voter) => fits(voter.node.as_str()) && fits(voter.zone.as_str()),
@@ -192,7 +192,7 @@
         }
     }
 
-    fn names_fit(&self) -> bool {
+    fn names_within_limit(&self) -> bool {
         match self {
             ReplicaChange::List { service, zone, .. } => fits(service.as_str()) && fits(zone.as_str()),
             ReplicaChange::Drain | ReplicaChange::Remove => true,
--- a/crates/control-plane/src/types/log.rs
+++ b/crates/control-plane/src/types/log.rs
@@ -19,13 +19,13 @@
 
 impl LogEntry {
     /// Upper bound on its encoded length, in bytes.
-    pub fn weight(&self) -> usize {
-        Self::weight_of(&self.change)
+    pub fn max_encoded_len(&self) -> usize {
+        Self::max_encoded_len_with(&self.change)
     }
 
     /// Upper bound on the encoded length of an entry with that change, in bytes.
-    pub fn weight_of(change: &Change) -> usize {
-        change.weight() + ENTRY_OVERHEAD_BYTES
+    pub fn max_encoded_len_with(change: &Change) -> usize {
+        change.max_encoded_len() + ENTRY_OVERHEAD_BYTES
     }
 }
 
@@ -35,8 +35,8 @@
     let mut first = true;
     entries
         .take_while(|entry| {
-            let fits = std::mem::take(&mut first) || entry.weight() <= bytes_left;
-            bytes_left = bytes_left.saturating_sub(entry.weight());
+            let fits = std::mem::take(&mut first) || entry.max_encoded_len() <= bytes_left;
+            bytes_left = bytes_left.saturating_sub(entry.max_encoded_len());
             fits
         })
         .cloned()
--- a/crates/control-plane/src/types/size.rs
+++ b/crates/control-plane/src/types/size.rs
@@ -58,7 +58,7 @@
 
 impl VoterInfo {
     /// Upper bound on its encoded length, in bytes.
-    pub(crate) fn weight(&self) -> usize {
+    pub(crate) fn max_encoded_len(&self) -> usize {
         self.node.as_str().len() + self.zone.as_str().len() + VOTER_OVERHEAD_BYTES
     }
 }
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -15,7 +15,7 @@
     consensus::DurableState,
     consensus::{Event, Record},
     control_node::{Bootstrap, ControlNode, LogWriter, LogWriterFactory, Start},
-    membership::Member,
+    membership::LocalMember,
     operator::{OperationOutcome, OperatorService},
     rpc::ProposalOutcome,
     storage::blank_voter,
@@ -108,7 +108,7 @@
     };
     let core = ControlNode::start(set.clone(), bootstrap, start, make);
     let info = NodeInfo::of(&set, Role::Control, core.status().me.incarnation);
-    Member::new(set.clone(), info, Clock::default()).start();
+    LocalMember::new(set.clone(), info, Clock::default()).start();
     spawn(control_plane::control_node::listen(rpc_listener, set.me(), core.clone()));
     let operator_service = Arc::new(operator_service(core.clone()));
     Stand { core, operator_service, host, ip }
--- a/crates/control-plane/tests/drawn.rs
+++ b/crates/control-plane/tests/drawn.rs
@@ -1,7 +1,7 @@
 //! What must never be alike by chance of time or process (design 2.5, 4.6).
 
 use common::settings::{Settings, Timing};
-use control_plane::{operator::api::draw_operation, storage::blank_voter};
+use control_plane::{operator::api::random_operation_id, storage::blank_voter};
 use std::collections::BTreeSet;
 
 fn settings() -> Settings {
@@ -32,7 +32,7 @@
 /// Two operators at one voter in one millisecond: the second was answered with the first one's outcome.
 #[test]
 fn no_two_operations_share_a_name() {
-    let all: BTreeSet<_> = (0..1_000).map(|_| draw_operation()).collect();
+    let all: BTreeSet<_> = (0..1_000).map(|_| random_operation_id()).collect();
     assert_eq!(all.len(), 1_000);
     assert!(all.iter().all(|o| common::is_valid_name(o.as_str())));
 }
--- a/crates/control-plane/tests/learner.rs
+++ b/crates/control-plane/tests/learner.rs
@@ -9,10 +9,10 @@
     ClusterState, Role,
     consensus::{Body, DurableState, Effect, Event, Message, Record, Voter, VoterId},
     control_node::{
-        Bootstrap, ControlNode, LogWriter, LogWriterFactory, Start, voters_to_survive, without_disk,
+        Bootstrap, ControlNode, LogWriter, LogWriterFactory, Start, diskless_start, voters_to_tolerate,
     },
     daemon,
-    membership::Member,
+    membership::LocalMember,
     operator::OperationOutcome,
     storage::blank_voter,
     types::{NodeInfo, VoterInfo},
@@ -84,7 +84,7 @@
         let listeners = settings.bind().await.unwrap();
         let log: LogWriterFactory = Box::new(move |node| Box::new(MemoryLog(node, own)));
         let blank = Start::from(DurableState::blank(&blank_voter(&settings)));
-        let start = if learner { without_disk(&settings) } else { (blank, log) };
+        let start = if learner { diskless_start(&settings) } else { (blank, log) };
         let handler = move |node: Arc<ControlNode>, _, _| {
             *lock(&shown) = Some(node);
             async { Ok(common::http::text(hyper::StatusCode::OK, "")) }
@@ -119,7 +119,7 @@
     /// The leader that a node sends operators to, waited for until `end`.
     async fn leader_known_at(&self, n: usize, end: u64) -> Option<SocketAddr> {
         while self.world.ms() < end {
-            if let Some(leader) = self.node(n).await.and_then(|node| node.operators_leader()) {
+            if let Some(leader) = self.node(n).await.and_then(|node| node.leader_http_addr()) {
                 return Some(leader);
             }
             sleep(Duration::from_millis(50)).await;
@@ -197,7 +197,7 @@
         assert!(fleet.leader_known_at(6, 20_000).await.is_some());
         let set = settings(40, &[6, 7, 8]);
         let info = NodeInfo::of(&set, Role::Router, Incarnation(7));
-        let member = Member::new(set, info, Clock::default());
+        let member = LocalMember::new(set, info, Clock::default());
         let started = member.clone();
         world.host(ip(40)).spawn(async move { started.start() }).await.unwrap();
         let end = world.ms() + 3_000;
@@ -338,5 +338,5 @@
 #[case(2, 5)]
 #[case(9, 7)]
 fn voters_bear_the_losses(#[case] losses: usize, #[case] voters: usize) {
-    assert_eq!(voters_to_survive(losses), voters);
+    assert_eq!(voters_to_tolerate(losses), voters);
 }
--- a/crates/control-plane/tests/size.rs
+++ b/crates/control-plane/tests/size.rs
@@ -187,7 +187,7 @@
     let mut told = vec![];
     for (n, change) in all.into_iter().enumerate() {
         let e = LogEntry { index: Index(u64::MAX - 100 + n as u64), change };
-        assert!(wire::encode(&e).unwrap().len() <= e.weight(), "{e:?}");
+        assert!(wire::encode(&e).unwrap().len() <= e.max_encoded_len(), "{e:?}");
         let _ = l.apply(e.index, &e.change);
         assert!(wire::encode(&l).unwrap().len() <= l.weight(), "{l:?}");
         told.push(e);
--- a/crates/data-plane/src/contact.rs
+++ b/crates/data-plane/src/contact.rs
@@ -188,7 +188,7 @@
         .filter_map(|(no, why)| no.then_some(why))
         .collect();
         let code = if why.is_empty() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        let revision = self.member.revision_in_force.load(Ordering::Acquire);
+        let revision = self.member.active_revision.load(Ordering::Acquire);
         common::http::json(
             code,
             &serde_json::json!({"ready": why.is_empty(), "why": why, "revision": revision, "idx": l.index}),
@@ -203,7 +203,7 @@
             ("lags", i64::from(self.member.lags())),
             ("unreadable", i64::from(self.refuses_work() == Some("document not readable"))),
             ("index", l.index.0 as i64),
-            ("revision", self.member.revision_in_force.load(Ordering::Acquire) as i64),
+            ("revision", self.member.active_revision.load(Ordering::Acquire) as i64),
             ("open_jobs", self.open_count.open() as i64),
             ("waitlist", lock(&self.queue).len() as i64),
             ("table_rows", lock(&self.placements).len() as i64),
--- a/crates/data-plane/src/daemon.rs
+++ b/crates/data-plane/src/daemon.rs
@@ -7,7 +7,7 @@
     runtime::{random, spawn},
     settings::{Listeners, Settings},
 };
-use control_plane::{Role, membership::Member, types::NodeInfo};
+use control_plane::{Role, membership::LocalMember, types::NodeInfo};
 use std::{
     sync::{Arc, atomic::Ordering},
     time::Duration,
@@ -20,7 +20,7 @@
 pub async fn run(set: Settings, listeners: Listeners, stop: impl Future<Output = ()>) {
     let info = NodeInfo::of(&set, Role::Router, Incarnation(random::<u64>() >> 1));
     let clock = Clock::default();
-    let member = Member::new(set.clone(), info, clock.clone());
+    let member = LocalMember::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock.clone());
     router.start(&set, listeners.rpc);
     let (stop_listening, stopped) = watch::channel(false);
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -55,7 +55,7 @@
 pub struct Router {
     pub set: Settings,
     pub clock: Clock,
-    pub member: Arc<membership::Member>,
+    pub member: Arc<membership::LocalMember>,
     pub lines: RpcClient<RouterRequest, RouterResponse>,
     pub governing: ArcSwapOption<ActiveConfiguration>,
     pub load_view: LoadView,
@@ -91,7 +91,7 @@
 pub use common::lock;
 
 impl Router {
-    pub fn new(set: Settings, member: Arc<membership::Member>, clock: Clock) -> Arc<Self> {
+    pub fn new(set: Settings, member: Arc<membership::LocalMember>, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
             lines: RpcClient::new(set.me(), crate::rpc::SERVICE),
             set,
@@ -157,7 +157,7 @@
                         self.governing.store(Some(Arc::new(ActiveConfiguration { revision, table })));
                         let _ =
                             self.since.compare_exchange(0, self.now().0, Ordering::AcqRel, Ordering::Acquire);
-                        self.member.revision_in_force.store(revision.0, Ordering::Release);
+                        self.member.active_revision.store(revision.0, Ordering::Release);
                         log_event!(Info, "governs", "revision" => revision.0);
                         self.record_event(EventKind::Governs(revision));
                     }
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -12,7 +12,7 @@
     settings::{Listeners, Settings},
 };
 use configuration::DocumentFormat;
-use control_plane::{Role, membership::Member, types::NodeInfo};
+use control_plane::{Role, membership::LocalMember, types::NodeInfo};
 use std::{
     sync::{Arc, atomic::Ordering},
     time::Duration,
@@ -34,7 +34,7 @@
 ) -> eyre::Result<()> {
     let info = NodeInfo::of(&set, Role::Router, Incarnation(random::<u64>() >> 1));
     let clock = Clock::default();
-    let member = Member::new(set.clone(), info, clock.clone());
+    let member = LocalMember::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock.clone());
     let Parts { site, dialect, document_format } = parts;
     let extra: Vec<_> = site.readiness.into_iter().chain(site.directory).collect();
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -125,7 +125,7 @@
                     Ok(m) => {
                         have = l.revision;
                         self.map.store(Some(Arc::new(m)));
-                        self.router.member.revision_in_force.store(have.0, Ordering::Release);
+                        self.router.member.active_revision.store(have.0, Ordering::Release);
                         log_event!(Info, "governs", "revision" => have.0);
                     }
                     Err(f) => {
--- a/crates/data-plane/tests/edge.rs
+++ b/crates/data-plane/tests/edge.rs
@@ -4,7 +4,7 @@
 mod kit;
 
 use common::{Clock, Epoch, Index, Tick};
-use control_plane::{ClusterState, membership::Member, state_machine::state_update::StateUpdate};
+use control_plane::{ClusterState, membership::LocalMember, state_machine::state_update::StateUpdate};
 use data_plane::router::Router;
 use kit::{Back, IP, back, hears_p9, info, post, router, say, settings};
 use rstest::rstest;
@@ -105,7 +105,7 @@
     let b = back(WHOLE).await;
     let (r, at) = router("verdict", std::slice::from_ref(&b)).await;
     let stale = ClusterState { index: Index(r.cluster_state().index.0 + 1), ..(*r.cluster_state()).clone() };
-    let expired = Member::new(settings(), info("p1", "centro-1"), Clock::default());
+    let expired = LocalMember::new(settings(), info("p1", "centro-1"), Clock::default());
     let _ = expired.install(StateUpdate::Snapshot(Box::new(stale)), "test");
     expired.extend_lease(Epoch(1), Tick(0));
     let alone = Router::new(settings(), expired, Clock::default());
--- a/crates/data-plane/tests/kit/mod.rs
+++ b/crates/data-plane/tests/kit/mod.rs
@@ -6,8 +6,8 @@
     settings::{Settings, Timing},
 };
 use control_plane::{
-    Change, ClusterState, ReplicaChange, Role, membership::Member, state_machine::state_update::StateUpdate,
-    types::NodeInfo,
+    Change, ClusterState, ReplicaChange, Role, membership::LocalMember,
+    state_machine::state_update::StateUpdate, types::NodeInfo,
 };
 use data_plane::{
     load::{LoadReport, ReplicaLoad},
@@ -86,7 +86,7 @@
 }
 
 pub async fn router_at(clock: Clock, service: &str, backs: &[Back]) -> (Arc<Router>, SocketAddr) {
-    let member = Member::new(settings(), info("p1", "centro-1"), clock.clone());
+    let member = LocalMember::new(settings(), info("p1", "centro-1"), clock.clone());
     let mut l = ClusterState::bootstrapped("bitacora", vec![]);
     let mut add = |change: Change| drop(l.apply(l.index.next(), &change));
     add(Change::Apply { op: "a".into(), base: Default::default(), text: DOC.into() });
--- a/crates/data-plane/tests/lag.rs
+++ b/crates/data-plane/tests/lag.rs
@@ -41,14 +41,14 @@
 async fn what_the_leader_spoke_of_must_come(#[case] ms: u64, #[case] comes: bool, #[case] serves: bool) {
     let b = back(WHOLE).await;
     let (r, at, hand) = one(&b).await;
-    r.member.note_announced(r.cluster_state().index.next(), r.now());
+    r.member.note_announced_index(r.cluster_state().index.next(), r.now());
     hand.fetch_add(ms, Ordering::AcqRel);
     r.member.extend_lease(r.member.lease().epoch, r.now());
     if comes {
         let _ = r.member.install(StateUpdate::Snapshot(Box::new(evacuated(&r.cluster_state()))), "test");
     }
     // Later words of the same place do not start the count anew.
-    r.member.note_announced(r.cluster_state().index.next(), r.now());
+    r.member.note_announced_index(r.cluster_state().index.next(), r.now());
     let (answer, ready, counters) = asked(at).await;
     assert_eq!(answer.contains("outcome: done"), serves, "{answer}");
     assert_eq!(answer.contains("lags behind the core"), !serves, "{answer}");
@@ -61,7 +61,7 @@
 async fn an_outage_of_the_core_is_no_lag() {
     let b = back(WHOLE).await;
     let (r, _, hand) = one(&b).await;
-    r.member.note_announced(r.cluster_state().index.next(), r.now());
+    r.member.note_announced_index(r.cluster_state().index.next(), r.now());
     hand.fetch_add(61_000, Ordering::AcqRel);
     kit::hears_p9(&r);
     assert_eq!(r.refuses_work(), None);
--- a/crates/data-plane/tests/serving/fleet.rs
+++ b/crates/data-plane/tests/serving/fleet.rs
@@ -12,7 +12,7 @@
 };
 use control_plane::{
     Change, ClusterState, Role,
-    membership::Member,
+    membership::LocalMember,
     state_machine::{singleton, state_update::StateUpdate},
     types::NodeInfo,
 };
@@ -99,7 +99,7 @@
 /// It reads no list and asks for no reports yet.
 async fn start_in_epoch(n: usize, epoch: Epoch, renewed: Arc<AtomicBool>) -> Arc<Serving> {
     let (set, clock) = (settings(n), Clock::default());
-    let member = Member::new(set.clone(), info(n), clock.clone());
+    let member = LocalMember::new(set.clone(), info(n), clock.clone());
     let _ = member.install(StateUpdate::Snapshot(Box::new(members())), "test");
     let router = Router::new(set.clone(), member.clone(), clock.clone());
     spawn(async move {
--- a/crates/data-plane/tests/serving/stage.rs
+++ b/crates/data-plane/tests/serving/stage.rs
@@ -13,7 +13,8 @@
 };
 use configuration::{Backend, Diagnostic, DocumentFormat, RequestLimits, Route, RouteMap};
 use control_plane::{
-    Change, ClusterState, Role, membership::Member, state_machine::state_update::StateUpdate, types::NodeInfo,
+    Change, ClusterState, Role, membership::LocalMember, state_machine::state_update::StateUpdate,
+    types::NodeInfo,
 };
 use data_plane::{
     router::{Router, lock},
@@ -367,7 +368,7 @@
         if let Some(a) = cast.evacuated {
             add(Change::Evacuate { op: "e".into(), zone: a.into(), on: true, seen: common::Index(u64::MAX) });
         }
-        let member = Member::new(set.clone(), info, clock.clone());
+        let member = LocalMember::new(set.clone(), info, clock.clone());
         member.extend_lease(Epoch(l.index.0), clock.now());
         let _ = member.install(StateUpdate::Snapshot(Box::new(l.clone())), "test");
         let site = Site {
--- a/crates/data-plane/tests/serving/usage_world.rs
+++ b/crates/data-plane/tests/serving/usage_world.rs
@@ -14,7 +14,7 @@
 };
 use control_plane::{
     Change, ClusterState, Role,
-    membership::{Leases, Member, Renewal},
+    membership::{Leases, LocalMember, Renewal},
     state_machine::{singleton::holder_of, state_update::StateUpdate},
     types::NodeInfo,
 };
@@ -215,21 +215,21 @@
     sleep(Duration::from_millis(random::<u64>() % most_ms)).await;
 }
 
-async fn keep_lease(n: usize, member: Arc<Member>, simulation: Arc<Simulation>, core: Arc<Mutex<Core>>) {
+async fn keep_lease(n: usize, member: Arc<LocalMember>, simulation: Arc<Simulation>, core: Arc<Mutex<Core>>) {
     loop {
         let sent = member.clock.now();
         way(WAY_MS).await;
         let renewed = renewal(&core, n, &member.info, Tick(simulation.ms()));
         way(WAY_MS).await;
         if let Some((epoch, index)) = renewed.filter(|_| !lock(&core).cut.contains(&n)) {
-            member.note_announced(index, sent);
+            member.note_announced_index(index, sent);
             member.extend_lease(epoch, sent);
         }
         sleep(Duration::from_millis(timing().renew_interval_ms())).await;
     }
 }
 
-async fn keep_state(n: usize, member: Arc<Member>, core: Arc<Mutex<Core>>) {
+async fn keep_state(n: usize, member: Arc<LocalMember>, core: Arc<Mutex<Core>>) {
     loop {
         let state = lock(&core).state.clone();
         way(STATE_WAY_MS).await;
@@ -249,7 +249,7 @@
 ) {
     let (set, clock) = (settings(n), Clock::default());
     let info = NodeInfo::of(&set, Role::Router, incarnation);
-    let member = Member::new(set.clone(), info, clock.clone());
+    let member = LocalMember::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock);
     let serving = Serving::new(router.clone(), Arc::new(Wire(names())), Arc::new(Unread), site(n));
     spawn(keep_lease(n, member.clone(), simulation.clone(), core.clone()));
--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -208,7 +208,7 @@
             }
             Effect::Committed { entry, .. } => {
                 if self.watched.is_some() && entry.index > self.highest {
-                    self.measured.needed += entry.weight();
+                    self.measured.needed += entry.max_encoded_len();
                 }
                 self.highest = self.highest.max(entry.index);
                 if let Change::Apply { .. } = entry.change {
--- a/crates/simulator/src/sim/catch_up/member.rs
+++ b/crates/simulator/src/sim/catch_up/member.rs
@@ -98,7 +98,7 @@
         let bytes = match &record {
             Record::DurableState(image) => {
                 self.log_bytes = 0;
-                let entries: usize = image.entries.iter().map(LogEntry::weight).sum();
+                let entries: usize = image.entries.iter().map(LogEntry::max_encoded_len).sum();
                 let bytes = image.cluster_state.weight() + entries;
                 fits("a slot", bytes, SizeLimits::default().slot())?;
                 bytes + SHORT_LOG_BYTES as usize
@@ -128,7 +128,7 @@
 
     /// Bytes of the log that it keeps in memory.
     pub fn log_weight(&self) -> usize {
-        self.voter.as_ref().map_or(0, |s| s.log.iter().map(LogEntry::weight).sum())
+        self.voter.as_ref().map_or(0, |s| s.log.iter().map(LogEntry::max_encoded_len).sum())
     }
 }
 
