--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -15,7 +15,7 @@
     consensus::DurableState,
     consensus::{Event, Record},
     control_node::{Bootstrap, ControlNode, LogWriter, LogWriterFactory, Start},
-    membership::Member,
+    membership::LocalMember,
     operator::{OperationOutcome, OperatorService},
     rpc::ProposalOutcome,
     storage::blank_voter,
@@ -122,7 +122,7 @@
     };
     let control_node = ControlNode::start(settings.clone(), bootstrap, start, make);
     let info = NodeInfo::of(&settings, Role::Control, control_node.status().me.incarnation);
-    Member::new(settings.clone(), info, Clock::default()).start();
+    LocalMember::new(settings.clone(), info, Clock::default()).start();
     spawn(control_plane::control_node::listen(rpc_listener, settings.me(), control_node.clone()));
     let operator_service = Arc::new(operator_service(control_node.clone()));
     ClusterNode { control_node, operator_service, host, ip }
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -149,7 +149,7 @@
                     Ok(route_map) => {
                         in_force = cluster.revision;
                         self.route_map.store(Some(Arc::new(route_map)));
-                        self.router.member.revision_in_force.store(in_force.0, Ordering::Release);
+                        self.router.member.active_revision.store(in_force.0, Ordering::Release);
                         log_event!(Info, "governs", "revision" => in_force.0);
                     }
                     Err(diagnostics) => {
