--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt at a replica or at a router of another region (design 6.1, 6.2): what is certain
 //! afterwards decides whether another attempt is allowed.
 
-use crate::response_body::{Passing, ends_surely};
+use crate::response_body::{ForwardedBody, has_detectable_end};
 use bytes::Bytes;
 use common::{
     PeerError,
@@ -61,7 +61,7 @@
 }
 
 /// The same, and what routers set for each other.
-pub fn strip(h: &mut HeaderMap) {
+pub fn strip_internal_headers(h: &mut HeaderMap) {
     strip_hop_by_hop(h);
     let own: Vec<HeaderName> = h.keys().filter(|k| k.as_str().starts_with("foldshunt-")).cloned().collect();
     own.iter().for_each(|n| drop(h.remove(n)));
@@ -120,17 +120,17 @@
         }
     };
     let (mut head, body) = res.into_parts();
-    if !ends_surely(&sent.method, &head, &body) {
+    if !has_detectable_end(&sent.method, &head, &body) {
         return Outcome::Unknown(PeerError::new("read answer", to, "its end could not be told from a cut"));
     }
     let outcome = head.headers.get("foldshunt-outcome").cloned();
     let reason = head.headers.get("foldshunt-reason").cloned();
-    strip(&mut head.headers);
+    strip_internal_headers(&mut head.headers);
     for (k, v) in [("foldshunt-outcome", outcome), ("foldshunt-reason", reason)] {
         if let Some(v) = v {
             head.headers.insert(k, v);
         }
     }
     let idle = Duration::from_millis(left_ms.max(1000));
-    Outcome::Done(Response::from_parts(head, Passing::wrap(body, idle, (tx, kept))))
+    Outcome::Done(Response::from_parts(head, ForwardedBody::wrap(body, idle, (tx, kept))))
 }
--- a/crates/data-plane/src/capacity_grant.rs
+++ b/crates/data-plane/src/capacity_grant.rs
@@ -13,7 +13,8 @@
     pub fencing_token: FencingToken,
     pub serial: u64,
     pub count: u32,
-    pub life_ms: u64,
+    #[serde(rename = "life_ms")]
+    pub ttl_ms: u64,
 }
 
 /// One use of a pass, shown to the lending region.
@@ -47,7 +48,7 @@
 
 impl GrantIssuer {
     /// A new fencing token voids all that was granted under the old one, and wellness starts anew.
-    pub fn under(&mut self, fencing_token: FencingToken) {
+    pub fn set_fencing_token(&mut self, fencing_token: FencingToken) {
         if fencing_token != self.fencing_token {
             *self = Self { fencing_token, serial: self.serial, ..Self::default() };
         }
@@ -61,7 +62,7 @@
         }
     }
 
-    pub fn well(&self, now: Tick, full_set_ms: u64) -> bool {
+    pub fn is_healthy(&self, now: Tick, full_set_ms: u64) -> bool {
         self.well_since.is_some_and(|s| now.since(s) >= full_set_ms)
     }
 
@@ -74,7 +75,7 @@
         node: &NodeId,
         room: f64,
         askers: usize,
-        life_ms: u64,
+        ttl_ms: u64,
         now: Tick,
     ) -> Option<CapacityGrant> {
         let at = (service.clone(), node.clone());
@@ -82,7 +83,7 @@
         self.grants.retain(|_, g| g.until > now);
         let out: u32 = self.grants.iter().filter(|((s, _), _)| s == service).map(|(_, g)| g.left).sum();
         let used = self.used.entry(service.clone()).or_default();
-        used.retain(|t| now.since(*t) < life_ms);
+        used.retain(|t| now.since(*t) < ttl_ms);
         let free = room.max(0.0) as i64 - i64::from(out) - used.len() as i64;
         let part = (room.max(0.0) / askers.max(1) as f64).ceil() as i64;
         let count = part.min(free).max(0) as u32;
@@ -91,9 +92,9 @@
         }
         self.serial += 1;
         let serial = self.serial;
-        self.grants.insert(at, Grant { serial, left: count, until: now + life_ms });
+        self.grants.insert(at, Grant { serial, left: count, until: now + ttl_ms });
         let (region, service, fencing_token) = (region.clone(), service.clone(), self.fencing_token);
-        Some(CapacityGrant { region, service, fencing_token, serial, count, life_ms })
+        Some(CapacityGrant { region, service, fencing_token, serial, count, ttl_ms })
     }
 
     /// The grant issuer's last word on one use.
@@ -126,7 +127,7 @@
         let at = (region.clone(), service.clone());
         match pass {
             Some(p) => {
-                let until = asked + p.life_ms;
+                let until = asked + p.ttl_ms;
                 self.0.insert(at, (p, until));
             }
             None => {
--- a/crates/data-plane/src/contact.rs
+++ b/crates/data-plane/src/contact.rs
@@ -24,13 +24,13 @@
     /// Answered, within a lease's length, a heartbeat from here.
     pub fn is_reachable(&self, n: &NodeId) -> bool {
         let now = self.now();
-        lock(&self.last_contacts).get(n).is_some_and(|t| now.since(*t) <= self.set.timing.lease_ms)
+        lock(&self.last_contacts).get(n).is_some_and(|t| now.since(*t) <= self.settings.timing.lease_ms)
     }
 
     /// Whether a renewal is overdue: the lease may end, and then contact with a majority of the members decides
     /// whether this node is cut off.
     fn lease_in_doubt(&self) -> bool {
-        let timing = &self.set.timing;
+        let timing = &self.settings.timing;
         let certain_ms = timing.lease_ms.saturating_sub(DOUBT_INTERVALS * timing.renew_interval_ms());
         self.member.lease().until < self.now() + certain_ms
     }
@@ -65,12 +65,15 @@
     /// Why this node takes no new work now (design 3.5, 3.6).
     pub fn refuses_work(&self) -> Option<&'static str> {
         let l = self.cluster_state();
-        let newer = self.governing.load().as_ref().is_none_or(|g| g.revision < l.revision);
+        let newer = self.configuration.load().as_ref().is_none_or(|g| g.revision < l.revision);
         [
             (!self.member.caught_up(), "joining"),
             (self.cut_off(), "cut off"),
             (self.member.lags(), "lags behind the core"),
-            (newer && self.unreadable.load(Ordering::Acquire) == l.revision.0, "document not readable"),
+            (
+                newer && self.unreadable_revision.load(Ordering::Acquire) == l.revision.0,
+                "document not readable",
+            ),
         ]
         .into_iter()
         .find_map(|(no, why)| no.then_some(why))
@@ -78,7 +81,7 @@
 
     /// Sends a heartbeat to each member that is monitored, once within a renewal interval.
     pub async fn send_heartbeats(self: Arc<Self>) {
-        let interval = Duration::from_millis(self.set.timing.renew_interval_ms());
+        let interval = Duration::from_millis(self.settings.timing.renew_interval_ms());
         let mut ticks = tokio::time::interval(interval);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
@@ -89,7 +92,7 @@
             for member in others.filter(|member| self.monitors(member)) {
                 common::runtime::spawn(self.clone().send_heartbeat(member.clone(), state.index));
             }
-            let (forgotten_ms, now) = (self.set.timing.lease_ms * FORGOTTEN_LEASES, self.now());
+            let (forgotten_ms, now) = (self.settings.timing.lease_ms * FORGOTTEN_LEASES, self.now());
             lock(&self.last_contacts).retain(|_, at| now.since(*at) < forgotten_ms);
             lock(&self.placements).sweep(now);
         }
@@ -115,7 +118,7 @@
     /// The index that a router answers with; `None` without an answer of that incarnation.
     async fn router_heartbeat(&self, member: &Member, index: Index) -> Option<Index> {
         let (to, node) = (member.info.rpc_addr, &member.info.node);
-        match self.lines.call("heartbeat", to, RouterRequest::Heartbeat { index }).await {
+        match self.rpc_client.call("heartbeat", to, RouterRequest::Heartbeat { index }).await {
             Ok(RouterResponse::HeartbeatAck { index, incarnation, fit })
                 if incarnation == member.info.incarnation =>
             {
@@ -167,7 +170,7 @@
             return;
         }
         if let Ok(RouterResponse::StateUpdate(n)) =
-            self.lines.call("fetch state", peer, RouterRequest::FetchState { have }).await
+            self.rpc_client.call("fetch state", peer, RouterRequest::FetchState { have }).await
         {
             let _ = self.member.install(n, &peer.to_string());
         }
@@ -177,7 +180,7 @@
     pub fn ready(&self) -> Response<common::http::Body> {
         let l = self.cluster_state();
         let why: Vec<&str> = [
-            (self.governing.load().is_none(), "no configuration"),
+            (self.configuration.load().is_none(), "no configuration"),
             (self.draining.load(Ordering::Acquire), "draining"),
             (self.cut_off(), "cut off"),
             (self.member.lags(), "lags behind the core"),
@@ -205,7 +208,7 @@
             ("index", l.index.0 as i64),
             ("revision", self.member.revision_in_force.load(Ordering::Acquire) as i64),
             ("open_jobs", self.open_count.open() as i64),
-            ("waitlist", lock(&self.queue).len() as i64),
+            ("waitlist", lock(&self.request_queue).len() as i64),
             ("table_rows", lock(&self.placements).len() as i64),
         ]);
         for (k, v) in vals {
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -5,7 +5,7 @@
     attempt_history::{AttemptHistory, AttemptStep},
     gateway::{rejected, unknown},
     plan::Plan,
-    retry_policy::{After, may_retry},
+    retry_policy::{FailedAttempt, may_retry},
     router::{Router, lock},
 };
 use common::{
@@ -26,15 +26,15 @@
 const WAIT_RATIO: u64 = 8;
 
 impl Router {
-    pub async fn carry(
+    pub async fn execute(
         self: &Arc<Self>,
         p: &Plan,
         sent: &OutgoingRequest,
         open: OpenGuard,
     ) -> Response<Body> {
-        let share = p.governing.table.tuning.retry_ratio;
-        if !p.inner {
-            self.budget.earn(share);
+        let share = p.configuration.table.tuning.retry_ratio;
+        if !p.forwarded {
+            self.retry_budget.earn(share);
         }
         let mut history = AttemptHistory::default();
         // Each attempt keeps a part of it, so that the request counts as open once, to its last byte.
@@ -42,29 +42,31 @@
         loop {
             let first = history.attempts == 0;
             // A process that was frozen must not act on what it knew before.
-            if let Some(why) = self.forbidden(p) {
-                return self.given_up(p, &history, why, 2);
+            if let Some(why) = self.blocked_reason(p) {
+                return self.final_response(p, &history, why, 2);
             }
             match self.attempt_once(p, sent, &mut history, &open).await {
                 AttemptStep::Answer(r) => return r,
                 AttemptStep::Again => {}
-                AttemptStep::NoRoom(false) => return self.given_up(p, &history, "no replica in reach", 2),
+                AttemptStep::NoRoom(false) => {
+                    return self.final_response(p, &history, "no replica in reach", 2);
+                }
                 AttemptStep::NoRoom(true) if first => {
                     if let Err(why) = self.wait_for_room(p, &mut history).await {
-                        let secs = lock(&self.queue).retry_after();
-                        return self.given_up(p, &history, why, secs);
+                        let secs = lock(&self.request_queue).retry_after();
+                        return self.final_response(p, &history, why, secs);
                     }
                 }
-                AttemptStep::NoRoom(true) => return self.given_up(p, &history, "no room", 1),
+                AttemptStep::NoRoom(true) => return self.final_response(p, &history, "no room", 1),
                 AttemptStep::NotRun(e) => {
-                    let again = self.again(p, &history, After::NotRun);
+                    let again = self.may_try_again(p, &history, FailedAttempt::NotRun);
                     log_event!(Info, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.request_id, "again" => again);
                     if !again {
-                        return self.given_up(p, &history, "go failed before it was sent", 1);
+                        return self.final_response(p, &history, "go failed before it was sent", 1);
                     }
                 }
                 AttemptStep::MayHaveRun(e) => {
-                    let again = self.again(p, &history, After::MayHaveRun);
+                    let again = self.may_try_again(p, &history, FailedAttempt::MayHaveRun);
                     log_event!(Warn, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.request_id, "again" => again);
                     if !again && common::mutation::enabled("unknown-called-bounced") {
                         return rejected(self, p, "go failed", 1);
@@ -80,7 +82,7 @@
 
     /// Why nothing new may be done for a request: looked at before each attempt, and once more when its
     /// connection is open.
-    pub(crate) fn forbidden(&self, p: &Plan) -> Option<&'static str> {
+    pub(crate) fn blocked_reason(&self, p: &Plan) -> Option<&'static str> {
         (self.now() >= p.deadline).then_some("past its deadline").or_else(|| self.refuses_work())
     }
 
@@ -93,20 +95,20 @@
         l.replicas.get(id).is_none_or(|r| r.draining || r.addr != addr || l.evacuated.contains(&r.zone))
     }
 
-    pub(crate) fn way_to<'a>(
+    pub(crate) fn attempt_target<'a>(
         &self,
         p: &Plan,
         to: SocketAddr,
         forbidden: &'a (dyn Fn() -> Option<&'static str> + Send + Sync),
     ) -> AttemptTarget<'a> {
-        let (ip, connect_ms) = (self.set.rpc_addr.ip(), self.set.timing.rpc_timeout_ms);
+        let (ip, connect_ms) = (self.settings.rpc_addr.ip(), self.settings.timing.rpc_timeout_ms);
         AttemptTarget { ip, to, connect_ms, left_ms: p.deadline.since(self.now()), forbidden }
     }
 
-    fn again(&self, p: &Plan, history: &AttemptHistory, after: After) -> bool {
-        may_retry(after, p.entry.idempotent, p.inner, history.attempts)
+    fn may_try_again(&self, p: &Plan, history: &AttemptHistory, after: FailedAttempt) -> bool {
+        may_retry(after, p.entry.idempotent, p.forwarded, history.attempts)
             && self.now() < p.deadline
-            && self.budget.spend()
+            && self.retry_budget.spend()
     }
 
     async fn attempt_once(
@@ -116,16 +118,16 @@
         history: &mut AttemptHistory,
         open: &Arc<OpenGuard>,
     ) -> AttemptStep {
-        let own = self.own_region(&p.governing.table);
-        let target = if p.inner {
+        let own = self.own_region(&p.configuration.table);
+        let target = if p.forwarded {
             own.clone().map(|region| (region, true))
         } else {
             self.target(p, &history.avoid).await
         };
         let Some((region, stored)) = target else {
-            let seen = self.seen(&p.governing.table, &p.entry.to);
+            let seen = self.region_loads(&p.configuration.table, &p.entry.to);
             let any = own.is_some_and(|o| p.homes.contains(&o) && seen.contains_key(&o));
-            return AttemptStep::NoRoom(any || self.starting());
+            return AttemptStep::NoRoom(any || self.is_starting());
         };
         if own.as_ref() == Some(&region) {
             self.local(p, sent, history, open).await
@@ -136,11 +138,11 @@
 
     /// Models go by placement; lookups stay in the own region while it has anyone to ask.
     async fn target(self: &Arc<Self>, p: &Plan, avoid: &BTreeSet<Region>) -> Option<(Region, bool)> {
-        let t = &p.governing.table;
+        let t = &p.configuration.table;
         match p.entry.kind {
-            Kind::Model => self.place(p, avoid).await.map(|x| (x.region, x.stored)),
+            Kind::Model => self.choose_region(p, avoid).await.map(|x| (x.region, x.stored)),
             Kind::Application => {
-                let seen = self.seen(t, &p.entry.to);
+                let seen = self.region_loads(t, &p.entry.to);
                 let own = self.own_region(t).filter(|o| p.homes.contains(o) && seen.contains_key(o));
                 let own = own.filter(|o| !avoid.contains(o));
                 own.or_else(|| {
@@ -162,30 +164,30 @@
         history: &mut AttemptHistory,
         open: &Arc<OpenGuard>,
     ) -> AttemptStep {
-        let t = &p.governing.table;
-        let picked = match self.pick(t, &p.entry.to, p.entry.kind, p.key, &history.tried) {
+        let t = &p.configuration.table;
+        let picked = match self.select_replica(t, &p.entry.to, p.entry.kind, p.key, &history.tried) {
             Ok(x) => x,
-            Err(any) => return AttemptStep::NoRoom(any || self.starting()),
+            Err(any) => return AttemptStep::NoRoom(any || self.is_starting()),
         };
         self.count_attempt(history, "first");
         history.tried.push(picked.id.clone());
-        let (addr, own, id) = (picked.addr, picked.own.clone(), picked.id.clone());
+        let (addr, own, id) = (picked.addr, picked.local.clone(), picked.id.clone());
         let extra = [("foldshunt-job", p.request_id.to_string())];
         let kept = (picked, open.clone());
         let forbidden =
-            || self.forbidden(p).or_else(|| self.departed(&id, addr).then_some("replica departed"));
-        match attempt(self.way_to(p, addr, &forbidden), sent, &extra, kept).await {
+            || self.blocked_reason(p).or_else(|| self.departed(&id, addr).then_some("replica departed"));
+        match attempt(self.attempt_target(p, addr, &forbidden), sent, &extra, kept).await {
             Outcome::Done(r) => {
                 self.note_load(&own, r.headers());
                 // Another may do better; this one says itself that it did not serve the request.
-                if r.status().as_u16() == 503 && self.again(p, history, After::MayHaveRun) {
+                if r.status().as_u16() == 503 && self.may_try_again(p, history, FailedAttempt::MayHaveRun) {
                     history.may_have_run = Some(PeerError::new("replica", id, "answered 503"));
                     return AttemptStep::Again;
                 }
                 AttemptStep::Answer(self.done(p, r))
             }
             Outcome::NotRun(e) => {
-                let until = self.now() + self.set.timing.probe_interval_ms;
+                let until = self.now() + self.settings.timing.probe_interval_ms;
                 own.avoid_until.store(until.0, Ordering::Relaxed);
                 if e.is_refused() {
                     own.refused_at.store(self.now().0, Ordering::Relaxed);
@@ -197,7 +199,13 @@
     }
 
     /// The final answer, at once: rejected only where no attempt of the request can have run.
-    fn given_up(&self, p: &Plan, history: &AttemptHistory, why: &'static str, secs: u64) -> Response<Body> {
+    fn final_response(
+        &self,
+        p: &Plan,
+        history: &AttemptHistory,
+        why: &'static str,
+        secs: u64,
+    ) -> Response<Body> {
         match history.may_have_run.as_ref().filter(|_| !common::mutation::enabled("unknown-called-bounced")) {
             None => rejected(self, p, why, secs),
             Some(e) => unknown(self, p, e, false),
@@ -215,16 +223,16 @@
     async fn wait_for_room(&self, p: &Plan, history: &mut AttemptHistory) -> Result<(), &'static str> {
         let now = self.now();
         let until = *history.wait_until.get_or_insert(
-            now + (p.deadline.since(now) / WAIT_RATIO).min(2 * self.set.timing.probe_interval_ms),
+            now + (p.deadline.since(now) / WAIT_RATIO).min(2 * self.settings.timing.probe_interval_ms),
         );
-        let bound = p.governing.table.tuning.queue;
-        let joined = lock(&self.queue).join(until, bound, now);
+        let bound = p.configuration.table.tuning.queue;
+        let joined = lock(&self.request_queue).join(until, bound, now);
         let (at, rx) = joined.map_err(|b| match b {
             crate::request_queue::Rejection::Full => "waitlist full",
             crate::request_queue::Rejection::Late => "waitlist too long",
         })?;
         let got = tokio::time::timeout(Duration::from_millis(until.since(now)), rx).await;
-        lock(&self.queue).leave(&at);
+        lock(&self.request_queue).leave(&at);
         got.map(|_| ()).map_err(|_| "no room in time")
     }
 }
--- a/crates/data-plane/src/forwarding.rs
+++ b/crates/data-plane/src/forwarding.rs
@@ -64,7 +64,7 @@
 
 /// Why a forwarded request is rejected; the names stand in metrics and in `foldshunt-reason`.
 pub async fn check(r: &Router, h: &ForwardedRequest) -> Result<(), &'static str> {
-    let g = r.governing.load_full().ok_or("no configuration")?;
+    let g = r.configuration.load_full().ok_or("no configuration")?;
     let own = r.own_region(&g.table).ok_or("area unknown")?;
     if h.region != own {
         return Err("wrong region");
@@ -98,7 +98,7 @@
     }
     let l = r.cluster_state();
     let member = |n: &NodeId| l.members.get(n).map(|m| m.epoch);
-    lock(&r.replay).take(&h.from, h.epoch, h.number, &member)
+    lock(&r.replay_guard).take(&h.from, h.epoch, h.number, &member)
 }
 
 /// Bounced over a change that has reached one side only: no reason to avoid the region.
--- a/crates/data-plane/src/gateway.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -3,7 +3,7 @@
 use crate::{
     forwarding,
     plan::{Plan, header_of},
-    router::{ActiveConfiguration, Router, stands_in},
+    router::{ActiveConfiguration, Router, is_active_in},
     summary::EventKind,
 };
 use common::{
@@ -37,7 +37,13 @@
 }
 
 /// Not run, and never will be: said at once, with when to come back.
-pub fn rejected_as(r: &Router, request_id: &RequestId, code: StatusCode, reason: &str, retry_s: u64) -> Res {
+pub fn rejection_response(
+    r: &Router,
+    request_id: &RequestId,
+    code: StatusCode,
+    reason: &str,
+    retry_s: u64,
+) -> Res {
     r.counters.reject(reason);
     r.record_event(EventKind::Rejected(reason.into()));
     let mut res = json(
@@ -55,7 +61,7 @@
 
 pub fn rejected(r: &Router, p: &Plan, reason: &str, retry_s: u64) -> Res {
     r.counters.requests.inc(&[&p.entry.name, "bounced"]);
-    rejected_as(r, &p.request_id, StatusCode::SERVICE_UNAVAILABLE, reason, retry_s)
+    rejection_response(r, &p.request_id, StatusCode::SERVICE_UNAVAILABLE, reason, retry_s)
 }
 
 /// It may have run: never called rejected.
@@ -86,12 +92,18 @@
             _ => {}
         }
         let open = self.open_count.enter();
-        let n = self.serial.fetch_add(1, Ordering::Relaxed);
+        let n = self.request_serial.fetch_add(1, Ordering::Relaxed);
         let request_id = forwarding::new_request_id(&self, n);
         self.await_joining().await;
-        let Some(g) = self.governing.load_full() else {
+        let Some(g) = self.configuration.load_full() else {
             let why = "no configuration";
-            return Ok(close(rejected_as(&self, &request_id, StatusCode::SERVICE_UNAVAILABLE, why, 2)));
+            return Ok(close(rejection_response(
+                &self,
+                &request_id,
+                StatusCode::SERVICE_UNAVAILABLE,
+                why,
+                2,
+            )));
         };
         let revision = g.revision;
         let mut res = self.handle_request(g, request_id, head, body, open).await;
@@ -110,7 +122,7 @@
         body: Incoming,
         open: OpenGuard,
     ) -> Res {
-        let no = |code, why, s| close(rejected_as(self, &request_id, code, why, s));
+        let no = |code, why, s| close(rejection_response(self, &request_id, code, why, s));
         if let Some(why) = self.refuses_work() {
             return no(StatusCode::SERVICE_UNAVAILABLE, why, if why == "joining" { 1 } else { 3 });
         }
@@ -126,7 +138,7 @@
             },
         };
         if inner.is_none()
-            && let Some(r) = self.elsewhere(&plan, &head)
+            && let Some(r) = self.redirect_home(&plan, &head)
         {
             return close(r);
         }
@@ -144,19 +156,19 @@
             Err(_) => return no(StatusCode::REQUEST_TIMEOUT, "body not here in time", 0),
         };
         let plan = if inner.is_none() { plan.with_key(&head, &bytes) } else { plan };
-        let sent = Plan::sent(&head, bytes);
+        let sent = Plan::outgoing_request(&head, bytes);
         // While it drains, a router finishes what still reaches it, and takes no more from there.
-        let res = self.carry(&plan, &sent, open).await;
+        let res = self.execute(&plan, &sent, open).await;
         if self.draining.load(Ordering::Acquire) { close(res) } else { res }
     }
 
     /// A node that has just started joins within a few heartbeats: its first requests wait for that, for
     /// as long as a voter's election time-out at most.
     async fn await_joining(&self) {
-        let until = self.now() + self.set.timing.election_timeout_ms();
-        let ready = || self.member.caught_up() && self.governing.load().is_some();
+        let until = self.now() + self.settings.timing.election_timeout_ms();
+        let ready = || self.member.caught_up() && self.configuration.load().is_some();
         while !ready() && self.now() < until && !self.draining.load(Ordering::Acquire) {
-            tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms() / 2)).await;
+            tokio::time::sleep(Duration::from_millis(self.settings.timing.heartbeat_ms() / 2)).await;
         }
     }
 
@@ -175,14 +187,14 @@
             return Err("another entry");
         }
         p.key = h.key;
-        p.inner = true;
+        p.forwarded = true;
         p.deadline = self.now() + h.left_ms.min(p.entry.deadline_ms);
         Ok(p)
     }
 
     /// Work that may not be read here: sent on, unread, to a router in a home (design 5.2).
-    fn elsewhere(&self, p: &Plan, head: &Parts) -> Option<Res> {
-        let own = self.own_region(&p.governing.table);
+    fn redirect_home(&self, p: &Plan, head: &Parts) -> Option<Res> {
+        let own = self.own_region(&p.configuration.table);
         let away = self.cluster_state().evacuated.contains(self.zone());
         let at_home = own.as_ref().is_some_and(|o| p.homes.contains(o));
         if at_home && !away {
@@ -196,13 +208,14 @@
         Some(match peer {
             Some(m) => {
                 let path = head.uri.path_and_query().map(|x| x.as_str()).unwrap_or("/");
-                let mut r = rejected_as(self, &p.request_id, StatusCode::TEMPORARY_REDIRECT, reason, 0);
+                let mut r =
+                    rejection_response(self, &p.request_id, StatusCode::TEMPORARY_REDIRECT, reason, 0);
                 if let Ok(v) = format!("http://{}{path}", m.info.http).parse() {
                     r.headers_mut().insert("location", v);
                 }
                 r
             }
-            None => rejected_as(self, &p.request_id, StatusCode::SERVICE_UNAVAILABLE, reason, 5),
+            None => rejection_response(self, &p.request_id, StatusCode::SERVICE_UNAVAILABLE, reason, 5),
         })
     }
 
@@ -213,10 +226,10 @@
         let all: Vec<Member> = l
             .routers()
             .into_iter()
-            .filter(|m| stands_in(&l, &p.governing.table, m, region) && m.info.node != *self.node())
+            .filter(|m| is_active_in(&l, &p.configuration.table, m, region) && m.info.node != *self.node())
             // One that has just started has heard nobody yet: it takes the members at their word.
             .filter(|m| !tried.contains(&m.info.node.to_string()))
-            .filter(|m| self.starting() || self.is_live(m))
+            .filter(|m| self.is_starting() || self.is_live(m))
             .cloned()
             .collect();
         (!all.is_empty()).then(|| all[common::runtime::random_in(0..all.len())].clone())
--- a/crates/data-plane/src/grant_exchange.rs
+++ b/crates/data-plane/src/grant_exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     capacity_grant::{CapacityGrant, GrantUse},
-    router::{Router, lock, stands_in},
+    router::{Router, is_active_in, lock},
     rpc::{RouterRequest, RouterResponse},
 };
 use common::{NodeId, Region, Service};
@@ -16,28 +16,29 @@
         let l = self.cluster_state();
         singleton::ranked_holders(&l, &format!("lender/{region}"), None)
             .into_iter()
-            .find(|m| stands_in(&l, t, m, region))
+            .find(|m| is_active_in(&l, t, m, region))
     }
 
-    fn issues_here(&self, t: &RoutingTable) -> Option<Region> {
+    fn region_issued_here(&self, t: &RoutingTable) -> Option<Region> {
         let own = self.own_region(t)?;
         self.issuer_for(t, &own).filter(|m| m.info.node == *self.node()).map(|_| own)
     }
 
     /// Watches the own region while this node lends for it.
-    pub async fn lend(self: Arc<Self>) {
-        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.report_interval_ms()));
+    pub async fn run_grant_issuer(self: Arc<Self>) {
+        let mut wakeup =
+            tokio::time::interval(Duration::from_millis(self.settings.timing.report_interval_ms()));
         loop {
             wakeup.tick().await;
-            let Some(g) = self.governing.load_full() else { continue };
+            let Some(g) = self.configuration.load_full() else { continue };
             let fencing_token = self.fencing_token();
-            let holds = self.issues_here(&g.table).is_some();
+            let holds = self.region_issued_here(&g.table).is_some();
             let well = holds
                 && self.member.has_lease()
                 && g.table.services.keys().any(|s| !self.own_replicas(&g.table, s).is_empty());
             let mut l = lock(&self.grant_issuer);
             if holds {
-                l.under(fencing_token);
+                l.set_fencing_token(fencing_token);
             }
             l.observe(well, self.now());
         }
@@ -50,26 +51,26 @@
         svc: &Service,
         node: &NodeId,
     ) -> Result<Option<CapacityGrant>, &'static str> {
-        let g = self.governing.load_full().ok_or("no configuration")?;
-        if self.issues_here(&g.table).as_ref() != Some(region) {
+        let g = self.configuration.load_full().ok_or("no configuration")?;
+        if self.region_issued_here(&g.table).as_ref() != Some(region) {
             return Err("not the lender");
         }
         let now = self.now();
-        let full_set = self.set.timing.report_max_age_ms();
+        let full_set = self.settings.timing.report_max_age_ms();
         let over = g.table.policies.iter().map(|p| p.overload).fold(1.0, f64::min);
         // A cold replica lends nothing.
         let room: f64 = self
             .own_replicas(&g.table, svc)
             .iter()
-            .filter(|c| c.gauge.allowance.is_none())
-            .map(|c| c.gauge.capacity * over - c.consumption())
+            .filter(|c| c.load.allowance.is_none())
+            .map(|c| c.load.capacity * over - c.consumption())
             .sum();
         let l = self.cluster_state();
         let askers =
             l.routers().into_iter().filter(|m| g.table.region_of(&m.info.zone) != Some(region)).count();
         let tun = &g.table.tuning;
         let mut grant_issuer = lock(&self.grant_issuer);
-        if !grant_issuer.well(now, full_set) {
+        if !grant_issuer.is_healthy(now, full_set) {
             return Ok(None);
         }
         let pass = grant_issuer.grant(region, svc, node, room * tun.lend_share, askers, tun.grant_ms, now);
@@ -78,13 +79,13 @@
     }
 
     pub async fn redeem(&self, s: &GrantUse) -> Result<(), &'static str> {
-        let g = self.governing.load_full().ok_or("no configuration")?;
+        let g = self.configuration.load_full().ok_or("no configuration")?;
         let grant_issuer = self.issuer_for(&g.table, &s.region).ok_or("no lender")?;
         let res = if grant_issuer.info.node == *self.node() {
-            self.redeem_here(s)
+            self.redeem_locally(s)
         } else {
             let ask = RouterRequest::RedeemGrant { spent: s.clone() };
-            match self.lines.call("redeem grant", grant_issuer.info.rpc_addr, ask).await {
+            match self.rpc_client.call("redeem grant", grant_issuer.info.rpc_addr, ask).await {
                 Ok(RouterResponse::Done) => Ok(()),
                 Ok(RouterResponse::Rejected(_)) => Err("pass not good"),
                 _ => Err("lender unreachable"),
@@ -94,17 +95,17 @@
         res
     }
 
-    pub fn redeem_here(&self, s: &GrantUse) -> Result<(), &'static str> {
-        let g = self.governing.load_full().ok_or("no configuration")?;
-        self.issues_here(&g.table).ok_or("not the lender")?;
+    pub fn redeem_locally(&self, s: &GrantUse) -> Result<(), &'static str> {
+        let g = self.configuration.load_full().ok_or("no configuration")?;
+        self.region_issued_here(&g.table).ok_or("not the lender")?;
         lock(&self.grant_issuer).redeem(s, self.now())
     }
 
     /// Asks each other region for grants, three times within the life of one.
-    pub async fn keep_grants(self: Arc<Self>) {
+    pub async fn renew_held_grants(self: Arc<Self>) {
         loop {
-            let Some(g) = self.governing.load_full() else {
-                tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await;
+            let Some(g) = self.configuration.load_full() else {
+                tokio::time::sleep(Duration::from_millis(self.settings.timing.heartbeat_ms())).await;
                 continue;
             };
             let own = self.own_region(&g.table);
@@ -120,7 +121,9 @@
                             service: svc.clone(),
                             node: me.node().clone(),
                         };
-                        if let Ok(RouterResponse::Grant(p)) = me.lines.call("request grant", to, ask).await {
+                        if let Ok(RouterResponse::Grant(p)) =
+                            me.rpc_client.call("request grant", to, ask).await
+                        {
                             lock(&me.held_grants).put(&region, &svc, p, asked);
                         }
                     });
--- a/crates/data-plane/src/health_prober.rs
+++ b/crates/data-plane/src/health_prober.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     load::{LoadReport, LocalLoad, ReplicaLoad},
-    replica_choice::routers_of,
+    replica_choice::routers_in_region,
     replica_health::{ProbeResult, ReplicaHealth, Report},
     router::{Router, lock},
     rpc::{RouterRequest, RouterResponse},
@@ -38,12 +38,12 @@
     }
 
     /// Keeps one task for each service and zone: the home probes, the others subscribe.
-    pub async fn watch_all(self: Arc<Self>) {
+    pub async fn watch_load_reports(self: Arc<Self>) {
         let mut tasks: BTreeMap<Key, (String, JoinHandle<()>)> = BTreeMap::new();
-        let mut wakeup = tokio::time::interval(Duration::from_millis(self.set.timing.heartbeat_ms()));
+        let mut wakeup = tokio::time::interval(Duration::from_millis(self.settings.timing.heartbeat_ms()));
         loop {
             wakeup.tick().await;
-            let Some(g) = self.governing.load_full() else { continue };
+            let Some(g) = self.configuration.load_full() else { continue };
             let mut wanted: Vec<(Key, Member)> = Vec::new();
             for zone in g.table.zones.keys() {
                 for svc in g.table.services.keys() {
@@ -56,7 +56,7 @@
                 let same = wanted.iter().any(|(w, m)| w == k && m.info.node.as_str() == holder);
                 if !same || task.is_finished() {
                     task.abort();
-                    lock(&self.published).remove(k);
+                    lock(&self.published_load).remove(k);
                 }
                 same && !task.is_finished()
             });
@@ -75,9 +75,9 @@
     }
 
     async fn subscribe(self: Arc<Self>, (service, zone): Key, home: Member) {
-        self.ask_the_last(&service, &zone).await;
+        self.fetch_last_load_report(&service, &zone).await;
         let (mut seq, mut fencing_token) = (0, FencingToken(0));
-        let wait_ms = self.set.timing.probe_interval_ms * 2;
+        let wait_ms = self.settings.timing.probe_interval_ms * 2;
         loop {
             let ask = RouterRequest::WatchLoad {
                 service: service.clone(),
@@ -86,14 +86,14 @@
                 fencing_token,
                 wait_ms,
             };
-            let ms = wait_ms + self.set.timing.rpc_timeout_ms;
+            let ms = wait_ms + self.settings.timing.rpc_timeout_ms;
             let asked = self.now();
-            match self.lines.call_within(ms, "watch load", home.info.rpc_addr, ask).await {
+            match self.rpc_client.call_within(ms, "watch load", home.info.rpc_addr, ask).await {
                 Ok(RouterResponse::LoadReport(f)) => {
                     (seq, fencing_token) = (f.seq, f.fencing_token);
                     self.install_load_report(f, asked);
                 }
-                _ => tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await,
+                _ => tokio::time::sleep(Duration::from_millis(self.settings.timing.heartbeat_ms())).await,
             }
         }
     }
@@ -101,11 +101,11 @@
     /// Probes the replicas of a service in a zone, and publishes their load.
     async fn probe(self: Arc<Self>, (service, zone): Key) {
         let (publisher, _) = watch::channel(None);
-        lock(&self.published).insert((service.clone(), zone.clone()), publisher.clone());
-        self.ask_the_last(&service, &zone).await;
-        let lost = self.lost(&service, &zone).await;
-        let mut health = self.inherited(&service, &zone, lost);
-        let timing = &self.set.timing;
+        lock(&self.published_load).insert((service.clone(), zone.clone()), publisher.clone());
+        self.fetch_last_load_report(&service, &zone).await;
+        let zone_lost = self.was_zone_lost(&service, &zone).await;
+        let mut health = self.inherited_health(&service, &zone, zone_lost);
+        let timing = &self.settings.timing;
         let mut ticks = tokio::time::interval(Duration::from_millis(timing.report_interval_ms()));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
         let (mut seq, mut full_at) = (0, Tick(0));
@@ -120,7 +120,7 @@
             if full {
                 full_at = self.now();
             }
-            let Some(configuration) = self.governing.load_full() else { continue };
+            let Some(configuration) = self.configuration.load_full() else { continue };
             let state = self.cluster_state();
             let listed = listed_replicas(&state, &service, &zone);
             health.retain(|id, _| listed.iter().any(|(known, _)| known == id));
@@ -142,7 +142,7 @@
                 seq,
                 age_ms: 0,
                 waited_ms: 0,
-                line: region.map(|region| routers_of(&state, table, region)).unwrap_or_default(),
+                routers: region.map(|region| routers_in_region(&state, table, region)).unwrap_or_default(),
                 replicas,
             };
             self.install_load_report(report.clone(), asked);
@@ -162,8 +162,8 @@
     ) -> ReplicaLoad {
         let (now, tuning) = (self.now(), &table.tuning);
         let was_healthy = known.healthy;
-        if full || result != ProbeResult::Silent {
-            known.check(result, self.set.timing.probe_failures, f64::from(tuning.slots), now);
+        if full || result != ProbeResult::NoAnswer {
+            known.record(result, self.settings.timing.probe_failures, f64::from(tuning.slots), now);
         }
         let healthy = known.healthy;
         if was_healthy != healthy {
@@ -181,33 +181,36 @@
     }
 
     async fn check(&self, r: &Replica) -> ProbeResult {
-        let (ip, ms) = (self.set.rpc_addr.ip(), (self.set.timing.probe_interval_ms * 3 / 4).max(50));
+        let (ip, ms) =
+            (self.settings.rpc_addr.ip(), (self.settings.timing.probe_interval_ms * 3 / 4).max(50));
         let res = ask(ip, r.addr, Method::GET, "/foldshunt/report", &[], "", ms).await;
         let res = match res {
             Ok(r) => r,
             Err(e) if e.is_refused() => return ProbeResult::Refused,
-            Err(_) => return ProbeResult::Silent,
+            Err(_) => return ProbeResult::NoAnswer,
         };
         if res.0.is_success() {
-            return ProbeResult::Told(Report::read(&res.2, r.service.as_str()).unwrap_or_default());
+            return ProbeResult::Reported(Report::read(&res.2, r.service.as_str()).unwrap_or_default());
         }
         if res.0.as_u16() != 404 {
-            return ProbeResult::Told(Report { healthy: Some(false), ..Report::default() });
+            return ProbeResult::Reported(Report { healthy: Some(false), ..Report::default() });
         }
         let res = ask(ip, r.addr, Method::GET, "/healthz", &[], "", ms).await;
         let well =
             |r: (hyper::StatusCode, _, _)| Report { healthy: Some(r.0.is_success()), ..Report::default() };
-        res.map_or(ProbeResult::Silent, |r| ProbeResult::Told(well(r)))
+        res.map_or(ProbeResult::NoAnswer, |r| ProbeResult::Reported(well(r)))
     }
 
     /// `Server-Load` on an answer: a share of the capacity, or per cent of it.
-    pub fn note_load(&self, own: &LocalLoad, h: &hyper::HeaderMap) {
-        let said =
-            h.get("server-load").and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse::<f64>().ok());
-        if let Some(v) = said.filter(|v| v.is_finite() && *v >= 0.0) {
+    pub fn note_load(&self, local: &LocalLoad, headers: &hyper::HeaderMap) {
+        let reported = headers
+            .get("server-load")
+            .and_then(|v| v.to_str().ok())
+            .and_then(|v| v.trim().parse::<f64>().ok());
+        if let Some(v) = reported.filter(|v| v.is_finite() && *v >= 0.0) {
             let share = if v > 1.0 { v / 100.0 } else { v };
-            own.load.store((share * 1000.0) as i64, Ordering::Relaxed);
-            own.load_at.store(self.now().0, Ordering::Relaxed);
+            local.server_load.store((share * 1000.0) as i64, Ordering::Relaxed);
+            local.server_load_at.store(self.now().0, Ordering::Relaxed);
         }
     }
 }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,4 +1,4 @@
-//! The data plane (design 5 and 6): a plan is made as data, then carried out.
+//! The data plane: routers that place users in regions, choose replicas and forward requests (design 5 and 6).
 
 pub mod attempt;
 pub(crate) mod attempt_history;
@@ -11,6 +11,7 @@
 pub mod gateway;
 pub mod grant_exchange;
 pub mod health_prober;
+pub mod home_takeover;
 pub mod load;
 pub mod placement;
 pub mod placement_table;
@@ -28,6 +29,6 @@
 pub mod rpc;
 pub mod rpc_service;
 pub mod serving;
-pub mod successor;
 pub mod summary;
+pub mod usable_replicas;
 pub mod user_key;
--- a/crates/data-plane/src/placement.rs
+++ b/crates/data-plane/src/placement.rs
@@ -4,8 +4,8 @@
 use crate::{
     placement_table::{PlacementOutcome, PlacementRow, UserKey},
     plan::Plan,
-    region_choice::{candidates, draw, draw_by_key, passes},
-    router::{Cached, Router, lock},
+    region_choice::{candidates, draw, draw_by_key, is_eligible},
+    router::{CachedPlacement, Router, lock},
     rpc::{RouterRequest, RouterResponse},
 };
 use common::{Region, Service, Tick};
@@ -14,7 +14,7 @@
 
 /// Where a request is to go, and whether it needs a pass to be there.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Placed {
+pub struct PlacementChoice {
     pub region: Region,
     pub stored: bool,
 }
@@ -24,10 +24,14 @@
         singleton::ranked_holders(&self.cluster_state(), &format!("shard/{shard}"), None)
     }
 
-    pub async fn place(self: &Arc<Self>, p: &Plan, avoid: &BTreeSet<Region>) -> Option<Placed> {
-        let g = &p.governing;
+    pub async fn choose_region(
+        self: &Arc<Self>,
+        p: &Plan,
+        avoid: &BTreeSet<Region>,
+    ) -> Option<PlacementChoice> {
+        let g = &p.configuration;
         let pol = g.table.policy(&p.entry);
-        let seen = self.seen(&g.table, &p.entry.to);
+        let seen = self.region_loads(&g.table, &p.entry.to);
         let own = self.own_region(&g.table);
         let open_to = |r: &Region| {
             !avoid.contains(r)
@@ -37,65 +41,66 @@
         let count = |how: &str| self.counters.placements.with_label_values(&[how]).inc();
         let Some(key) = p.key else {
             count("no key");
-            return draw(&cands, common::runtime::random()).map(|region| Placed { region, stored: false });
+            return draw(&cands, common::runtime::random())
+                .map(|region| PlacementChoice { region, stored: false });
         };
-        let good = |r: &Region| p.homes.contains(r) && !avoid.contains(r) && passes(seen.get(r), pol);
+        let good = |r: &Region| p.homes.contains(r) && !avoid.contains(r) && is_eligible(seen.get(r), pol);
         let mut stale = None;
         if let Some(c) = self.cached(key, &p.entry.to) {
             if good(&c.region) {
                 count("cached");
-                return Some(Placed { region: c.region, stored: true });
+                return Some(PlacementChoice { region: c.region, stored: true });
             }
-            stale = Some(c.ver);
+            stale = Some(c.version);
         }
         let pick = draw(&cands, common::runtime::random());
         for _ in 0..2 {
             let asked = self.now();
             match self
-                .settle(
+                .resolve(
                     key,
                     &p.entry.to,
                     stale,
                     pick.clone(),
                     pol.ttl_ms,
-                    self.set.timing.placement_timeout_ms(),
+                    self.settings.timing.placement_timeout_ms(),
                 )
                 .await
             {
-                Some(PlacementOutcome::Held { region, ver, won }) => {
-                    self.remember(key, &p.entry.to, &region, ver, pol.ttl_ms, asked);
+                Some(PlacementOutcome::Held { region, version, won }) => {
+                    self.remember(key, &p.entry.to, &region, version, pol.ttl_ms, asked);
                     if won {
                         count(if stale.is_some() { "moved" } else { "drawn" });
-                        return Some(Placed { region, stored: false });
+                        return Some(PlacementChoice { region, stored: false });
                     }
                     if good(&region) {
                         count("stored");
-                        return Some(Placed { region, stored: true });
+                        return Some(PlacementChoice { region, stored: true });
                     }
-                    stale = Some(ver);
+                    stale = Some(version);
                 }
                 Some(PlacementOutcome::Empty) => return None,
                 // The table is out of reach: what was heard last, else the draw that all
                 // routers make alike.
                 None => {
                     count("unreachable");
-                    let last = lock(&self.cache).get(&(key, p.entry.to.clone())).cloned();
+                    let last = lock(&self.placement_cache).get(&(key, p.entry.to.clone())).cloned();
                     let known = last.filter(|c| c.until > self.now() && good(&c.region));
-                    return known.map(|c| Placed { region: c.region, stored: true }).or_else(|| {
-                        draw_by_key(&cands, key.0).map(|region| Placed { region, stored: false })
+                    return known.map(|c| PlacementChoice { region: c.region, stored: true }).or_else(|| {
+                        draw_by_key(&cands, key.0).map(|region| PlacementChoice { region, stored: false })
                     });
                 }
             }
         }
         // Others settled on regions that fail the tests here: go by the own draw, store nothing.
-        pick.map(|region| Placed { region, stored: false })
+        pick.map(|region| PlacementChoice { region, stored: false })
     }
 
     /// A cached placement serves for a small part of its life without asking the owner, so
     /// that refreshes are coalesced and moves are heard of soon.
-    fn cached(&self, key: UserKey, svc: &Service) -> Option<Cached> {
+    fn cached(&self, key: UserKey, svc: &Service) -> Option<CachedPlacement> {
         let now = self.now();
-        let c = lock(&self.cache).get(&(key, svc.clone())).cloned()?;
+        let c = lock(&self.placement_cache).get(&(key, svc.clone())).cloned()?;
         let fresh = (c.until.since(c.confirmed_at) / 180).min(5_000);
         (now.since(c.confirmed_at) < fresh).then_some(c)
     }
@@ -105,12 +110,13 @@
         key: UserKey,
         svc: &Service,
         region: &Region,
-        ver: u64,
+        version: u64,
         ttl_ms: u64,
         confirmed_at: Tick,
     ) {
-        let c = Cached { region: region.clone(), ver, confirmed_at, until: confirmed_at + ttl_ms };
-        let mut g = lock(&self.cache);
+        let c =
+            CachedPlacement { region: region.clone(), version, confirmed_at, until: confirmed_at + ttl_ms };
+        let mut g = lock(&self.placement_cache);
         if g.len() >= crate::placement_table::MAX_ROWS / 4 {
             g.retain(|_, c| c.until > confirmed_at);
         }
@@ -118,7 +124,7 @@
     }
 
     /// Asks the owner of the shard; `None` where it can't be reached within the small bound.
-    pub(crate) async fn settle(
+    pub(crate) async fn resolve(
         self: &Arc<Self>,
         key: UserKey,
         service: &Service,
@@ -131,7 +137,7 @@
         let owner = self.owners(shard).into_iter().next()?;
         let fencing_token = self.fencing_token();
         if owner.info.node == *self.node() {
-            return self.settle_here(fencing_token, key, service, stale, pick, ttl_ms).ok();
+            return self.resolve_locally(fencing_token, key, service, stale, pick, ttl_ms).ok();
         }
         let ask = RouterRequest::ResolvePlacement {
             fencing_token,
@@ -141,14 +147,14 @@
             pick,
             ttl_ms,
         };
-        match self.lines.call_within(wait_ms, "resolve placement", owner.info.rpc_addr, ask).await {
+        match self.rpc_client.call_within(wait_ms, "resolve placement", owner.info.rpc_addr, ask).await {
             Ok(RouterResponse::Placement(s)) => Some(s),
             _ => None,
         }
     }
 
     /// The owner's side: settles and tells the followers of what it won.
-    pub fn settle_here(
+    pub fn resolve_locally(
         self: &Arc<Self>,
         fencing_token: common::FencingToken,
         key: UserKey,
@@ -167,8 +173,8 @@
             let mut t = lock(&self.placements);
             t.admit(shard, self.fencing_token(), fencing_token)
                 .map_err(|f| format!("stale fence: {f} is known"))?;
-            let res = t.settle(key, service, stale, pick, ttl_ms, now);
-            (res, t.one(key, service, now))
+            let res = t.resolve(key, service, stale, pick, ttl_ms, now);
+            (res, t.row(key, service, now))
         };
         if let Some(row) = row {
             self.replicate_row(shard, fencing_token, owners, row);
@@ -190,7 +196,7 @@
             let (me, rows) = (self.clone(), vec![row.clone()]);
             common::runtime::spawn(async move {
                 let ask = RouterRequest::ReplicatePlacements { fencing_token, shard, rows };
-                let _ = me.lines.call("replicate placement", m.info.rpc_addr, ask).await;
+                let _ = me.rpc_client.call("replicate placement", m.info.rpc_addr, ask).await;
             });
         }
     }
@@ -211,7 +217,7 @@
                     let (me, to) = (self.clone(), m.info.rpc_addr);
                     common::runtime::spawn(async move {
                         if let Ok(RouterResponse::Placements(rows)) =
-                            me.lines.call("fetch shard", to, RouterRequest::FetchShard { shard }).await
+                            me.rpc_client.call("fetch shard", to, RouterRequest::FetchShard { shard }).await
                         {
                             me.install_rows(rows);
                         }
@@ -227,6 +233,6 @@
     pub fn install_rows(&self, rows: Vec<PlacementRow>) {
         let now: Tick = self.now();
         let mut t = lock(&self.placements);
-        rows.into_iter().for_each(|c| t.copy(c, now));
+        rows.into_iter().for_each(|c| t.install_row(c, now));
     }
 }
--- a/crates/data-plane/src/placement_table.rs
+++ b/crates/data-plane/src/placement_table.rs
@@ -27,7 +27,8 @@
     pub key: UserKey,
     pub service: Service,
     pub region: Region,
-    pub ver: u64,
+    #[serde(rename = "ver")]
+    pub version: u64,
     pub ttl_ms: u64,
 }
 
@@ -37,7 +38,8 @@
     Empty,
     Held {
         region: Region,
-        ver: u64,
+        #[serde(rename = "ver")]
+        version: u64,
         won: bool,
     },
 }
@@ -45,7 +47,7 @@
 #[derive(Clone, Debug)]
 struct StoredPlacement {
     region: Region,
-    ver: u64,
+    version: u64,
     until: Tick,
 }
 
@@ -58,7 +60,7 @@
 
 impl PlacementTable {
     /// Remembers the highest fencing token of a shard; tells the known one where this is lower.
-    pub fn fencing_token(&mut self, shard: u16, f: FencingToken) -> Result<(), FencingToken> {
+    pub fn check_fencing_token(&mut self, shard: u16, f: FencingToken) -> Result<(), FencingToken> {
         let known = self.fencing_tokens.entry(shard).or_default();
         if f < *known {
             return Err(*known);
@@ -70,13 +72,13 @@
     /// The owner's look at an asker's fencing token. Its own is the floor: a restarted owner counts
     /// versions anew, and must keep them apart from those of its earlier life.
     pub fn admit(&mut self, shard: u16, own: FencingToken, asked: FencingToken) -> Result<(), FencingToken> {
-        let _ = self.fencing_token(shard, own);
-        self.fencing_token(shard, asked)
+        let _ = self.check_fencing_token(shard, own);
+        self.check_fencing_token(shard, asked)
     }
 
     /// The first writer wins. `stale` names the version that the asker found wanting: only that
     /// one may be replaced. A valid use refreshes the time to live.
-    pub fn settle(
+    pub fn resolve(
         &mut self,
         key: UserKey,
         service: &Service,
@@ -89,17 +91,17 @@
         let high = self.fencing_tokens.get(&key.shard(service)).map(|f| f.0).unwrap_or(0);
         let next = (high << 32) | ((self.vers + 1) & 0xffff_ffff);
         let live = self.rows.get_mut(&at).filter(|r| r.until > now);
-        if let Some(r) = live.filter(|r| Some(r.ver) != stale || pick.is_none()) {
+        if let Some(r) = live.filter(|r| Some(r.version) != stale || pick.is_none()) {
             // A row that was inherited goes on under the own fencing token, so that a late copy from the
             // owner before never stands above it.
-            if r.ver >> 32 < high {
-                r.ver = next;
+            if r.version >> 32 < high {
+                r.version = next;
                 self.vers += 1;
             }
-            if Some(r.ver) != stale {
+            if Some(r.version) != stale {
                 r.until = now + ttl_ms;
             }
-            return PlacementOutcome::Held { region: r.region.clone(), ver: r.ver, won: false };
+            return PlacementOutcome::Held { region: r.region.clone(), version: r.version, won: false };
         }
         let Some(region) = pick else { return PlacementOutcome::Empty };
         if self.rows.len() >= MAX_ROWS {
@@ -107,22 +109,23 @@
         }
         // Versions differ between owners: the fencing token's number stands above the count.
         self.vers += 1;
-        let ver = next;
+        let version = next;
         if self.rows.len() < MAX_ROWS {
-            self.rows.insert(at, StoredPlacement { region: region.clone(), ver, until: now + ttl_ms });
+            self.rows.insert(at, StoredPlacement { region: region.clone(), version, until: now + ttl_ms });
         }
-        PlacementOutcome::Held { region, ver, won: true }
+        PlacementOutcome::Held { region, version, won: true }
     }
 
-    pub fn copy(&mut self, c: PlacementRow, now: Tick) {
+    pub fn install_row(&mut self, c: PlacementRow, now: Tick) {
         let at = (c.key, c.service);
-        let older = self.rows.get(&at).is_none_or(|r| r.ver <= c.ver || r.until <= now);
+        let older = self.rows.get(&at).is_none_or(|r| r.version <= c.version || r.until <= now);
         if older && self.rows.len() < MAX_ROWS {
-            self.rows.insert(at, StoredPlacement { region: c.region, ver: c.ver, until: now + c.ttl_ms });
+            self.rows
+                .insert(at, StoredPlacement { region: c.region, version: c.version, until: now + c.ttl_ms });
         }
     }
 
-    pub fn rows_of(&self, shard: u16, now: Tick) -> Vec<PlacementRow> {
+    pub fn rows_of_shard(&self, shard: u16, now: Tick) -> Vec<PlacementRow> {
         let mut out: Vec<PlacementRow> = self
             .rows
             .iter()
@@ -131,7 +134,7 @@
                 key: *key,
                 service: s.clone(),
                 region: r.region.clone(),
-                ver: r.ver,
+                version: r.version,
                 ttl_ms: r.until.since(now),
             })
             .collect();
@@ -139,12 +142,12 @@
         out
     }
 
-    pub fn one(&self, key: UserKey, service: &Service, now: Tick) -> Option<PlacementRow> {
+    pub fn row(&self, key: UserKey, service: &Service, now: Tick) -> Option<PlacementRow> {
         self.rows.get(&(key, service.clone())).filter(|r| r.until > now).map(|r| PlacementRow {
             key,
             service: service.clone(),
             region: r.region.clone(),
-            ver: r.ver,
+            version: r.version,
             ttl_ms: r.until.since(now),
         })
     }
--- a/crates/data-plane/src/plan.rs
+++ b/crates/data-plane/src/plan.rs
@@ -15,14 +15,14 @@
 #[derive(Clone)]
 pub struct Plan {
     pub request_id: RequestId,
-    pub governing: Arc<ActiveConfiguration>,
+    pub configuration: Arc<ActiveConfiguration>,
     pub entry: Entry,
     pub tenant: Option<Tenant>,
     pub homes: BTreeSet<Region>,
     pub key: Option<UserKey>,
     pub deadline: Tick,
     /// Arrived from a router of another region: attempts are its to repeat, not ours.
-    pub inner: bool,
+    pub forwarded: bool,
 }
 
 /// Why a request gets no plan.
@@ -31,7 +31,7 @@
     pub reason: &'static str,
 }
 
-pub fn denied<T>(code: StatusCode, reason: &'static str) -> Result<T, PlanError> {
+pub fn rejected<T>(code: StatusCode, reason: &'static str) -> Result<T, PlanError> {
     Err(PlanError { code, reason })
 }
 
@@ -49,31 +49,31 @@
     ) -> Result<Plan, PlanError> {
         let header = header_of(head);
         let Some(entry) = g.table.find(head.method.as_str(), head.uri.path(), &header).cloned() else {
-            return denied(StatusCode::NOT_FOUND, "no entry");
+            return rejected(StatusCode::NOT_FOUND, "no entry");
         };
         let Ok(tenant) = g.table.tenant(&header) else {
-            return denied(StatusCode::FORBIDDEN, "unknown tenant");
+            return rejected(StatusCode::FORBIDDEN, "unknown tenant");
         };
         let homes = g.table.homes(&entry, tenant.as_ref());
         if homes.is_empty() {
-            return denied(StatusCode::FORBIDDEN, "no common home of entry and tenant");
+            return rejected(StatusCode::FORBIDDEN, "no common home of entry and tenant");
         }
         let deadline = r.now() + entry.deadline_ms;
         drop(header);
-        Ok(Plan { request_id, governing: g, entry, tenant, homes, key: None, deadline, inner: false })
+        Ok(Plan { request_id, configuration: g, entry, tenant, homes, key: None, deadline, forwarded: false })
     }
 
     /// The user key, once the body is there.
     pub fn with_key(mut self, head: &Parts, body: &[u8]) -> Plan {
         let tenant = self.tenant.as_ref().map(|t| t.as_str()).unwrap_or("");
-        let pol = self.governing.table.policy(&self.entry);
+        let pol = self.configuration.table.policy(&self.entry);
         self.key = user_key(&pol.key, tenant, &header_of(head), body);
         self
     }
 
-    pub fn sent(head: &Parts, body: bytes::Bytes) -> OutgoingRequest {
+    pub fn outgoing_request(head: &Parts, body: bytes::Bytes) -> OutgoingRequest {
         let mut headers = head.headers.clone();
-        crate::attempt::strip(&mut headers);
+        crate::attempt::strip_internal_headers(&mut headers);
         // The body was read whole: its length is known, whatever the caller's framing was.
         headers.remove("content-length");
         OutgoingRequest { method: head.method.clone(), uri: head.uri.clone(), headers, body }
--- a/crates/data-plane/src/region_choice.rs
+++ b/crates/data-plane/src/region_choice.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Region healthy, model healthy there, and not overloaded.
-pub fn passes(p: Option<&RegionLoad>, pol: &Policy) -> bool {
+pub fn is_eligible(p: Option<&RegionLoad>, pol: &Policy) -> bool {
     p.is_some_and(|p| p.healthy && p.capacity > 0.0 && p.ratio() <= pol.overload)
 }
 
@@ -27,7 +27,7 @@
         .iter()
         .filter(|r| open_to(r))
         .filter_map(|r| {
-            seen.get(r).filter(|p| passes(Some(p), pol)).map(|p| (r.clone(), weight(p, pol.smooth)))
+            seen.get(r).filter(|p| is_eligible(Some(p), pol)).map(|p| (r.clone(), weight(p, pol.smooth)))
         })
         .collect()
 }
--- a/crates/data-plane/src/remote_forwarding.rs
+++ b/crates/data-plane/src/remote_forwarding.rs
@@ -5,7 +5,8 @@
     attempt_history::{AttemptHistory, AttemptStep},
     forwarding::{self, ForwardedRequest},
     plan::Plan,
-    router::{Router, forward_load_id, lock},
+    router::{Router, lock},
+    usable_replicas::forward_load_id,
 };
 use common::{
     PeerError, Region, Step,
@@ -61,7 +62,7 @@
             number: self.forwards_sent.fetch_add(1, Ordering::Relaxed) + 1,
             to: peer.info.node.clone(),
             to_epoch: peer.epoch,
-            revision: p.governing.revision,
+            revision: p.configuration.revision,
             entry: p.entry.name.clone(),
             tenant: p.tenant.clone(),
             service: p.entry.to.clone(),
@@ -76,13 +77,13 @@
         };
         self.count_attempt(history, "hop");
         history.routers.push(peer.info.node.to_string());
-        let own = self.load_view.own(&forward_load_id(&region, &p.entry.to));
+        let own = self.load_view.local(&forward_load_id(&region, &p.entry.to));
         own.open.fetch_add(1, Ordering::AcqRel);
         let kept = (OpenForward(own), open.clone());
         let extra = [(forwarding::HEADER, signed)];
         let to = peer.info.http;
-        let forbidden = || self.forbidden(p);
-        match attempt(self.way_to(p, to, &forbidden), sent, &extra, kept).await {
+        let forbidden = || self.blocked_reason(p);
+        match attempt(self.attempt_target(p, to, &forbidden), sent, &extra, kept).await {
             Outcome::Done(r) => self.forward_response(p, r, history, region, &peer).await,
             Outcome::NotRun(e) => AttemptStep::NotRun(e),
             Outcome::Unknown(e) => AttemptStep::MayHaveRun(e),
@@ -104,7 +105,7 @@
             "bounced" => {
                 let why = said("foldshunt-reason");
                 if forwarding::is_transient(&why) {
-                    tokio::time::sleep(Duration::from_millis(self.set.timing.heartbeat_ms())).await;
+                    tokio::time::sleep(Duration::from_millis(self.settings.timing.heartbeat_ms())).await;
                 } else {
                     history.avoid.insert(region);
                 }
--- a/crates/data-plane/src/replica_health.rs
+++ b/crates/data-plane/src/replica_health.rs
@@ -18,8 +18,8 @@
 /// What came of one check.
 #[derive(Debug, PartialEq)]
 pub enum ProbeResult {
-    Told(Report),
-    Silent,
+    Reported(Report),
+    NoAnswer,
     /// The connection was refused: the process is not there, and its cache is gone.
     Refused,
 }
@@ -56,9 +56,9 @@
     }
 
     /// Folds one check in.
-    pub fn check(&mut self, found: ProbeResult, fails: u32, slots: f64, now: Tick) {
+    pub fn record(&mut self, found: ProbeResult, fails: u32, slots: f64, now: Tick) {
         match found {
-            ProbeResult::Told(r) if r.healthy != Some(false) => {
+            ProbeResult::Reported(r) if r.healthy != Some(false) => {
                 self.fails = 0;
                 if !self.healthy || self.absent {
                     self.warm_since = Some(now);
@@ -68,8 +68,8 @@
                 self.consumption = r.consumption.unwrap_or(0.0);
             }
             // What says itself that it is unwell is believed at once.
-            ProbeResult::Told(_) => (self.healthy, self.fails) = (false, fails),
-            ProbeResult::Silent | ProbeResult::Refused => {
+            ProbeResult::Reported(_) => (self.healthy, self.fails) = (false, fails),
+            ProbeResult::NoAnswer | ProbeResult::Refused => {
                 self.absent |= found == ProbeResult::Refused;
                 self.fails = (self.fails + 1).min(fails);
                 if self.fails >= fails {
--- a/crates/data-plane/src/request_queue.rs
+++ b/crates/data-plane/src/request_queue.rs
@@ -48,7 +48,7 @@
     }
 
     /// A place came free: the earliest deadline is woken.
-    pub fn free(&mut self, now: Tick) {
+    pub fn wake_next(&mut self, now: Tick) {
         if let Some(last) = self.last_free.replace(now).filter(|_| !self.rows.is_empty()) {
             let gap = now.since(last).min(10_000) as f64;
             self.gap_ms = if self.gap_ms == 0.0 { gap } else { self.gap_ms * 0.8 + gap * 0.2 };
--- a/crates/data-plane/src/response_body.rs
+++ b/crates/data-plane/src/response_body.rs
@@ -14,21 +14,21 @@
 use tokio::time::Sleep;
 
 /// An upstream body with a bound on silence, and with things kept until it ends.
-pub struct Passing<K> {
+pub struct ForwardedBody<K> {
     inner: Incoming,
     idle: Duration,
     timer: Pin<Box<Sleep>>,
     _kept: K,
 }
 
-impl<K: Send + Sync + Unpin + 'static> Passing<K> {
+impl<K: Send + Sync + Unpin + 'static> ForwardedBody<K> {
     pub fn wrap(inner: Incoming, idle: Duration, kept: K) -> Body {
         let timer = Box::pin(tokio::time::sleep(idle));
-        Passing { inner, idle, timer, _kept: kept }.boxed()
+        ForwardedBody { inner, idle, timer, _kept: kept }.boxed()
     }
 }
 
-impl<K: Unpin> HttpBody for Passing<K> {
+impl<K: Unpin> HttpBody for ForwardedBody<K> {
     type Data = Bytes;
     type Error = BoxErr;
 
@@ -60,7 +60,11 @@
 }
 
 /// Whether the end of this body can be told from a cut: by length, or by chunks.
-pub fn ends_surely(method: &hyper::Method, head: &hyper::http::response::Parts, body: &Incoming) -> bool {
+pub fn has_detectable_end(
+    method: &hyper::Method,
+    head: &hyper::http::response::Parts,
+    body: &Incoming,
+) -> bool {
     let none = method == hyper::Method::HEAD || matches!(head.status.as_u16(), 204 | 304);
     let chunked = head
         .headers
--- a/crates/data-plane/src/retry_budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -8,16 +8,16 @@
 const CAP: i64 = 10 * UNIT;
 
 #[derive(Debug)]
-pub struct Budget(AtomicI64);
+pub struct RetryBudget(AtomicI64);
 
-impl Default for Budget {
+impl Default for RetryBudget {
     /// A new node has two saved, so that its first requests are not the worse off.
     fn default() -> Self {
         Self(AtomicI64::new(2 * UNIT))
     }
 }
 
-impl Budget {
+impl RetryBudget {
     pub fn earn(&self, share: f64) {
         let add = (share * UNIT as f64) as i64;
         let _ = self.0.fetch_update(Ordering::AcqRel, Ordering::Acquire, |v| Some((v + add).min(CAP)));
--- a/crates/data-plane/src/retry_policy.rs
+++ b/crates/data-plane/src/retry_policy.rs
@@ -4,7 +4,7 @@
 const MAX_ATTEMPTS: u32 = 3;
 /// What an attempt left behind, for the decision on the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
+pub enum FailedAttempt {
     /// It certainly did not run.
     NotRun,
     /// It may have run.
@@ -12,7 +12,7 @@
 }
 
 /// Whether a request may have another attempt, the retry budget apart (design 6.2).
-pub fn may_retry(after: After, idempotent: bool, inner: bool, attempts: u32) -> bool {
-    let again = after == After::NotRun || idempotent || common::mutation::enabled("once-goes-again");
+pub fn may_retry(after: FailedAttempt, idempotent: bool, inner: bool, attempts: u32) -> bool {
+    let again = after == FailedAttempt::NotRun || idempotent || common::mutation::enabled("once-goes-again");
     !inner && attempts < MAX_ATTEMPTS && again
 }
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -1,16 +1,16 @@
-//! A router's state, in one struct that is passed down by reference (design 5.10).
+//! A router's state, in one struct that is passed by reference (design 5.10).
 
 use crate::{
     capacity_grant::{GrantIssuer, HeldGrants},
     counters::Counters,
-    load::{Candidate, LoadReport, LoadView, RegionLoad, regions},
+    load::{LoadReport, LoadView},
     placement_table::{PlacementTable, UserKey},
     replay_guard::ReplayGuard,
     request_queue::RequestQueue,
-    retry_budget::Budget,
+    retry_budget::RetryBudget,
     rpc::{RouterRequest, RouterResponse},
     serving::{prefill::Reading, report_publication::HeldReport, usage::UsageRecord},
-    summary::{Event, EventKind, KEEP, Summary},
+    summary::{Event, EventKind, RETAINED_EVENTS, Summary},
 };
 use arc_swap::ArcSwapOption;
 use common::{
@@ -28,221 +28,217 @@
 };
 use tokio::sync::watch;
 
-/// A compiled document and the revision that it came from.
+/// The configuration by which requests are handled now.
 pub struct ActiveConfiguration {
+    /// Revision of the document that it was compiled from.
     pub revision: Revision,
+    /// The compiled document.
     pub table: RoutingTable,
 }
 
-/// A placement as last heard from its owner.
+/// A user's placement as the owner of its shard last told it.
 #[derive(Clone, Debug)]
-pub struct Cached {
+pub struct CachedPlacement {
+    /// The region in which the user is placed.
     pub region: Region,
-    pub ver: u64,
+    /// Version of the placement.
+    pub version: u64,
+    /// When the request that confirmed it was sent to the owner.
     pub confirmed_at: Tick,
+    /// When it expires.
     pub until: Tick,
 }
 
-/// Figures of the homes that this node holds.
+/// Newest load report for each service and zone whose replicas this node probes.
 pub type Published = BTreeMap<(Service, Zone), watch::Sender<Option<LoadReport>>>;
 
-/// What this node publishes of a zone, and when it was asked for it last.
+/// The report of a zone's replicas that this node publishes.
 pub struct Publication {
+    /// Sends the newest report to those that wait for it.
     pub tx: watch::Sender<HeldReport>,
+    /// When the report was last requested.
     pub asked: Tick,
 }
 
+/// A router's state.
 pub struct Router {
-    pub set: Settings,
+    /// Settings of the process.
+    pub settings: Settings,
+    /// The clock that all times here are read from.
     pub clock: Clock,
+    /// Membership in the cluster, with the lease and the cluster state.
     pub member: Arc<membership::Member>,
-    pub lines: RpcClient<RouterRequest, RouterResponse>,
-    pub governing: ArcSwapOption<ActiveConfiguration>,
+    /// Connections to other routers.
+    pub rpc_client: RpcClient<RouterRequest, RouterResponse>,
+    /// The configuration in force; none until the first document is compiled.
+    pub configuration: ArcSwapOption<ActiveConfiguration>,
+    /// Load reports, and the requests that are open from here.
     pub load_view: LoadView,
+    /// This node's part of the placement table.
     pub placements: Mutex<PlacementTable>,
-    pub cache: Mutex<HashMap<(UserKey, Service), Cached>>,
+    /// Placements that other owners told this node.
+    pub placement_cache: Mutex<HashMap<(UserKey, Service), CachedPlacement>>,
+    /// Capacity grants that other regions gave this node.
     pub held_grants: Mutex<HeldGrants>,
+    /// Grants that this node issues while it is its region's issuer.
     pub grant_issuer: Mutex<GrantIssuer>,
-    pub budget: Budget,
-    pub queue: Mutex<RequestQueue>,
+    /// Bounds the attempts after the first.
+    pub retry_budget: RetryBudget,
+    /// Requests that wait for a replica with room.
+    pub request_queue: Mutex<RequestQueue>,
+    /// When the last heartbeat that a node answered was sent.
     pub last_contacts: Mutex<HashMap<NodeId, Tick>>,
-    /// Those that were heard and said that they take no new work.
+    /// Nodes that answered their last heartbeat by saying that they take no new work.
     pub refusing: Mutex<HashSet<NodeId>>,
-    pub published: Mutex<Published>,
+    /// Load reports that this node publishes.
+    pub published_load: Mutex<Published>,
+    /// Reports of zones' replicas that this node publishes.
     pub publications: Mutex<BTreeMap<Zone, Publication>>,
-    /// Reports of zones as this node was told them, for routers of its own zone.
+    /// Reports of other zones' replicas as this node received them, for routers of its own zone.
     pub relayed: Mutex<BTreeMap<Zone, watch::Sender<HeldReport>>>,
+    /// Prompts that replicas are reading now.
     pub reading: Mutex<Reading>,
+    /// What this node knows of tenants' usage.
     pub usage: UsageRecord,
+    /// Metrics.
     pub counters: Counters,
+    /// Recent events, and their summary.
     pub event_log: EventLog<Event, Summary>,
+    /// Set once the process drains: it finishes open requests and then ends.
     pub draining: AtomicBool,
+    /// Number of open requests.
     pub open_count: Arc<OpenCount>,
-    pub serial: AtomicU64,
-    /// Number of the last forwarded request sent, and what was taken of those of others.
+    /// Counts requests, for their ids.
+    pub request_serial: AtomicU64,
+    /// Number of the last forwarded request sent.
     pub forwards_sent: AtomicU64,
-    pub replay: Mutex<ReplayGuard>,
-    /// Revision of a document that was accepted and can't be read here; 0 where there is none.
-    pub unreadable: AtomicU64,
-    /// When the first document governed here; load reports arrive soon after.
-    pub since: AtomicU64,
+    /// Numbers of the forwarded requests that were accepted from others.
+    pub replay_guard: Mutex<ReplayGuard>,
+    /// Revision of a document that the cluster accepted and this version can't compile; 0 where there is none.
+    pub unreadable_revision: AtomicU64,
+    /// When the first configuration came into force; load reports arrive soon after. 0 before that.
+    pub configured_at: AtomicU64,
 }
 
 pub use common::lock;
 
 impl Router {
-    pub fn new(set: Settings, member: Arc<membership::Member>, clock: Clock) -> Arc<Self> {
+    /// The state of a router that has just started.
+    pub fn new(settings: Settings, member: Arc<membership::Member>, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
-            lines: RpcClient::new(set.me(), crate::rpc::SERVICE),
-            set,
+            rpc_client: RpcClient::new(settings.me(), crate::rpc::SERVICE),
+            settings,
             clock,
             member,
-            governing: ArcSwapOption::empty(),
+            configuration: ArcSwapOption::empty(),
             load_view: LoadView::default(),
             placements: Mutex::default(),
-            cache: Mutex::default(),
+            placement_cache: Mutex::default(),
             held_grants: Mutex::default(),
             grant_issuer: Mutex::default(),
-            budget: Budget::default(),
-            queue: Mutex::default(),
+            retry_budget: RetryBudget::default(),
+            request_queue: Mutex::default(),
             last_contacts: Mutex::default(),
             refusing: Mutex::default(),
-            published: Mutex::default(),
+            published_load: Mutex::default(),
             publications: Mutex::default(),
             relayed: Mutex::default(),
             reading: Mutex::default(),
             usage: UsageRecord::default(),
             counters: Counters::default(),
-            event_log: EventLog::new(Summary::default(), KEEP),
+            event_log: EventLog::new(Summary::default(), RETAINED_EVENTS),
             draining: AtomicBool::new(false),
             open_count: Arc::default(),
-            serial: AtomicU64::new(0),
+            request_serial: AtomicU64::new(0),
             forwards_sent: AtomicU64::new(0),
-            replay: Mutex::default(),
-            unreadable: AtomicU64::new(0),
-            since: AtomicU64::new(0),
+            replay_guard: Mutex::default(),
+            unreadable_revision: AtomicU64::new(0),
+            configured_at: AtomicU64::new(0),
         })
     }
 
+    /// The time now.
     pub fn now(&self) -> Tick {
         self.clock.now()
     }
 
+    /// Appends an event to the event log.
     pub fn record_event(&self, what: EventKind) {
         self.event_log.append(Event { at: self.now(), what });
     }
 
+    /// The newest cluster state that this node has.
     pub fn cluster_state(&self) -> Arc<ClusterState> {
         self.member.cluster_state.load_full()
     }
 
+    /// This node's id.
     pub fn node(&self) -> &NodeId {
         &self.member.info.node
     }
 
+    /// This node's zone.
     pub fn zone(&self) -> &Zone {
         &self.member.info.zone
     }
 
-    /// Compiles the newest document as soon as it is there; an older one never comes back.
+    /// Compiles each new document as soon as it arrives; an older one never replaces a newer one.
     pub async fn keep_configuration(self: Arc<Self>) {
-        let mut moved = self.member.applied.subscribe();
+        let mut applied = self.member.applied.subscribe();
         loop {
-            let l = self.cluster_state();
-            let have = self.governing.load().as_ref().map(|g| g.revision).unwrap_or_default();
-            if let Some(text) = l.text.as_ref().filter(|_| l.revision > have) {
+            let state = self.cluster_state();
+            let current = self.configuration.load().as_ref().map(|c| c.revision).unwrap_or_default();
+            if let Some(text) = state.text.as_ref().filter(|_| state.revision > current) {
                 match configuration::compile(text) {
                     Ok(table) => {
-                        let revision = l.revision;
-                        self.governing.store(Some(Arc::new(ActiveConfiguration { revision, table })));
-                        let _ =
-                            self.since.compare_exchange(0, self.now().0, Ordering::AcqRel, Ordering::Acquire);
+                        let revision = state.revision;
+                        self.configuration.store(Some(Arc::new(ActiveConfiguration { revision, table })));
+                        let _ = self.configured_at.compare_exchange(
+                            0,
+                            self.now().0,
+                            Ordering::AcqRel,
+                            Ordering::Acquire,
+                        );
                         self.member.revision_in_force.store(revision.0, Ordering::Release);
                         log_event!(Info, "governs", "revision" => revision.0);
                         self.record_event(EventKind::Governs(revision));
                     }
-                    Err(f) => {
-                        self.unreadable.store(l.revision.0, Ordering::Release);
-                        log_event!(Error, "compile", "peer" => "core", "revision" => l.revision.0, "cause" => format!("{f:?}"));
+                    Err(findings) => {
+                        self.unreadable_revision.store(state.revision.0, Ordering::Release);
+                        log_event!(Error, "compile", "peer" => "core", "revision" => state.revision.0, "cause" => format!("{findings:?}"));
                     }
                 }
             }
-            if moved.changed().await.is_err() {
+            if applied.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// The fencing token of all singleton roles that this node knows of (design 3.2).
+    /// The fencing token of all singleton roles, by the cluster state that this node has (design 3.2).
     pub fn fencing_token(&self) -> FencingToken {
         FencingToken(self.cluster_state().epoch.0)
     }
 
-    /// Replicas of the own region that may be given something now.
-    pub fn own_replicas(&self, t: &RoutingTable, svc: &Service) -> Vec<Candidate> {
-        let own = self.own_region(t);
-        self.usable(svc).into_iter().filter(|c| t.region_of(&c.zone) == own.as_ref()).collect()
+    /// The region of this node's zone.
+    pub fn own_region(&self, table: &RoutingTable) -> Option<Region> {
+        table.region_of(self.zone()).cloned()
     }
 
-    pub fn own_region(&self, t: &RoutingTable) -> Option<Region> {
-        t.region_of(self.zone()).cloned()
+    /// Whether this node started too recently to have the load reports of all replicas: requests then wait a little
+    /// instead of being rejected.
+    pub fn is_starting(&self) -> bool {
+        let configured_at = Tick(self.configured_at.load(Ordering::Acquire));
+        self.now().since(configured_at) <= self.settings.timing.report_max_age_ms()
     }
 
-    /// Replicas that may be given something now: listed, not draining, zone not evacuated,
-    /// load reports fresh and healthy.
-    pub fn usable(&self, svc: &Service) -> Vec<Candidate> {
-        let l = self.cluster_state();
-        self.load_view.replicas(svc, self.now(), self.set.timing.report_max_age_ms(), &|g, zone| {
-            if common::mutation::enabled("departed-still-used") {
-                return true;
-            }
-            !l.evacuated.contains(zone)
-                && l.replicas.get(&g.id).is_some_and(|r| !r.draining && r.addr == g.addr && r.service == *svc)
-        })
-    }
-
-    /// Pressure by region for one service, with own forwarded requests since the load reports added.
-    pub fn seen(&self, t: &RoutingTable, svc: &Service) -> BTreeMap<Region, RegionLoad> {
-        let mut out = regions(&self.usable(svc), &|a| t.region_of(a).cloned());
-        let own = self.own_region(t);
-        for (r, p) in out.iter_mut().filter(|(r, _)| Some(*r) != own.as_ref()) {
-            let o = self.load_view.own(&forward_load_id(r, svc));
-            let since = o.open.load(Ordering::Relaxed) - o.counted.load(Ordering::Relaxed);
-            p.consumption += since.max(0) as f64;
-        }
-        out
-    }
-
-    /// Too young to have heard of all replicas: requests wait a little instead of being rejected.
-    pub fn starting(&self) -> bool {
-        let since = Tick(self.since.load(Ordering::Acquire));
-        self.now().since(since) <= self.set.timing.report_max_age_ms()
+    /// Wakes the first queued request after another one has ended.
+    pub fn notify_capacity_freed(&self) {
+        lock(&self.request_queue).wake_next(self.now());
     }
-
-    pub fn free(&self) {
-        lock(&self.queue).free(self.now());
-    }
-
-    /// `asked` is when they were asked for: from then on they age.
-    pub fn install_load_report(&self, f: LoadReport, asked: Tick) {
-        let (svc, zone) = (f.service.clone(), f.zone.clone());
-        if self.load_view.take(f, asked, self.now())
-            && let Some(g) = self.governing.load().as_ref()
-            && let Some(r) = g.table.region_of(&zone)
-        {
-            let o = self.load_view.own(&forward_load_id(r, &svc));
-            o.counted.store(o.open.load(Ordering::Relaxed), Ordering::Relaxed);
-            lock(&self.queue).wake_all();
-        }
-    }
-}
-
-/// Whether a router stands in a region, in a zone that is not evacuated.
-pub fn stands_in(l: &ClusterState, t: &RoutingTable, m: &Member, region: &Region) -> bool {
-    t.region_of(&m.info.zone) == Some(region) && !l.evacuated.contains(&m.info.zone)
 }
 
-/// Under this name own forwarded requests to a region are counted.
-pub fn forward_load_id(r: &Region, svc: &Service) -> common::ReplicaId {
-    common::ReplicaId::new(format!("hop/{r}/{svc}"))
+/// Whether a router's zone belongs to a region and is not evacuated.
+pub fn is_active_in(state: &ClusterState, table: &RoutingTable, router: &Member, region: &Region) -> bool {
+    table.region_of(&router.info.zone) == Some(region) && !state.evacuated.contains(&router.info.zone)
 }
--- a/crates/data-plane/src/rpc_service.rs
+++ b/crates/data-plane/src/rpc_service.rs
@@ -34,13 +34,13 @@
                 ))
             }
             RouterRequest::ResolvePlacement { fencing_token, key, service, stale, pick, ttl_ms } => {
-                match self.settle_here(fencing_token, key, &service, stale, pick, ttl_ms) {
+                match self.resolve_locally(fencing_token, key, &service, stale, pick, ttl_ms) {
                     Ok(s) => RouterResponse::Placement(s),
                     Err(why) => self.no("resolve placement", &node, why),
                 }
             }
             RouterRequest::ReplicatePlacements { fencing_token, shard, rows } => {
-                let known = lock(&self.placements).fencing_token(shard, fencing_token);
+                let known = lock(&self.placements).check_fencing_token(shard, fencing_token);
                 match known {
                     Ok(()) => {
                         self.install_rows(rows);
@@ -50,7 +50,7 @@
                 }
             }
             RouterRequest::FetchShard { shard } => {
-                RouterResponse::Placements(lock(&self.placements).rows_of(shard, self.now()))
+                RouterResponse::Placements(lock(&self.placements).rows_of_shard(shard, self.now()))
             }
             RouterRequest::WatchLoad { service, zone, seq, fencing_token, wait_ms } => {
                 match self.wait_for_load_report(service, zone, seq, fencing_token, wait_ms).await {
@@ -80,7 +80,7 @@
                 RouterResponse::ReplicaReport(report.map(Box::new))
             }
             RouterRequest::Usage(question) => RouterResponse::Usage(self.usage.answer(question, self.now())),
-            RouterRequest::RedeemGrant { spent } => match self.redeem_here(&spent) {
+            RouterRequest::RedeemGrant { spent } => match self.redeem_locally(&spent) {
                 Ok(()) => RouterResponse::Done,
                 Err(why) => self.no("redeem grant", &node, why.into()),
             },
@@ -95,13 +95,13 @@
 
     /// Figures with their age, as long as they still count.
     pub fn last_load_report(&self, svc: &Service, zone: &Zone) -> Option<LoadReport> {
-        let b = self.load_view.board();
-        let s = b.seen.get(&(svc.clone(), zone.clone()))?;
-        let age_ms = self.now().since(s.at);
-        (age_ms <= self.set.timing.report_max_age_ms()).then(|| LoadReport {
+        let known = self.load_view.known();
+        let last = known.reports.get(&(svc.clone(), zone.clone()))?;
+        let age_ms = self.now().since(last.fresh_at);
+        (age_ms <= self.settings.timing.report_max_age_ms()).then(|| LoadReport {
             age_ms,
             waited_ms: 0,
-            ..s.fig.clone()
+            ..last.report.clone()
         })
     }
 
@@ -113,7 +113,7 @@
         fencing_token: FencingToken,
         wait_ms: u64,
     ) -> Option<LoadReport> {
-        let mut rx = lock(&self.published).get(&(svc.clone(), zone.clone()))?.subscribe();
+        let mut rx = lock(&self.published_load).get(&(svc.clone(), zone.clone()))?.subscribe();
         let newer = |f: &Option<LoadReport>| {
             f.as_ref().is_some_and(|f| f.fencing_token != fencing_token || f.seq > seq)
         };
@@ -121,7 +121,7 @@
         let came = self.now();
         let _ = tokio::time::timeout(wait, rx.wait_for(newer)).await;
         let mut fig = rx.borrow().clone()?;
-        let at = self.load_view.board().seen.get(&(svc, zone)).map(|s| s.at);
+        let at = self.load_view.known().reports.get(&(svc, zone)).map(|s| s.fresh_at);
         let now = self.now();
         fig.age_ms = at.map(|t| now.since(t)).unwrap_or(0);
         fig.waited_ms = now.since(came);
@@ -133,9 +133,9 @@
         self.member.start();
         common::runtime::spawn(self.clone().keep_configuration());
         common::runtime::spawn(self.clone().send_heartbeats());
-        common::runtime::spawn(self.clone().watch_all());
-        common::runtime::spawn(self.clone().lend());
-        common::runtime::spawn(self.clone().keep_grants());
+        common::runtime::spawn(self.clone().watch_load_reports());
+        common::runtime::spawn(self.clone().run_grant_issuer());
+        common::runtime::spawn(self.clone().renew_held_grants());
         self.start_listening(set, rpc_addr);
     }
 
--- a/crates/data-plane/src/serving/attempt.rs
+++ b/crates/data-plane/src/serving/attempt.rs
@@ -9,7 +9,7 @@
     replica_view::Candidate,
     state::Serving,
 };
-use crate::{attempt::strip_hop_by_hop, response_body::ends_surely, router::lock};
+use crate::{attempt::strip_hop_by_hop, response_body::has_detectable_end, router::lock};
 use common::{PeerError, Tick, error::AtPeer, http::full, log_event};
 use configuration::RouteKind;
 use hyper::{Request, header::HeaderValue};
@@ -73,7 +73,7 @@
 impl Serving {
     /// How long a connection may take to open: no replica within reach needs as long.
     fn connect_ms(&self) -> u64 {
-        self.router.set.timing.rpc_timeout_ms
+        self.router.settings.timing.rpc_timeout_ms
     }
 
     fn request(
@@ -105,7 +105,7 @@
 
     async fn fresh(&self, p: &Plan, c: &Candidate) -> Result<Ready, PeerError> {
         let ms = self.connect_ms().min(p.left_ms(self.now()).max(1));
-        Fresh::open(self.router.set.rpc_addr.ip(), c.addr, ms).await.map(Ready::Fresh)
+        Fresh::open(self.router.settings.rpc_addr.ip(), c.addr, ms).await.map(Ready::Fresh)
     }
 
     /// One attempt; `after` names the event after which a stream is to go on. An idle connection is
@@ -197,7 +197,7 @@
             not_run: head.headers.contains_key(&names.not_run),
             sealed: head.headers.contains_key(&names.seal),
             id,
-            ends_surely: ends_surely(&p.method, head, answer.body.incoming()),
+            ends_surely: has_detectable_end(&p.method, head, answer.body.incoming()),
         }
     }
 
--- a/crates/data-plane/src/serving/dispatch.rs
+++ b/crates/data-plane/src/serving/dispatch.rs
@@ -109,12 +109,12 @@
                 }
                 Outcome::NotSent(e) => {
                     past.failed(self, &p, AttemptEnd::NotSent, e);
-                    c.own.avoid(self.now() + self.router.set.timing.probe_interval_ms);
+                    c.own.avoid(self.now() + self.router.settings.timing.probe_interval_ms);
                 }
                 Outcome::Declined(e) => past.failed(self, &p, AttemptEnd::Declined, e),
                 Outcome::MayHaveRun(e) => {
                     past.failed(self, &p, AttemptEnd::MayHaveRun, e);
-                    c.own.avoid(self.now() + self.router.set.timing.probe_interval_ms / 4);
+                    c.own.avoid(self.now() + self.router.settings.timing.probe_interval_ms / 4);
                 }
             }
         }
--- a/crates/data-plane/src/serving/gateway.rs
+++ b/crates/data-plane/src/serving/gateway.rs
@@ -90,7 +90,7 @@
     /// client has spent some of the route's time, has no other: it waits for a lease, or half of
     /// what it has left.
     async fn await_fit(&self, head: &Parts, left: u64) -> Option<&'static str> {
-        let (began, t) = (self.now(), &self.router.set.timing);
+        let (began, t) = (self.now(), &self.router.settings.timing);
         while let Some(why) = self.refusing().filter(|w| *w != "draining") {
             let later = self
                 .map
--- a/crates/data-plane/src/serving/health_prober.rs
+++ b/crates/data-plane/src/serving/health_prober.rs
@@ -25,7 +25,7 @@
 impl Serving {
     /// Time between two looks at a zone's replicas.
     pub(super) fn report_interval_ms(&self) -> u64 {
-        self.router.set.timing.probe_interval_ms / 2
+        self.router.settings.timing.probe_interval_ms / 2
     }
 
     /// Probes a zone's replicas and publishes their report, while somebody asks this node for it.
@@ -149,7 +149,7 @@
             _ => self.dialect.names().report_path,
         };
         let ms = self.report_interval_ms().min(400);
-        match ask(self.router.set.rpc_addr.ip(), l.addr, Method::GET, path, &[], "", ms).await {
+        match ask(self.router.settings.rpc_addr.ip(), l.addr, Method::GET, path, &[], "", ms).await {
             Ok((code, head, body)) if code.is_success() => {
                 let names = self.dialect.names();
                 let told = if engine { self.dialect.report(&body) } else { load_of(&head, &names.load) };
--- a/crates/data-plane/src/serving/prefill_announce.rs
+++ b/crates/data-plane/src/serving/prefill_announce.rs
@@ -42,7 +42,8 @@
         for m in l.routers().into_iter().filter(near) {
             let (me, to, note) = (self.router.clone(), m.info.rpc_addr, note.clone());
             common::runtime::spawn(async move {
-                let _ = me.lines.call("announce prompt", to, RouterRequest::AnnouncePrompt { note }).await;
+                let _ =
+                    me.rpc_client.call("announce prompt", to, RouterRequest::AnnouncePrompt { note }).await;
             });
         }
     }
--- a/crates/data-plane/src/serving/region_choice.rs
+++ b/crates/data-plane/src/serving/region_choice.rs
@@ -6,7 +6,7 @@
     load::RegionLoad,
     placement_table::{PlacementOutcome, UserKey},
     region_choice::{draw, draw_by_key, weight},
-    router::{Cached, lock},
+    router::{CachedPlacement, lock},
 };
 use common::Region;
 use std::{collections::BTreeMap, sync::Arc};
@@ -21,7 +21,7 @@
     seen: &BTreeMap<Region, RegionLoad>,
     open_to: &dyn Fn(&Region) -> bool,
 ) -> Vec<(Region, f64)> {
-    let fit = seen.iter().filter(|(r, l)| open_to(r) && l.passes(OVERLOAD));
+    let fit = seen.iter().filter(|(r, l)| open_to(r) && l.is_eligible(OVERLOAD));
     fit.map(|(r, l)| (r.clone(), weight(l, SMOOTH))).collect()
 }
 
@@ -70,36 +70,36 @@
         cands: &[(Region, f64)],
     ) -> Option<Region> {
         let now = self.now();
-        let known = lock(&self.router.cache).get(&(key, p.service.clone())).cloned();
-        let good = |r: &Region| seen.get(r).is_some_and(|l| l.passes(OVERLOAD));
+        let known = lock(&self.router.placement_cache).get(&(key, p.service.clone())).cloned();
+        let good = |r: &Region| seen.get(r).is_some_and(|l| l.is_eligible(OVERLOAD));
         let valid = known.as_ref().filter(|c| c.until > now && good(&c.region));
         let fresh = valid.is_some_and(|c| now.since(c.confirmed_at) < (TTL_MS / 180).min(5_000));
         let pick = valid.map(|c| c.region.clone()).or_else(|| draw_by_key(cands, key.0))?;
         if !fresh {
-            let stale = known.filter(|c| c.until > now && !good(&c.region)).map(|c| c.ver);
+            let stale = known.filter(|c| c.until > now && !good(&c.region)).map(|c| c.version);
             self.remember(
                 key,
                 p,
-                Cached { region: pick.clone(), ver: 0, confirmed_at: now, until: now + TTL_MS },
+                CachedPlacement { region: pick.clone(), version: 0, confirmed_at: now, until: now + TTL_MS },
             );
             let (me, svc, pick) = (self.clone(), p.service.clone(), pick.clone());
             common::runtime::spawn(async move {
                 let asked = me.now();
                 let told = me
                     .router
-                    .settle(key, &svc, stale, Some(pick), TTL_MS, me.router.set.timing.rpc_timeout_ms)
+                    .resolve(key, &svc, stale, Some(pick), TTL_MS, me.router.settings.timing.rpc_timeout_ms)
                     .await;
-                if let Some(PlacementOutcome::Held { region, ver, .. }) = told {
-                    let c = Cached { region, ver, confirmed_at: asked, until: asked + TTL_MS };
-                    lock(&me.router.cache).insert((key, svc), c);
+                if let Some(PlacementOutcome::Held { region, version, .. }) = told {
+                    let c = CachedPlacement { region, version, confirmed_at: asked, until: asked + TTL_MS };
+                    lock(&me.router.placement_cache).insert((key, svc), c);
                 }
             });
         }
         Some(pick)
     }
 
-    fn remember(&self, key: UserKey, p: &Plan, c: Cached) {
-        let mut g = lock(&self.router.cache);
+    fn remember(&self, key: UserKey, p: &Plan, c: CachedPlacement) {
+        let mut g = lock(&self.router.placement_cache);
         if g.len() >= crate::placement_table::MAX_ROWS / 64 {
             g.retain(|_, x| x.until > c.confirmed_at);
         }
--- a/crates/data-plane/src/serving/replica_list.rs
+++ b/crates/data-plane/src/serving/replica_list.rs
@@ -218,7 +218,7 @@
 
     async fn read_page(&self, zone: &Zone, page: Option<&str>) -> Result<ListPage, ListError> {
         const STEP: &str = "list replicas";
-        let (ip, to) = (self.router.set.rpc_addr.ip(), self.site.list);
+        let (ip, to) = (self.router.settings.rpc_addr.ip(), self.site.list);
         let path = self.dialect.listing_path(zone, page);
         let answer = ask(ip, to, Method::GET, &path, &[], "", PAGE_MS).await;
         let (code, _, body) = answer.map_err(ListError::Failed)?;
--- a/crates/data-plane/src/serving/report_publication.rs
+++ b/crates/data-plane/src/serving/report_publication.rs
@@ -83,7 +83,7 @@
         let held = held.borrow().clone()?;
         let now = self.now();
         // Whether the list in it is too old is up to the asker, who may then ask somebody else for it.
-        let valid = now.since(held.received) <= self.set.timing.report_max_age_ms();
+        let valid = now.since(held.received) <= self.settings.timing.report_max_age_ms();
         valid.then(|| sent_now(&held, now, now.since(asked)))
     }
 }
--- a/crates/data-plane/src/serving/report_subscription.rs
+++ b/crates/data-plane/src/serving/report_subscription.rs
@@ -83,7 +83,7 @@
 
     async fn subscribe(self: Arc<Self>, zone: Zone) {
         let mut subscription = Subscription::default();
-        let pause_ms = self.router.set.timing.heartbeat_ms().min(self.report_interval_ms());
+        let pause_ms = self.router.settings.timing.heartbeat_ms().min(self.report_interval_ms());
         let pause = Duration::from_millis(pause_ms);
         loop {
             let now = self.now();
@@ -115,7 +115,7 @@
                 Err(e) => {
                     log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause());
                     // From now on: the call may have taken longer than the backoff.
-                    subscription.backoff.fail(node, self.now(), self.router.set.timing.lease_ms);
+                    subscription.backoff.fail(node, self.now(), self.router.settings.timing.lease_ms);
                 }
             }
         }
@@ -123,7 +123,7 @@
 
     /// Asks another source than this one for a while, where there is one.
     fn pass_over(&self, zone: &Zone, node: NodeId, subscription: &mut Subscription) {
-        subscription.backoff.fail(node.clone(), self.now(), self.router.set.timing.lease_ms);
+        subscription.backoff.fail(node.clone(), self.now(), self.router.settings.timing.lease_ms);
         if self.source(zone, &subscription.backoff).is_none() {
             subscription.backoff.succeed(&node);
         }
@@ -162,8 +162,8 @@
             }
         };
         let (to, step) = (member.info.rpc_addr, "watch replicas");
-        let timeout_ms = wait_ms + self.router.set.timing.rpc_timeout_ms;
-        match self.router.lines.call_within(timeout_ms, step, to, request).await? {
+        let timeout_ms = wait_ms + self.router.settings.timing.rpc_timeout_ms;
+        match self.router.rpc_client.call_within(timeout_ms, step, to, request).await? {
             RouterResponse::ReplicaReport(report) => Ok(report.map(|report| *report)),
             _ => Err(PeerError::new(step, to, "another answer")),
         }
@@ -182,7 +182,7 @@
             return listed_at;
         }
         self.router.pass_report_on(report);
-        let valid = self.router.set.timing.report_max_age_ms();
+        let valid = self.router.settings.timing.report_max_age_ms();
         let fleet = reports.fleet(&self.site.zones, valid, self.list_max_age_ms());
         let listed = |id: &ReplicaId| fleet.by_service.values().flatten().any(|c| c.id == *id);
         lock(&self.router.reading).retain(&listed);
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -129,7 +129,7 @@
                         log_event!(Info, "governs", "revision" => have.0);
                     }
                     Err(f) => {
-                        self.router.unreadable.store(l.revision.0, Ordering::Release);
+                        self.router.unreadable_revision.store(l.revision.0, Ordering::Release);
                         log_event!(Error, "read document", "peer" => "core", "revision" => l.revision.0, "cause" => format!("{f:?}"));
                     }
                 }
--- a/crates/data-plane/src/serving/stream_relay.rs
+++ b/crates/data-plane/src/serving/stream_relay.rs
@@ -239,7 +239,7 @@
             }
             Outcome::NotSent(e) => {
                 past.failed(s, p, AttemptEnd::NotSent, e);
-                c.own.avoid(s.now() + s.router.set.timing.probe_interval_ms);
+                c.own.avoid(s.now() + s.router.settings.timing.probe_interval_ms);
             }
             Outcome::Declined(e) => past.failed(s, p, AttemptEnd::Declined, e),
             Outcome::MayHaveRun(e) => past.failed(s, p, AttemptEnd::MayHaveRun, e),
--- a/crates/data-plane/src/serving/usage/call.rs
+++ b/crates/data-plane/src/serving/usage/call.rs
@@ -47,7 +47,7 @@
             Err(error) => return Some(Err(error)),
         };
         let ms = lock(&self.plan).spans.call;
-        let mut connection = match open(router.set.rpc_addr.ip(), to, ms).await {
+        let mut connection = match open(router.settings.rpc_addr.ip(), to, ms).await {
             Ok(connection) => connection,
             Err(error) => return Some(Err(error)),
         };
--- a/crates/data-plane/src/serving/usage/holder.rs
+++ b/crates/data-plane/src/serving/usage/holder.rs
@@ -28,7 +28,7 @@
     /// Reports usage whenever this node holds that duty, where the platform gives it.
     pub fn keep_usage_reported(self: &Arc<Self>) {
         let Some(duty) = self.site.usage.clone() else { return };
-        let plan = Mutex::new(HolderPlan::new(duty.clone(), &self.router.set.timing));
+        let plan = Mutex::new(HolderPlan::new(duty.clone(), &self.router.settings.timing));
         let holder = Arc::new(UsageHolder { serving: self.clone(), duty, plan, clock: Mutex::default() });
         spawn(holder.clone().keep_counting());
         spawn(holder.keep_reporting());
--- a/crates/data-plane/src/serving/usage/survey.rs
+++ b/crates/data-plane/src/serving/usage/survey.rs
@@ -50,7 +50,7 @@
         }
         let asked = self.now();
         let request = RouterRequest::Usage(question);
-        match self.lines.call("usage", member.info.rpc_addr, request).await {
+        match self.rpc_client.call("usage", member.info.rpc_addr, request).await {
             Ok(RouterResponse::Usage(answer)) => Some((answer, asked + self.now().since(asked) / 2)),
             _ => None,
         }
--- a/crates/data-plane/src/summary.rs
+++ b/crates/data-plane/src/summary.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Events kept for a look back.
-pub const KEEP: usize = 256;
+pub const RETAINED_EVENTS: usize = 256;
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
@@ -34,8 +34,9 @@
     pub revision: Revision,
     pub epoch: Epoch,
     pub cut_off: bool,
-    /// Replicas that this node, as their home, found unwell.
-    pub unwell: BTreeSet<ReplicaId>,
+    /// Replicas that this node, as their home, found unhealthy.
+    #[serde(rename = "unwell")]
+    pub unhealthy: BTreeSet<ReplicaId>,
     #[serde(rename = "bounced")]
     pub rejected: BTreeMap<String, u64>,
     pub unknown: BTreeMap<String, u64>,
@@ -50,8 +51,8 @@
             EventKind::Governs(r) => self.revision = self.revision.max(*r),
             EventKind::Member(e) => self.epoch = self.epoch.max(*e),
             EventKind::CutOff(c) => self.cut_off = *c,
-            EventKind::Health { replica, healthy: true } => drop(self.unwell.take(replica)),
-            EventKind::Health { replica, healthy: false } => drop(self.unwell.replace(replica.clone())),
+            EventKind::Health { replica, healthy: true } => drop(self.unhealthy.take(replica)),
+            EventKind::Health { replica, healthy: false } => drop(self.unhealthy.replace(replica.clone())),
             EventKind::Rejected(why) => *self.rejected.entry(why.clone()).or_default() += 1,
             EventKind::Unknown(step) => *self.unknown.entry(step.clone()).or_default() += 1,
         }
--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -59,7 +59,7 @@
         key: UserKey(99),
         service: service(),
         region: "centro".into(),
-        ver: 3,
+        version: 3,
         ttl_ms: 900_000,
     }]
 }
@@ -110,7 +110,7 @@
         seq: 17,
         age_ms: 120,
         waited_ms: 30,
-        line: vec![NodeId::new("p1"), NodeId::new("p2")],
+        routers: vec![NodeId::new("p1"), NodeId::new("p2")],
         replicas: vec![replica],
     }
 }
@@ -197,7 +197,7 @@
         fencing_token: FencingToken(4),
         serial: 9,
         count: 3,
-        life_ms: 1_000,
+        ttl_ms: 1_000,
     };
     let replies = [
         (
@@ -208,7 +208,11 @@
         ("placed-empty", RouterResponse::Placement(PlacementOutcome::Empty)),
         (
             "placed",
-            RouterResponse::Placement(PlacementOutcome::Held { region: "norte".into(), ver: 3, won: true }),
+            RouterResponse::Placement(PlacementOutcome::Held {
+                region: "norte".into(),
+                version: 3,
+                won: true,
+            }),
         ),
         ("rows", RouterResponse::Placements(rows())),
         ("figures", RouterResponse::LoadReport(figures())),
@@ -258,7 +262,7 @@
         revision: Revision(3),
         epoch: Epoch(4),
         cut_off: true,
-        unwell: BTreeSet::from([ReplicaId::new("r-1")]),
+        unhealthy: BTreeSet::from([ReplicaId::new("r-1")]),
         rejected: BTreeMap::from([("late".into(), 2)]),
         unknown: BTreeMap::from([("answer".into(), 1)]),
         last: Tick(5),
--- a/crates/data-plane/tests/goes.rs
+++ b/crates/data-plane/tests/goes.rs
@@ -1,7 +1,7 @@
 //! A go against an upstream that fails at each stage (design 6.2, 6.3): what is certain
 //! afterwards, and that no cut body ever ends cleanly.
 
-use data_plane::attempt::{AttemptTarget, Outcome, OutgoingRequest, attempt, strip};
+use data_plane::attempt::{AttemptTarget, Outcome, OutgoingRequest, attempt, strip_internal_headers};
 use http_body_util::BodyExt;
 use rstest::rstest;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -123,7 +123,7 @@
     ] {
         h.insert(k, v.parse().unwrap());
     }
-    strip(&mut h);
+    strip_internal_headers(&mut h);
     assert_eq!(h.keys().map(|k| k.as_str()).collect::<Vec<_>>(), ["x-two"]);
 }
 
--- a/crates/data-plane/tests/heir.rs
+++ b/crates/data-plane/tests/heir.rs
@@ -16,10 +16,10 @@
 
 /// The load report of its first check as home of the centre's replicas.
 async fn first_check(r: &Arc<Router>) -> LoadReport {
-    tokio::spawn(r.clone().watch_all());
+    tokio::spawn(r.clone().watch_load_reports());
     let key = (Service::new("verdict"), Zone::new("centro-1"));
     for _ in 0..500 {
-        if let Some(f) = lock(&r.published).get(&key).and_then(|tx| tx.borrow().clone()) {
+        if let Some(f) = lock(&r.published_load).get(&key).and_then(|tx| tx.borrow().clone()) {
             return f;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/data-plane/tests/kit/mod.rs
+++ b/crates/data-plane/tests/kit/mod.rs
@@ -102,11 +102,11 @@
     let _ = member.install(StateUpdate::Snapshot(Box::new(l)), "test");
     let r = Router::new(settings(), member, clock);
     tokio::spawn(r.clone().keep_configuration());
-    while r.governing.load().is_none() {
+    while r.configuration.load().is_none() {
         tokio::task::yield_now().await;
     }
     r.install_load_report(figures(service, backs, fencing_token, 1, 0.0), r.now());
-    r.since.store(Tick(1).0, Ordering::Release);
+    r.configured_at.store(Tick(1).0, Ordering::Release);
     let listener = TcpListener::bind((IP, 0)).await.unwrap();
     let at = listener.local_addr().unwrap();
     // Never told to stop: the sender is left alone.
@@ -137,7 +137,7 @@
     seq: u64,
     consumption: f64,
 ) -> LoadReport {
-    let gauge = |(n, b): (usize, &Back)| ReplicaLoad {
+    let load = |(n, b): (usize, &Back)| ReplicaLoad {
         id: format!("r{n}").as_str().into(),
         addr: b.at,
         healthy: true,
@@ -145,7 +145,7 @@
         consumption,
         allowance: None,
     };
-    let replicas = backs.iter().enumerate().map(gauge).collect();
+    let replicas = backs.iter().enumerate().map(load).collect();
     let (service, zone) = (service.into(), "centro-1".into());
     LoadReport {
         service,
@@ -154,7 +154,7 @@
         seq,
         age_ms: 0,
         waited_ms: 0,
-        line: vec!["p1".into()],
+        routers: vec!["p1".into()],
         replicas,
     }
 }
--- a/crates/data-plane/tests/lag.rs
+++ b/crates/data-plane/tests/lag.rs
@@ -75,7 +75,7 @@
     let later = Change::Apply { op: "b".into(), base: Revision(1), text: "cluster = what".into() };
     let _ = l.apply(l.index.next(), &later);
     let _ = r.member.install(StateUpdate::Snapshot(Box::new(l)), "test");
-    while r.unreadable.load(Ordering::Acquire) == 0 {
+    while r.unreadable_revision.load(Ordering::Acquire) == 0 {
         tokio::task::yield_now().await;
     }
     let (answer, ready, counters) = asked(at).await;
--- a/crates/data-plane/tests/leap.rs
+++ b/crates/data-plane/tests/leap.rs
@@ -37,7 +37,7 @@
     let backs = std::slice::from_ref(&b);
     r.install_load_report(figures("verdict", backs, fencing_token, 2, 8.0), r.now());
     let answer = tokio::spawn(async move { say(at, &post("/v1/verdicts", "", "{\"station\":\"x\"}")).await });
-    while data_plane::router::lock(&r.queue).is_empty() {
+    while data_plane::router::lock(&r.request_queue).is_empty() {
         tokio::task::yield_now().await;
     }
     hand.fetch_add(ms, Ordering::AcqRel);
@@ -119,7 +119,7 @@
         },
     ));
     // Members of other zones are asked once the lease is in doubt.
-    hand.fetch_add(r.set.timing.lease_ms, Ordering::AcqRel);
+    hand.fetch_add(r.settings.timing.lease_ms, Ordering::AcqRel);
     let hails = tokio::spawn(r.clone().send_heartbeats());
     while data_plane::router::lock(&r.last_contacts).is_empty() {
         tokio::task::yield_now().await;
--- a/crates/data-plane/tests/modules/capacity_grant.rs
+++ b/crates/data-plane/tests/modules/capacity_grant.rs
@@ -19,12 +19,12 @@
 fn passes_from_grant_to_bounce() {
     let (r, s) = (Region::new("r"), Service::new("s"));
     let mut l = GrantIssuer::default();
-    l.under(FencingToken(4));
+    l.set_fencing_token(FencingToken(4));
     l.observe(true, Tick(0));
-    assert!(!l.well(Tick(2999), 3000) && l.well(Tick(3000), 3000));
+    assert!(!l.is_healthy(Tick(2999), 3000) && l.is_healthy(Tick(3000), 3000));
     l.observe(false, Tick(3001));
     l.observe(true, Tick(3002));
-    assert!(!l.well(Tick(6000), 3000));
+    assert!(!l.is_healthy(Tick(6000), 3000));
     let a = l.grant(&r, &s, &"a".into(), 5.0, 2, 1000, Tick(0)).unwrap();
     let b = l.grant(&r, &s, &"b".into(), 5.0, 2, 1000, Tick(0)).unwrap();
     assert_eq!((a.count, b.count), (3, 2));
@@ -36,6 +36,6 @@
     let mut old = spent(&a, "a");
     old.fencing_token = FencingToken(3);
     assert_eq!(l.redeem(&old, Tick(1)), Err("stale fence"));
-    l.under(FencingToken(5));
+    l.set_fencing_token(FencingToken(5));
     assert_eq!(l.redeem(&spent(&a, "a"), Tick(1)), Err("stale fence"));
 }
--- a/crates/data-plane/tests/modules/placement_table.rs
+++ b/crates/data-plane/tests/modules/placement_table.rs
@@ -5,7 +5,7 @@
 
 fn held(s: PlacementOutcome) -> (String, u64, bool) {
     match s {
-        PlacementOutcome::Held { region, ver, won } => (region.to_string(), ver, won),
+        PlacementOutcome::Held { region, version, won } => (region.to_string(), version, won),
         PlacementOutcome::Empty => ("-".into(), 0, false),
     }
 }
@@ -17,7 +17,7 @@
     let (k, svc) = (UserKey(7), Service::new("m"));
     let mut t = PlacementTable::default();
     let mut ask = |stale, pick: &str, now| {
-        held(t.settle(k, &svc, stale, (!pick.is_empty()).then(|| Region::new(pick)), 1000, Tick(now)))
+        held(t.resolve(k, &svc, stale, (!pick.is_empty()).then(|| Region::new(pick)), 1000, Tick(now)))
     };
     assert_eq!(ask(None, "", 0).0, "-");
     let (r, v1, won) = ask(None, "north", 1);
@@ -37,26 +37,26 @@
 #[test]
 fn an_inherited_row_outranks_late_copies() {
     let (k, svc) = (UserKey(7), Service::new("m"));
-    let row = |region: &str, ver| PlacementRow {
+    let row = |region: &str, version| PlacementRow {
         key: k,
         service: svc.clone(),
         region: region.into(),
-        ver,
+        version,
         ttl_ms: 900,
     };
     let (mut owner, mut follower) = (PlacementTable::default(), PlacementTable::default());
-    owner.copy(row("north", 24 << 32 | 28), Tick(0));
-    follower.copy(row("south", 24 << 32 | 29), Tick(0));
-    owner.fencing_token(k.shard(&svc), FencingToken(26)).unwrap();
-    let (region, ver, _) = held(owner.settle(k, &svc, None, None, 900, Tick(1)));
-    follower.copy(row(&region, ver), Tick(1));
-    assert_eq!(follower.one(k, &svc, Tick(2)).unwrap().region, Region::new("north"));
+    owner.install_row(row("north", 24 << 32 | 28), Tick(0));
+    follower.install_row(row("south", 24 << 32 | 29), Tick(0));
+    owner.check_fencing_token(k.shard(&svc), FencingToken(26)).unwrap();
+    let (region, version, _) = held(owner.resolve(k, &svc, None, None, 900, Tick(1)));
+    follower.install_row(row(&region, version), Tick(1));
+    assert_eq!(follower.row(k, &svc, Tick(2)).unwrap().region, Region::new("north"));
 }
 
 #[test]
 fn lower_fences_bounce() {
     let mut t = PlacementTable::default();
-    assert!(t.fencing_token(3, FencingToken(5)).is_ok());
-    assert_eq!(t.fencing_token(3, FencingToken(4)), Err(FencingToken(5)));
-    assert!(t.fencing_token(4, FencingToken(4)).is_ok());
+    assert!(t.check_fencing_token(3, FencingToken(5)).is_ok());
+    assert_eq!(t.check_fencing_token(3, FencingToken(4)), Err(FencingToken(5)));
+    assert!(t.check_fencing_token(4, FencingToken(4)).is_ok());
 }
--- a/crates/data-plane/tests/modules/region_choice.rs
+++ b/crates/data-plane/tests/modules/region_choice.rs
@@ -4,7 +4,7 @@
 use configuration::Policy;
 use data_plane::{
     load::RegionLoad,
-    region_choice::{candidates, draw, draw_by_key, passes, weight},
+    region_choice::{candidates, draw, draw_by_key, is_eligible, weight},
 };
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 #[case::unhealthy(p(false, 100.0, 0.0), false)]
 #[case::no_capacity(p(true, 0.0, 0.0), false)]
 fn reuse_tests(#[case] seen: RegionLoad, #[case] want: bool) {
-    assert_eq!(passes(Some(&seen), &Policy::standard("s")), want);
+    assert_eq!(is_eligible(Some(&seen), &Policy::standard("s")), want);
 }
 
 /// The source's own example: 2000 capacity, 1 and 2 consumed.
--- a/crates/data-plane/tests/modules/replica_choice.rs
+++ b/crates/data-plane/tests/modules/replica_choice.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, atomic::Ordering};
 
 fn seen(consumption: f64, allowance: Option<u32>, seq: u64) -> Candidate {
-    let gauge = ReplicaLoad {
+    let load = ReplicaLoad {
         id: "r".into(),
         addr: ([127, 0, 0, 1], 1).into(),
         healthy: true,
@@ -16,21 +16,21 @@
         consumption,
         allowance,
     };
-    Candidate { gauge, zone: "a".into(), own: Arc::default(), at: Tick(0), seq, line: Arc::new([]) }
+    Candidate { load, zone: "a".into(), local: Arc::default(), fresh_at: Tick(0), seq, routers: Arc::new([]) }
 }
 
 /// How many requests all routers together add on one and the same report.
 fn added(consumption: f64, allowance: Option<u32>, routers: usize, seq: u64) -> i64 {
-    let line: Vec<NodeId> = (0..routers).map(|n| format!("p{n}").as_str().into()).collect();
+    let routers: Vec<NodeId> = (0..routers).map(|n| format!("p{n}").as_str().into()).collect();
     let one = |me: &NodeId| {
-        let c = Candidate { line: line.clone().into(), ..seen(consumption, allowance, seq) };
+        let c = Candidate { routers: routers.clone().into(), ..seen(consumption, allowance, seq) };
         (0..100)
             .take_while(|_| {
-                has_room(&c, &line, me.as_str()) && c.own.open.fetch_add(1, Ordering::Relaxed) >= 0
+                has_room(&c, &routers, me.as_str()) && c.local.open.fetch_add(1, Ordering::Relaxed) >= 0
             })
             .count()
     };
-    line.iter().map(one).sum::<usize>() as i64
+    routers.iter().map(one).sum::<usize>() as i64
 }
 
 /// Found by a crowd on the fleet: with 4 slots and 6 routers, 24 requests were open at one
--- a/crates/data-plane/tests/modules/replica_health.rs
+++ b/crates/data-plane/tests/modules/replica_health.rs
@@ -26,19 +26,19 @@
 #[test]
 fn down_after_three_and_cold_when_back() {
     let mut w = ReplicaHealth::default();
-    let well = || ProbeResult::Told(rep(None, Some(10.0), Some(1.0)).unwrap());
-    w.check(well(), 3, 4.0, Tick(1_000));
+    let well = || ProbeResult::Reported(rep(None, Some(10.0), Some(1.0)).unwrap());
+    w.record(well(), 3, 4.0, Tick(1_000));
     assert!(w.healthy);
     let ramp: Vec<_> =
         [0, 500, 2_500, 5_000, 9_999, 10_000].map(|t| w.allowance(10_000, Tick(1_000 + t))).into();
     assert_eq!(ramp, [Some(1), Some(1), Some(2), Some(5), Some(9), None]);
-    (0..2).for_each(|n| w.check(ProbeResult::Silent, 3, 4.0, Tick(20_000 + n)));
+    (0..2).for_each(|n| w.record(ProbeResult::NoAnswer, 3, 4.0, Tick(20_000 + n)));
     assert!(w.healthy, "two failed checks are not three");
-    w.check(ProbeResult::Silent, 3, 4.0, Tick(20_003));
+    w.record(ProbeResult::NoAnswer, 3, 4.0, Tick(20_003));
     assert!(!w.healthy);
-    w.check(well(), 3, 4.0, Tick(30_000));
+    w.record(well(), 3, 4.0, Tick(30_000));
     assert_eq!(w.allowance(10_000, Tick(30_001)), Some(1));
-    w.check(ProbeResult::Told(rep(Some(false), None, None).unwrap()), 3, 4.0, Tick(31_000));
+    w.record(ProbeResult::Reported(rep(Some(false), None, None).unwrap()), 3, 4.0, Tick(31_000));
     assert!(!w.healthy, "what says itself that it is unwell is believed at once");
 }
 
@@ -47,14 +47,14 @@
 #[test]
 fn what_was_absent_is_cold_when_back_however_soon() {
     let mut w = ReplicaHealth::default();
-    let well = || ProbeResult::Told(rep(None, Some(10.0), Some(1.0)).unwrap());
-    w.check(well(), 3, 4.0, Tick(1_000));
-    w.check(ProbeResult::Silent, 3, 4.0, Tick(21_000));
-    w.check(well(), 3, 4.0, Tick(22_000));
+    let well = || ProbeResult::Reported(rep(None, Some(10.0), Some(1.0)).unwrap());
+    w.record(well(), 3, 4.0, Tick(1_000));
+    w.record(ProbeResult::NoAnswer, 3, 4.0, Tick(21_000));
+    w.record(well(), 3, 4.0, Tick(22_000));
     assert_eq!(w.allowance(10_000, Tick(22_001)), None, "one check without an answer is no restart");
-    w.check(ProbeResult::Refused, 3, 4.0, Tick(23_000));
+    w.record(ProbeResult::Refused, 3, 4.0, Tick(23_000));
     assert!(w.healthy);
-    w.check(well(), 3, 4.0, Tick(24_000));
+    w.record(well(), 3, 4.0, Tick(24_000));
     assert_eq!(w.allowance(10_000, Tick(24_001)), Some(1));
 }
 
@@ -63,14 +63,14 @@
 #[test]
 fn what_is_absent_has_the_first_step_of_the_ramp() {
     let mut w = ReplicaHealth::default();
-    let well = || ProbeResult::Told(rep(None, Some(20.0), Some(1.0)).unwrap());
-    w.check(well(), 3, 4.0, Tick(1_000));
-    w.check(ProbeResult::Silent, 3, 4.0, Tick(21_000));
+    let well = || ProbeResult::Reported(rep(None, Some(20.0), Some(1.0)).unwrap());
+    w.record(well(), 3, 4.0, Tick(1_000));
+    w.record(ProbeResult::NoAnswer, 3, 4.0, Tick(21_000));
     assert_eq!(w.allowance(10_000, Tick(21_001)), None, "one check without an answer is no restart");
-    w.check(ProbeResult::Refused, 3, 4.0, Tick(22_000));
+    w.record(ProbeResult::Refused, 3, 4.0, Tick(22_000));
     assert!(w.healthy);
     assert_eq!(w.allowance(10_000, Tick(22_001)), Some(2));
     assert_eq!(w.allowance(10_000, Tick(99_000)), Some(2), "it does not warm up while it is away");
-    w.check(well(), 3, 4.0, Tick(100_000));
+    w.record(well(), 3, 4.0, Tick(100_000));
     assert_eq!(w.allowance(10_000, Tick(105_000)), Some(10));
 }
--- a/crates/data-plane/tests/modules/retry_budget.rs
+++ b/crates/data-plane/tests/modules/retry_budget.rs
@@ -1,10 +1,10 @@
 //! Tests of `data_plane::retry_budget`.
 
-use data_plane::retry_budget::Budget;
+use data_plane::retry_budget::RetryBudget;
 
 #[test]
 fn extra_goes_stay_a_fifth() {
-    let b = Budget::default();
+    let b = RetryBudget::default();
     let extra = (0..1000).filter(|_| {
         b.earn(0.2);
         b.spend()
--- a/crates/data-plane/tests/modules/summary.rs
+++ b/crates/data-plane/tests/modules/summary.rs
@@ -19,8 +19,8 @@
     }
     let d = j.view();
     assert_eq!((d.revision, d.rejected["no room"], d.last), (Revision(3), 2, Tick(4)));
-    assert!(d.unwell.contains(&ReplicaId::new("r1")));
+    assert!(d.unhealthy.contains(&ReplicaId::new("r1")));
     j.append(Event { at: Tick(9), what: sick(true) });
-    assert!(j.view().unwell.is_empty());
+    assert!(j.view().unhealthy.is_empty());
     assert_eq!(j.tail().len(), 2);
 }
--- a/crates/data-plane/tests/replay.rs
+++ b/crates/data-plane/tests/replay.rs
@@ -17,7 +17,7 @@
 /// A forwarded request as the northern router signs it for the one in the centre.
 fn from_north(r: &Router, number: u64) -> ForwardedRequest {
     let l = r.cluster_state();
-    let g = r.governing.load_full().unwrap();
+    let g = r.configuration.load_full().unwrap();
     let entry = g.table.entries.iter().find(|e| e.name == "match-verdicts").unwrap();
     ForwardedRequest {
         request_id: format!("job-{number}").as_str().into(),
--- a/crates/data-plane/tests/serving/placement.rs
+++ b/crates/data-plane/tests/serving/placement.rs
@@ -8,7 +8,7 @@
 use configuration::{Backend, Route, RouteKind, home_regions};
 use data_plane::{
     placement_table::UserKey,
-    router::{Cached, lock},
+    router::{CachedPlacement, lock},
     serving::{Serving, plan::Plan, region_choice::TTL_MS, replica_view::ReportStore},
 };
 use hyper::{HeaderMap, Method, Uri};
@@ -150,14 +150,14 @@
         tell(&fleet.routers[n], 2, 2);
         let look = |serving: &Arc<Serving>| {
             for user in USERS {
-                let stored = |region: &str| Cached {
+                let stored = |region: &str| CachedPlacement {
                     region: region.into(),
-                    ver: 7,
+                    version: 7,
                     confirmed_at: serving.now(),
                     until: serving.now() + TTL_MS,
                 };
                 let at = (UserKey(user), "chat".into());
-                lock(&serving.router.cache).insert(at.clone(), stored("west"));
+                lock(&serving.router.placement_cache).insert(at.clone(), stored("west"));
                 let regions = |homes: &[&str]| serving.regions(&plan(user, homes), &|_| true);
                 assert_eq!(
                     regions(&["north", "west"])[0],
--- a/crates/simulator/src/sim/data.rs
+++ b/crates/simulator/src/sim/data.rs
@@ -170,8 +170,8 @@
             What::Rows { to, fencing_token, shard, rows } => {
                 let now = Tick(self.t);
                 let tab = &mut self.nodes[to].tab;
-                if fencing_token.is_none_or(|f| tab.fencing_token(shard, f).is_ok()) {
-                    rows.into_iter().for_each(|c| tab.copy(c, now));
+                if fencing_token.is_none_or(|f| tab.check_fencing_token(shard, f).is_ok()) {
+                    rows.into_iter().for_each(|c| tab.install_row(c, now));
                 }
             }
             What::Look(n) => self.look(n),
--- a/crates/simulator/src/sim/lending.rs
+++ b/crates/simulator/src/sim/lending.rs
@@ -19,7 +19,7 @@
         let (now, well) = (Tick(self.t), self.well && holds);
         let me = &mut self.nodes[n];
         if holds && self.broken != Some(BrokenData::NoFence) {
-            me.lender.under(FencingToken(me.cluster_state.epoch.0));
+            me.lender.set_fencing_token(FencingToken(me.cluster_state.epoch.0));
         }
         me.lender.observe(well, now);
     }
@@ -37,7 +37,7 @@
             return;
         }
         let me = &mut self.nodes[at];
-        let well = me.lender.well(asked, FULL_SET) || self.broken == Some(BrokenData::LendsCold);
+        let well = me.lender.is_healthy(asked, FULL_SET) || self.broken == Some(BrokenData::LendsCold);
         let pass = well
             .then(|| me.lender.grant(&region(5), &svc(), &node, ROOM, ROUTERS / 2, LIFE, asked))
             .flatten();
@@ -88,11 +88,11 @@
             let [Some(o)] = owners.iter().copied().collect::<Vec<_>>()[..] else {
                 return Err(format!("{key:?} has owners {owners:?}"));
             };
-            let Some(row) = self.nodes[o].tab.one(key, &svc(), now) else {
+            let Some(row) = self.nodes[o].tab.row(key, &svc(), now) else {
                 return Err(format!("{key:?} is lost"));
             };
             for m in self.owners(o, key.shard(&svc())).into_iter().skip(1).take(2) {
-                let copy = self.nodes[m].tab.one(key, &svc(), now);
+                let copy = self.nodes[m].tab.row(key, &svc(), now);
                 if copy.as_ref().map(|c| &c.region) != Some(&row.region) {
                     let (shard, own) = (key.shard(&svc()), self.nodes[o].cluster_state.epoch);
                     return Err(format!(
--- a/crates/simulator/src/sim/table.rs
+++ b/crates/simulator/src/sim/table.rs
@@ -19,7 +19,7 @@
             let owns = owners.first() == Some(&n);
             if owns && self.nodes[n].owns.insert(shard, owns) != Some(true) {
                 for m in owners.into_iter().skip(1).take(3) {
-                    let rows = self.nodes[m].tab.rows_of(shard, Tick(self.t));
+                    let rows = self.nodes[m].tab.rows_of_shard(shard, Tick(self.t));
                     let lag = self.lag();
                     self.push(lag, What::Rows { to: n, fencing_token: None, shard, rows });
                 }
@@ -36,7 +36,7 @@
         let Some(to) = self.owners(n, key.shard(&svc())).first().copied() else { return };
         let fencing_token = FencingToken(self.nodes[n].cluster_state.epoch.0);
         // Now and then a router finds what is stored wanting, and names its version.
-        let held = self.nodes[to].tab.one(key, &svc(), Tick(self.t)).map(|c| c.ver);
+        let held = self.nodes[to].tab.row(key, &svc(), Tick(self.t)).map(|c| c.version);
         let stale = held.filter(|_| self.rng.random_bool(0.02) && self.t < CHURN_END);
         let lag = self.lag();
         if self.rng.random_bool(0.99) {
@@ -64,10 +64,10 @@
         if fenced && tab.admit(shard, epoch, fencing_token).is_err() {
             return Ok(());
         }
-        let last = tab.one(key, &svc(), now).map(|c| c.ver);
+        let last = tab.row(key, &svc(), now).map(|c| c.version);
         let stale = if self.broken == Some(BrokenData::LastWriter) { last } else { stale };
-        let res = tab.settle(key, &svc(), stale, Some(pick), TTL, now);
-        let row = tab.one(key, &svc(), now);
+        let res = tab.resolve(key, &svc(), stale, Some(pick), TTL, now);
+        let row = tab.row(key, &svc(), now);
         for m in owners.into_iter().skip(1).take(2) {
             let (rows, lag) = (row.clone().into_iter().collect(), self.lag());
             self.push(lag, What::Rows { to: m, fencing_token: Some(fencing_token), shard, rows });
@@ -77,11 +77,11 @@
 
     /// One version is one region; and a racer without a cause to move never moves a user.
     fn told(&mut self, n: usize, key: UserKey, s: PlacementOutcome) -> Result<(), String> {
-        let PlacementOutcome::Held { region, ver, .. } = s else { return Ok(()) };
+        let PlacementOutcome::Held { region, version, .. } = s else { return Ok(()) };
         self.settled += 1;
-        let known = self.seen.entry((key, ver)).or_insert_with(|| region.clone());
+        let known = self.seen.entry((key, version)).or_insert_with(|| region.clone());
         if *known != region {
-            return Err(format!("p{n} was told {region} for {key:?} version {ver}, another {known}"));
+            return Err(format!("p{n} was told {region} for {key:?} version {version}, another {known}"));
         }
         // Well after the last cause, nobody moves a user any more.
         if self.t > CHURN_END + 5_000 {
