--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -153,7 +153,7 @@
                         log_event!(Info, "governs", "revision" => in_force.0);
                     }
                     Err(diagnostics) => {
-                        self.router.unreadable.store(cluster.revision.0, Ordering::Release);
+                        self.router.unreadable_revision.store(cluster.revision.0, Ordering::Release);
                         log_event!(Error, "read document", "peer" => "core", "revision" => cluster.revision.0, "cause" => format!("{diagnostics:?}"));
                     }
                 }
