--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -9,7 +9,7 @@
     request_queue::RequestQueue,
     retry_budget::Budget,
     rpc::{RouterRequest, RouterResponse},
-    serving::{prefill::Reading, report_publication::HeldReport, usage::UsageRecord},
+    serving::{prefill::PrefillTracker, report_publication::HeldReport, usage::UsageRecord},
     summary::{Event, EventKind, KEEP, Summary},
 };
 use arc_swap::ArcSwapOption;
@@ -72,7 +72,7 @@
     pub publications: Mutex<BTreeMap<Zone, Publication>>,
     /// Reports of zones as this node was told them, for routers of its own zone.
     pub relayed: Mutex<BTreeMap<Zone, watch::Sender<HeldReport>>>,
-    pub reading: Mutex<Reading>,
+    pub reading: Mutex<PrefillTracker>,
     pub usage: UsageRecord,
     pub counters: Counters,
     pub event_log: EventLog<Event, Summary>,
--- a/crates/data-plane/src/rpc.rs
+++ b/crates/data-plane/src/rpc.rs
@@ -7,7 +7,7 @@
     serving::{
         prefill::PromptSent,
         replica_report::ReplicaReport,
-        usage::{UsageAnswer, UsageQuestion},
+        usage::{UsageRequest, UsageResponse},
     },
 };
 use common::{FencingToken, Incarnation, Index, NodeId, Region, Service, Zone};
@@ -135,7 +135,7 @@
         wait_ms: u64,
     },
     /// From the holder of the duty to report usage.
-    Usage(UsageQuestion),
+    Usage(UsageRequest),
 }
 
 /// A router's answer.
@@ -177,7 +177,7 @@
     #[serde(rename = "Bounced")]
     Rejected(String),
     /// To the holder of the duty to report usage.
-    Usage(UsageAnswer),
+    Usage(UsageResponse),
 }
 
 impl tarpc::RequestName for RouterRequest {
--- a/crates/data-plane/src/serving/attempt.rs
+++ b/crates/data-plane/src/serving/attempt.rs
@@ -44,7 +44,7 @@
 
 impl Open {
     pub fn new(s: &Arc<Serving>, at: Candidate) -> Self {
-        at.own.open.fetch_add(1, Ordering::AcqRel);
+        at.local.open.fetch_add(1, Ordering::AcqRel);
         let forwarded_open = at.region != s.site.region;
         if forwarded_open {
             *lock(&s.forwarded_open).entry((at.region.clone(), at.service.clone())).or_default() += 1;
@@ -62,7 +62,7 @@
 
 impl Drop for Open {
     fn drop(&mut self) {
-        self.at.own.open.fetch_sub(1, Ordering::AcqRel);
+        self.at.local.open.fetch_sub(1, Ordering::AcqRel);
         if self.forwarded_open {
             let at = (self.at.region.clone(), self.at.service.clone());
             lock(&self.s.forwarded_open).entry(at).and_modify(|n| *n -= 1);
@@ -164,7 +164,7 @@
     fn leave_by(&self, p: &Plan, c: &Candidate) -> Result<Tick, &'static str> {
         let now = self.now();
         let fleet = self.fleet.load();
-        let listed = fleet.of(&c.service).iter().find(|x| x.id == c.id && self.usable(x));
+        let listed = fleet.replicas_of(&c.service).iter().find(|x| x.id == c.id && self.usable(x));
         let forbidden = [(now >= p.deadline, "past its deadline"), (listed.is_none(), "replica left")];
         let forbidden = forbidden.into_iter().find_map(|(no, why)| no.then_some(why));
         if let Some(why) = forbidden.or_else(|| self.router.refuses_work()) {
@@ -181,7 +181,7 @@
             return;
         }
         let reports = lock(&self.reports);
-        let publisher = reports.by_zone.get(&c.zone).map(|held| held.board.publisher.clone());
+        let publisher = reports.by_zone.get(&c.zone).map(|held| held.report.publisher.clone());
         log_event!(Debug, "sent by an old list", "peer" => c.id, "age_ms" => age_ms, "publisher" => format!("{publisher:?}"));
     }
 
@@ -205,7 +205,7 @@
     fn check_answer(&self, p: &Plan, c: &Candidate, mut answer: Answer) -> Outcome {
         match attempt_state::check_answer(p.asked(), &self.answer_head(p, &answer)) {
             AnswerCheck::Answer => {
-                c.own.note_contact(self.now());
+                c.local.note_contact(self.now());
                 strip_hop_by_hop(&mut answer.head.headers);
                 Outcome::Answer(answer)
             }
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -43,15 +43,15 @@
     let s = Serving::new(router.clone(), dialect, document_format, site);
     router.start_serving(&set, listeners.rpc);
     spawn(s.clone().keep_configuration());
-    s.watch_all();
-    s.keep_usage_reported();
+    s.spawn_report_tasks();
+    s.spawn_usage_tasks();
     let (stop_listening, stopped) = watch::channel(false);
     let (end, ended) = watch::channel(false);
     for at in extra {
         let listener = bind(at).await?;
         let me = s.clone();
         spawn(http::serve(listener, Arc::default(), ended.clone(), move |peer, req| {
-            me.clone().asked(peer, req)
+            me.clone().answer_directory_request(peer, req)
         }));
     }
     let conns = Arc::new(http::OpenCount::default());
--- a/crates/data-plane/src/serving/directory.rs
+++ b/crates/data-plane/src/serving/directory.rs
@@ -58,7 +58,7 @@
     }
 
     /// The directory's and the platform's questions.
-    pub async fn asked(
+    pub async fn answer_directory_request(
         self: Arc<Self>,
         _peer: SocketAddr,
         req: Request<Incoming>,
--- a/crates/data-plane/src/serving/dispatch.rs
+++ b/crates/data-plane/src/serving/dispatch.rs
@@ -71,7 +71,7 @@
         if past_deadline || permit == Permit::No || (paid && !self.retries.spend(&p.service)) {
             return Err("no further attempt");
         }
-        let picked = self.pick(p, past);
+        let picked = self.select_replica(p, past);
         match &picked {
             Ok(_) => past.tries.begin(paid),
             Err(_) if paid => self.retries.give_back(&p.service),
@@ -109,12 +109,12 @@
                 }
                 Outcome::NotSent(e) => {
                     past.failed(self, &p, AttemptEnd::NotSent, e);
-                    c.own.avoid(self.now() + self.router.set.timing.probe_interval_ms);
+                    c.local.avoid(self.now() + self.router.set.timing.probe_interval_ms);
                 }
                 Outcome::Declined(e) => past.failed(self, &p, AttemptEnd::Declined, e),
                 Outcome::MayHaveRun(e) => {
                     past.failed(self, &p, AttemptEnd::MayHaveRun, e);
-                    c.own.avoid(self.now() + self.router.set.timing.probe_interval_ms / 4);
+                    c.local.avoid(self.now() + self.router.set.timing.probe_interval_ms / 4);
                 }
             }
         }
--- a/crates/data-plane/src/serving/health_prober.rs
+++ b/crates/data-plane/src/serving/health_prober.rs
@@ -5,7 +5,7 @@
 use super::{
     protocol::ListedReplica,
     replica_list::ListReader,
-    replica_report::{ProbeResult, ReplicaHealth, ReplicaReport, ReplicaRow, lends, report_number},
+    replica_report::{ProbeResult, ReplicaHealth, ReplicaReport, ReplicaRow, lending_grants, report_number},
     replica_view::ReceivedReport,
     state::Serving,
 };
@@ -57,7 +57,7 @@
             let seq = report_number(epoch, count);
             let board = self.report(&zone, seq, (&listed, list.read_begun()), &health);
             let at = list.known().read_at().min(asked);
-            let report = ReceivedReport { board, at, received: asked };
+            let report = ReceivedReport { report: board, fresh_at: at, received_at: asked };
             if let Some(publication) = lock(&self.router.publications).get(&zone) {
                 publication.tx.send_replace(Some(Arc::new(report)));
             }
@@ -80,7 +80,7 @@
     ) {
         health.retain(|id, _| listed.iter().any(|replica| replica.id == *id));
         let due = |replica: &&ListedReplica| {
-            probe_all || health.get(&replica.id).is_none_or(|known| known.fails > 0)
+            probe_all || health.get(&replica.id).is_none_or(|known| known.failed_probes > 0)
         };
         let probes = listed
             .iter()
@@ -89,11 +89,11 @@
         let results: Vec<_> = futures::future::join_all(probes).await;
         for (id, result) in results {
             let known = health.entry(id.clone()).or_default();
-            let was_well = known.well(FAILS);
-            known.fold(result, FAILS);
-            let well = known.well(FAILS);
+            let was_well = known.is_healthy(FAILS);
+            known.record(result, FAILS);
+            let well = known.is_healthy(FAILS);
             if !was_well && well {
-                known.returned = Some(self.now());
+                known.recovered_at = Some(self.now());
             }
             if was_well != well {
                 log_event!(Info, "replica health", "peer" => id, "well" => well);
@@ -135,7 +135,7 @@
             seq,
             age_ms: 0,
             waited_ms: 0,
-            lends: lends(&rows, LEND_SHARE, askers),
+            lending_grants: lending_grants(&rows, LEND_SHARE, askers),
             rows,
         }
     }
@@ -152,23 +152,27 @@
         match ask(self.router.set.rpc_addr.ip(), l.addr, Method::GET, path, &[], "", ms).await {
             Ok((code, head, body)) if code.is_success() => {
                 let names = self.dialect.names();
-                let told = if engine { self.dialect.report(&body) } else { load_of(&head, &names.load) };
-                ProbeResult::Told(told.unwrap_or_default())
+                let told =
+                    if engine { self.dialect.report(&body) } else { parse_load_header(&head, &names.load) };
+                ProbeResult::Answered(told.unwrap_or_default())
             }
             // Full, not unwell: it turned the probe away as it would a request.
             Ok((_, head, _)) if head.contains_key(&self.dialect.names().not_run) => {
-                let told = load_of(&head, &self.dialect.names().load).unwrap_or_default();
-                ProbeResult::Told(told)
+                let told = parse_load_header(&head, &self.dialect.names().load).unwrap_or_default();
+                ProbeResult::Answered(told)
             }
-            Ok(_) => ProbeResult::Unwell,
+            Ok(_) => ProbeResult::Unhealthy,
             Err(e) if e.is_refused() => ProbeResult::Refused,
-            Err(_) => ProbeResult::Silent,
+            Err(_) => ProbeResult::NoAnswer,
         }
     }
 }
 
 /// Running, waiting and slots, as some replicas tell on each answer.
-pub fn load_of(h: &hyper::HeaderMap, name: &hyper::header::HeaderName) -> Option<super::EngineReport> {
+pub fn parse_load_header(
+    h: &hyper::HeaderMap,
+    name: &hyper::header::HeaderName,
+) -> Option<super::EngineReport> {
     let v = h.get(name)?.to_str().ok()?;
     let mut n = v.split(',').map(|x| x.trim().parse::<u32>().ok());
     Some(super::EngineReport { running: n.next()??, waiting: n.next()??, ..Default::default() })
--- a/crates/data-plane/src/serving/prefill.rs
+++ b/crates/data-plane/src/serving/prefill.rs
@@ -57,16 +57,16 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Reading {
+pub struct PrefillTracker {
     /// Until when a replica reads what it was sent, in milliseconds of the own clock.
     until: HashMap<ReplicaId, f64>,
     kept: HashMap<ReplicaId, Kept>,
     serial: u64,
 }
 
-impl Reading {
+impl PrefillTracker {
     /// Tokens that the replica would have to read.
-    pub fn unread(&self, id: &ReplicaId, prefixes: &[(u64, u32)], tokens: u32) -> u32 {
+    pub fn unread_tokens(&self, id: &ReplicaId, prefixes: &[(u64, u32)], tokens: u32) -> u32 {
         let Some(k) = self.kept.get(id) else { return tokens };
         let known = prefixes.iter().rev().find(|p| k.of.contains_key(&p.0)).map_or(0, |p| p.1);
         tokens.saturating_sub(known)
@@ -77,8 +77,8 @@
         self.until.get(id).map_or(0.0, |u| (u - now.0 as f64).max(0.0))
     }
 
-    pub fn note(&mut self, n: &PromptSent, per_ms: f64, now: Tick) {
-        let unread = f64::from(self.unread(&n.replica, &n.prefixes, n.tokens));
+    pub fn record_sent(&mut self, n: &PromptSent, per_ms: f64, now: Tick) {
+        let unread = f64::from(self.unread_tokens(&n.replica, &n.prefixes, n.tokens));
         let until = self.until.entry(n.replica.clone()).or_default();
         *until = until.max(now.0 as f64) + unread / per_ms.max(1.0);
         self.serial += 1;
--- a/crates/data-plane/src/serving/prefill_announce.rs
+++ b/crates/data-plane/src/serving/prefill_announce.rs
@@ -15,7 +15,7 @@
 
 impl Router {
     pub fn note_prompt(&self, n: &PromptSent) {
-        lock(&self.reading).note(n, READS_PER_MS, self.now());
+        lock(&self.reading).record_sent(n, READS_PER_MS, self.now());
     }
 }
 
--- a/crates/data-plane/src/serving/region_choice.rs
+++ b/crates/data-plane/src/serving/region_choice.rs
@@ -35,14 +35,14 @@
         let at = (r.clone(), p.service.clone());
         let open = lock(&self.forwarded_open).get(&at).copied().unwrap_or(0);
         let fleet = self.fleet.load();
-        fleet.lends.get(&at).is_some_and(|(n, until)| *until > self.now() && open < i64::from(*n))
+        fleet.lending_grants.get(&at).is_some_and(|(n, until)| *until > self.now() && open < i64::from(*n))
     }
 
     /// Regions in the order in which they should be tried; none outside the homes.
     pub fn regions(self: &Arc<Self>, p: &Plan, usable: &dyn Fn(&Candidate) -> bool) -> Vec<Region> {
         let home = |r: &Region| p.is_home(r);
         let fleet = self.fleet.load();
-        let mut seen = fleet.regions(&p.service, usable);
+        let mut seen = fleet.region_loads(&p.service, usable);
         seen.retain(|r, _| home(r));
         let own_is_home = home(&self.site.region);
         let open = |r: &Region| self.open_to(p, r, own_is_home);
--- a/crates/data-plane/src/serving/replica_choice.rs
+++ b/crates/data-plane/src/serving/replica_choice.rs
@@ -1,7 +1,7 @@
 //! Which replica of a region takes a request (design 9.5): the least time until its first event,
 //! as far as load reports and own counts tell. Pure.
 
-use super::{prefill::Reading, protocol::Prompt, replica_view::Candidate};
+use super::{prefill::PrefillTracker, protocol::Prompt, replica_view::Candidate};
 use common::{Region, Tick, Zone, rendezvous::stable_hash};
 
 /// Prompt tokens that a replica reads in a millisecond, where nothing else is known.
@@ -30,7 +30,7 @@
     pub affinity: bool,
     /// Reading its prompt holds up what runs beside it.
     pub long: bool,
-    pub reading: &'a Reading,
+    pub reading: &'a PrefillTracker,
     pub prefixes: &'a [(u64, u32)],
     pub reads_per_ms: f64,
     /// The longest pause of a stream that is in time.
@@ -45,7 +45,7 @@
 impl ChoiceContext<'_> {
     /// Tokens of the prompt that a replica would have to read.
     fn unread(&self, c: &Candidate) -> u32 {
-        self.reading.unread(&c.id, self.prefixes, self.prompt.tokens_in)
+        self.reading.unread_tokens(&c.id, self.prefixes, self.prompt.tokens_in)
     }
 
     fn shared(&self) -> u32 {
--- a/crates/data-plane/src/serving/replica_list.rs
+++ b/crates/data-plane/src/serving/replica_list.rs
@@ -44,14 +44,14 @@
 }
 
 impl KnownReplicas {
-    pub fn due(&self, now: Tick) -> bool {
+    pub fn is_due(&self, now: Tick) -> bool {
         now >= self.due
     }
 
     /// Takes a reading that was begun at `begun` and whose answer came at `came`. A replica that moves to an earlier
     /// page while the later ones are read stands on none of them: it is gone only once a second reading lacks it too,
     /// and until then all is as old as the reading before.
-    pub fn read(&mut self, read: ListRead, begun: Tick, came: Tick, each_ms: u64) {
+    pub fn record_read(&mut self, read: ListRead, begun: Tick, came: Tick, each_ms: u64) {
         let mut rows = read.rows;
         let lacking = |(id, _): &(&ReplicaId, &ListedReplica)| !rows.contains_key(*id);
         let held: Vec<ListedReplica> = if read.pages > 1 && !self.adopted {
@@ -68,7 +68,7 @@
         self.due = came + each_ms * u64::from(read.pages);
     }
 
-    pub fn failed(&mut self, error: &ListError, now: Tick, each_ms: u64) {
+    pub fn record_failure(&mut self, error: &ListError, now: Tick, each_ms: u64) {
         self.backoff = match error {
             ListError::OverRate(_) => (self.backoff * 2).clamp(2, MAX_BACKOFF),
             ListError::Failed(_) => 1,
@@ -141,7 +141,7 @@
     /// The newest list, for which a reading is waited for at most so long.
     pub async fn refreshed(&mut self, serving: &Arc<Serving>, wait_ms: u64) -> Option<Vec<ListedReplica>> {
         let each_ms = serving.list_ms();
-        if self.pending.is_none() && self.known.due(serving.now()) {
+        if self.pending.is_none() && self.known.is_due(serving.now()) {
             let (answer, answered) = oneshot::channel();
             let (me, zone) = (serving.clone(), self.zone.clone());
             spawn(async move {
@@ -159,7 +159,7 @@
                 self.pending = None;
                 if let Ok(Reading { begun, came, result }) = result {
                     match result {
-                        Ok(read) => self.known.read(read, begun, came, each_ms),
+                        Ok(read) => self.known.record_read(read, begun, came, each_ms),
                         Err(error) => self.failed(error, serving, each_ms),
                     }
                 }
@@ -170,7 +170,7 @@
 
     fn failed(&mut self, error: ListError, serving: &Serving, each_ms: u64) {
         let now = serving.now();
-        self.known.failed(&error, now, each_ms);
+        self.known.record_failure(&error, now, each_ms);
         if matches!(error, ListError::Failed(_))
             && let Some((rows, read_at)) = serving.outdated_replicas(&self.zone)
         {
@@ -187,12 +187,12 @@
     /// in it and nobody has read any other. The own report counts only where nobody else could publish.
     fn outdated_replicas(&self, zone: &Zone) -> Option<(Vec<ListedReplica>, Tick)> {
         let reports = lock(&self.reports);
-        if self.is_list_current(reports.newest_reading()) {
+        if self.is_list_current(reports.newest_list_read()) {
             return None;
         }
         let held = reports.by_zone.get(zone)?;
-        let by_another = held.board.publisher != *self.router.node();
-        (by_another || self.publishers(zone).len() <= 1).then(|| (held.listed(self.now()), held.at))
+        let by_another = held.report.publisher != *self.router.node();
+        (by_another || self.publishers(zone).len() <= 1).then(|| (held.listed(self.now()), held.fresh_at))
     }
 
     /// Time between two calls for a zone's list, so that all zones together stay far below the rate.
--- a/crates/data-plane/src/serving/replica_report.rs
+++ b/crates/data-plane/src/serving/replica_report.rs
@@ -15,7 +15,8 @@
     pub draining: bool,
     /// Milliseconds that it stays cold, counted from when the load reports were fresh.
     pub cold_left_ms: u64,
-    pub well: bool,
+    #[serde(rename = "well")]
+    pub healthy: bool,
     pub running: u32,
     pub waiting: u32,
     pub memory_used: u64,
@@ -39,7 +40,8 @@
     pub rows: Vec<ReplicaRow>,
     /// Lending grants: requests that one router of another region may have open here, by service
     /// (design 5.5).
-    pub lends: BTreeMap<Service, u32>,
+    #[serde(rename = "lends")]
+    pub lending_grants: BTreeMap<Service, u32>,
 }
 
 /// Bits of a report's number that count within one membership of its publisher.
@@ -61,44 +63,44 @@
 /// What the publisher remembers of a replica between looks.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaHealth {
-    pub fails: u32,
-    pub gone: bool,
-    pub report: EngineReport,
+    pub failed_probes: u32,
+    pub refused: bool,
+    pub load: EngineReport,
     /// When it was well again after it had not been. It may have turned cold while it was away, and the list says so
     /// only later.
-    pub returned: Option<Tick>,
+    pub recovered_at: Option<Tick>,
 }
 
 /// What came of one probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProbeResult {
-    Told(EngineReport),
+    Answered(EngineReport),
     /// It says itself that it is unwell or leaving.
-    Unwell,
-    Silent,
+    Unhealthy,
+    NoAnswer,
     /// Nothing listens there.
     Refused,
 }
 
 impl ReplicaHealth {
     /// Folds one probe in: a refusal counts at once, silence after `fails` looks.
-    pub fn fold(&mut self, p: ProbeResult, fails: u32) {
+    pub fn record(&mut self, p: ProbeResult, fails: u32) {
         match p {
-            ProbeResult::Told(r) => (self.fails, self.gone, self.report) = (0, false, r),
-            ProbeResult::Unwell => (self.fails, self.gone) = (fails, false),
-            ProbeResult::Refused => (self.fails, self.gone) = (fails, true),
-            ProbeResult::Silent => self.fails = (self.fails + 1).min(fails),
+            ProbeResult::Answered(r) => (self.failed_probes, self.refused, self.load) = (0, false, r),
+            ProbeResult::Unhealthy => (self.failed_probes, self.refused) = (fails, false),
+            ProbeResult::Refused => (self.failed_probes, self.refused) = (fails, true),
+            ProbeResult::NoAnswer => self.failed_probes = (self.failed_probes + 1).min(fails),
         }
     }
 
-    pub fn well(&self, fails: u32) -> bool {
-        self.fails < fails
+    pub fn is_healthy(&self, fails: u32) -> bool {
+        self.failed_probes < fails
     }
 
     /// For how much longer it may be cold although the list does not say so: `listed` is when the reading was begun
     /// that is known, and lists show what was so `lag_ms` before.
     pub fn unlisted_cold_ms(&self, slow_start_ms: u64, listed: Tick, lag_ms: u64, now: Tick) -> u64 {
-        let returned = self.returned.filter(|returned| listed < *returned + lag_ms);
+        let returned = self.recovered_at.filter(|returned| listed < *returned + lag_ms);
         returned.map_or(0, |returned| slow_start_ms.saturating_sub(now.since(returned)))
     }
 
@@ -110,19 +112,19 @@
             slots: l.slots,
             draining: l.draining || l.time_left_ms.is_some(),
             cold_left_ms: l.cold_left_ms,
-            well: self.well(fails),
-            running: self.report.running,
-            waiting: self.report.waiting,
-            memory_used: self.report.memory_used,
-            memory_total: self.report.memory_total,
+            healthy: self.is_healthy(fails),
+            running: self.load.running,
+            waiting: self.load.waiting,
+            memory_used: self.load.memory_used,
+            memory_total: self.load.memory_total,
         }
     }
 }
 
 /// Passes for each router of other regions: a share of the measured headroom of what is warm.
-pub fn lends(rows: &[ReplicaRow], share: f64, askers: usize) -> BTreeMap<Service, u32> {
+pub fn lending_grants(rows: &[ReplicaRow], share: f64, askers: usize) -> BTreeMap<Service, u32> {
     let mut room: BTreeMap<Service, f64> = BTreeMap::new();
-    for r in rows.iter().filter(|r| r.well && !r.draining && r.cold_left_ms == 0) {
+    for r in rows.iter().filter(|r| r.healthy && !r.draining && r.cold_left_ms == 0) {
         let used = f64::from(r.running + r.waiting);
         *room.entry(r.service.clone()).or_default() += (f64::from(r.slots) * 0.95 - used).max(0.0);
     }
--- a/crates/data-plane/src/serving/replica_selection.rs
+++ b/crates/data-plane/src/serving/replica_selection.rs
@@ -4,7 +4,7 @@
 use super::{
     dispatch::AttemptHistory,
     plan::Plan,
-    prefill::Reading,
+    prefill::PrefillTracker,
     replica_choice::{self, ChoiceContext, READS_PER_MS},
     replica_view::{Candidate, ReplicaView},
     slow_start,
@@ -62,7 +62,7 @@
     }
 
     fn allowed_by_slow_start(&self, replica: &Candidate) -> bool {
-        let has_token = || lock(&replica.own.bucket).ready(self.now);
+        let has_token = || lock(&replica.local.bucket).ready(self.now);
         !self.is_warming_up(replica) || self.own_warm_up_rate(replica).is_some_and(|_| has_token())
     }
 
@@ -71,11 +71,11 @@
     }
 
     fn is_healthy(&self, replica: &Candidate) -> bool {
-        replica.well && !replica.own.avoided(self.now)
+        replica.healthy && !replica.local.is_avoided(self.now)
     }
 
     fn has_room(&self, replica: &Candidate) -> bool {
-        let open = replica.own.open.load(Ordering::Relaxed).max(0) as usize;
+        let open = replica.local.open.load(Ordering::Relaxed).max(0) as usize;
         replica_choice::fits(replica, &self.plan.prompt)
             && self.allowed_by_slow_start(replica)
             && open < self.max_open
@@ -85,7 +85,7 @@
         self.plan.is_home(&replica.region)
     }
 
-    fn context<'c>(&'c self, reading: &'c Reading) -> ChoiceContext<'c> {
+    fn context<'c>(&'c self, reading: &'c PrefillTracker) -> ChoiceContext<'c> {
         let (serving, plan) = (self.serving, self.plan);
         ChoiceContext {
             prompt: &plan.prompt,
@@ -106,7 +106,7 @@
 
 impl Serving {
     /// Selects a replica among those that may take the request now, and counts it as tried.
-    pub fn pick(
+    pub fn select_replica(
         self: &Arc<Self>,
         plan: &Plan,
         history: &mut AttemptHistory,
@@ -119,7 +119,7 @@
         let replica = best.ok_or("no room at any replica")?;
         if selection.is_warming_up(&replica) {
             let rate = selection.own_warm_up_rate(&replica).unwrap_or(1.0);
-            lock(&replica.own.bucket).take(rate, selection.now);
+            lock(&replica.local.bucket).take(rate, selection.now);
         }
         drop(reading);
         self.announce_prompt(plan, &replica);
@@ -136,7 +136,11 @@
         let plan = selection.plan;
         let usable = |replica: &Candidate| selection.is_available(replica) && selection.is_healthy(replica);
         for region in self.regions(plan, &usable) {
-            let here = selection.replicas.of(&plan.service).iter().filter(|replica| replica.region == region);
+            let here = selection
+                .replicas
+                .replicas_of(&plan.service)
+                .iter()
+                .filter(|replica| replica.region == region);
             let candidates: Vec<&Candidate> =
                 here.filter(|replica| usable(replica) && selection.has_room(replica)).collect();
             if replica_choice::all_overdue(&candidates, context, plan.route.latency_target_ms as f64) {
@@ -158,7 +162,7 @@
                 && !selection.is_healthy(replica)
         };
         let candidates: Vec<&Candidate> =
-            selection.replicas.of(&selection.plan.service).iter().filter(doubtful).collect();
+            selection.replicas.replicas_of(&selection.plan.service).iter().filter(doubtful).collect();
         replica_choice::best(&candidates, context).cloned()
     }
 }
--- a/crates/data-plane/src/serving/replica_view.rs
+++ b/crates/data-plane/src/serving/replica_view.rs
@@ -33,7 +33,7 @@
 }
 
 impl LocalLoad {
-    pub fn avoided(&self, now: Tick) -> bool {
+    pub fn is_avoided(&self, now: Tick) -> bool {
         self.avoid_until.load(Ordering::Relaxed) > now.0
     }
 
@@ -57,17 +57,17 @@
     pub region: Region,
     pub slots: u32,
     pub draining: bool,
-    pub well: bool,
+    pub healthy: bool,
     pub cold_until: Tick,
     /// When the list that names it was read, at the latest.
     pub listed_at: Tick,
     /// What all had there when the load reports were fresh, and this router among them.
-    pub all: i64,
-    pub mine: i64,
+    pub total_at_report: i64,
+    pub own_at_report: i64,
     pub waiting: u32,
     pub memory_used: u64,
     pub memory_total: u64,
-    pub own: Arc<LocalLoad>,
+    pub local: Arc<LocalLoad>,
 }
 
 impl Candidate {
@@ -75,51 +75,52 @@
     /// did since is unknown; that they don't all go to the same replicas is up to the choice among few
     /// ([`super::replica_choice`]).
     pub fn load(&self) -> f64 {
-        let open = self.own.open.load(Ordering::Relaxed).max(0);
-        (self.all + open - self.mine).max(open) as f64
+        let open = self.local.open.load(Ordering::Relaxed).max(0);
+        (self.total_at_report + open - self.own_at_report).max(open) as f64
     }
 }
 
 /// One zone's load reports as they came.
 #[derive(Clone, Debug)]
 pub struct ReceivedReport {
-    pub board: ReplicaReport,
+    pub report: ReplicaReport,
     /// When all of it was fresh, the list and the load reports, at the latest: from then on it ages.
-    pub at: Tick,
+    pub fresh_at: Tick,
     /// When it came. What is left of a warm-up counts from here: counted from `at` it would end too soon by the
     /// time that the question took on its way, and all routers would flood a replica that is still cold.
-    pub received: Tick,
+    pub received_at: Tick,
 }
 
 impl ReceivedReport {
     /// Whether this report is to replace the one that is held. Reports of one publisher are ordered by their numbers:
     /// when they were fresh is known only up to the time that they took on their way.
     fn supersedes(&self, held: &Self) -> bool {
-        if self.board.publisher == held.board.publisher {
-            return self.board.seq > held.board.seq;
+        if self.report.publisher == held.report.publisher {
+            return self.report.seq > held.report.seq;
         }
-        self.at >= held.at
+        self.fresh_at >= held.fresh_at
     }
 
     /// The replicas as the list named them, as far as the report tells.
     pub fn listed(&self, now: Tick) -> Vec<ListedReplica> {
-        let cold_left_ms = |row: &ReplicaRow| self.cold_left_ms(row).saturating_sub(now.since(self.received));
+        let cold_left_ms =
+            |row: &ReplicaRow| self.cold_left_ms(row).saturating_sub(now.since(self.received_at));
         let listed = |row: &ReplicaRow| ListedReplica {
             id: row.id.clone(),
             service: row.service.clone(),
             addr: row.addr,
-            zone: self.board.zone.clone(),
+            zone: self.report.zone.clone(),
             slots: row.slots,
             draining: row.draining,
             cold_left_ms: cold_left_ms(row),
             time_left_ms: None,
         };
-        self.board.rows.iter().map(listed).collect()
+        self.report.rows.iter().map(listed).collect()
     }
 
     /// How much longer a replica was cold when the report came, at the most.
     fn cold_left_ms(&self, row: &ReplicaRow) -> u64 {
-        row.cold_left_ms.saturating_sub(self.board.age_ms)
+        row.cold_left_ms.saturating_sub(self.report.age_ms)
     }
 }
 
@@ -128,7 +129,7 @@
 pub struct ReplicaView {
     pub by_service: HashMap<Service, Vec<Candidate>>,
     /// Passes that each region's load reports carry, by region and service, and until when they count.
-    pub lends: HashMap<(Region, Service), (u32, Tick)>,
+    pub lending_grants: HashMap<(Region, Service), (u32, Tick)>,
 }
 
 /// Owns what outlives single reports.
@@ -136,33 +137,33 @@
 pub struct ReportStore {
     pub by_zone: BTreeMap<Zone, ReceivedReport>,
     /// When the platform's list was read last for any zone, as far as reports told.
-    newest_reading: Tick,
-    owns: HashMap<ReplicaId, Arc<LocalLoad>>,
+    newest_list_read: Tick,
+    local_loads: HashMap<ReplicaId, Arc<LocalLoad>>,
 }
 
 impl ReportStore {
     /// Takes a report that was fresh when it came, unless it is older than what is held.
-    pub fn take(&mut self, board: ReplicaReport, at: Tick) -> bool {
-        self.take_received(ReceivedReport { board, at, received: at })
+    pub fn accept(&mut self, board: ReplicaReport, at: Tick) -> bool {
+        self.accept_received(ReceivedReport { report: board, fresh_at: at, received_at: at })
     }
 
     /// Takes a report unless it is older than what is held.
-    pub fn take_received(&mut self, mut report: ReceivedReport) -> bool {
-        let held = self.by_zone.get(&report.board.zone);
+    pub fn accept_received(&mut self, mut report: ReceivedReport) -> bool {
+        let held = self.by_zone.get(&report.report.zone);
         if held.is_some_and(|held| !report.supersedes(held)) {
             return false;
         }
         // A later report of the same publisher is no older, however long it took on its way.
-        let same = held.filter(|held| held.board.publisher == report.board.publisher);
-        report.at = same.map_or(report.at, |held| held.at.max(report.at));
-        self.newest_reading = self.newest_reading.max(report.at);
-        self.by_zone.insert(report.board.zone.clone(), report);
+        let same = held.filter(|held| held.report.publisher == report.report.publisher);
+        report.fresh_at = same.map_or(report.fresh_at, |held| held.fresh_at.max(report.fresh_at));
+        self.newest_list_read = self.newest_list_read.max(report.fresh_at);
+        self.by_zone.insert(report.report.zone.clone(), report);
         true
     }
 
     /// When the platform's list was read last for any zone, as far as reports told.
-    pub fn newest_reading(&self) -> Tick {
-        self.newest_reading
+    pub fn newest_list_read(&self) -> Tick {
+        self.newest_list_read
     }
 
     /// When the list in a report was the newest that there is, at the latest: when it was read. Only where its sender
@@ -170,16 +171,16 @@
     /// of service for all, and its last list is as good as new for as long as its publisher tells it. What this router
     /// has missed itself is no sign of that.
     pub fn listed_at(&self, report: &ReceivedReport, list_max_age_ms: u64, zones: usize) -> Tick {
-        let says_old = |report: &ReceivedReport| report.board.age_ms > list_max_age_ms;
-        let mut others = self.by_zone.values().filter(|other| other.board.zone != report.board.zone);
-        let read_by_none = self.newest_reading.since(report.at) <= list_max_age_ms / READINGS_APART;
+        let says_old = |report: &ReceivedReport| report.report.age_ms > list_max_age_ms;
+        let mut others = self.by_zone.values().filter(|other| other.report.zone != report.report.zone);
+        let read_by_none = self.newest_list_read.since(report.fresh_at) <= list_max_age_ms / READINGS_APART;
         let out_of_service = says_old(report) && read_by_none && (zones <= 1 || others.any(says_old));
-        if out_of_service { report.received } else { report.at }
+        if out_of_service { report.received_at } else { report.fresh_at }
     }
 
     /// Folds all reports into what may be chosen. `valid_ms` is how long load reports lend, `list_max_age_ms` how long
     /// a reading of the list may be gone by.
-    pub fn fleet(
+    pub fn build_view(
         &mut self,
         zones: &BTreeMap<Zone, Region>,
         valid_ms: u64,
@@ -189,8 +190,8 @@
         for (zone, h) in &self.by_zone {
             let Some(region) = zones.get(zone) else { continue };
             let listed_at = self.listed_at(h, list_max_age_ms, zones.len());
-            for r in &h.board.rows {
-                let own = self.owns.entry(r.id.clone()).or_default().clone();
+            for r in &h.report.rows {
+                let own = self.local_loads.entry(r.id.clone()).or_default().clone();
                 let mine = own.open.load(Ordering::Relaxed).max(0);
                 let all = i64::from(r.running) + i64::from(r.waiting);
                 out.by_service.entry(r.service.clone()).or_default().push(Candidate {
@@ -201,42 +202,43 @@
                     region: region.clone(),
                     slots: r.slots.max(1),
                     draining: r.draining,
-                    well: r.well,
-                    cold_until: h.received + h.cold_left_ms(r),
+                    healthy: r.healthy,
+                    cold_until: h.received_at + h.cold_left_ms(r),
                     listed_at,
-                    all: all.max(mine),
-                    mine,
+                    total_at_report: all.max(mine),
+                    own_at_report: mine,
                     waiting: r.waiting,
                     memory_used: r.memory_used,
                     memory_total: r.memory_total,
-                    own,
+                    local: own,
                 });
             }
-            for (svc, n) in &h.board.lends {
-                let e = out.lends.entry((region.clone(), svc.clone())).or_insert((0, listed_at + valid_ms));
-                e.0 += n;
-                e.1 = e.1.min(listed_at + valid_ms);
+            for (service, count) in &h.report.lending_grants {
+                let key = (region.clone(), service.clone());
+                let grant = out.lending_grants.entry(key).or_insert((0, listed_at + valid_ms));
+                grant.0 += count;
+                grant.1 = grant.1.min(listed_at + valid_ms);
             }
         }
         let listed = |id: &ReplicaId| out.by_service.values().flatten().any(|c| c.id == *id);
-        self.owns.retain(|id, o| listed(id) || o.open.load(Ordering::Relaxed) > 0);
+        self.local_loads.retain(|id, o| listed(id) || o.open.load(Ordering::Relaxed) > 0);
         out
     }
 }
 
 impl ReplicaView {
-    pub fn of(&self, svc: &Service) -> &[Candidate] {
+    pub fn replicas_of(&self, svc: &Service) -> &[Candidate] {
         self.by_service.get(svc).map_or(&[], Vec::as_slice)
     }
 
     /// Capacity and consumption of each region, from replicas that `usable` lets through.
-    pub fn regions(
+    pub fn region_loads(
         &self,
         svc: &Service,
         usable: &dyn Fn(&Candidate) -> bool,
     ) -> BTreeMap<Region, RegionLoad> {
         let mut out: BTreeMap<Region, RegionLoad> = BTreeMap::new();
-        for c in self.of(svc).iter().filter(|c| usable(c)) {
+        for c in self.replicas_of(svc).iter().filter(|c| usable(c)) {
             let e = out.entry(c.region.clone()).or_default();
             e.healthy = true;
             e.capacity += f64::from(c.slots);
--- a/crates/data-plane/src/serving/report_publication.rs
+++ b/crates/data-plane/src/serving/report_publication.rs
@@ -20,16 +20,16 @@
 
 /// The report as it goes out now: its load reports age from when they were fresh, what is left of a warm-up from when
 /// the report came here (`ReceivedReport::received`), and the receiver subtracts the age from it.
-pub fn sent_now(held: &ReceivedReport, now: Tick, waited_ms: u64) -> ReplicaReport {
-    let age_ms = now.since(held.at);
-    let held_ms = now.since(held.received);
-    let cold_left_ms = |left: u64| match left.saturating_sub(held.board.age_ms).saturating_sub(held_ms) {
+pub fn outgoing_report(held: &ReceivedReport, now: Tick, waited_ms: u64) -> ReplicaReport {
+    let age_ms = now.since(held.fresh_at);
+    let held_ms = now.since(held.received_at);
+    let cold_left_ms = |left: u64| match left.saturating_sub(held.report.age_ms).saturating_sub(held_ms) {
         0 => 0,
         left => left + age_ms,
     };
     let row = |row: &ReplicaRow| ReplicaRow { cold_left_ms: cold_left_ms(row.cold_left_ms), ..row.clone() };
-    let rows = held.board.rows.iter().map(row).collect();
-    ReplicaReport { age_ms, waited_ms, rows, ..held.board.clone() }
+    let rows = held.report.rows.iter().map(row).collect();
+    ReplicaReport { age_ms, waited_ms, rows, ..held.report.clone() }
 }
 
 impl Router {
@@ -63,9 +63,9 @@
     }
 
     /// Keeps a report for those that ask this node for it.
-    pub fn pass_report_on(&self, report: ReceivedReport) {
+    pub fn relay_report(&self, report: ReceivedReport) {
         let mut relayed = lock(&self.relayed);
-        let held = relayed.entry(report.board.zone.clone()).or_insert_with(|| watch::channel(None).0);
+        let held = relayed.entry(report.report.zone.clone()).or_insert_with(|| watch::channel(None).0);
         held.send_replace(Some(Arc::new(report)));
     }
 
@@ -78,12 +78,12 @@
         wait_ms: u64,
     ) -> Option<ReplicaReport> {
         let wait = Duration::from_millis(wait_ms.min(MAX_WAIT_MS));
-        let is_newer = |held: &HeldReport| held.as_ref().is_some_and(|held| newer(&held.board));
+        let is_newer = |held: &HeldReport| held.as_ref().is_some_and(|held| newer(&held.report));
         let _ = tokio::time::timeout(wait, held.wait_for(is_newer)).await;
         let held = held.borrow().clone()?;
         let now = self.now();
         // Whether the list in it is too old is up to the asker, who may then ask somebody else for it.
-        let valid = now.since(held.received) <= self.set.timing.report_max_age_ms();
-        valid.then(|| sent_now(&held, now, now.since(asked)))
+        let valid = now.since(held.received_at) <= self.set.timing.report_max_age_ms();
+        valid.then(|| outgoing_report(&held, now, now.since(asked)))
     }
 }
--- a/crates/data-plane/src/serving/report_subscription.rs
+++ b/crates/data-plane/src/serving/report_subscription.rs
@@ -43,7 +43,7 @@
 
 impl Serving {
     /// Subscribes to each zone's reports, and publishes those that are this node's to publish.
-    pub fn watch_all(self: &Arc<Self>) {
+    pub fn spawn_report_tasks(self: &Arc<Self>) {
         for zone in self.site.zones.keys() {
             common::runtime::spawn(self.clone().publish(zone.clone()));
             common::runtime::spawn(self.clone().subscribe(zone.clone()));
@@ -174,16 +174,16 @@
     fn take_report(&self, report: ReplicaReport, asked: Tick) -> Tick {
         let received = self.now();
         let at = report.fresh_at(asked, received);
-        let report = ReceivedReport { board: report, at, received };
+        let report = ReceivedReport { report, fresh_at: at, received_at: received };
         let mut reports = lock(&self.reports);
-        let taken = reports.take_received(report.clone());
+        let taken = reports.accept_received(report.clone());
         let listed_at = self.listed_at(&reports, &report);
         if !taken {
             return listed_at;
         }
-        self.router.pass_report_on(report);
+        self.router.relay_report(report);
         let valid = self.router.set.timing.report_max_age_ms();
-        let fleet = reports.fleet(&self.site.zones, valid, self.list_max_age_ms());
+        let fleet = reports.build_view(&self.site.zones, valid, self.list_max_age_ms());
         let listed = |id: &ReplicaId| fleet.by_service.values().flatten().any(|c| c.id == *id);
         lock(&self.router.reading).retain(&listed);
         self.fleet.store(Arc::new(fleet));
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -87,7 +87,7 @@
     ) -> Arc<Self> {
         let retries = RetryBudget::started(router.now());
         if let Some(duty) = &site.usage {
-            lock(&router.usage.starts).keep_for(duty.kept_ms());
+            lock(&router.usage.starts).set_retention(duty.retention_ms());
         }
         Arc::new(Self {
             router,
@@ -167,7 +167,7 @@
         let now = self.now();
         for (zone, held) in &lock(&self.reports).by_zone {
             let age = self.router.counters.replica_list_age.with_label_values(&[zone.as_str()]);
-            age.set(now.since(held.at) as i64);
+            age.set(now.since(held.fresh_at) as i64);
         }
         self.router.metrics()
     }
--- a/crates/data-plane/src/serving/stream_relay.rs
+++ b/crates/data-plane/src/serving/stream_relay.rs
@@ -170,7 +170,7 @@
             if !self.events.continues() {
                 return StreamEnd::Cut("its replica does not go on behind the last event".into());
             }
-            open.at.own.note_contact(self.serving.now());
+            open.at.local.note_contact(self.serving.now());
             let Some(events) = self.events.whole() else { continue };
             open.note_event(&self.plan);
             self.pauses.event(self.serving.now());
@@ -183,7 +183,7 @@
     /// Whether the replica told nobody here anything for long, and another one may be asked in time.
     fn is_silent(&self, open: &Open, silence: Duration) -> bool {
         let now = self.serving.now();
-        let quiet_ms = now.since(Tick(open.at.own.last_contact.load(Ordering::Relaxed)));
+        let quiet_ms = now.since(Tick(open.at.local.last_contact.load(Ordering::Relaxed)));
         self.plan.idempotent() && now < self.plan.deadline && quiet_ms >= silence.as_millis() as u64
     }
 }
@@ -239,7 +239,7 @@
             }
             Outcome::NotSent(e) => {
                 past.failed(s, p, AttemptEnd::NotSent, e);
-                c.own.avoid(s.now() + s.router.set.timing.probe_interval_ms);
+                c.local.avoid(s.now() + s.router.set.timing.probe_interval_ms);
             }
             Outcome::Declined(e) => past.failed(s, p, AttemptEnd::Declined, e),
             Outcome::MayHaveRun(e) => past.failed(s, p, AttemptEnd::MayHaveRun, e),
--- a/crates/data-plane/src/serving/usage/call.rs
+++ b/crates/data-plane/src/serving/usage/call.rs
@@ -2,7 +2,7 @@
 
 use super::{
     holder::UsageHolder,
-    pacing::{Call, CallEnd},
+    pacing::{Call, CallOutcome},
 };
 use crate::router::lock;
 use common::{
@@ -18,20 +18,20 @@
 const MAX_ANSWER_BYTES: usize = 1 << 16;
 
 /// What a status says of a report.
-pub fn call_end(status: StatusCode) -> CallEnd {
+pub fn call_outcome(status: StatusCode) -> CallOutcome {
     match status {
-        StatusCode::CONFLICT => CallEnd::Superseded,
-        StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => CallEnd::Unknown,
-        status if status.is_success() => CallEnd::Accepted,
-        status if status.is_client_error() => CallEnd::Refused,
-        _ => CallEnd::Unknown,
+        StatusCode::CONFLICT => CallOutcome::Superseded,
+        StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => CallOutcome::Unknown,
+        status if status.is_success() => CallOutcome::Accepted,
+        status if status.is_client_error() => CallOutcome::Refused,
+        _ => CallOutcome::Unknown,
     }
 }
 
 impl UsageHolder {
     /// Makes the call; `None` where nothing was sent since the duty has passed to another node.
     pub(super) async fn report(&self, call: &Call) -> Option<Result<StatusCode, PeerError>> {
-        let ms = lock(&self.plan).spans.call;
+        let ms = lock(&self.plan).spans.call_timeout_ms;
         let sent = self.send(call);
         within(ms, STEP, self.duty.address, async { Ok(sent.await) }).await.unwrap_or_else(|e| Some(Err(e)))
     }
@@ -46,7 +46,7 @@
             Ok(request) => request,
             Err(error) => return Some(Err(error)),
         };
-        let ms = lock(&self.plan).spans.call;
+        let ms = lock(&self.plan).spans.call_timeout_ms;
         let mut connection = match open(router.set.rpc_addr.ip(), to, ms).await {
             Ok(connection) => connection,
             Err(error) => return Some(Err(error)),
--- a/crates/data-plane/src/serving/usage/clock.rs
+++ b/crates/data-plane/src/serving/usage/clock.rs
@@ -10,18 +10,18 @@
 const SEVERAL: usize = 3;
 
 /// The time of day less the own monotonic time, in milliseconds, by one machine's clock.
-pub fn sample(time_of_day_ms: u64, at: Tick) -> i64 {
+pub fn clock_offset(time_of_day_ms: u64, at: Tick) -> i64 {
     time_of_day_ms as i64 - at.0 as i64
 }
 
 /// The time of day by the own monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TrueClock {
+pub struct MedianClock {
     offset_ms: i64,
     clocks: usize,
 }
 
-impl TrueClock {
+impl MedianClock {
     /// The median of samples of different machines, where those are more than half of all.
     pub fn of(mut samples: Vec<i64>, machines: usize) -> Option<Self> {
         if 2 * samples.len() <= machines && !common::mutation::enabled("usage-any-clock") {
@@ -38,7 +38,7 @@
     }
 
     /// When it was or will be that time.
-    pub fn tick(&self, time_of_day_ms: u64) -> Tick {
+    pub fn tick_at(&self, time_of_day_ms: u64) -> Tick {
         Tick(u64::try_from(time_of_day_ms as i64 - self.offset_ms).unwrap_or(0))
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// By how much two differ, in milliseconds.
-    pub fn differs_by(&self, other: &Self) -> u64 {
+    pub fn difference_ms(&self, other: &Self) -> u64 {
         self.offset_ms.abs_diff(other.offset_ms)
     }
 }
--- a/crates/data-plane/src/serving/usage/holder.rs
+++ b/crates/data-plane/src/serving/usage/holder.rs
@@ -1,8 +1,8 @@
 //! The holder's tasks: one counts windows and has the counts copied, the other one reports them (design 9.10).
 
 use super::{
-    UsageDuty, call::call_end, clock::TrueClock, pacing::CallEnd, plan::HolderPlan, survey::ROLE,
-    tenure::Tenure,
+    UsageDuty, call::call_outcome, clock::MedianClock, pacing::CallOutcome, peer_queries::ROLE,
+    plan::HolderPlan, tenure::Tenure,
 };
 use crate::{router::lock, serving::state::Serving};
 use common::{FencingToken, log_event, runtime::spawn};
@@ -21,12 +21,12 @@
     pub(super) duty: UsageDuty,
     pub(super) plan: Mutex<HolderPlan>,
     /// The time of day as most routers had it last.
-    clock: Mutex<Option<TrueClock>>,
+    clock: Mutex<Option<MedianClock>>,
 }
 
 impl Serving {
     /// Reports usage whenever this node holds that duty, where the platform gives it.
-    pub fn keep_usage_reported(self: &Arc<Self>) {
+    pub fn spawn_usage_tasks(self: &Arc<Self>) {
         let Some(duty) = self.site.usage.clone() else { return };
         let plan = Mutex::new(HolderPlan::new(duty.clone(), &self.router.set.timing));
         let holder = Arc::new(UsageHolder { serving: self.clone(), duty, plan, clock: Mutex::default() });
@@ -52,7 +52,7 @@
     fn look(&self) -> Option<Tenure> {
         let mut plan = lock(&self.plan);
         let held = self.held();
-        plan.look(held, self.serving.now())
+        plan.observe(held, self.serving.now())
     }
 
     /// Waits for a moment at which this node holds the duty.
@@ -68,21 +68,21 @@
     async fn keep_counting(self: Arc<Self>) {
         loop {
             let tenure = self.next_look().await;
-            if lock(&self.plan).is_new() {
+            if lock(&self.plan).needs_collection() {
                 self.begin(&tenure).await;
                 continue;
             }
             let Some(clock) = *lock(&self.clock) else { continue };
             self.give_up_expired(&clock);
-            let due = lock(&self.plan).to_count(&clock, self.serving.now());
+            let due = lock(&self.plan).next_to_count(&clock, self.serving.now());
             if let Some(window) = due {
                 self.count(&tenure, window, clock).await;
             }
-            let undone = lock(&self.plan).to_copy();
+            let undone = lock(&self.plan).next_to_copy();
             if let Some(report) = undone {
                 let copies = self.duty.copies();
                 if let Some(agreed) = self.serving.router.copy_usage(&tenure, &report, copies).await {
-                    lock(&self.plan).copied(tenure.number, report.window, agreed);
+                    lock(&self.plan).record_copied(tenure.number, report.window, agreed);
                 }
             }
         }
@@ -93,10 +93,10 @@
         let Some(found) = self.serving.router.collect_usage(tenure).await else { return };
         *lock(&self.clock) = Some(found.clock);
         log_event!(Info, "usage holder", "epoch" => tenure.fencing_token, "found" => found.reports.len());
-        lock(&self.plan).collected(tenure, found.reports, &found.clock);
+        lock(&self.plan).record_collected(tenure, found.reports, &found.clock);
     }
 
-    async fn count(&self, tenure: &Tenure, window: u64, clock: TrueClock) {
+    async fn count(&self, tenure: &Tenure, window: u64, clock: MedianClock) {
         let router = &self.serving.router;
         let Some((report, clock)) = router.count_usage(&self.plan, window, clock).await else { return };
         *lock(&self.clock) = Some(clock);
@@ -112,8 +112,8 @@
         }
     }
 
-    fn give_up_expired(&self, clock: &TrueClock) {
-        for (window, reason) in lock(&self.plan).expired(clock, self.serving.now()) {
+    fn give_up_expired(&self, clock: &MedianClock) {
+        for (window, reason) in lock(&self.plan).drop_expired(clock, self.serving.now()) {
             self.serving.router.counters.usage_windows_skipped.with_label_values(&[reason]).inc();
             log_event!(Info, "usage skipped", "window" => window, "cause" => reason);
         }
@@ -123,11 +123,11 @@
         loop {
             self.next_look().await;
             let Some(clock) = *lock(&self.clock) else { continue };
-            let call = lock(&self.plan).to_send(&clock, self.serving.now());
+            let call = lock(&self.plan).next_call(&clock, self.serving.now());
             let Some(call) = call else { continue };
             let Some(result) = self.report(&call).await else { continue };
-            let end = result.as_ref().map_or(CallEnd::Unknown, |status| call_end(*status));
-            lock(&self.plan).sent(&call, end, self.serving.now());
+            let end = result.as_ref().map_or(CallOutcome::Unknown, |status| call_outcome(*status));
+            lock(&self.plan).record_outcome(&call, end, self.serving.now());
             self.serving.router.counters.usage_reports.with_label_values(&[end.name()]).inc();
             let answer = result.map_or_else(|error| error.cause(), |status| status.to_string());
             log_event!(Info, "usage report", "window" => call.report.window, "epoch" => call.fencing_token, "outcome" => end.name(), "answer" => answer);
--- a/crates/data-plane/src/serving/usage/answers.rs
+++ b/crates/data-plane/src/serving/usage/messages.rs
@@ -11,7 +11,7 @@
 
 /// A question of the holder.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum UsageQuestion {
+pub enum UsageRequest {
     /// How many requests began to run between two ages, counted back from now.
     Starts {
         /// The older one, in milliseconds.
@@ -35,7 +35,7 @@
 
 /// The answer to one.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum UsageAnswer {
+pub enum UsageResponse {
     /// What began.
     Starts {
         /// The time of day here, in milliseconds.
@@ -69,23 +69,23 @@
 
 impl UsageRecord {
     /// Answers a question of the holder.
-    pub fn answer(&self, question: UsageQuestion, now: Tick) -> UsageAnswer {
+    pub fn answer(&self, question: UsageRequest, now: Tick) -> UsageResponse {
         let time_of_day_ms = time_of_day_ms();
         match question {
-            UsageQuestion::Starts { from_age_ms, until_age_ms } => UsageAnswer::Starts {
+            UsageRequest::Starts { from_age_ms, until_age_ms } => UsageResponse::Starts {
                 time_of_day_ms,
-                counts: lock(&self.starts).between(now - from_age_ms, now - until_age_ms),
+                counts: lock(&self.starts).counts_between(now - from_age_ms, now - until_age_ms),
             },
-            UsageQuestion::Keep { fencing_token, report } => {
+            UsageRequest::Keep { fencing_token, report } => {
                 match lock(&self.decisions).keep(fencing_token, &report) {
-                    Ok(()) => UsageAnswer::Kept,
-                    Err(KeepError::Differs) => UsageAnswer::Differs,
-                    Err(KeepError::Superseded(known)) => UsageAnswer::Superseded(known),
+                    Ok(()) => UsageResponse::Kept,
+                    Err(KeepError::Differs) => UsageResponse::Differs,
+                    Err(KeepError::Superseded(known)) => UsageResponse::Superseded(known),
                 }
             }
-            UsageQuestion::Collect { fencing_token } => match lock(&self.decisions).collect(fencing_token) {
-                Ok(reports) => UsageAnswer::Collected { time_of_day_ms, reports },
-                Err(known) => UsageAnswer::Superseded(known),
+            UsageRequest::Collect { fencing_token } => match lock(&self.decisions).collect(fencing_token) {
+                Ok(reports) => UsageResponse::Collected { time_of_day_ms, reports },
+                Err(known) => UsageResponse::Superseded(known),
             },
         }
     }
--- a/crates/data-plane/src/serving/usage/mod.rs
+++ b/crates/data-plane/src/serving/usage/mod.rs
@@ -5,21 +5,21 @@
 //! - [`clock`]: the time of day as most routers see it.
 //! - [`decisions`]: counts that a holder has fixed, as other routers keep them.
 //! - [`tenure`], [`plan`], [`pacing`]: who may act, what is to be done for each window, and when; pure.
-//! - [`holder`], [`survey`], [`call`]: the tasks of the holder.
+//! - [`holder`], [`peer_queries`], [`call`]: the tasks of the holder.
 
-pub mod answers;
 pub mod call;
 pub mod clock;
 pub mod decisions;
 pub mod holder;
+pub mod messages;
 pub mod pacing;
+pub mod peer_queries;
 pub mod plan;
 pub mod recorder;
-pub mod survey;
 pub mod tenure;
 
-pub use answers::{UsageAnswer, UsageQuestion, UsageRecord};
 pub use decisions::UsageReport;
+pub use messages::{UsageRecord, UsageRequest, UsageResponse};
 
 use super::{plan::Plan, state::Serving};
 use crate::router::lock;
@@ -38,23 +38,23 @@
     /// Time from a window's end until its report is due.
     pub delay_ms: u64,
     /// A holder must not act so soon after it acted before, if another one acted in between.
-    pub return_ms: u64,
+    pub reacquire_pause_ms: u64,
     /// Calls for duties a second, of all nodes together.
     pub calls_per_s: f64,
     /// Machines that may be lost at once.
-    pub losses: usize,
+    pub max_lost_machines: usize,
 }
 
 impl UsageDuty {
     /// For how long a router remembers what began: until its window's report is due, and one window more.
-    pub fn kept_ms(&self) -> u64 {
+    pub fn retention_ms(&self) -> u64 {
         2 * self.window_ms + self.delay_ms
     }
 
     /// Routers that keep a decision beside the holder.
     pub fn copies(&self) -> usize {
         const LEAST_COPIES: usize = 2;
-        self.losses.max(LEAST_COPIES)
+        self.max_lost_machines.max(LEAST_COPIES)
     }
 }
 
@@ -62,7 +62,7 @@
     /// A request began to run at a replica at that time, which counts as use by its tenant.
     pub fn note_start(&self, plan: &Plan, at: Tick) {
         if let Some(tenant) = &plan.tenant {
-            lock(&self.router.usage.starts).note(&tenant.name, at, self.now());
+            lock(&self.router.usage.starts).record(&tenant.name, at, self.now());
         }
     }
 }
--- a/crates/data-plane/src/serving/usage/pacing.rs
+++ b/crates/data-plane/src/serving/usage/pacing.rs
@@ -24,7 +24,7 @@
 
 /// What became of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// The platform has the report.
     Accepted,
     /// It has seen a higher fencing token.
@@ -35,14 +35,14 @@
     Unknown,
 }
 
-impl CallEnd {
+impl CallOutcome {
     /// Its name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            CallEnd::Accepted => "accepted",
-            CallEnd::Superseded => "superseded",
-            CallEnd::Refused => "refused",
-            CallEnd::Unknown => "unknown",
+            CallOutcome::Accepted => "accepted",
+            CallOutcome::Superseded => "superseded",
+            CallOutcome::Refused => "refused",
+            CallOutcome::Unknown => "unknown",
         }
     }
 }
@@ -65,7 +65,7 @@
     }
 
     /// A tenure begins.
-    pub fn begin(&mut self) {
+    pub fn reset_pause(&mut self) {
         self.pause_ms = self.first_pause_ms;
     }
 
@@ -76,12 +76,12 @@
     }
 
     /// A call has ended.
-    pub fn ended(&mut self, fencing_token: FencingToken, end: CallEnd, now: Tick) {
-        if end == CallEnd::Superseded {
+    pub fn record_outcome(&mut self, fencing_token: FencingToken, end: CallOutcome, now: Tick) {
+        if end == CallOutcome::Superseded {
             self.refused = self.refused.max(Some(fencing_token));
         }
         self.pause_ms = match end {
-            CallEnd::Unknown => (self.pause_ms * 2).min(MOST_PAUSE_MS.max(self.first_pause_ms)),
+            CallOutcome::Unknown => (self.pause_ms * 2).min(MOST_PAUSE_MS.max(self.first_pause_ms)),
             _ => self.first_pause_ms,
         };
         self.next_call = now + self.pause_ms;
--- a/crates/data-plane/src/serving/usage/survey.rs
+++ b/crates/data-plane/src/serving/usage/peer_queries.rs
@@ -1,9 +1,9 @@
 //! The holder's questions to the other routers: what began to run, which decisions they keep, and to keep one.
 
 use super::{
-    answers::{UsageAnswer, UsageQuestion},
-    clock::{TrueClock, sample},
+    clock::{MedianClock, clock_offset},
     decisions::UsageReport,
+    messages::{UsageRequest, UsageResponse},
     plan::HolderPlan,
     tenure::Tenure,
 };
@@ -34,7 +34,7 @@
     /// Those of all that answered; of one window there may be several.
     pub reports: Vec<UsageReport>,
     /// By the clocks of all that answered.
-    pub clock: TrueClock,
+    pub clock: MedianClock,
 }
 
 impl Router {
@@ -44,7 +44,7 @@
     }
 
     /// Asks a router, or this one itself. The time is the middle of the call.
-    async fn ask_usage(&self, member: &Member, question: UsageQuestion) -> Option<(UsageAnswer, Tick)> {
+    async fn ask_usage(&self, member: &Member, question: UsageRequest) -> Option<(UsageResponse, Tick)> {
         if member.info.node == *self.node() {
             return Some((self.usage.answer(question, self.now()), self.now()));
         }
@@ -67,12 +67,12 @@
             }
             let open = ranks.iter().filter(|member| !clocks.contains_key(&member.info.node));
             let asked = open.map(|member| async {
-                let question = UsageQuestion::Collect { fencing_token: tenure.fencing_token };
+                let question = UsageRequest::Collect { fencing_token: tenure.fencing_token };
                 (member.info.node.clone(), self.ask_usage(member, question).await)
             });
             for (node, answer) in futures::future::join_all(asked).await {
-                if let Some((UsageAnswer::Collected { time_of_day_ms, reports: kept }, at)) = answer {
-                    clocks.insert(node, sample(time_of_day_ms, at));
+                if let Some((UsageResponse::Collected { time_of_day_ms, reports: kept }, at)) = answer {
+                    clocks.insert(node, clock_offset(time_of_day_ms, at));
                     reports.extend(kept);
                 }
             }
@@ -80,7 +80,7 @@
                 break;
             }
         }
-        let clock = TrueClock::of(clocks.into_values().collect(), ranks.len())?;
+        let clock = MedianClock::of(clocks.into_values().collect(), ranks.len())?;
         Some(Collected { reports, clock })
     }
 
@@ -90,12 +90,12 @@
         let asked = open.map(|member| async {
             let now = self.now();
             let (from_age_ms, until_age_ms) = (now.since(from), now.since(until));
-            let question = UsageQuestion::Starts { from_age_ms, until_age_ms };
+            let question = UsageRequest::Starts { from_age_ms, until_age_ms };
             (member.info.node.clone(), self.ask_usage(member, question).await)
         });
         for (node, answer) in futures::future::join_all(asked).await {
-            if let Some((UsageAnswer::Starts { time_of_day_ms, counts }, at)) = answer {
-                counted.insert(node, (sample(time_of_day_ms, at), counts));
+            if let Some((UsageResponse::Starts { time_of_day_ms, counts }, at)) = answer {
+                counted.insert(node, (clock_offset(time_of_day_ms, at), counts));
             }
         }
     }
@@ -106,8 +106,8 @@
         &self,
         plan: &Mutex<HolderPlan>,
         window: u64,
-        mut clock: TrueClock,
-    ) -> Option<(UsageReport, TrueClock)> {
+        mut clock: MedianClock,
+    ) -> Option<(UsageReport, MedianClock)> {
         let (start_ms, end_ms, until_ms) = {
             let plan = lock(plan);
             (plan.end_ms(window - 1), plan.end_ms(window), plan.ask_until_ms(window))
@@ -115,12 +115,12 @@
         let (mut counted, mut corrections) = (Counted::new(), 0);
         loop {
             let ranks = self.usage_ranks();
-            let span = (clock.tick(start_ms), clock.tick(end_ms));
+            let span = (clock.tick_at(start_ms), clock.tick_at(end_ms));
             self.count_once(span, &ranks, &mut counted).await;
             let samples = counted.values().map(|(clock, _)| *clock).collect();
-            let newer = TrueClock::of(samples, ranks.len());
+            let newer = MedianClock::of(samples, ranks.len());
             if let Some(newer) = newer
-                && newer.differs_by(&clock) > (end_ms - start_ms) / CLOCK_PARTS
+                && newer.difference_ms(&clock) > (end_ms - start_ms) / CLOCK_PARTS
                 && corrections < CLOCK_ROUNDS
             {
                 (clock, corrections) = (newer, corrections + 1);
@@ -164,12 +164,12 @@
                 continue;
             }
             let (fencing_token, report) = (tenure.fencing_token, report.clone());
-            match self.ask_usage(member, UsageQuestion::Keep { fencing_token, report }).await {
-                Some((UsageAnswer::Kept, _)) => {
+            match self.ask_usage(member, UsageRequest::Keep { fencing_token, report }).await {
+                Some((UsageResponse::Kept, _)) => {
                     kept += 1;
                     needs_elsewhere &= !elsewhere(&member);
                 }
-                Some((UsageAnswer::Differs, _)) => return Some(false),
+                Some((UsageResponse::Differs, _)) => return Some(false),
                 _ => {}
             }
         }
--- a/crates/data-plane/src/serving/usage/plan.rs
+++ b/crates/data-plane/src/serving/usage/plan.rs
@@ -4,10 +4,10 @@
 
 use super::{
     UsageDuty,
-    clock::TrueClock,
+    clock::MedianClock,
     decisions::UsageReport,
-    pacing::{Call, CallEnd, CallPacing},
-    tenure::{Spans, Tenure, TenureWatch},
+    pacing::{Call, CallOutcome, CallPacing},
+    tenure::{HandoverSpans, Tenure, TenureWatch},
 };
 use common::{FencingToken, Tick, mutation::enabled as broken, settings::Timing};
 use std::{collections::BTreeMap, sync::Arc};
@@ -39,7 +39,7 @@
 pub struct HolderPlan {
     duty: UsageDuty,
     /// Spans that keep holders apart.
-    pub spans: Spans,
+    pub spans: HandoverSpans,
     watch: TenureWatch,
     /// Of the current tenure.
     own_from: Option<u64>,
@@ -50,19 +50,19 @@
 impl HolderPlan {
     /// A node that doesn't hold the duty yet.
     pub fn new(duty: UsageDuty, timing: &Timing) -> Self {
-        let spans = Spans::of(&duty, timing);
+        let spans = HandoverSpans::of(&duty, timing);
         let pacing = CallPacing::new(duty.calls_per_s);
         let (watch, entries) = (TenureWatch::default(), BTreeMap::new());
         Self { duty, spans, watch, own_from: None, entries, pacing }
     }
 
     /// Takes a look at who holds the duty. A new tenure knows nothing of earlier ones.
-    pub fn look(&mut self, held: Option<FencingToken>, now: Tick) -> Option<Tenure> {
+    pub fn observe(&mut self, held: Option<FencingToken>, now: Tick) -> Option<Tenure> {
         let before = self.watch.current().map(|tenure| tenure.number);
-        let tenure = self.watch.look(held, self.spans.unwatched, now);
+        let tenure = self.watch.observe(held, self.spans.max_unwatched_ms, now);
         if tenure.map(|tenure| tenure.number) != before {
             (self.own_from, self.entries) = (None, BTreeMap::new());
-            self.pacing.begin();
+            self.pacing.reset_pause();
         }
         tenure
     }
@@ -72,16 +72,16 @@
     }
 
     /// Whether decisions of former holders are still to be collected.
-    pub fn is_new(&self) -> bool {
+    pub fn needs_collection(&self) -> bool {
         self.own_from.is_none()
     }
 
     /// What former holders decided, as others keep it, and the time of day.
-    pub fn collected(&mut self, tenure: &Tenure, found: Vec<UsageReport>, clock: &TrueClock) {
+    pub fn record_collected(&mut self, tenure: &Tenure, found: Vec<UsageReport>, clock: &MedianClock) {
         if !self.is_current(tenure.number) {
             return;
         }
-        let undecided_ms = self.spans.undecided + 2 * clock.error_ms();
+        let undecided_ms = self.spans.undecided_ms + 2 * clock.error_ms();
         let undecided_ms = if broken("usage-no-margin") { 0 } else { undecided_ms };
         // The first window that ends at that time or later.
         let safe_end = clock.time_of_day(tenure.began) + undecided_ms;
@@ -108,7 +108,7 @@
     }
 
     /// The oldest window that this holder has to count now.
-    pub fn to_count(&self, clock: &TrueClock, now: Tick) -> Option<u64> {
+    pub fn next_to_count(&self, clock: &MedianClock, now: Tick) -> Option<u64> {
         let (own_from, time) = (self.own_from?, clock.time_of_day(now));
         let newest = (time.saturating_sub(SETTLE_MS) / self.duty.window_ms).checked_sub(1)?;
         let oldest = (time.saturating_sub(self.duty.delay_ms) / self.duty.window_ms).max(1) - 1;
@@ -122,7 +122,7 @@
     }
 
     /// Fixes a window's counts, for good. Whether they were taken.
-    pub fn decide(&mut self, tenure: u64, report: UsageReport, clock: &TrueClock, now: Tick) -> bool {
+    pub fn decide(&mut self, tenure: u64, report: UsageReport, clock: &MedianClock, now: Tick) -> bool {
         let ended = self.end_ms(report.window) <= clock.time_of_day(now);
         let own = self.own_from.is_some_and(|first| report.window >= first);
         let fresh = !self.entries.contains_key(&report.window) || broken("usage-decided-again");
@@ -135,13 +135,13 @@
     }
 
     /// A decision that is still to be copied to other routers.
-    pub fn to_copy(&self) -> Option<Arc<UsageReport>> {
+    pub fn next_to_copy(&self) -> Option<Arc<UsageReport>> {
         let decided = |entry: &&Entry| entry.stage == Stage::Decided;
         self.entries.values().find(decided).map(|entry| entry.report.clone())
     }
 
     /// Enough others keep a decision, or one of them keeps another one.
-    pub fn copied(&mut self, tenure: u64, window: u64, agreed: bool) {
+    pub fn record_copied(&mut self, tenure: u64, window: u64, agreed: bool) {
         if self.is_current(tenure)
             && let Some(entry) = self.entries.get_mut(&window).filter(|entry| entry.stage == Stage::Decided)
         {
@@ -150,9 +150,9 @@
     }
 
     /// The call that is to be made now.
-    pub fn to_send(&self, clock: &TrueClock, now: Tick) -> Option<Call> {
+    pub fn next_call(&self, clock: &MedianClock, now: Tick) -> Option<Call> {
         let tenure = self.watch.current()?;
-        let quiet = now.since(tenure.began) < self.spans.quiet && !broken("usage-acts-at-once");
+        let quiet = now.since(tenure.began) < self.spans.quiet_ms && !broken("usage-acts-at-once");
         if quiet || !self.pacing.may_call(tenure.fencing_token, now) {
             return None;
         }
@@ -169,28 +169,28 @@
 
     /// The last look before a call's bytes leave.
     pub fn may_send(&mut self, call: &Call, held: Option<FencingToken>, now: Tick) -> bool {
-        let tenure = self.look(held, now);
+        let tenure = self.observe(held, now);
         let same =
             |tenure: Tenure| (tenure.number, tenure.fencing_token) == (call.tenure, call.fencing_token);
         tenure.is_some_and(same) || broken("usage-no-last-look")
     }
 
     /// A call has ended.
-    pub fn sent(&mut self, call: &Call, end: CallEnd, now: Tick) {
-        self.pacing.ended(call.fencing_token, end, now);
+    pub fn record_outcome(&mut self, call: &Call, end: CallOutcome, now: Tick) {
+        self.pacing.record_outcome(call.fencing_token, end, now);
         if let Some(entry) =
             self.entries.get_mut(&call.report.window).filter(|entry| entry.report == call.report)
         {
             match end {
-                CallEnd::Accepted => entry.stage = Stage::Accepted,
-                CallEnd::Refused => entry.stage = Stage::Abandoned,
-                CallEnd::Superseded | CallEnd::Unknown => {}
+                CallOutcome::Accepted => entry.stage = Stage::Accepted,
+                CallOutcome::Refused => entry.stage = Stage::Abandoned,
+                CallOutcome::Superseded | CallOutcome::Unknown => {}
             }
         }
     }
 
     /// Forgets windows whose reports were due, for good, and names those that went without one.
-    pub fn expired(&mut self, clock: &TrueClock, now: Tick) -> Vec<(u64, &'static str)> {
+    pub fn drop_expired(&mut self, clock: &MedianClock, now: Tick) -> Vec<(u64, &'static str)> {
         let Some(own_from) = self.own_from else { return Vec::new() };
         let time = clock.time_of_day(now);
         let first = self.entries.keys().next().map_or(own_from, |first| own_from.min(*first));
--- a/crates/data-plane/src/serving/usage/recorder.rs
+++ b/crates/data-plane/src/serving/usage/recorder.rs
@@ -16,12 +16,12 @@
 
 impl StartRecorder {
     /// From now on starts are kept for so long.
-    pub fn keep_for(&mut self, kept_ms: u64) {
+    pub fn set_retention(&mut self, kept_ms: u64) {
         self.kept_ms = kept_ms;
     }
 
     /// A request began to run at `at`, which may lie a while back.
-    pub fn note(&mut self, tenant: &Tenant, at: Tick, now: Tick) {
+    pub fn record(&mut self, tenant: &Tenant, at: Tick, now: Tick) {
         if self.kept_ms == 0 {
             return;
         }
@@ -37,7 +37,7 @@
     }
 
     /// How many began from one time on and before another.
-    pub fn between(&self, from: Tick, until: Tick) -> BTreeMap<Tenant, u64> {
+    pub fn counts_between(&self, from: Tick, until: Tick) -> BTreeMap<Tenant, u64> {
         let mut counts = BTreeMap::new();
         let (first, end) = (from.0.div_ceil(RESOLUTION_MS), until.0.div_ceil(RESOLUTION_MS));
         let within = (first < end).then(|| self.moments.range(first..end));
--- a/crates/data-plane/src/serving/usage/tenure.rs
+++ b/crates/data-plane/src/serving/usage/tenure.rs
@@ -8,36 +8,36 @@
 
 /// Spans that keep the holders apart, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Spans {
+pub struct HandoverSpans {
     /// Longest time between two looks at who holds the duty: another node may have held it meanwhile.
-    pub unwatched: u64,
+    pub max_unwatched_ms: u64,
     /// Longest time for which a node may act as the holder after the change: by a valid lease, and by a copy of the
     /// state that it doesn't yet know to lag.
-    pub overlap: u64,
+    pub max_overlap_ms: u64,
     /// From the begin of a tenure until the first window that only its holder can have decided ends.
-    pub undecided: u64,
+    pub undecided_ms: u64,
     /// From the begin of a tenure until its first call.
-    pub quiet: u64,
+    pub quiet_ms: u64,
     /// Longest wait for the answer to a call.
-    pub call: u64,
+    pub call_timeout_ms: u64,
 }
 
 /// Longest wait for the platform's answer, in milliseconds.
 const CALL_MS: u64 = 2_000;
 
-impl Spans {
+impl HandoverSpans {
     /// The spans for a duty.
     pub fn of(duty: &UsageDuty, timing: &Timing) -> Self {
         let unwatched = timing.lease_ms;
         let overlap = timing.lease_ms + timing.election_timeout_ms();
         let call = CALL_MS;
         Self {
-            unwatched,
-            overlap,
+            max_unwatched_ms: unwatched,
+            max_overlap_ms: overlap,
             // Another one may have held it unseen for `unwatched` and an old copy, and gone on after that.
-            undecided: unwatched + 2 * overlap + timing.rpc_timeout_ms,
-            quiet: duty.return_ms + overlap + call + timing.rpc_timeout_ms,
-            call,
+            undecided_ms: unwatched + 2 * overlap + timing.rpc_timeout_ms,
+            quiet_ms: duty.reacquire_pause_ms + overlap + call + timing.rpc_timeout_ms,
+            call_timeout_ms: call,
         }
     }
 }
@@ -63,7 +63,7 @@
 
 impl TenureWatch {
     /// Takes a look: the fencing token under which this node holds the duty now, if it does.
-    pub fn look(&mut self, held: Option<FencingToken>, unwatched_ms: u64, now: Tick) -> Option<Tenure> {
+    pub fn observe(&mut self, held: Option<FencingToken>, unwatched_ms: u64, now: Tick) -> Option<Tenure> {
         let goes_on = |tenure: &Tenure, token: FencingToken| {
             let watched = now.since(tenure.seen) <= unwatched_ms || broken("usage-gap-unseen");
             watched && token >= tenure.fencing_token
--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -13,7 +13,7 @@
     serving::{
         prefill::PromptSent,
         replica_report::{ReplicaReport, ReplicaRow},
-        usage::{UsageAnswer, UsageQuestion, UsageReport},
+        usage::{UsageReport, UsageRequest, UsageResponse},
     },
     summary::{Event, EventKind, Summary},
 };
@@ -72,7 +72,7 @@
         slots: 48,
         draining: true,
         cold_left_ms: 1_500,
-        well: true,
+        healthy: true,
         running: 12,
         waiting: 3,
         memory_used: 4_000,
@@ -86,7 +86,7 @@
         age_ms: 120,
         waited_ms: 30,
         rows: vec![row],
-        lends: BTreeMap::from([(service(), 5)]),
+        lending_grants: BTreeMap::from([(service(), 5)]),
     }
 }
 
@@ -176,13 +176,13 @@
         ("load-report", RouterRequest::WatchReplicas { zone: zone(), seq: 3, wait_ms: 500 }),
         (
             "usage-starts",
-            RouterRequest::Usage(UsageQuestion::Starts { from_age_ms: 5_400, until_age_ms: 400 }),
+            RouterRequest::Usage(UsageRequest::Starts { from_age_ms: 5_400, until_age_ms: 400 }),
         ),
         (
             "usage-keep",
-            RouterRequest::Usage(UsageQuestion::Keep { fencing_token: FencingToken(4), report: usage() }),
+            RouterRequest::Usage(UsageRequest::Keep { fencing_token: FencingToken(4), report: usage() }),
         ),
-        ("usage-collect", RouterRequest::Usage(UsageQuestion::Collect { fencing_token: FencingToken(4) })),
+        ("usage-collect", RouterRequest::Usage(UsageRequest::Collect { fencing_token: FencingToken(4) })),
     ];
     for (name, request) in requests {
         fixtures().assert_wire(&format!("request-{name}"), &request);
@@ -218,14 +218,14 @@
         ("rejected", RouterResponse::Rejected("stale fence".into())),
         (
             "usage-starts",
-            RouterResponse::Usage(UsageAnswer::Starts { time_of_day_ms: 17, counts: usage().counts }),
+            RouterResponse::Usage(UsageResponse::Starts { time_of_day_ms: 17, counts: usage().counts }),
         ),
-        ("usage-kept", RouterResponse::Usage(UsageAnswer::Kept)),
-        ("usage-differs", RouterResponse::Usage(UsageAnswer::Differs)),
-        ("usage-superseded", RouterResponse::Usage(UsageAnswer::Superseded(FencingToken(5)))),
+        ("usage-kept", RouterResponse::Usage(UsageResponse::Kept)),
+        ("usage-differs", RouterResponse::Usage(UsageResponse::Differs)),
+        ("usage-superseded", RouterResponse::Usage(UsageResponse::Superseded(FencingToken(5)))),
         (
             "usage-collected",
-            RouterResponse::Usage(UsageAnswer::Collected { time_of_day_ms: 17, reports: vec![usage()] }),
+            RouterResponse::Usage(UsageResponse::Collected { time_of_day_ms: 17, reports: vec![usage()] }),
         ),
     ];
     for (name, reply) in replies {
--- a/crates/data-plane/tests/serving/carried.rs
+++ b/crates/data-plane/tests/serving/carried.rs
@@ -225,7 +225,7 @@
 }
 
 fn unwell(r: ReplicaRow) -> ReplicaRow {
-    ReplicaRow { well: false, ..r }
+    ReplicaRow { healthy: false, ..r }
 }
 
 fn draining(r: ReplicaRow) -> ReplicaRow {
--- a/crates/data-plane/tests/serving/fleet.rs
+++ b/crates/data-plane/tests/serving/fleet.rs
@@ -171,7 +171,7 @@
         });
         let fleet = Self { listing, ..Self::start_still(world).await };
         for n in 0..REPORTED + SUBSCRIBED {
-            fleet.on(n, Serving::watch_all).await;
+            fleet.on(n, Serving::spawn_report_tasks).await;
         }
         fleet.pass(SETTLED_MS, true).await;
         fleet
@@ -193,7 +193,7 @@
         let renewed = self.renewed.clone();
         let router = start_in_epoch(n, Epoch(RESTARTED_EPOCH + n as u64), renewed);
         self.routers[n] = self.world.host(ip(n)).spawn(router).await.expect("a router");
-        self.on(n, Serving::watch_all).await;
+        self.on(n, Serving::spawn_report_tasks).await;
     }
 
     /// From now on the list says this of zone `n1`; `None`: the platform answers nothing but 503.
@@ -244,7 +244,9 @@
         let serving = self.routers[n].clone();
         let usable = async move {
             let view = serving.fleet.load();
-            view.of(&"chat".into()).iter().any(|replica| replica.id == id.into() && serving.usable(replica))
+            view.replicas_of(&"chat".into())
+                .iter()
+                .any(|replica| replica.id == id.into() && serving.usable(replica))
         };
         let task = self.world.host(ip(n)).spawn(usable);
         let answer = tokio::time::timeout(Duration::from_millis(1), task).await;
@@ -292,7 +294,7 @@
     }
 
     pub fn knows(&self, n: usize) -> usize {
-        self.routers[n].fleet.load().of(&"chat".into()).len()
+        self.routers[n].fleet.load().replicas_of(&"chat".into()).len()
     }
 
     /// What is done at a router, by the clock of its own host.
@@ -321,11 +323,11 @@
 
     /// Time since a router had a new report.
     pub async fn silence_ms(&self, n: usize) -> u64 {
-        self.since(n, |held| held.received).await
+        self.since(n, |held| held.received_at).await
     }
 
     /// How old the report is that a router holds.
     pub async fn report_age_ms(&self, n: usize) -> u64 {
-        self.since(n, |held| held.at).await
+        self.since(n, |held| held.fresh_at).await
     }
 }
--- a/crates/data-plane/tests/serving/kit.rs
+++ b/crates/data-plane/tests/serving/kit.rs
@@ -4,7 +4,7 @@
 use configuration::{Route, RouteKind};
 use data_plane::serving::{
     Bounds, HeaderNames, Prompt,
-    prefill::Reading,
+    prefill::PrefillTracker,
     replica_choice::{ChoiceContext, READS_PER_MS},
     replica_report::{ReplicaReport, ReplicaRow},
     replica_view::{Candidate, ReportStore},
@@ -25,7 +25,7 @@
         slots: 20,
         draining: false,
         cold_left_ms: 0,
-        well: true,
+        healthy: true,
         running,
         waiting: 0,
         memory_used: 0,
@@ -42,7 +42,7 @@
         age_ms: 0,
         waited_ms: 0,
         rows,
-        lends: BTreeMap::new(),
+        lending_grants: BTreeMap::new(),
     }
 }
 
@@ -53,7 +53,7 @@
 static REGION: LazyLock<Region> = LazyLock::new(|| "north".into());
 
 /// A choice by a router of zone `n1` for a short request without affinity.
-pub fn context<'a>(prompt: &'a Prompt, reading: &'a Reading) -> ChoiceContext<'a> {
+pub fn context<'a>(prompt: &'a Prompt, reading: &'a PrefillTracker) -> ChoiceContext<'a> {
     ChoiceContext {
         prompt,
         zone: &ZONE,
@@ -92,8 +92,8 @@
 /// Candidates of one zone.
 pub fn candidates(rows: Vec<ReplicaRow>) -> Vec<Candidate> {
     let mut f = ReportStore::default();
-    assert!(f.take(board("n1", 1, rows), Tick(0)));
-    f.fleet(&zones(), 3_000, LIST_MAX_AGE_MS).of(&"chat".into()).to_vec()
+    assert!(f.accept(board("n1", 1, rows), Tick(0)));
+    f.build_view(&zones(), 3_000, LIST_MAX_AGE_MS).replicas_of(&"chat".into()).to_vec()
 }
 
 pub fn prompt(parts: &[(u64, u32)], tokens_in: u32) -> Prompt {
--- a/crates/data-plane/tests/serving/placement.rs
+++ b/crates/data-plane/tests/serving/placement.rs
@@ -62,9 +62,9 @@
 fn tell(serving: &Serving, north: u32, west: u32) {
     let mut store = ReportStore::default();
     let now = serving.now();
-    assert!(store.take(board("n1", 1, vec![row(1, north)]), now));
-    assert!(store.take(board("w1", 1, vec![row(2, west)]), now));
-    serving.fleet.store(Arc::new(store.fleet(&regions_of_zones(), 3_000, LIST_MAX_AGE_MS)));
+    assert!(store.accept(board("n1", 1, vec![row(1, north)]), now));
+    assert!(store.accept(board("w1", 1, vec![row(2, west)]), now));
+    serving.fleet.store(Arc::new(store.build_view(&regions_of_zones(), 3_000, LIST_MAX_AGE_MS)));
 }
 
 /// The region to which each user's request would go first, at one router.
--- a/crates/data-plane/tests/serving/prefill.rs
+++ b/crates/data-plane/tests/serving/prefill.rs
@@ -2,7 +2,7 @@
 
 use crate::kit::prompt;
 use common::{ReplicaId, Tick};
-use data_plane::serving::prefill::{PromptSent, Reading, prefixes};
+use data_plane::serving::prefill::{PrefillTracker, PromptSent, prefixes};
 use rstest::rstest;
 
 fn note(parts: &[(u64, u32)], tokens: u32, memory: u64) -> PromptSent {
@@ -32,12 +32,12 @@
     #[case] tokens: u32,
     #[case] want: u32,
 ) {
-    let mut r = Reading::default();
+    let mut r = PrefillTracker::default();
     let asked = prefixes(&prompt(parts, tokens));
-    assert_eq!(r.unread(&"r1".into(), &asked, tokens), tokens);
-    r.note(&note(&[(1, 100), (2, 200), (3, 50)], 350, 0), 50.0, Tick(0));
-    assert_eq!(r.unread(&"r1".into(), &asked, tokens), want);
-    assert_eq!(r.unread(&"r2".into(), &asked, tokens), tokens);
+    assert_eq!(r.unread_tokens(&"r1".into(), &asked, tokens), tokens);
+    r.record_sent(&note(&[(1, 100), (2, 200), (3, 50)], 350, 0), 50.0, Tick(0));
+    assert_eq!(r.unread_tokens(&"r1".into(), &asked, tokens), want);
+    assert_eq!(r.unread_tokens(&"r2".into(), &asked, tokens), tokens);
 }
 
 /// Memory for two of three prompts of 300 tokens: the one that was used last longest ago goes.
@@ -45,30 +45,30 @@
 #[case::untouched(None, [300, 50, 50])]
 #[case::used_again(Some(1), [50, 300, 50])]
 fn kept_prefixes_go_by_least_recent_use(#[case] again: Option<u64>, #[case] want: [u32; 3]) {
-    let mut r = Reading::default();
+    let mut r = PrefillTracker::default();
     let one = |n: u64| note(&[(n, 250), (n + 10, 50)], 300, 1_000);
     let used = [1, 2].into_iter().chain(again).chain([3]);
     for (t, n) in used.enumerate() {
-        r.note(&one(n), 50.0, Tick(t as u64));
+        r.record_sent(&one(n), 50.0, Tick(t as u64));
     }
-    let left = [1, 2, 3].map(|n| r.unread(&"r1".into(), &one(n).prefixes, 300));
+    let left = [1, 2, 3].map(|n| r.unread_tokens(&"r1".into(), &one(n).prefixes, 300));
     assert_eq!(left, want);
 }
 
 /// What a replica was sent adds up, and runs out with time; what it keeps is not read again.
 #[test]
 fn waits_add_up_and_run_out() {
-    let (mut r, id) = (Reading::default(), ReplicaId::new("r1"));
+    let (mut r, id) = (PrefillTracker::default(), ReplicaId::new("r1"));
     let long = note(&[(1, 4_000), (2, 1_000)], 5_000, 0);
-    r.note(&long, 50.0, Tick(1_000));
+    r.record_sent(&long, 50.0, Tick(1_000));
     assert_eq!(r.wait_ms(&id, Tick(1_000)), 100.0);
-    r.note(&long, 50.0, Tick(1_040));
+    r.record_sent(&long, 50.0, Tick(1_040));
     assert_eq!(r.wait_ms(&id, Tick(1_040)), 80.0);
     assert_eq!(r.wait_ms(&id, Tick(1_119)), 1.0);
     assert_eq!(r.wait_ms(&id, Tick(9_000)), 0.0);
-    r.note(&note(&[], 500, 0), 50.0, Tick(9_000));
+    r.record_sent(&note(&[], 500, 0), 50.0, Tick(9_000));
     assert_eq!(r.wait_ms(&id, Tick(9_000)), 10.0);
     r.retain(&|id| id.as_str() != "r1");
     assert_eq!(r.wait_ms(&id, Tick(9_000)), 0.0);
-    assert_eq!(r.unread(&id, &long.prefixes, 5_000), 5_000);
+    assert_eq!(r.unread_tokens(&id, &long.prefixes, 5_000), 5_000);
 }
--- a/crates/data-plane/tests/serving/replica_choice.rs
+++ b/crates/data-plane/tests/serving/replica_choice.rs
@@ -4,7 +4,7 @@
 use common::{ReplicaId, Tick};
 use data_plane::serving::{
     Prompt,
-    prefill::{PromptSent, Reading, prefixes},
+    prefill::{PrefillTracker, PromptSent, prefixes},
     replica_choice::{ChoiceContext, READS_PER_MS, all_overdue, best, fits},
     replica_view::Candidate,
 };
@@ -15,7 +15,7 @@
 
 struct RequestTraits<'a> {
     prompt: &'a Prompt,
-    reading: &'a Reading,
+    reading: &'a PrefillTracker,
     long: bool,
 }
 
@@ -49,10 +49,10 @@
 #[case::a_wait_above_it(200_000, false)]
 fn long_prompts_go_where_their_prefix_is(#[case] others: u32, #[case] kept: bool) {
     let p = prompt(&[(1, 10_000), (2, 8_000), (3, 2_000)], 20_000);
-    let mut reading = Reading::default();
+    let mut reading = PrefillTracker::default();
     let note = |prefixes, tokens| PromptSent { replica: "r2".into(), prefixes, tokens, memory: 1_000_000 };
-    reading.note(&note(prefixes(&p), 20_000), READS_PER_MS, Tick(0));
-    reading.note(&note(vec![], others), READS_PER_MS, NOW);
+    reading.record_sent(&note(prefixes(&p), 20_000), READS_PER_MS, Tick(0));
+    reading.record_sent(&note(vec![], others), READS_PER_MS, NOW);
     let got = chosen(&idle(6), &RequestTraits { prompt: &p, reading: &reading, long: true });
     assert_eq!(got == BTreeSet::from(["r2".into()]), kept, "{got:?}");
     assert_eq!(got.contains(&"r2".into()), kept, "{got:?}");
@@ -61,14 +61,14 @@
 /// Prompts of any length may come to any replica: what a long one holds up is weighed, not kept apart.
 #[rstest]
 fn all_replicas_are_for_both_kinds(#[values(false, true)] long: bool) {
-    let (p, reading) = (prompt(&[], 500), Reading::default());
+    let (p, reading) = (prompt(&[], 500), PrefillTracker::default());
     assert_eq!(chosen(&idle(11), &RequestTraits { prompt: &p, reading: &reading, long }).len(), 11);
 }
 
 /// A shared prefix stays at one replica while that is idle, whoever asks; what is not shared spreads.
 #[test]
 fn short_prefixes_stay_together() {
-    let reading = Reading::default();
+    let reading = PrefillTracker::default();
     let of = |p: &Prompt, cands: &[Candidate]| {
         chosen(cands, &RequestTraits { prompt: p, reading: &reading, long: false })
     };
@@ -107,7 +107,7 @@
 #[case::all_are_far_over(&[200, 300], 1_000.0, true)]
 fn hopeless_where_nobody_begins_in_time(#[case] running: &[u32], #[case] ms: f64, #[case] want: bool) {
     let cands = candidates(running.iter().enumerate().map(|(n, r)| row(n, *r)).collect());
-    let (p, reading) = (prompt(&[], 10), Reading::default());
+    let (p, reading) = (prompt(&[], 10), PrefillTracker::default());
     let w = ChoiceContext { now: NOW, ..context(&p, &reading) };
     assert_eq!(all_overdue(&cands.iter().collect::<Vec<_>>(), &w, ms), want);
 }
--- a/crates/data-plane/tests/serving/replica_list_pages.rs
+++ b/crates/data-plane/tests/serving/replica_list_pages.rs
@@ -26,13 +26,13 @@
 #[test]
 fn what_moves_between_pages_is_not_lost() {
     let mut known = KnownReplicas::default();
-    known.read(read(&[&["r1", "r2"], &["r3"]]), Tick(0), Tick(0), EACH_MS);
-    known.read(read(&[&["r1"], &["r2"]]), Tick(1_000), Tick(1_000), EACH_MS);
+    known.record_read(read(&[&["r1", "r2"], &["r3"]]), Tick(0), Tick(0), EACH_MS);
+    known.record_read(read(&[&["r1"], &["r2"]]), Tick(1_000), Tick(1_000), EACH_MS);
     assert_eq!(ids(&known, 1_000), ["r1", "r2", "r3"]);
-    known.read(read(&[&["r1", "r3"], &["r2"]]), Tick(2_000), Tick(2_000), EACH_MS);
+    known.record_read(read(&[&["r1", "r3"], &["r2"]]), Tick(2_000), Tick(2_000), EACH_MS);
     assert_eq!(ids(&known, 2_000), ["r1", "r2", "r3"]);
-    known.read(read(&[&["r1"], &["r2"]]), Tick(3_000), Tick(3_000), EACH_MS);
-    known.read(read(&[&["r1"], &["r2"]]), Tick(4_000), Tick(4_000), EACH_MS);
+    known.record_read(read(&[&["r1"], &["r2"]]), Tick(3_000), Tick(3_000), EACH_MS);
+    known.record_read(read(&[&["r1"], &["r2"]]), Tick(4_000), Tick(4_000), EACH_MS);
     assert_eq!(ids(&known, 4_000), ["r1", "r2"], "lacking twice, it is gone");
 }
 
@@ -40,17 +40,21 @@
 #[test]
 fn what_moves_between_pages_is_as_old_as_its_last_reading() {
     let mut known = KnownReplicas::default();
-    known.read(read(&[&["r1", "r2"], &["r3"]]), Tick(1_000), Tick(1_010), EACH_MS);
+    known.record_read(read(&[&["r1", "r2"], &["r3"]]), Tick(1_000), Tick(1_010), EACH_MS);
     assert_eq!(known.read_at(), Tick(1_000));
-    known.read(read(&[&["r1"], &["r2"]]), Tick(2_000), Tick(2_010), EACH_MS);
+    known.record_read(read(&[&["r1"], &["r2"]]), Tick(2_000), Tick(2_010), EACH_MS);
     assert_eq!(known.read_at(), Tick(1_000), "r3 may have changed since");
-    known.read(read(&[&["r1"], &["r2"]]), Tick(3_000), Tick(3_010), EACH_MS);
+    known.record_read(read(&[&["r1"], &["r2"]]), Tick(3_000), Tick(3_010), EACH_MS);
     assert_eq!(known.read_at(), Tick(3_000), "r3 is gone");
     known.adopt(vec![listed("r1", false), listed("r2", false)], Tick(2_500), Tick(7_000));
     assert_eq!(known.read_at(), Tick(2_500), "another's reading is no newer for being told");
-    known.failed(&ListError::Failed(PeerError::new("list replicas", "list", "500")), Tick(8_000), EACH_MS);
+    known.record_failure(
+        &ListError::Failed(PeerError::new("list replicas", "list", "500")),
+        Tick(8_000),
+        EACH_MS,
+    );
     assert_eq!(known.read_at(), Tick(2_500), "nothing but a reading renews it");
-    known.read(read(&[&["r1"], &["r4"]]), Tick(9_000), Tick(9_010), EACH_MS);
+    known.record_read(read(&[&["r1"], &["r4"]]), Tick(9_000), Tick(9_010), EACH_MS);
     assert_eq!(
         (known.read_at(), ids(&known, 9_010)),
         (Tick(9_000), vec!["r1".to_string(), "r4".to_string()])
@@ -61,8 +65,8 @@
 #[test]
 fn what_one_page_lacks_is_gone() {
     let mut known = KnownReplicas::default();
-    known.read(read(&[&["r1", "r2"]]), Tick(0), Tick(0), EACH_MS);
-    known.read(read(&[&["r1"]]), Tick(1_000), Tick(1_000), EACH_MS);
+    known.record_read(read(&[&["r1", "r2"]]), Tick(0), Tick(0), EACH_MS);
+    known.record_read(read(&[&["r1"]]), Tick(1_000), Tick(1_000), EACH_MS);
     assert_eq!(ids(&known, 1_000), ["r1"]);
 }
 
@@ -76,7 +80,7 @@
         &"n1".into(),
         vec![listed("r1", then), ListedReplica { zone: "n2".into(), ..listed("r2", false) }],
     );
-    known.read(read, Tick(0), Tick(0), EACH_MS);
+    known.record_read(read, Tick(0), Tick(0), EACH_MS);
     let rows = known.rows(Tick(0)).expect("a list");
     assert_eq!(rows, [listed("r1", true)]);
 }
@@ -85,9 +89,9 @@
 #[test]
 fn pages_are_paid_for() {
     let mut known = KnownReplicas::default();
-    assert!(known.due(Tick(0)));
-    known.read(read(&[&["r1"], &["r2"], &["r3"]]), Tick(0), Tick(0), EACH_MS);
-    assert!(!known.due(Tick(3 * EACH_MS - 1)) && known.due(Tick(3 * EACH_MS)));
+    assert!(known.is_due(Tick(0)));
+    known.record_read(read(&[&["r1"], &["r2"], &["r3"]]), Tick(0), Tick(0), EACH_MS);
+    assert!(!known.is_due(Tick(3 * EACH_MS - 1)) && known.is_due(Tick(3 * EACH_MS)));
 }
 
 #[test]
@@ -95,16 +99,20 @@
     let over = || ListError::OverRate(PeerError::new("list replicas", "list", "429"));
     let (mut known, mut now, mut pauses) = (KnownReplicas::default(), 0, Vec::new());
     for _ in 0..5 {
-        known.failed(&over(), Tick(now), EACH_MS);
-        let pause = (0..).find(|ms| known.due(Tick(now + ms))).expect("due at last");
+        known.record_failure(&over(), Tick(now), EACH_MS);
+        let pause = (0..).find(|ms| known.is_due(Tick(now + ms))).expect("due at last");
         pauses.push(pause / EACH_MS);
         now += pause;
     }
     assert_eq!(pauses, [2, 4, 4, 4, 4]);
-    known.read(read(&[&["r1"]]), Tick(now), Tick(now), EACH_MS);
-    assert!(known.due(Tick(now + EACH_MS)));
-    known.failed(&ListError::Failed(PeerError::new("list replicas", "list", "500")), Tick(now), EACH_MS);
-    assert!(known.due(Tick(now + EACH_MS)), "one that is down is asked again as usual");
+    known.record_read(read(&[&["r1"]]), Tick(now), Tick(now), EACH_MS);
+    assert!(known.is_due(Tick(now + EACH_MS)));
+    known.record_failure(
+        &ListError::Failed(PeerError::new("list replicas", "list", "500")),
+        Tick(now),
+        EACH_MS,
+    );
+    assert!(known.is_due(Tick(now + EACH_MS)), "one that is down is asked again as usual");
 }
 
 /// A list that can't be read anew ages: what was cold for so long is not cold for ever.
@@ -112,7 +120,7 @@
 fn cold_spans_run_on() {
     let (mut reading, mut known) = (ListRead::default(), KnownReplicas::default());
     reading.add(&"n1".into(), vec![ListedReplica { cold_left_ms: 3_000, ..listed("r1", false) }]);
-    known.read(reading, Tick(1_000), Tick(1_000), EACH_MS);
+    known.record_read(reading, Tick(1_000), Tick(1_000), EACH_MS);
     let cold = |at| known.rows(Tick(at)).expect("a list").first().map(|r| r.cold_left_ms);
     assert_eq!((cold(1_000), cold(3_000), cold(9_000)), (Some(3_000), Some(1_000), Some(0)));
 }
--- a/crates/data-plane/tests/serving/replica_report.rs
+++ b/crates/data-plane/tests/serving/replica_report.rs
@@ -4,8 +4,8 @@
 use common::Tick;
 use data_plane::serving::{
     EngineReport, ListedReplica,
-    health_prober::load_of,
-    replica_report::{ProbeResult, ReplicaHealth, ReplicaRow, lends},
+    health_prober::parse_load_header,
+    replica_report::{ProbeResult, ReplicaHealth, ReplicaRow, lending_grants},
 };
 use hyper::{HeaderMap, header::HeaderValue};
 use rstest::rstest;
@@ -14,17 +14,17 @@
 
 /// Well or not after each of these, where two looks in silence are too many.
 #[rstest]
-#[case::silence(&[ProbeResult::Silent, ProbeResult::Silent, ProbeResult::Silent], &[true, false, false])]
-#[case::heard_between(&[ProbeResult::Silent, ProbeResult::Told(TOLD), ProbeResult::Silent], &[true, true, true])]
-#[case::refused(&[ProbeResult::Refused, ProbeResult::Told(TOLD)], &[false, true])]
-#[case::unwell(&[ProbeResult::Unwell, ProbeResult::Silent], &[false, false])]
+#[case::silence(&[ProbeResult::NoAnswer, ProbeResult::NoAnswer, ProbeResult::NoAnswer], &[true, false, false])]
+#[case::heard_between(&[ProbeResult::NoAnswer, ProbeResult::Answered(TOLD), ProbeResult::NoAnswer], &[true, true, true])]
+#[case::refused(&[ProbeResult::Refused, ProbeResult::Answered(TOLD)], &[false, true])]
+#[case::unwell(&[ProbeResult::Unhealthy, ProbeResult::NoAnswer], &[false, false])]
 fn wellness(#[case] probes: &[ProbeResult], #[case] want: &[bool]) {
     let mut w = ReplicaHealth::default();
     let got: Vec<bool> = probes
         .iter()
         .map(|p| {
-            w.fold(*p, 2);
-            w.well(2)
+            w.record(*p, 2);
+            w.is_healthy(2)
         })
         .collect();
     assert_eq!(got, want);
@@ -37,8 +37,8 @@
 #[case::to_be_taken_away(false, Some(30_000), true)]
 fn rows_join_list_and_report(#[case] draining: bool, #[case] time_left_ms: Option<u64>, #[case] want: bool) {
     let mut w = ReplicaHealth::default();
-    w.fold(ProbeResult::Told(TOLD), 2);
-    w.fold(ProbeResult::Silent, 2);
+    w.record(ProbeResult::Answered(TOLD), 2);
+    w.record(ProbeResult::NoAnswer, 2);
     let l = ListedReplica {
         id: "r1".into(),
         service: "chat".into(),
@@ -64,12 +64,12 @@
         row(1, 9),
         ReplicaRow { waiting: 9, ..row(2, 0) },
         row(3, 40),
-        ReplicaRow { well: false, ..row(4, 0) },
+        ReplicaRow { healthy: false, ..row(4, 0) },
         ReplicaRow { draining: true, ..row(5, 0) },
         ReplicaRow { cold_left_ms: 1, ..row(6, 0) },
         ReplicaRow { service: "draw".into(), ..row(7, 19) },
     ];
-    assert_eq!(lends(&rows, share, askers), [("chat".into(), want), ("draw".into(), 0)].into());
+    assert_eq!(lending_grants(&rows, share, askers), [("chat".into(), want), ("draw".into(), 0)].into());
 }
 
 /// Figures are as old as their publisher says, and never younger than when they came.
@@ -101,10 +101,10 @@
 #[case::no_text(b"\xff,1", None)]
 fn load_of_odd_values(#[case] value: &[u8], #[case] want: Option<(u32, u32)>) {
     let name = hyper::header::HeaderName::from_static("x-load");
-    assert_eq!(load_of(&HeaderMap::new(), &name), None);
+    assert_eq!(parse_load_header(&HeaderMap::new(), &name), None);
     let h = HeaderMap::from_iter([(name.clone(), HeaderValue::from_bytes(value).expect("a value"))]);
     let want = want.map(|(running, waiting)| EngineReport { running, waiting, ..Default::default() });
-    assert_eq!(load_of(&h, &name), want);
+    assert_eq!(parse_load_header(&h, &name), want);
 }
 
 /// A replica that was away may have turned cold: it counts as cold until a list can say whether it has. Seen on the
@@ -121,6 +121,6 @@
     #[case] now: u64,
     #[case] want: u64,
 ) {
-    let health = ReplicaHealth { returned: returned.map(Tick), ..ReplicaHealth::default() };
+    let health = ReplicaHealth { recovered_at: returned.map(Tick), ..ReplicaHealth::default() };
     assert_eq!(health.unlisted_cold_ms(3_000, Tick(listed), 800, Tick(now)), want);
 }
--- a/crates/data-plane/tests/serving/replica_view.rs
+++ b/crates/data-plane/tests/serving/replica_view.rs
@@ -4,7 +4,7 @@
 use common::{Region, Service, Tick};
 use data_plane::load::RegionLoad;
 use data_plane::serving::{
-    prefill::Reading,
+    prefill::PrefillTracker,
     replica_choice::{ChoiceContext, best},
     replica_report::ReplicaReport,
     replica_view::{Candidate, ReceivedReport, ReplicaView, ReportStore},
@@ -24,18 +24,18 @@
 #[case::other_publisher_older("p1", 9, 99, false)]
 fn boards_never_go_back(#[case] publisher: &str, #[case] seq: u64, #[case] at: u64, #[case] taken: bool) {
     let mut f = ReportStore::default();
-    assert!(f.take(board("n1", 5, vec![row(0, 7)]), Tick(100)));
+    assert!(f.accept(board("n1", 5, vec![row(0, 7)]), Tick(100)));
     let mut b = board("n1", seq, vec![row(0, 9)]);
     b.publisher = publisher.into();
-    assert_eq!(f.take(b, Tick(at)), taken);
-    let running = f.by_zone[&"n1".into()].board.rows[0].running;
+    assert_eq!(f.accept(b, Tick(at)), taken);
+    let running = f.by_zone[&"n1".into()].report.rows[0].running;
     assert_eq!(running, if taken { 9 } else { 7 });
-    let fresh_at = f.by_zone[&"n1".into()].at;
+    let fresh_at = f.by_zone[&"n1".into()].fresh_at;
     assert!(
         fresh_at >= Tick(100) && (fresh_at >= Tick(at) || !taken),
         "what is held grows no older: {fresh_at:?}"
     );
-    assert!(f.take(board("n2", 1, vec![]), Tick(1)), "areas have nothing to do with each other");
+    assert!(f.accept(board("n2", 1, vec![]), Tick(1)), "areas have nothing to do with each other");
 }
 
 /// What was open when the load reports were fresh, and what is now.
@@ -54,12 +54,15 @@
     #[case] want: f64,
 ) {
     let mut f = ReportStore::default();
-    assert!(f.take(board("n1", 1, vec![row(0, 0)]), Tick(0)));
-    f.fleet(&zones(), 1, LIST_MAX_AGE_MS).of(&"chat".into())[0].own.open.store(then, Ordering::Relaxed);
-    assert!(f.take(board("n1", 2, vec![row(0, running)]), Tick(1)));
-    let fleet = f.fleet(&zones(), 1, LIST_MAX_AGE_MS);
-    let c = &fleet.of(&"chat".into())[0];
-    c.own.open.store(now, Ordering::Relaxed);
+    assert!(f.accept(board("n1", 1, vec![row(0, 0)]), Tick(0)));
+    f.build_view(&zones(), 1, LIST_MAX_AGE_MS).replicas_of(&"chat".into())[0]
+        .local
+        .open
+        .store(then, Ordering::Relaxed);
+    assert!(f.accept(board("n1", 2, vec![row(0, running)]), Tick(1)));
+    let fleet = f.build_view(&zones(), 1, LIST_MAX_AGE_MS);
+    let c = &fleet.replicas_of(&"chat".into())[0];
+    c.local.open.store(now, Ordering::Relaxed);
     assert_eq!(c.load(), want);
 }
 
@@ -73,18 +76,18 @@
     let fleets: Vec<ReplicaView> = (0..routers)
         .map(|_| {
             let mut f = ReportStore::default();
-            assert!(f.take(board("n1", 1, rows.clone()), Tick(0)));
-            f.fleet(&zones(), 1, LIST_MAX_AGE_MS)
+            assert!(f.accept(board("n1", 1, rows.clone()), Tick(0)));
+            f.build_view(&zones(), 1, LIST_MAX_AGE_MS)
         })
         .collect();
-    let (reading, p) = (Reading::default(), prompt(&[], 200));
+    let (reading, p) = (PrefillTracker::default(), prompt(&[], 200));
     for _ in 0..8 {
         for fleet in &fleets {
             let w = ChoiceContext { pause_ms: 1_000.0, unit: chance.random(), ..context(&p, &reading) };
-            let cands: Vec<&Candidate> = fleet.of(&"chat".into()).iter().collect();
+            let cands: Vec<&Candidate> = fleet.replicas_of(&"chat".into()).iter().collect();
             let least = cands.iter().copied().min_by(|a, b| a.load().total_cmp(&b.load()));
             let c = if best_of_all { least } else { best(&cands, &w) }.expect("candidates");
-            c.own.open.fetch_add(1, Ordering::Relaxed);
+            c.local.open.fetch_add(1, Ordering::Relaxed);
             load[rows.iter().position(|r| r.id == c.id).expect("a row")] += 1;
         }
     }
@@ -119,14 +122,15 @@
 ) {
     let mut f = ReportStore::default();
     let of = |zone, at: u64, age_ms, received: u64| ReceivedReport {
-        board: ReplicaReport { age_ms, ..board(zone, 1, vec![row(0, 0)]) },
-        at: Tick(at),
-        received: Tick(received),
+        report: ReplicaReport { age_ms, ..board(zone, 1, vec![row(0, 0)]) },
+        fresh_at: Tick(at),
+        received_at: Tick(received),
     };
-    assert!(f.take_received(of("n2", other_at, other_age_ms, other_at + other_age_ms)));
-    assert!(f.take_received(of("n1", at, received - at, received)));
-    let fleet = f.fleet(&zones(), 3_000, LIST_MAX_AGE_MS);
-    let of_zone = fleet.of(&"chat".into()).iter().find(|c| c.zone == "n1".into()).expect("its replica");
+    assert!(f.accept_received(of("n2", other_at, other_age_ms, other_at + other_age_ms)));
+    assert!(f.accept_received(of("n1", at, received - at, received)));
+    let fleet = f.build_view(&zones(), 3_000, LIST_MAX_AGE_MS);
+    let of_zone =
+        fleet.replicas_of(&"chat".into()).iter().find(|c| c.zone == "n1".into()).expect("its replica");
     assert_eq!(of_zone.listed_at, Tick(listed_at));
 }
 
@@ -136,34 +140,34 @@
     let mut f = ReportStore::default();
     for (zone, n, at) in [("n1", 3, 100), ("n2", 4, 50), ("s1", 7, 70), ("elsewhere", 9, 1)] {
         let mut b = board(zone, 1, vec![]);
-        b.lends = [("chat".into(), n)].into();
-        assert!(f.take(b, Tick(at)));
+        b.lending_grants = [("chat".into(), n)].into();
+        assert!(f.accept(b, Tick(at)));
     }
-    let fleet = f.fleet(&zones(), 3_000, LIST_MAX_AGE_MS);
-    let at = |r: &str| fleet.lends[&(Region::new(r), Service::new("chat"))];
+    let fleet = f.build_view(&zones(), 3_000, LIST_MAX_AGE_MS);
+    let at = |r: &str| fleet.lending_grants[&(Region::new(r), Service::new("chat"))];
     assert_eq!(at("north"), (7, Tick(3_050)));
     assert_eq!(at("south"), (7, Tick(3_070)));
-    assert_eq!(fleet.lends.len(), 2);
+    assert_eq!(fleet.lending_grants.len(), 2);
 }
 
 #[test]
 fn regions_count_what_is_usable() {
     let mut f = ReportStore::default();
     let gone = data_plane::serving::replica_report::ReplicaRow { draining: true, ..row(2, 5) };
-    assert!(f.take(board("n1", 1, vec![row(0, 3), gone]), Tick(0)));
-    assert!(f.take(board("n2", 1, vec![row(1, 4)]), Tick(0)));
-    assert!(f.take(board("s1", 1, vec![row(3, 19)]), Tick(0)));
-    let fleet = f.fleet(&zones(), 1, LIST_MAX_AGE_MS);
-    let cands = fleet.of(&"chat".into());
-    cands.iter().find(|c| c.id == "r0".into()).unwrap().own.open.store(2, Ordering::Relaxed);
-    let seen = fleet.regions(&"chat".into(), &|c| !c.draining);
+    assert!(f.accept(board("n1", 1, vec![row(0, 3), gone]), Tick(0)));
+    assert!(f.accept(board("n2", 1, vec![row(1, 4)]), Tick(0)));
+    assert!(f.accept(board("s1", 1, vec![row(3, 19)]), Tick(0)));
+    let fleet = f.build_view(&zones(), 1, LIST_MAX_AGE_MS);
+    let cands = fleet.replicas_of(&"chat".into());
+    cands.iter().find(|c| c.id == "r0".into()).unwrap().local.open.store(2, Ordering::Relaxed);
+    let seen = fleet.region_loads(&"chat".into(), &|c| !c.draining);
     let want: BTreeMap<Region, RegionLoad> = [
         ("north".into(), RegionLoad { healthy: true, capacity: 40.0, consumption: 9.0 }),
         ("south".into(), RegionLoad { healthy: true, capacity: 20.0, consumption: 19.0 }),
     ]
     .into();
     assert_eq!(seen, want);
-    assert!(fleet.regions(&"draw".into(), &|_| true).is_empty());
+    assert!(fleet.region_loads(&"draw".into(), &|_| true).is_empty());
 }
 
 /// What is open at a replica outlives boards, also one that left it out; an unused one is forgotten.
@@ -171,9 +175,9 @@
 fn own_counts_outlive_boards() {
     let mut f = ReportStore::default();
     let open = |f: &mut ReportStore, seq: u64, rows: Vec<_>| {
-        assert!(f.take(board("n1", seq, rows), Tick(seq)));
-        let fleet = f.fleet(&zones(), 1, LIST_MAX_AGE_MS);
-        fleet.of(&"chat".into()).first().map(|c| c.own.clone())
+        assert!(f.accept(board("n1", seq, rows), Tick(seq)));
+        let fleet = f.build_view(&zones(), 1, LIST_MAX_AGE_MS);
+        fleet.replicas_of(&"chat".into()).first().map(|c| c.local.clone())
     };
     open(&mut f, 1, vec![row(0, 0)]).unwrap().open.store(1, Ordering::Relaxed);
     assert!(open(&mut f, 2, vec![]).is_none());
@@ -181,7 +185,7 @@
     assert_eq!(back.open.load(Ordering::Relaxed), 1);
     back.avoid(Tick(50));
     back.open.store(0, Ordering::Relaxed);
-    assert!(back.avoided(Tick(49)) && !back.avoided(Tick(50)));
+    assert!(back.is_avoided(Tick(49)) && !back.is_avoided(Tick(50)));
     assert!(open(&mut f, 4, vec![]).is_none());
-    assert!(!open(&mut f, 5, vec![row(0, 0)]).unwrap().avoided(Tick(49)));
+    assert!(!open(&mut f, 5, vec![row(0, 0)]).unwrap().is_avoided(Tick(49)));
 }
--- a/crates/data-plane/tests/serving/report_subscription.rs
+++ b/crates/data-plane/tests/serving/report_subscription.rs
@@ -12,7 +12,7 @@
     serving::{
         replica_report::{ReplicaRow, report_number},
         replica_view::{ReceivedReport, ReportStore},
-        report_publication::sent_now,
+        report_publication::outgoing_report,
     },
 };
 use hyper::StatusCode;
@@ -106,18 +106,20 @@
         let (asked, sent) = (arrived + 30 - 10, arrived + 30 + way_ms);
         if hop > 0 {
             let at = report.fresh_at(Tick(asked - 30), Tick(arrived));
-            let held = ReceivedReport { board: report.clone(), at, received: Tick(arrived) };
-            report = sent_now(&held, Tick(sent), way_ms);
+            let held = ReceivedReport { report: report.clone(), fresh_at: at, received_at: Tick(arrived) };
+            report = outgoing_report(&held, Tick(sent), way_ms);
         } else {
-            let held = ReceivedReport { board: report.clone(), at: Tick(made), received: Tick(made) };
-            report = sent_now(&held, Tick(sent), way_ms);
+            let held =
+                ReceivedReport { report: report.clone(), fresh_at: Tick(made), received_at: Tick(made) };
+            report = outgoing_report(&held, Tick(sent), way_ms);
         }
         arrived = sent + way_ms;
     }
     let mut store = ReportStore::default();
     let at = report.fresh_at(Tick(made + 20), Tick(arrived));
-    assert!(store.take_received(ReceivedReport { board: report, at, received: Tick(arrived) }));
-    let cold_until = store.fleet(&zones(), 3_000, LIST_MAX_AGE_MS).of(&"chat".into())[0].cold_until;
+    assert!(store.accept_received(ReceivedReport { report, fresh_at: at, received_at: Tick(arrived) }));
+    let cold_until =
+        store.build_view(&zones(), 3_000, LIST_MAX_AGE_MS).replicas_of(&"chat".into())[0].cold_until;
     assert!(cold_until >= Tick(made + LEFT_MS), "{cold_until:?} of {}", made + LEFT_MS);
     let hops = 1 + u64::from(relay);
     assert!(cold_until <= Tick(made + LEFT_MS + 2 * hops * way_ms), "{cold_until:?}");
@@ -253,7 +255,7 @@
     let mut store = ReportStore::default();
     let mut report = |epoch, count, at| {
         let number = report_number(Epoch(epoch), count);
-        store.take(board("n1", number, vec![row(1, 0)]), Tick(at))
+        store.accept(board("n1", number, vec![row(1, 0)]), Tick(at))
     };
     assert!(report(4, 90, 1_000));
     assert!(!report(4, 89, 2_000));
--- a/crates/data-plane/tests/serving/stage.rs
+++ b/crates/data-plane/tests/serving/stage.rs
@@ -406,8 +406,8 @@
         }
         {
             let mut reports = lock(&s.reports);
-            boards.into_iter().for_each(|b| assert!(reports.take(b, s.now())));
-            s.fleet.store(Arc::new(reports.fleet(&zones(), 3_000, LIST_MAX_AGE_MS)));
+            boards.into_iter().for_each(|b| assert!(reports.accept(b, s.now())));
+            s.fleet.store(Arc::new(reports.build_view(&zones(), 3_000, LIST_MAX_AGE_MS)));
         }
         let share = BudgetShare { capacity: 64.0, per_ms: 0.0 };
         s.retries.earn(&"chat".into(), cast.tries / 0.8, share, s.now());
@@ -513,7 +513,7 @@
     /// Begins to read the platform's list, and to probe what stands there.
     pub fn watch(&self) {
         let s = self.s.clone();
-        spawn_at(IpAddr::from(ROUTER), async move { s.watch_all() });
+        spawn_at(IpAddr::from(ROUTER), async move { s.spawn_report_tasks() });
     }
 
     /// The time of the world, and for how long from then this router takes a replica for cold.
@@ -545,7 +545,7 @@
     /// Whether a replica is taken for well.
     pub fn well(&self, id: &str) -> bool {
         let fleet = self.s.fleet.load();
-        fleet.by_service.values().flatten().any(|c| c.id.as_str() == id && c.well)
+        fleet.by_service.values().flatten().any(|c| c.id.as_str() == id && c.healthy)
     }
 
     /// From now on these limits are in force; routes and services stay as they are.
@@ -568,7 +568,8 @@
     pub async fn at_rest(&self) {
         sleep(Duration::from_secs(1)).await;
         let fleet = self.s.fleet.load();
-        let open: i64 = fleet.by_service.values().flatten().map(|c| c.own.open.load(Ordering::Relaxed)).sum();
+        let open: i64 =
+            fleet.by_service.values().flatten().map(|c| c.local.open.load(Ordering::Relaxed)).sum();
         let forwarded_open: i64 = lock(&self.s.forwarded_open).values().sum();
         assert_eq!((open, forwarded_open, self.s.router.open_count.open()), (0, 0, 0), "all was given back");
     }
--- a/crates/data-plane/tests/serving/usage.rs
+++ b/crates/data-plane/tests/serving/usage.rs
@@ -4,13 +4,13 @@
 use common::{FencingToken, Tenant, Tick, runtime::Simulation};
 use data_plane::serving::usage::{
     UsageReport,
-    call::call_end,
-    clock::{TrueClock, sample},
+    call::call_outcome,
+    clock::{MedianClock, clock_offset},
     decisions::{KEPT_WINDOWS, KeepError, KeptDecisions},
-    pacing::{Call, CallEnd, CallPacing},
+    pacing::{Call, CallOutcome, CallPacing},
     plan::HolderPlan,
     recorder::StartRecorder,
-    tenure::{Spans, TenureWatch},
+    tenure::{HandoverSpans, TenureWatch},
 };
 use hyper::StatusCode;
 use rstest::rstest;
@@ -26,8 +26,8 @@
     UsageReport { window, counts: BTreeMap::from([("club".into(), count)]) }
 }
 
-fn clock() -> TrueClock {
-    TrueClock::of(vec![OFFSET_MS as i64; 5], 5).expect("the clocks of all")
+fn clock() -> MedianClock {
+    MedianClock::of(vec![OFFSET_MS as i64; 5], 5).expect("the clocks of all")
 }
 
 fn window_at(at: Tick) -> u64 {
@@ -48,19 +48,19 @@
     }
 
     fn begin(&mut self, found: Vec<UsageReport>) {
-        let tenure = self.plan.look(Some(FENCE), self.now).expect("a tenure");
-        self.plan.collected(&tenure, found, &clock());
+        let tenure = self.plan.observe(Some(FENCE), self.now).expect("a tenure");
+        self.plan.record_collected(&tenure, found, &clock());
     }
 
     fn until(&mut self, at: Tick) {
         while self.now < at {
             self.now = self.now + 100;
-            self.plan.look(Some(FENCE), self.now);
+            self.plan.observe(Some(FENCE), self.now);
         }
     }
 
     fn tenure(&mut self) -> u64 {
-        self.plan.look(Some(FENCE), self.now).expect("a tenure").number
+        self.plan.observe(Some(FENCE), self.now).expect("a tenure").number
     }
 
     fn decide(&mut self, window: u64, count: u64) -> bool {
@@ -69,41 +69,42 @@
     }
 
     fn to_send(&self) -> Option<Call> {
-        self.plan.to_send(&clock(), self.now)
+        self.plan.next_call(&clock(), self.now)
     }
 
     /// Counts the next window once it has ended, and has it copied.
     fn next_copied(&mut self) -> u64 {
         let window = loop {
             self.until(self.now + 100);
-            if let Some(window) = self.plan.to_count(&clock(), self.now) {
+            if let Some(window) = self.plan.next_to_count(&clock(), self.now) {
                 break window;
             }
         };
         assert!(self.decide(window, 7));
         let tenure = self.tenure();
-        self.plan.copied(tenure, window, true);
+        self.plan.record_copied(tenure, window, true);
         window
     }
 }
 
-fn spans() -> Spans {
-    Spans::of(&duty(0), &timing())
+fn spans() -> HandoverSpans {
+    HandoverSpans::of(&duty(0), &timing())
 }
 
 /// Windows that a former holder may have counted are not counted by the next one.
 fn counts_only_its_own_windows() -> bool {
     let mut holder = Holder::new();
-    holder.until(BEGAN + spans().undecided);
-    let early = window_at(BEGAN + spans().undecided) - 1;
-    holder.plan.to_count(&clock(), holder.now).is_none() && !holder.decide(early, 7)
+    holder.until(BEGAN + spans().undecided_ms);
+    let early = window_at(BEGAN + spans().undecided_ms) - 1;
+    holder.plan.next_to_count(&clock(), holder.now).is_none() && !holder.decide(early, 7)
 }
 
 /// A node that did not watch itself for long may have missed that another one held the duty.
 fn a_gap_ends_a_tenure() -> bool {
     let mut watch = TenureWatch::default();
-    let gap = spans().unwatched;
-    let look = |watch: &mut TenureWatch, at| watch.look(Some(FENCE), gap, Tick(at)).expect("a tenure").number;
+    let gap = spans().max_unwatched_ms;
+    let look =
+        |watch: &mut TenureWatch, at| watch.observe(Some(FENCE), gap, Tick(at)).expect("a tenure").number;
     (look(&mut watch, 1_000), look(&mut watch, 1_000 + gap), look(&mut watch, 1_001 + 2 * gap)) == (1, 1, 2)
 }
 
@@ -119,10 +120,10 @@
     let mut holder = Holder::new();
     holder.begin(vec![report(window_at(BEGAN) - 1, 7)]);
     let tenure = holder.tenure();
-    holder.plan.copied(tenure, window_at(BEGAN) - 1, true);
-    holder.until(BEGAN + spans().quiet - 100);
+    holder.plan.record_copied(tenure, window_at(BEGAN) - 1, true);
+    holder.until(BEGAN + spans().quiet_ms - 100);
     holder.to_send().is_none() && {
-        holder.until(BEGAN + spans().quiet);
+        holder.until(BEGAN + spans().quiet_ms);
         holder.to_send().is_some()
     }
 }
@@ -132,9 +133,9 @@
     let mut holder = Holder::new();
     holder.next_copied();
     let sent = holder.to_send().expect("a call");
-    holder.plan.sent(&sent, CallEnd::Accepted, holder.now);
+    holder.plan.record_outcome(&sent, CallOutcome::Accepted, holder.now);
     holder.until(holder.now + 5_000);
-    let window = holder.plan.to_count(&clock(), holder.now).expect("the next one");
+    let window = holder.plan.next_to_count(&clock(), holder.now).expect("the next one");
     assert!(holder.decide(window, 7));
     holder.to_send().is_none()
 }
@@ -149,13 +150,13 @@
     let mut holder = Holder::new();
     holder.next_copied();
     let call = holder.to_send().expect("a call");
-    let thawed = holder.plan.may_send(&call, Some(FENCE), holder.now + spans().unwatched + 1);
+    let thawed = holder.plan.may_send(&call, Some(FENCE), holder.now + spans().max_unwatched_ms + 1);
     allowed && !passed_on && !thawed
 }
 
 /// Less than most clocks may all be wrong.
 fn a_minority_of_clocks_is_no_clock() -> bool {
-    TrueClock::of(vec![1, 1], 4).is_none() && TrueClock::of(vec![1, 1, 1], 4).is_some()
+    MedianClock::of(vec![1, 1], 4).is_none() && MedianClock::of(vec![1, 1, 1], 4).is_some()
 }
 
 #[rstest]
@@ -176,20 +177,20 @@
     let (first, second) = (window_at(BEGAN) - 1, window_at(BEGAN) - 2);
     let mut holder = Holder::new();
     holder.begin(vec![report(first, 7), report(second, 3), report(second, 4), report(first, 7)]);
-    assert_eq!(holder.plan.to_copy().map(|found| UsageReport::clone(&found)), Some(report(first, 7)));
+    assert_eq!(holder.plan.next_to_copy().map(|found| UsageReport::clone(&found)), Some(report(first, 7)));
     let tenure = holder.tenure();
-    holder.plan.copied(tenure, first, true);
-    holder.until(BEGAN + spans().quiet);
+    holder.plan.record_copied(tenure, first, true);
+    holder.until(BEGAN + spans().quiet_ms);
     let call = holder.to_send().expect("a call");
     assert_eq!((*call.report).clone(), report(first, 7));
-    holder.plan.sent(&call, CallEnd::Unknown, holder.now);
+    holder.plan.record_outcome(&call, CallOutcome::Unknown, holder.now);
     holder.until(holder.now + 600);
     assert_eq!(
         holder.to_send().map(|again| again.report),
         Some(call.report.clone()),
         "exactly the same again"
     );
-    holder.plan.sent(&call, CallEnd::Accepted, holder.now);
+    holder.plan.record_outcome(&call, CallOutcome::Accepted, holder.now);
     holder.until(holder.now + 500);
     assert_eq!(holder.to_send(), None);
 }
@@ -199,11 +200,11 @@
     let mut holder = Holder::new();
     let window = holder.next_copied();
     let call = holder.to_send().expect("a call");
-    holder.plan.sent(&call, CallEnd::Accepted, holder.now);
+    holder.plan.record_outcome(&call, CallOutcome::Accepted, holder.now);
     holder.until(holder.now + 11_000);
-    assert!(!holder.plan.expired(&clock(), holder.now).iter().any(|(missed, _)| *missed == window));
-    let slower = TrueClock::of(vec![OFFSET_MS as i64 - 4_000; 5], 5).expect("a clock");
-    assert!(holder.plan.to_count(&slower, holder.now).is_none_or(|next| next > window));
+    assert!(!holder.plan.drop_expired(&clock(), holder.now).iter().any(|(missed, _)| *missed == window));
+    let slower = MedianClock::of(vec![OFFSET_MS as i64 - 4_000; 5], 5).expect("a clock");
+    assert!(holder.plan.next_to_count(&slower, holder.now).is_none_or(|next| next > window));
     let tenure = holder.tenure();
     assert!(!holder.plan.decide(tenure, report(window, 8), &slower, holder.now));
 }
@@ -214,7 +215,7 @@
     let window = holder.next_copied();
     assert!(!holder.decide(window + 1, 7), "it has not ended");
     holder.until(holder.now + 20_000);
-    let missed = holder.plan.expired(&clock(), holder.now);
+    let missed = holder.plan.drop_expired(&clock(), holder.now);
     assert_eq!(missed[0], (window, "not accepted in time"));
     assert_eq!(missed[1], (window + 1, "not counted in time"));
 }
@@ -224,7 +225,7 @@
     let mut holder = Holder::new();
     holder.begin(vec![report(window_at(BEGAN) - 1, 7)]);
     holder.until(BEGAN + 20_000);
-    let missed = holder.plan.expired(&clock(), holder.now);
+    let missed = holder.plan.drop_expired(&clock(), holder.now);
     assert!(!missed.iter().any(|(window, _)| *window < window_at(BEGAN)), "{missed:?}");
 }
 
@@ -233,36 +234,36 @@
     let mut holder = Holder::new();
     let window = holder.next_copied();
     let before = holder.tenure();
-    assert_eq!(holder.plan.look(None, holder.now), None);
+    assert_eq!(holder.plan.observe(None, holder.now), None);
     assert_ne!(holder.tenure(), before);
-    assert!(holder.plan.is_new());
+    assert!(holder.plan.needs_collection());
     assert!(!holder.plan.decide(before, report(window + 1, 7), &clock(), holder.now + 10_000));
 }
 
 #[test]
 fn a_refused_fencing_token_is_not_used_again_and_failures_slow_calls_down() {
     let mut pacing = CallPacing::new(50.0);
-    pacing.ended(FENCE, CallEnd::Superseded, Tick(0));
+    pacing.record_outcome(FENCE, CallOutcome::Superseded, Tick(0));
     assert!(!pacing.may_call(FENCE, Tick(60_000)));
     assert!(pacing.may_call(FENCE.next(), Tick(60_000)));
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        pacing.ended(FENCE.next(), CallEnd::Unknown, Tick(0));
+        pacing.record_outcome(FENCE.next(), CallOutcome::Unknown, Tick(0));
         pauses.push((0..).find(|ms| pacing.may_call(FENCE.next(), Tick(*ms))).expect("an end"));
     }
     assert_eq!(pauses, [500, 1_000, 2_000, 2_000, 2_000, 2_000]);
 }
 
 #[rstest]
-#[case(200, CallEnd::Accepted)]
-#[case(409, CallEnd::Superseded)]
-#[case(429, CallEnd::Unknown)]
-#[case(408, CallEnd::Unknown)]
-#[case(503, CallEnd::Unknown)]
-#[case(400, CallEnd::Refused)]
-#[case(404, CallEnd::Refused)]
-fn what_a_status_says_of_a_report(#[case] status: u16, #[case] end: CallEnd) {
-    assert_eq!(call_end(StatusCode::from_u16(status).expect("a status")), end);
+#[case(200, CallOutcome::Accepted)]
+#[case(409, CallOutcome::Superseded)]
+#[case(429, CallOutcome::Unknown)]
+#[case(408, CallOutcome::Unknown)]
+#[case(503, CallOutcome::Unknown)]
+#[case(400, CallOutcome::Refused)]
+#[case(404, CallOutcome::Refused)]
+fn what_a_status_says_of_a_report(#[case] status: u16, #[case] end: CallOutcome) {
+    assert_eq!(call_outcome(StatusCode::from_u16(status).expect("a status")), end);
 }
 
 #[test]
@@ -285,30 +286,30 @@
 fn each_start_is_counted_in_one_window_and_forgotten_in_time() {
     let (club, guild): (Tenant, Tenant) = ("club".into(), "guild".into());
     let mut starts = StartRecorder::default();
-    starts.note(&club, Tick(1_000), Tick(1_000));
-    assert!(starts.between(Tick(0), Tick(5_000)).is_empty(), "nothing is kept before it is asked for");
-    starts.keep_for(20_000);
+    starts.record(&club, Tick(1_000), Tick(1_000));
+    assert!(starts.counts_between(Tick(0), Tick(5_000)).is_empty(), "nothing is kept before it is asked for");
+    starts.set_retention(20_000);
     for at in (1_000..11_000).step_by(7) {
-        starts.note(&club, Tick(at), Tick(at));
+        starts.record(&club, Tick(at), Tick(at));
     }
-    starts.note(&guild, Tick(3_000), Tick(11_000));
+    starts.record(&guild, Tick(3_000), Tick(11_000));
     let all: u64 = (0..12)
-        .filter_map(|n| starts.between(Tick(n * 1_003), Tick((n + 1) * 1_003)).get(&club).copied())
+        .filter_map(|n| starts.counts_between(Tick(n * 1_003), Tick((n + 1) * 1_003)).get(&club).copied())
         .sum();
     assert_eq!(all, 1_429);
-    assert_eq!(starts.between(Tick(2_990), Tick(3_010)).get(&guild), Some(&1));
-    starts.note(&guild, Tick(40_000), Tick(40_000));
-    assert_eq!(starts.between(Tick(0), Tick(39_000)), BTreeMap::new());
+    assert_eq!(starts.counts_between(Tick(2_990), Tick(3_010)).get(&guild), Some(&1));
+    starts.record(&guild, Tick(40_000), Tick(40_000));
+    assert_eq!(starts.counts_between(Tick(0), Tick(39_000)), BTreeMap::new());
 }
 
 #[test]
 fn one_clock_that_jumped_changes_nothing() {
     let right = |n: i64| OFFSET_MS as i64 + n;
-    let clock =
-        TrueClock::of(vec![right(3), right(-8_000), right(0), right(9_000), right(-2)], 5).expect("a clock");
+    let clock = MedianClock::of(vec![right(3), right(-8_000), right(0), right(9_000), right(-2)], 5)
+        .expect("a clock");
     assert_eq!(clock.time_of_day(Tick(5)), OFFSET_MS + 5);
-    assert_eq!(clock.tick(OFFSET_MS + 5), Tick(5));
-    assert_eq!(sample(OFFSET_MS + 70, Tick(50)), OFFSET_MS as i64 + 20);
-    let lone = TrueClock::of(vec![right(0)], 1).expect("a clock");
+    assert_eq!(clock.tick_at(OFFSET_MS + 5), Tick(5));
+    assert_eq!(clock_offset(OFFSET_MS + 70, Tick(50)), OFFSET_MS as i64 + 20);
+    let lone = MedianClock::of(vec![right(0)], 1).expect("a clock");
     assert!(lone.error_ms() > clock.error_ms());
 }
--- a/crates/data-plane/tests/serving/usage_world.rs
+++ b/crates/data-plane/tests/serving/usage_world.rs
@@ -56,9 +56,9 @@
         holder: format!("m{n}"),
         window_ms: WINDOW_MS,
         delay_ms: 10_000,
-        return_ms: 3_000,
+        reacquire_pause_ms: 3_000,
         calls_per_s: 50.0,
-        losses: 2,
+        max_lost_machines: 2,
     }
 }
 
@@ -264,11 +264,11 @@
     spawn(common::rpc::listen(listener, set.me(), data_plane::rpc::SERVICE, {
         move |node, request| router.clone().answer(node, request)
     }));
-    serving.keep_usage_reported();
+    serving.spawn_usage_tasks();
     loop {
         way(START_PAUSE_MS).await;
         let tenant = Tenant::new(["club", "guild", "league"][random::<u64>() as usize % 3]);
-        lock(&serving.router.usage.starts).note(&tenant, serving.now(), serving.now());
+        lock(&serving.router.usage.starts).record(&tenant, serving.now(), serving.now());
         let window = simulation.time_of_day_ms() / WINDOW_MS;
         *lock(&truth).entry(window).or_default().entry(tenant).or_default() += 1;
     }
