--- a/crates/control-plane/src/control_node/connectivity.rs
+++ b/crates/control-plane/src/control_node/connectivity.rs
@@ -32,7 +32,7 @@
                 inner.last_contact = now;
                 Connectivity::InContact
             }
-            Contact::Outside => Connectivity::Unsure,
+            Contact::NotVoter => Connectivity::Unsure,
             Contact::Isolated if now.since(inner.last_contact) < election_ms => Connectivity::Unsure,
             Contact::Isolated => Connectivity::CutOff,
         }
@@ -42,12 +42,12 @@
     /// logged now.
     pub(super) fn members_at_risk(&self, inner: &Inner, change: &Change) -> Option<Vec<NodeId>> {
         let now = self.clock.now();
-        let narrows = change.narrows() && !common::mutation::enabled("narrows-unheard");
-        if !narrows || !inner.voter.can_serve_reads(now) {
+        let restricts = change.restricts_traffic() && !common::mutation::enabled("narrows-unheard");
+        if !restricts || !inner.voter.can_serve_reads(now) {
             return None;
         }
         let state = &inner.voter.cluster_state;
-        let silent = inner.leases.silent(state, &self.settings.timing, now);
+        let silent = inner.leases.silent_members(state, &self.settings.timing, now);
         stale_majority(state, &silent)
     }
 
--- a/crates/control-plane/src/control_node/leader_client.rs
+++ b/crates/control-plane/src/control_node/leader_client.rs
@@ -123,7 +123,7 @@
         }
         while let Some(to) = search.next() {
             let request = ControlRequest::Propose { change: change.clone() };
-            let (client, travel_ms) = self.client_for(change.weight());
+            let (client, travel_ms) = self.client_for(change.max_encoded_len());
             match client.call_within(timeout_ms + travel_ms, "propose", to, request).await {
                 Ok(ControlResponse::Proposed(ProposalOutcome::NotLogged { leader, why: refused })) => {
                     search.add_hint(leader);
@@ -174,7 +174,7 @@
         self.ask_next(&mut search, first, &mut pending);
         let mut enough = std::pin::pin!(sleep_until(began + timeout / ENOUGH_AFTER_PART));
         // This node's own answer counts where it is one of the voters.
-        let outside = self.lock().voter.contact(self.clock.now()) == Contact::Outside;
+        let outside = self.lock().voter.contact(self.clock.now()) == Contact::NotVoter;
         let mut answered = usize::from(!outside);
         let (majority, mut hedged) = (self.majority(), false);
         let mut failure = ReadError::OutOfContact;
--- a/crates/data-plane/src/serving/attempt.rs
+++ b/crates/data-plane/src/serving/attempt.rs
@@ -10,7 +10,7 @@
     replica_view::Candidate,
     state::Serving,
 };
-use crate::{attempt::strip_hop_by_hop, response_body::ends_surely, router::lock};
+use crate::{attempt::strip_hop_by_hop, response_body::has_detectable_end, router::lock};
 use common::{PeerError, Tick, error::AtPeer, http::full, log_event};
 use configuration::RouteKind;
 use hyper::{Request, header::HeaderValue};
@@ -48,7 +48,7 @@
 impl OpenRequest {
     /// Counts a request that is about to be sent to a replica.
     pub fn new(serving: &Arc<Serving>, replica: Candidate) -> Self {
-        replica.own.open.fetch_add(1, Ordering::AcqRel);
+        replica.local.open.fetch_add(1, Ordering::AcqRel);
         let forwarded = replica.region != serving.site.region;
         if forwarded {
             let key = (replica.region.clone(), replica.service.clone());
@@ -67,7 +67,7 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.replica.own.open.fetch_sub(1, Ordering::AcqRel);
+        self.replica.local.open.fetch_sub(1, Ordering::AcqRel);
         if self.forwarded {
             let key = (self.replica.region.clone(), self.replica.service.clone());
             lock(&self.serving.forwarded_open).entry(key).and_modify(|n| *n -= 1);
@@ -78,7 +78,7 @@
 impl Serving {
     /// How long opening a connection may take; a reachable replica needs less.
     fn connect_timeout_ms(&self) -> u64 {
-        self.router.set.timing.rpc_timeout_ms
+        self.router.settings.timing.rpc_timeout_ms
     }
 
     /// The request as it is sent to a replica. `after` is the id of the event after which a resumed stream continues.
@@ -111,7 +111,7 @@
 
     async fn open_connection(&self, plan: &Plan, replica: &Candidate) -> Result<Ready, PeerError> {
         let timeout_ms = self.connect_timeout_ms().min(plan.left_ms(self.now()).max(1));
-        Fresh::open(self.router.set.rpc_addr.ip(), replica.addr, timeout_ms).await.map(Ready::Fresh)
+        Fresh::open(self.router.settings.rpc_addr.ip(), replica.addr, timeout_ms).await.map(Ready::Fresh)
     }
 
     /// Makes one attempt. `after` is the id of the event after which a resumed stream continues. If the request may
@@ -189,7 +189,8 @@
     fn send_by(&self, plan: &Plan, replica: &Candidate) -> Result<Tick, &'static str> {
         let now = self.now();
         let view = self.replica_view.load();
-        let listed = view.of(&replica.service).iter().find(|x| x.id == replica.id && self.is_usable(x));
+        let listed =
+            view.replicas_of(&replica.service).iter().find(|x| x.id == replica.id && self.is_usable(x));
         let forbidden = [(now >= plan.deadline, "past its deadline"), (listed.is_none(), "replica left")];
         let forbidden = forbidden.into_iter().find_map(|(no, why)| no.then_some(why));
         if let Some(why) = forbidden.or_else(|| self.router.refuses_work()) {
@@ -206,7 +207,7 @@
             return;
         }
         let reports = lock(&self.reports);
-        let publisher = reports.by_zone.get(&replica.zone).map(|held| held.board.publisher.clone());
+        let publisher = reports.by_zone.get(&replica.zone).map(|held| held.report.publisher.clone());
         log_event!(Debug, "sent by an old replica list", "peer" => replica.id, "age_ms" => age_ms, "publisher" => format!("{publisher:?}"));
     }
 
@@ -222,7 +223,7 @@
             not_run: head.headers.contains_key(&names.not_run),
             sealed: head.headers.contains_key(&names.seal),
             id,
-            end_detectable: ends_surely(&plan.method, head, answer.body.incoming()),
+            end_detectable: has_detectable_end(&plan.method, head, answer.body.incoming()),
         }
     }
 
@@ -230,7 +231,7 @@
     fn check_answer(&self, plan: &Plan, replica: &Candidate, mut answer: Answer) -> AttemptOutcome {
         match attempt_state::check_answer(plan.request_traits(), &self.answer_head(plan, &answer)) {
             AnswerCheck::Answer => {
-                replica.own.note_contact(self.now());
+                replica.local.note_contact(self.now());
                 strip_hop_by_hop(&mut answer.head.headers);
                 AttemptOutcome::Answer(answer)
             }
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -12,7 +12,7 @@
     settings::{Listeners, Settings},
 };
 use configuration::DocumentFormat;
-use control_plane::{Role, membership::Member, types::NodeInfo};
+use control_plane::{Role, membership::LocalMember, types::NodeInfo};
 use std::{
     sync::{Arc, atomic::Ordering},
     time::Duration,
@@ -41,7 +41,7 @@
 ) -> eyre::Result<()> {
     let info = NodeInfo::of(&set, Role::Router, Incarnation(random::<u64>() >> 1));
     let clock = Clock::default();
-    let member = Member::new(set.clone(), info, clock.clone());
+    let member = LocalMember::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock.clone());
     let ServingParts { site, protocol, document_format } = parts;
     let extra_listeners: Vec<_> = site.readiness_addr.into_iter().chain(site.directory_addr).collect();
@@ -50,15 +50,15 @@
     let serving = Serving::new(router.clone(), protocol, document_format, site);
     router.start_serving(&set, listeners.rpc);
     spawn(serving.clone().follow_configuration());
-    serving.watch_all();
-    serving.keep_usage_reported();
+    serving.spawn_report_tasks();
+    serving.spawn_usage_tasks();
     let (stop_listening, stopped) = watch::channel(false);
     let (stop_extra, extra_stopped) = watch::channel(false);
     for addr in extra_listeners {
         let listener = bind(addr).await?;
         let me = serving.clone();
         spawn(http::serve(listener, Arc::default(), extra_stopped.clone(), move |peer, req| {
-            me.clone().asked(peer, req)
+            me.clone().answer_directory_request(peer, req)
         }));
     }
     let conns = Arc::new(http::OpenCount::default());
--- a/crates/data-plane/src/serving/dispatch.rs
+++ b/crates/data-plane/src/serving/dispatch.rs
@@ -82,7 +82,7 @@
         if past_deadline || permit == Permit::No || (paid && !self.retries.spend(&plan.service)) {
             return Err("no further attempt");
         }
-        let picked = self.pick(plan, history);
+        let picked = self.select_replica(plan, history);
         match &picked {
             Ok(_) => history.attempts.begin(paid),
             Err(_) if paid => self.retries.give_back(&plan.service),
@@ -121,14 +121,14 @@
                 }
                 AttemptOutcome::NotSent(error) => {
                     history.fail_attempt(self, &plan, AttemptEnd::NotSent, error);
-                    replica.own.avoid(self.now() + self.router.set.timing.probe_interval_ms);
+                    replica.local.avoid(self.now() + self.router.settings.timing.probe_interval_ms);
                 }
                 AttemptOutcome::Declined(error) => {
                     history.fail_attempt(self, &plan, AttemptEnd::Declined, error);
                 }
                 AttemptOutcome::MayHaveRun(error) => {
                     history.fail_attempt(self, &plan, AttemptEnd::MayHaveRun, error);
-                    replica.own.avoid(self.now() + self.router.set.timing.probe_interval_ms / 4);
+                    replica.local.avoid(self.now() + self.router.settings.timing.probe_interval_ms / 4);
                 }
             }
         }
--- a/crates/data-plane/src/serving/gateway.rs
+++ b/crates/data-plane/src/serving/gateway.rs
@@ -101,7 +101,7 @@
     /// back. A retry, which has used up some of the route's time already, may have no other chance: it waits for up
     /// to a lease, but at most half of the time that it has left.
     async fn wait_until_ready(&self, head: &Parts, left_ms: u64) -> Option<&'static str> {
-        let (began, timing) = (self.now(), &self.router.set.timing);
+        let (began, timing) = (self.now(), &self.router.settings.timing);
         while let Some(why) = self.not_ready_reason().filter(|why| *why != "draining") {
             let is_retry = self
                 .route_map
--- a/crates/data-plane/src/serving/prefill_announce.rs
+++ b/crates/data-plane/src/serving/prefill_announce.rs
@@ -16,7 +16,7 @@
 
 impl Router {
     pub fn note_prompt(&self, n: &PromptSent) {
-        lock(&self.reading).note(n, PREFILL_TOKENS_PER_MS, self.now());
+        lock(&self.reading).record_sent(n, PREFILL_TOKENS_PER_MS, self.now());
     }
 }
 
@@ -43,7 +43,8 @@
         for m in l.routers().into_iter().filter(near) {
             let (me, to, note) = (self.router.clone(), m.info.rpc_addr, note.clone());
             common::runtime::spawn(async move {
-                let _ = me.lines.call("announce prompt", to, RouterRequest::AnnouncePrompt { note }).await;
+                let _ =
+                    me.rpc_client.call("announce prompt", to, RouterRequest::AnnouncePrompt { note }).await;
             });
         }
     }
--- a/crates/data-plane/src/serving/region_choice.rs
+++ b/crates/data-plane/src/serving/region_choice.rs
@@ -6,7 +6,7 @@
     load::RegionLoad,
     placement_table::{PlacementOutcome, UserKey},
     region_choice::{draw, draw_by_key, weight},
-    router::{Cached, lock},
+    router::{CachedPlacement, lock},
 };
 use common::Region;
 use std::{collections::BTreeMap, sync::Arc};
@@ -24,7 +24,7 @@
     seen: &BTreeMap<Region, RegionLoad>,
     open_to: &dyn Fn(&Region) -> bool,
 ) -> Vec<(Region, f64)> {
-    let eligible = seen.iter().filter(|(r, l)| open_to(r) && l.passes(OVERLOAD_RATIO));
+    let eligible = seen.iter().filter(|(r, l)| open_to(r) && l.is_eligible(OVERLOAD_RATIO));
     eligible.map(|(r, l)| (r.clone(), weight(l, WEIGHT_SMOOTHING))).collect()
 }
 
@@ -38,14 +38,14 @@
         let key = (region.clone(), plan.service.clone());
         let open = lock(&self.forwarded_open).get(&key).copied().unwrap_or(0);
         let view = self.replica_view.load();
-        view.lends.get(&key).is_some_and(|(n, until)| *until > self.now() && open < i64::from(*n))
+        view.lending_grants.get(&key).is_some_and(|(n, until)| *until > self.now() && open < i64::from(*n))
     }
 
     /// The regions to try, in order; none that is not a home of the request.
     pub fn ranked_regions(self: &Arc<Self>, plan: &Plan, usable: &dyn Fn(&Candidate) -> bool) -> Vec<Region> {
         let home = |r: &Region| plan.is_home(r);
         let view = self.replica_view.load();
-        let mut seen = view.regions(&plan.service, usable);
+        let mut seen = view.region_loads(&plan.service, usable);
         seen.retain(|r, _| home(r));
         let own_is_home = home(&self.site.region);
         let open = |r: &Region| self.open_to(plan, r, own_is_home);
@@ -74,37 +74,46 @@
         candidates: &[(Region, f64)],
     ) -> Option<Region> {
         let now = self.now();
-        let cached = lock(&self.router.cache).get(&(key, plan.service.clone())).cloned();
-        let eligible = |r: &Region| seen.get(r).is_some_and(|l| l.passes(OVERLOAD_RATIO));
+        let cached = lock(&self.router.placement_cache).get(&(key, plan.service.clone())).cloned();
+        let eligible = |r: &Region| seen.get(r).is_some_and(|l| l.is_eligible(OVERLOAD_RATIO));
         let valid = cached.as_ref().filter(|c| c.until > now && eligible(&c.region));
         let confirmed_lately =
             valid.is_some_and(|c| now.since(c.confirmed_at) < (PLACEMENT_TTL_MS / 180).min(5_000));
         let region = valid.map(|c| c.region.clone()).or_else(|| draw_by_key(candidates, key.0))?;
         if !confirmed_lately {
-            let stale = cached.filter(|c| c.until > now && !eligible(&c.region)).map(|c| c.ver);
+            let stale = cached.filter(|c| c.until > now && !eligible(&c.region)).map(|c| c.version);
             self.remember(
                 key,
                 plan,
-                Cached { region: region.clone(), ver: 0, confirmed_at: now, until: now + PLACEMENT_TTL_MS },
+                CachedPlacement {
+                    region: region.clone(),
+                    version: 0,
+                    confirmed_at: now,
+                    until: now + PLACEMENT_TTL_MS,
+                },
             );
             let (me, service, proposed) = (self.clone(), plan.service.clone(), region.clone());
             common::runtime::spawn(async move {
                 let asked_at = me.now();
                 let outcome = me
                     .router
-                    .settle(
+                    .resolve(
                         key,
                         &service,
                         stale,
                         Some(proposed),
                         PLACEMENT_TTL_MS,
-                        me.router.set.timing.rpc_timeout_ms,
+                        me.router.settings.timing.rpc_timeout_ms,
                     )
                     .await;
-                if let Some(PlacementOutcome::Held { region, ver, .. }) = outcome {
-                    let entry =
-                        Cached { region, ver, confirmed_at: asked_at, until: asked_at + PLACEMENT_TTL_MS };
-                    lock(&me.router.cache).insert((key, service), entry);
+                if let Some(PlacementOutcome::Held { region, version, .. }) = outcome {
+                    let entry = CachedPlacement {
+                        region,
+                        version,
+                        confirmed_at: asked_at,
+                        until: asked_at + PLACEMENT_TTL_MS,
+                    };
+                    lock(&me.router.placement_cache).insert((key, service), entry);
                 }
             });
         }
@@ -112,8 +121,8 @@
     }
 
     /// Caches an entry; if the cache is large, drops those that have expired.
-    fn remember(&self, key: UserKey, plan: &Plan, entry: Cached) {
-        let mut cache = lock(&self.router.cache);
+    fn remember(&self, key: UserKey, plan: &Plan, entry: CachedPlacement) {
+        let mut cache = lock(&self.router.placement_cache);
         if cache.len() >= crate::placement_table::MAX_ROWS / 64 {
             cache.retain(|_, x| x.until > entry.confirmed_at);
         }
--- a/crates/data-plane/src/serving/replica_choice.rs
+++ b/crates/data-plane/src/serving/replica_choice.rs
@@ -1,7 +1,7 @@
 //! The choice of a replica within a region (design 9.5): the one with the shortest expected time until the first
 //! event of the answer, by load reports and this router's own counts. No I/O.
 
-use super::{prefill::Reading, protocol::Prompt, replica_view::Candidate};
+use super::{prefill::PrefillTracker, protocol::Prompt, replica_view::Candidate};
 use common::{Region, Tick, Zone, rendezvous::stable_hash};
 
 /// Prompt tokens that a replica processes per millisecond (prefill rate).
@@ -36,7 +36,7 @@
     /// The prompt is so long that processing it delays streams that run beside it.
     pub long_prompt: bool,
     /// Long prompts that replicas process now, and prefixes that they have cached.
-    pub reading: &'a Reading,
+    pub reading: &'a PrefillTracker,
     /// Hash and length in tokens of each shared prefix of the prompt, shortest first.
     pub prefixes: &'a [(u64, u32)],
     /// Prompt tokens that a replica processes per millisecond.
@@ -54,7 +54,7 @@
 impl ChoiceContext<'_> {
     /// Tokens of the prompt that a replica does not have cached.
     fn uncached_tokens(&self, replica: &Candidate) -> u32 {
-        self.reading.unread(&replica.id, self.prefixes, self.prompt.tokens_in)
+        self.reading.unread_tokens(&replica.id, self.prefixes, self.prompt.tokens_in)
     }
 
     /// Tokens of the prefix that requests may share; 0 without affinity.
--- a/crates/data-plane/src/serving/report_subscription.rs
+++ b/crates/data-plane/src/serving/report_subscription.rs
@@ -43,7 +43,7 @@
 
 impl Serving {
     /// Subscribes to each zone's reports, and publishes those that are this node's to publish.
-    pub fn watch_all(self: &Arc<Self>) {
+    pub fn spawn_report_tasks(self: &Arc<Self>) {
         for zone in self.site.zones.keys() {
             common::runtime::spawn(self.clone().publish(zone.clone()));
             common::runtime::spawn(self.clone().subscribe(zone.clone()));
@@ -83,7 +83,7 @@
 
     async fn subscribe(self: Arc<Self>, zone: Zone) {
         let mut subscription = Subscription::default();
-        let pause_ms = self.router.set.timing.heartbeat_ms().min(self.report_interval_ms());
+        let pause_ms = self.router.settings.timing.heartbeat_ms().min(self.report_interval_ms());
         let pause = Duration::from_millis(pause_ms);
         loop {
             let now = self.now();
@@ -115,7 +115,7 @@
                 Err(e) => {
                     log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause());
                     // From now on: the call may have taken longer than the backoff.
-                    subscription.backoff.fail(node, self.now(), self.router.set.timing.lease_ms);
+                    subscription.backoff.fail(node, self.now(), self.router.settings.timing.lease_ms);
                 }
             }
         }
@@ -123,7 +123,7 @@
 
     /// Asks another source than this one for a while, where there is one.
     fn pass_over(&self, zone: &Zone, node: NodeId, subscription: &mut Subscription) {
-        subscription.backoff.fail(node.clone(), self.now(), self.router.set.timing.lease_ms);
+        subscription.backoff.fail(node.clone(), self.now(), self.router.settings.timing.lease_ms);
         if self.source(zone, &subscription.backoff).is_none() {
             subscription.backoff.succeed(&node);
         }
@@ -162,8 +162,8 @@
             }
         };
         let (to, step) = (member.info.rpc_addr, "watch replicas");
-        let timeout_ms = wait_ms + self.router.set.timing.rpc_timeout_ms;
-        match self.router.lines.call_within(timeout_ms, step, to, request).await? {
+        let timeout_ms = wait_ms + self.router.settings.timing.rpc_timeout_ms;
+        match self.router.rpc_client.call_within(timeout_ms, step, to, request).await? {
             RouterResponse::ReplicaReport(report) => Ok(report.map(|report| *report)),
             _ => Err(PeerError::new(step, to, "another answer")),
         }
@@ -174,16 +174,16 @@
     fn take_report(&self, report: ReplicaReport, asked: Tick) -> Tick {
         let received = self.now();
         let at = report.fresh_at(asked, received);
-        let report = ReceivedReport { board: report, at, received };
+        let report = ReceivedReport { report, fresh_at: at, received_at: received };
         let mut reports = lock(&self.reports);
-        let taken = reports.take_received(report.clone());
+        let taken = reports.accept_received(report.clone());
         let listed_at = self.listed_at(&reports, &report);
         if !taken {
             return listed_at;
         }
-        self.router.pass_report_on(report);
-        let valid = self.router.set.timing.report_max_age_ms();
-        let fleet = reports.fleet(&self.site.zones, valid, self.list_max_age_ms());
+        self.router.relay_report(report);
+        let valid = self.router.settings.timing.report_max_age_ms();
+        let fleet = reports.build_view(&self.site.zones, valid, self.list_max_age_ms());
         let listed = |id: &ReplicaId| fleet.by_service.values().flatten().any(|c| c.id == *id);
         lock(&self.router.reading).retain(&listed);
         self.replica_view.store(Arc::new(fleet));
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -110,7 +110,7 @@
     ) -> Arc<Self> {
         let retries = RetryBudget::started(router.now());
         if let Some(duty) = &site.usage_duty {
-            lock(&router.usage.starts).keep_for(duty.kept_ms());
+            lock(&router.usage.starts).set_retention(duty.retention_ms());
         }
         Arc::new(Self {
             router,
@@ -149,11 +149,11 @@
                     Ok(route_map) => {
                         in_force = cluster.revision;
                         self.route_map.store(Some(Arc::new(route_map)));
-                        self.router.member.revision_in_force.store(in_force.0, Ordering::Release);
+                        self.router.member.active_revision.store(in_force.0, Ordering::Release);
                         log_event!(Info, "governs", "revision" => in_force.0);
                     }
                     Err(diagnostics) => {
-                        self.router.unreadable.store(cluster.revision.0, Ordering::Release);
+                        self.router.unreadable_revision.store(cluster.revision.0, Ordering::Release);
                         log_event!(Error, "read document", "peer" => "core", "revision" => cluster.revision.0, "cause" => format!("{diagnostics:?}"));
                     }
                 }
@@ -194,7 +194,7 @@
         let now = self.now();
         for (zone, held) in &lock(&self.reports).by_zone {
             let age = self.router.counters.replica_list_age.with_label_values(&[zone.as_str()]);
-            age.set(now.since(held.at) as i64);
+            age.set(now.since(held.fresh_at) as i64);
         }
         self.router.metrics()
     }
--- a/crates/data-plane/src/serving/stream_relay.rs
+++ b/crates/data-plane/src/serving/stream_relay.rs
@@ -173,7 +173,7 @@
             if !self.events.continues_after_last() {
                 return StreamEnd::Cut("the replica does not continue after the last event".into());
             }
-            open.replica.own.note_contact(self.serving.now());
+            open.replica.local.note_contact(self.serving.now());
             let Some(events) = self.events.take_whole_events() else { continue };
             open.note_event(&self.plan);
             self.pauses.note_event(self.serving.now());
@@ -186,7 +186,7 @@
     /// Whether the replica has sent this router nothing for too long, and another one may be asked in time.
     fn is_silent(&self, open: &OpenRequest, max_silence: Duration) -> bool {
         let now = self.serving.now();
-        let quiet_ms = now.since(Tick(open.replica.own.last_contact.load(Ordering::Relaxed)));
+        let quiet_ms = now.since(Tick(open.replica.local.last_contact.load(Ordering::Relaxed)));
         self.plan.idempotent() && now < self.plan.deadline && quiet_ms >= max_silence.as_millis() as u64
     }
 }
@@ -241,7 +241,7 @@
             }
             AttemptOutcome::NotSent(e) => {
                 history.fail_attempt(serving, plan, AttemptEnd::NotSent, e);
-                replica.own.avoid(serving.now() + serving.router.set.timing.probe_interval_ms);
+                replica.local.avoid(serving.now() + serving.router.settings.timing.probe_interval_ms);
             }
             AttemptOutcome::Declined(e) => history.fail_attempt(serving, plan, AttemptEnd::Declined, e),
             AttemptOutcome::MayHaveRun(e) => history.fail_attempt(serving, plan, AttemptEnd::MayHaveRun, e),
--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -13,7 +13,7 @@
     serving::{
         prefill::PromptSent,
         replica_report::{ReplicaReport, ReplicaRow},
-        usage::{UsageAnswer, UsageQuestion, UsageReport},
+        usage::{UsageReport, UsageRequest, UsageResponse},
     },
     summary::{Event, EventKind, Summary},
 };
@@ -59,7 +59,7 @@
         key: UserKey(99),
         service: service(),
         region: "centro".into(),
-        ver: 3,
+        version: 3,
         ttl_ms: 900_000,
     }]
 }
@@ -72,7 +72,7 @@
         slots: 48,
         draining: true,
         cold_left_ms: 1_500,
-        well: true,
+        healthy: true,
         running: 12,
         waiting: 3,
         memory_used: 4_000,
@@ -86,7 +86,7 @@
         age_ms: 120,
         waited_ms: 30,
         rows: vec![row],
-        lends: BTreeMap::from([(service(), 5)]),
+        lending_grants: BTreeMap::from([(service(), 5)]),
     }
 }
 
@@ -110,7 +110,7 @@
         seq: 17,
         age_ms: 120,
         waited_ms: 30,
-        line: vec![NodeId::new("p1"), NodeId::new("p2")],
+        routers: vec![NodeId::new("p1"), NodeId::new("p2")],
         replicas: vec![replica],
     }
 }
@@ -176,13 +176,13 @@
         ("load-report", RouterRequest::WatchReplicas { zone: zone(), seq: 3, wait_ms: 500 }),
         (
             "usage-starts",
-            RouterRequest::Usage(UsageQuestion::Starts { from_age_ms: 5_400, until_age_ms: 400 }),
+            RouterRequest::Usage(UsageRequest::Starts { from_age_ms: 5_400, until_age_ms: 400 }),
         ),
         (
             "usage-keep",
-            RouterRequest::Usage(UsageQuestion::Keep { fencing_token: FencingToken(4), report: usage() }),
+            RouterRequest::Usage(UsageRequest::Keep { fencing_token: FencingToken(4), report: usage() }),
         ),
-        ("usage-collect", RouterRequest::Usage(UsageQuestion::Collect { fencing_token: FencingToken(4) })),
+        ("usage-collect", RouterRequest::Usage(UsageRequest::Collect { fencing_token: FencingToken(4) })),
     ];
     for (name, request) in requests {
         fixtures().assert_wire(&format!("request-{name}"), &request);
@@ -197,7 +197,7 @@
         fencing_token: FencingToken(4),
         serial: 9,
         count: 3,
-        life_ms: 1_000,
+        ttl_ms: 1_000,
     };
     let replies = [
         (
@@ -208,7 +208,11 @@
         ("placed-empty", RouterResponse::Placement(PlacementOutcome::Empty)),
         (
             "placed",
-            RouterResponse::Placement(PlacementOutcome::Held { region: "norte".into(), ver: 3, won: true }),
+            RouterResponse::Placement(PlacementOutcome::Held {
+                region: "norte".into(),
+                version: 3,
+                won: true,
+            }),
         ),
         ("rows", RouterResponse::Placements(rows())),
         ("figures", RouterResponse::LoadReport(figures())),
@@ -218,14 +222,14 @@
         ("rejected", RouterResponse::Rejected("stale fence".into())),
         (
             "usage-starts",
-            RouterResponse::Usage(UsageAnswer::Starts { time_of_day_ms: 17, counts: usage().counts }),
+            RouterResponse::Usage(UsageResponse::Starts { time_of_day_ms: 17, counts: usage().counts }),
         ),
-        ("usage-kept", RouterResponse::Usage(UsageAnswer::Kept)),
-        ("usage-differs", RouterResponse::Usage(UsageAnswer::Differs)),
-        ("usage-superseded", RouterResponse::Usage(UsageAnswer::Superseded(FencingToken(5)))),
+        ("usage-kept", RouterResponse::Usage(UsageResponse::Kept)),
+        ("usage-differs", RouterResponse::Usage(UsageResponse::Differs)),
+        ("usage-superseded", RouterResponse::Usage(UsageResponse::Superseded(FencingToken(5)))),
         (
             "usage-collected",
-            RouterResponse::Usage(UsageAnswer::Collected { time_of_day_ms: 17, reports: vec![usage()] }),
+            RouterResponse::Usage(UsageResponse::Collected { time_of_day_ms: 17, reports: vec![usage()] }),
         ),
     ];
     for (name, reply) in replies {
@@ -258,7 +262,7 @@
         revision: Revision(3),
         epoch: Epoch(4),
         cut_off: true,
-        unwell: BTreeSet::from([ReplicaId::new("r-1")]),
+        unhealthy: BTreeSet::from([ReplicaId::new("r-1")]),
         rejected: BTreeMap::from([("late".into(), 2)]),
         unknown: BTreeMap::from([("answer".into(), 1)]),
         last: Tick(5),
--- a/crates/data-plane/tests/serving/fleet.rs
+++ b/crates/data-plane/tests/serving/fleet.rs
@@ -12,7 +12,7 @@
 };
 use control_plane::{
     Change, ClusterState, Role,
-    membership::Member,
+    membership::LocalMember,
     state_machine::{singleton, state_update::StateUpdate},
     types::NodeInfo,
 };
@@ -99,7 +99,7 @@
 /// It reads no list and asks for no reports yet.
 async fn start_in_epoch(n: usize, epoch: Epoch, renewed: Arc<AtomicBool>) -> Arc<Serving> {
     let (set, clock) = (settings(n), Clock::default());
-    let member = Member::new(set.clone(), info(n), clock.clone());
+    let member = LocalMember::new(set.clone(), info(n), clock.clone());
     let _ = member.install(StateUpdate::Snapshot(Box::new(members())), "test");
     let router = Router::new(set.clone(), member.clone(), clock.clone());
     spawn(async move {
@@ -176,7 +176,7 @@
         });
         let fleet = Self { listing, ..Self::start_still(world).await };
         for n in 0..REPORTED + SUBSCRIBED {
-            fleet.on(n, Serving::watch_all).await;
+            fleet.on(n, Serving::spawn_report_tasks).await;
         }
         fleet.pass(SETTLED_MS, true).await;
         fleet
@@ -198,7 +198,7 @@
         let renewed = self.renewed.clone();
         let router = start_in_epoch(n, Epoch(RESTARTED_EPOCH + n as u64), renewed);
         self.routers[n] = self.world.host(ip(n)).spawn(router).await.expect("a router");
-        self.on(n, Serving::watch_all).await;
+        self.on(n, Serving::spawn_report_tasks).await;
     }
 
     /// From now on the list says this of zone `n1`; `None`: the platform answers nothing but 503.
@@ -249,7 +249,7 @@
         let serving = self.routers[n].clone();
         let usable = async move {
             let view = serving.replica_view.load();
-            view.of(&"chat".into())
+            view.replicas_of(&"chat".into())
                 .iter()
                 .any(|replica| replica.id == id.into() && serving.is_usable(replica))
         };
@@ -299,7 +299,7 @@
     }
 
     pub fn knows(&self, n: usize) -> usize {
-        self.routers[n].replica_view.load().of(&"chat".into()).len()
+        self.routers[n].replica_view.load().replicas_of(&"chat".into()).len()
     }
 
     /// What is done at a router, by the clock of its own host.
@@ -328,11 +328,11 @@
 
     /// Time since a router had a new report.
     pub async fn silence_ms(&self, n: usize) -> u64 {
-        self.since(n, |held| held.received).await
+        self.since(n, |held| held.received_at).await
     }
 
     /// How old the report is that a router holds.
     pub async fn report_age_ms(&self, n: usize) -> u64 {
-        self.since(n, |held| held.at).await
+        self.since(n, |held| held.fresh_at).await
     }
 }
--- a/crates/data-plane/tests/serving/placement.rs
+++ b/crates/data-plane/tests/serving/placement.rs
@@ -9,7 +9,7 @@
 use configuration::{Backend, Route, RouteKind, home_regions};
 use data_plane::{
     placement_table::UserKey,
-    router::{Cached, lock},
+    router::{CachedPlacement, lock},
     serving::{Serving, plan::Plan, region_choice::PLACEMENT_TTL_MS, replica_view::ReportStore},
 };
 use hyper::{HeaderMap, Method, Uri};
@@ -64,9 +64,9 @@
 fn report_load(serving: &Serving, north: u32, west: u32) {
     let mut store = ReportStore::default();
     let now = serving.now();
-    assert!(store.take(replica_report("n1", 1, vec![replica_row(1, north)]), now));
-    assert!(store.take(replica_report("w1", 1, vec![replica_row(2, west)]), now));
-    serving.replica_view.store(Arc::new(store.fleet(&regions_of_zones(), 3_000, LIST_MAX_AGE_MS)));
+    assert!(store.accept(replica_report("n1", 1, vec![replica_row(1, north)]), now));
+    assert!(store.accept(replica_report("w1", 1, vec![replica_row(2, west)]), now));
+    serving.replica_view.store(Arc::new(store.build_view(&regions_of_zones(), 3_000, LIST_MAX_AGE_MS)));
 }
 
 /// The region that one router would try first for each user.
@@ -154,14 +154,14 @@
         report_load(&fleet.routers[n], 2, 2);
         let check = |serving: &Arc<Serving>| {
             for user in USERS {
-                let cached = |region: &str| Cached {
+                let cached = |region: &str| CachedPlacement {
                     region: region.into(),
-                    ver: 7,
+                    version: 7,
                     confirmed_at: serving.now(),
                     until: serving.now() + PLACEMENT_TTL_MS,
                 };
                 let at = (UserKey(user), "chat".into());
-                lock(&serving.router.cache).insert(at.clone(), cached("west"));
+                lock(&serving.router.placement_cache).insert(at.clone(), cached("west"));
                 let regions = |homes: &[&str]| serving.ranked_regions(&plan(user, homes), &|_| true);
                 assert_eq!(
                     regions(&["north", "west"])[0],
--- a/crates/data-plane/tests/serving/replica_choice.rs
+++ b/crates/data-plane/tests/serving/replica_choice.rs
@@ -4,7 +4,7 @@
 use common::{ReplicaId, Tick};
 use data_plane::serving::{
     Prompt,
-    prefill::{PromptSent, Reading, prefixes},
+    prefill::{PrefillTracker, PromptSent, prefixes},
     replica_choice::{ChoiceContext, PREFILL_TOKENS_PER_MS, all_overdue, choose_replica, fits_memory},
     replica_view::Candidate,
 };
@@ -16,7 +16,7 @@
 /// The request for which a replica is chosen.
 struct TestRequest<'a> {
     prompt: &'a Prompt,
-    reading: &'a Reading,
+    reading: &'a PrefillTracker,
     long: bool,
 }
 
@@ -52,10 +52,10 @@
 #[case::a_longer_wait(200_000, false)]
 fn long_prompts_go_where_their_prefix_is_cached(#[case] others: u32, #[case] at_r2: bool) {
     let p = prompt(&[(1, 10_000), (2, 8_000), (3, 2_000)], 20_000);
-    let mut reading = Reading::default();
+    let mut reading = PrefillTracker::default();
     let note = |prefixes, tokens| PromptSent { replica: "r2".into(), prefixes, tokens, memory: 1_000_000 };
-    reading.note(&note(prefixes(&p), 20_000), PREFILL_TOKENS_PER_MS, Tick(0));
-    reading.note(&note(vec![], others), PREFILL_TOKENS_PER_MS, NOW);
+    reading.record_sent(&note(prefixes(&p), 20_000), PREFILL_TOKENS_PER_MS, Tick(0));
+    reading.record_sent(&note(vec![], others), PREFILL_TOKENS_PER_MS, NOW);
     let got = chosen(&idle(6), &TestRequest { prompt: &p, reading: &reading, long: true });
     assert_eq!(got == BTreeSet::from(["r2".into()]), at_r2, "{got:?}");
     assert_eq!(got.contains(&"r2".into()), at_r2, "{got:?}");
@@ -64,14 +64,14 @@
 /// Any replica may get prompts of any length: no replicas are reserved for long or short ones.
 #[rstest]
 fn all_replicas_take_long_and_short_prompts(#[values(false, true)] long: bool) {
-    let (p, reading) = (prompt(&[], 500), Reading::default());
+    let (p, reading) = (prompt(&[], 500), PrefillTracker::default());
     assert_eq!(chosen(&idle(11), &TestRequest { prompt: &p, reading: &reading, long }).len(), 11);
 }
 
 /// Prompts with the same shared prefix go to the same replica while that is idle; prompts without one are spread.
 #[test]
 fn short_prefixes_stay_together() {
-    let reading = Reading::default();
+    let reading = PrefillTracker::default();
     let chosen_for = |p: &Prompt, candidates: &[Candidate]| {
         chosen(candidates, &TestRequest { prompt: p, reading: &reading, long: false })
     };
@@ -114,7 +114,7 @@
 #[case::all_far_over(&[200, 300], 1_000.0, true)]
 fn overdue_if_no_candidate_has_a_slot_in_time(#[case] running: &[u32], #[case] ms: f64, #[case] want: bool) {
     let candidates = candidates(running.iter().enumerate().map(|(n, r)| replica_row(n, *r)).collect());
-    let (p, reading) = (prompt(&[], 10), Reading::default());
+    let (p, reading) = (prompt(&[], 10), PrefillTracker::default());
     let context = ChoiceContext { now: NOW, ..choice_context(&p, &reading) };
     assert_eq!(all_overdue(&candidates.iter().collect::<Vec<_>>(), &context, ms), want);
 }
--- a/crates/data-plane/tests/serving/request_handling.rs
+++ b/crates/data-plane/tests/serving/request_handling.rs
@@ -251,7 +251,7 @@
 }
 
 fn unhealthy(r: ReplicaRow) -> ReplicaRow {
-    ReplicaRow { well: false, ..r }
+    ReplicaRow { healthy: false, ..r }
 }
 
 fn draining(r: ReplicaRow) -> ReplicaRow {
--- a/crates/data-plane/tests/serving/router_fixture.rs
+++ b/crates/data-plane/tests/serving/router_fixture.rs
@@ -13,7 +13,8 @@
 };
 use configuration::{Backend, Diagnostic, DocumentFormat, RequestLimits, Route, RouteMap};
 use control_plane::{
-    Change, ClusterState, Role, membership::Member, state_machine::state_update::StateUpdate, types::NodeInfo,
+    Change, ClusterState, Role, membership::LocalMember, state_machine::state_update::StateUpdate,
+    types::NodeInfo,
 };
 use data_plane::{
     router::{Router, lock},
@@ -416,7 +417,7 @@
                 seen: common::Index(u64::MAX),
             });
         }
-        let member = Member::new(set.clone(), info, clock.clone());
+        let member = LocalMember::new(set.clone(), info, clock.clone());
         member.extend_lease(Epoch(cluster_state.index.0), clock.now());
         let _ = member.install(StateUpdate::Snapshot(Box::new(cluster_state.clone())), "test");
         let site = Site {
@@ -455,8 +456,8 @@
         }
         {
             let mut reports = lock(&serving.reports);
-            zone_reports.into_iter().for_each(|b| assert!(reports.take(b, serving.now())));
-            serving.replica_view.store(Arc::new(reports.fleet(&zones(), 3_000, LIST_MAX_AGE_MS)));
+            zone_reports.into_iter().for_each(|b| assert!(reports.accept(b, serving.now())));
+            serving.replica_view.store(Arc::new(reports.build_view(&zones(), 3_000, LIST_MAX_AGE_MS)));
         }
         let share = BudgetShare { capacity: 64.0, per_ms: 0.0 };
         serving.retries.earn(&"chat".into(), setup.retry_tokens / 0.8, share, serving.now());
@@ -583,8 +584,8 @@
 
     /// Starts reading the platform's list and probing the replicas on it.
     pub fn watch_replicas(&self) {
-        let s = self.serving.clone();
-        spawn_at(IpAddr::from(ROUTER), async move { s.watch_all() });
+        let serving = self.serving.clone();
+        spawn_at(IpAddr::from(ROUTER), async move { serving.spawn_report_tasks() });
     }
 
     /// The simulated time, and for how much longer this router considers a replica cold.
@@ -616,7 +617,7 @@
     /// Whether the router considers a replica healthy.
     pub fn is_healthy(&self, id: &str) -> bool {
         let view = self.serving.replica_view.load();
-        view.by_service.values().flatten().any(|c| c.id.as_str() == id && c.well)
+        view.by_service.values().flatten().any(|c| c.id.as_str() == id && c.healthy)
     }
 
     /// Puts these limits in force; routes and services do not change.
@@ -640,7 +641,8 @@
     pub async fn assert_idle(&self) {
         sleep(Duration::from_secs(1)).await;
         let view = self.serving.replica_view.load();
-        let open: i64 = view.by_service.values().flatten().map(|c| c.own.open.load(Ordering::Relaxed)).sum();
+        let open: i64 =
+            view.by_service.values().flatten().map(|c| c.local.open.load(Ordering::Relaxed)).sum();
         let forwarded_open: i64 = lock(&self.serving.forwarded_open).values().sum();
         assert_eq!(
             (open, forwarded_open, self.serving.router.open_count.open()),
--- a/crates/data-plane/tests/serving/test_data.rs
+++ b/crates/data-plane/tests/serving/test_data.rs
@@ -4,7 +4,7 @@
 use configuration::{Route, RouteKind};
 use data_plane::serving::{
     Bounds, HeaderNames, Prompt,
-    prefill::Reading,
+    prefill::PrefillTracker,
     replica_choice::{ChoiceContext, PREFILL_TOKENS_PER_MS},
     replica_report::{ReplicaReport, ReplicaRow},
     replica_view::{Candidate, ReportStore},
@@ -26,7 +26,7 @@
         slots: 20,
         draining: false,
         cold_left_ms: 0,
-        well: true,
+        healthy: true,
         running,
         waiting: 0,
         memory_used: 0,
@@ -44,7 +44,7 @@
         age_ms: 0,
         waited_ms: 0,
         rows,
-        lends: BTreeMap::new(),
+        lending_grants: BTreeMap::new(),
     }
 }
 
@@ -55,7 +55,7 @@
 static REGION: LazyLock<Region> = LazyLock::new(|| "north".into());
 
 /// The choice by a router in zone `n1` for a short prompt without affinity.
-pub fn choice_context<'a>(prompt: &'a Prompt, reading: &'a Reading) -> ChoiceContext<'a> {
+pub fn choice_context<'a>(prompt: &'a Prompt, reading: &'a PrefillTracker) -> ChoiceContext<'a> {
     ChoiceContext {
         prompt,
         zone: &ZONE,
@@ -94,8 +94,8 @@
 /// The candidates of zone `n1` by a report with these rows.
 pub fn candidates(rows: Vec<ReplicaRow>) -> Vec<Candidate> {
     let mut store = ReportStore::default();
-    assert!(store.take(replica_report("n1", 1, rows), Tick(0)));
-    store.fleet(&zones(), 3_000, LIST_MAX_AGE_MS).of(&"chat".into()).to_vec()
+    assert!(store.accept(replica_report("n1", 1, rows), Tick(0)));
+    store.build_view(&zones(), 3_000, LIST_MAX_AGE_MS).replicas_of(&"chat".into()).to_vec()
 }
 
 /// A prompt with these parts (id and length in tokens) and an expected answer of 100 tokens.
--- a/crates/data-plane/tests/serving/usage_world.rs
+++ b/crates/data-plane/tests/serving/usage_world.rs
@@ -14,7 +14,7 @@
 };
 use control_plane::{
     Change, ClusterState, Role,
-    membership::{Leases, Member, Renewal},
+    membership::{Leases, LocalMember, Renewal},
     state_machine::{singleton::holder_of, state_update::StateUpdate},
     types::NodeInfo,
 };
@@ -56,9 +56,9 @@
         holder: format!("m{n}"),
         window_ms: WINDOW_MS,
         delay_ms: 10_000,
-        return_ms: 3_000,
+        reacquire_pause_ms: 3_000,
         calls_per_s: 50.0,
-        losses: 2,
+        max_lost_machines: 2,
     }
 }
 
@@ -215,21 +215,21 @@
     sleep(Duration::from_millis(random::<u64>() % most_ms)).await;
 }
 
-async fn keep_lease(n: usize, member: Arc<Member>, simulation: Arc<Simulation>, core: Arc<Mutex<Core>>) {
+async fn keep_lease(n: usize, member: Arc<LocalMember>, simulation: Arc<Simulation>, core: Arc<Mutex<Core>>) {
     loop {
         let sent = member.clock.now();
         way(WAY_MS).await;
         let renewed = renewal(&core, n, &member.info, Tick(simulation.ms()));
         way(WAY_MS).await;
         if let Some((epoch, index)) = renewed.filter(|_| !lock(&core).cut.contains(&n)) {
-            member.note_announced(index, sent);
+            member.note_announced_index(index, sent);
             member.extend_lease(epoch, sent);
         }
         sleep(Duration::from_millis(timing().renew_interval_ms())).await;
     }
 }
 
-async fn keep_state(n: usize, member: Arc<Member>, core: Arc<Mutex<Core>>) {
+async fn keep_state(n: usize, member: Arc<LocalMember>, core: Arc<Mutex<Core>>) {
     loop {
         let state = lock(&core).state.clone();
         way(STATE_WAY_MS).await;
@@ -249,7 +249,7 @@
 ) {
     let (set, clock) = (settings(n), Clock::default());
     let info = NodeInfo::of(&set, Role::Router, incarnation);
-    let member = Member::new(set.clone(), info, clock.clone());
+    let member = LocalMember::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock);
     let serving = Serving::new(
         router.clone(),
@@ -269,11 +269,11 @@
     spawn(common::rpc::listen(listener, set.me(), data_plane::rpc::SERVICE, {
         move |node, request| router.clone().answer(node, request)
     }));
-    serving.keep_usage_reported();
+    serving.spawn_usage_tasks();
     loop {
         way(START_PAUSE_MS).await;
         let tenant = Tenant::new(["club", "guild", "league"][random::<u64>() as usize % 3]);
-        lock(&serving.router.usage.starts).note(&tenant, serving.now(), serving.now());
+        lock(&serving.router.usage.starts).record(&tenant, serving.now(), serving.now());
         let window = simulation.time_of_day_ms() / WINDOW_MS;
         *lock(&truth).entry(window).or_default().entry(tenant).or_default() += 1;
     }
