--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -34,21 +34,21 @@
 /// # Errors
 /// An address can't be listened on.
 pub async fn run(
-    set: Settings,
+    settings: Settings,
     listeners: Listeners,
     parts: ServingParts,
     stop: impl Future<Output = ()>,
 ) -> eyre::Result<()> {
-    let info = NodeInfo::of(&set, Role::Router, Incarnation(random::<u64>() >> 1));
+    let info = NodeInfo::of(&settings, Role::Router, Incarnation(random::<u64>() >> 1));
     let clock = Clock::default();
-    let member = LocalMember::new(set.clone(), info, clock.clone());
-    let router = Router::new(set.clone(), member.clone(), clock.clone());
+    let member = LocalMember::new(settings.clone(), info, clock.clone());
+    let router = Router::new(settings.clone(), member.clone(), clock.clone());
     let ServingParts { site, protocol, document_format } = parts;
     let extra_listeners: Vec<_> = site.readiness_addr.into_iter().chain(site.directory_addr).collect();
     let grace_ms = site.bounds.grace_ms;
     let directory_ttl_ms = site.bounds.directory_ttl_ms;
     let serving = Serving::new(router.clone(), protocol, document_format, site);
-    router.start_serving(&set, listeners.rpc);
+    router.start_serving(&settings, listeners.rpc);
     spawn(serving.clone().follow_configuration());
     serving.spawn_report_tasks();
     serving.spawn_usage_tasks();
@@ -61,8 +61,8 @@
             me.clone().answer_directory_request(peer, req)
         }));
     }
-    let conns = Arc::new(http::OpenCount::default());
-    let listening = spawn(serving.clone().listen(listeners.http, conns.clone(), stopped));
+    let connections = Arc::new(http::OpenCount::default());
+    let listening = spawn(serving.clone().listen(listeners.http, connections.clone(), stopped));
     let me = serving.clone();
     spawn(async move {
         loop {
@@ -70,7 +70,7 @@
             me.pool.sweep(me.now());
         }
     });
-    log_event!(Info, "started", "rail" => set.rpc_addr, "http" => set.http);
+    log_event!(Info, "started", "rail" => settings.rpc_addr, "http" => settings.http);
     stop.await;
     // First the router reports that it is not ready and leaves the directory. It serves clients that still use an
     // older answer of the directory until that has expired, and then finishes the requests that it has read (design
@@ -79,12 +79,12 @@
     let began = clock.now();
     router.draining.store(true, Ordering::Release);
     member.leave().await;
-    let linger = (directory_ttl_ms * 3 + set.timing.renew_interval_ms()).min(grace_ms / 2);
+    let linger = (directory_ttl_ms * 3 + settings.timing.renew_interval_ms()).min(grace_ms / 2);
     tokio::time::sleep(Duration::from_millis(linger.saturating_sub(clock.now().since(began)))).await;
     let _ = stop_listening.send(true);
     let _ = listening.await;
     let until = began + grace_ms * 15 / 16;
-    wait_until_drained(&router, &conns, until).await;
+    wait_until_drained(&router, &connections, until).await;
     let _ = stop_extra.send(true);
     log_event!(Info, "stopped", "open" => router.open_count.open());
     Ok(())
--- a/crates/data-plane/src/serving/event_splitter.rs
+++ b/crates/data-plane/src/serving/event_splitter.rs
@@ -36,7 +36,7 @@
     /// can't be compared and are accepted.
     pub fn continues_after_last(&self) -> bool {
         let first = ids(&self.buf).next().and_then(|id| id.parse().ok());
-        first.zip(self.resumed_after).is_none_or(|(first, behind): (u64, u64)| first > behind)
+        first.zip(self.resumed_after).is_none_or(|(first, last): (u64, u64)| first > last)
     }
 
     /// Takes the bytes after the last whole event.
--- a/crates/data-plane/tests/serving/retry_budget.rs
+++ b/crates/data-plane/tests/serving/retry_budget.rs
@@ -43,11 +43,11 @@
 
 /// Retries and requests in each step. First all routers save tokens, then each spends them as soon as it has them.
 fn run(load: &Load, restarts: Restarts) -> Vec<(f64, f64)> {
-    let svc: Service = "chat".into();
+    let service: Service = "chat".into();
     let nodes = node_ids(load.routers);
     let shares: Vec<BudgetShare> = nodes
         .iter()
-        .map(|me| BudgetShare::of(load.extra, WINDOW_MS, ranked_above(&svc, me, &nodes), load.routers))
+        .map(|me| BudgetShare::of(load.extra, WINDOW_MS, ranked_above(&service, me, &nodes), load.routers))
         .collect();
     let mut budgets: Vec<RetryBudget> = (0..load.routers).map(|_| RetryBudget::started(Tick(0))).collect();
     let mut due = vec![0.0; load.routers];
@@ -63,8 +63,8 @@
             while due[n] >= 1.0 {
                 due[n] -= 1.0;
                 requests += 1.0;
-                budget.earn(&svc, load.ratio, shares[n], now);
-                while step >= SPENDING_START && budget.spend(&svc) {
+                budget.earn(&service, load.ratio, shares[n], now);
+                while step >= SPENDING_START && budget.spend(&service) {
                     spent += 1.0;
                 }
             }
@@ -118,10 +118,10 @@
     #[values(1, 2, 3, 12, 44, 45, 93, 1_000)] routers: usize,
     #[values(0.0, 0.5, 1.0, 1.2, 2.0, 20.0, 64.0, 226.0)] surplus: f64,
 ) {
-    let (nodes, svc) = (node_ids(routers), Service::new("chat"));
+    let (nodes, service) = (node_ids(routers), Service::new("chat"));
     let shares: Vec<BudgetShare> = nodes
         .iter()
-        .map(|me| BudgetShare::of(surplus, WINDOW_MS, ranked_above(&svc, me, &nodes), routers))
+        .map(|me| BudgetShare::of(surplus, WINDOW_MS, ranked_above(&service, me, &nodes), routers))
         .filter(|s| *s != BudgetShare::default())
         .collect();
     let sum: f64 = shares.iter().map(|s| s.capacity + s.per_ms * WINDOW_MS as f64).sum();
@@ -133,11 +133,11 @@
 /// A new budget has no tokens, a refunded token can be spent again, and each service has its own tokens.
 #[test]
 fn refunded_tokens_can_be_spent_again() {
-    let (budget, svc) = (RetryBudget::started(Tick(0)), Service::new("chat"));
-    assert!(!budget.spend(&svc), "no token was earned yet");
-    budget.earn(&svc, 1.0 / 0.8, BudgetShare { capacity: 1.0, per_ms: 0.0 }, Tick(0));
-    assert!(budget.spend(&svc) && !budget.spend(&svc));
-    budget.give_back(&svc);
-    assert!(budget.spend(&svc) && !budget.spend(&svc));
+    let (budget, service) = (RetryBudget::started(Tick(0)), Service::new("chat"));
+    assert!(!budget.spend(&service), "no token was earned yet");
+    budget.earn(&service, 1.0 / 0.8, BudgetShare { capacity: 1.0, per_ms: 0.0 }, Tick(0));
+    assert!(budget.spend(&service) && !budget.spend(&service));
+    budget.give_back(&service);
+    assert!(budget.spend(&service) && !budget.spend(&service));
     assert!(!budget.spend(&"draw".into()));
 }
