--- a/crates/control-plane/src/consensus/admission.rs
+++ b/crates/control-plane/src/consensus/admission.rs
@@ -1,5 +1,5 @@
-//! Losses that overlap a replacement (design 2.5): a replacement that can't be committed is withdrawn, and a blank
-//! voter whose admission was committed votes before it holds anything.
+//! Failures during a replacement (design 2.5): a replacement that can't be committed is withdrawn, and a blank voter
+//! whose admission is committed may vote before it is initialized.
 
 use super::*;
 
@@ -7,11 +7,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LedTerm {
     pub(super) term: Term,
-    /// End of its log when it was elected: entries behind this are its own.
+    /// Last index of its log when it was elected: later entries were proposed in its own term.
     pub(super) term_start: Index,
 }
 
-/// The committed voter set that names a blank voter.
+/// A committed voter set that includes this blank voter, and its commit index.
 #[derive(Clone, Debug)]
 pub(super) struct Admission {
     index: Index,
@@ -19,12 +19,13 @@
 }
 
 impl Voter {
-    /// Takes back a replacement that it logged as a leader and could not commit, before it stands for election again.
+    /// Removes from the log a replacement that this voter logged as the leader and could not commit, before it stands
+    /// for election again.
     ///
-    /// Only the leader of a term commits its entries, unless a later leader inherits them. This voter has led the term
-    /// and taken part in none since, so it knows that the entry is not committed by itself; a later leader that
-    /// committed it did so with a majority of the others, without the replaced voter, and each majority by which this
-    /// one could be elected holds one of them, whose newer log is taken instead.
+    /// The entries of a term are committed by the leader of that term or by a later leader that inherits them. This
+    /// voter led the term and has joined none since, so it has not committed the entry itself. A later leader can have
+    /// committed it only with a majority that excludes the replaced voter; every majority that could elect this voter
+    /// includes one of that majority, and its newer log is then installed instead.
     pub(super) fn withdraw_replacement(&mut self) {
         let is_current = |led: &LedTerm| led.term == self.current_term && led.term == self.log_term;
         let Some(led) = self.led.filter(is_current) else { return };
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Notes whether a committed voter set names this blank voter. The newest one counts.
-    pub(super) fn note_admission(&mut self, voters: &[VoterInfo], index: Index) {
+    /// Records whether a committed voter set includes this blank voter; the newest voter set counts.
+    pub(super) fn record_admission(&mut self, voters: &[VoterInfo], index: Index) {
         if self.admission.as_ref().is_some_and(|known| known.index > index) {
             return;
         }
@@ -46,11 +47,12 @@
         self.admission = named.then(|| Admission { index, voters: voters.to_vec() });
     }
 
-    /// Whether a candidate may have the vote of this voter. A blank voter whose admission is committed has never held
-    /// anything nor promised anything, since its incarnation began with its empty disk: its vote says just that, and
-    /// every majority that committed something is one without it. Before its admission is committed the voter that it
-    /// replaces may still count, so it has no vote.
-    pub(super) fn may_elect(&self, candidate: &VoterId) -> bool {
+    /// Whether a candidate is in the voter set that this voter goes by.
+    ///
+    /// A blank voter votes once its admission is committed. Its incarnation began with an empty disk, so it has never
+    /// acknowledged an entry or voted: its vote states just that, and no entry was committed with its help. Before
+    /// that, the voter that it replaces may still count, so it must not vote.
+    pub(super) fn is_eligible_candidate(&self, candidate: &VoterId) -> bool {
         if self.initialized {
             return self.is_voter(candidate);
         }
@@ -60,22 +62,22 @@
         self.admission.as_ref().is_some_and(|admission| admission.voters.iter().any(is_candidate))
     }
 
-    /// Its name in votes: a blank voter has the number under which it was admitted.
-    pub(super) fn elector_id(&self) -> VoterId {
+    /// Its identifier in votes; a blank voter uses the number with which it was admitted.
+    pub(super) fn voting_id(&self) -> VoterId {
         let own = |voter: &&VoterInfo| voter.incarnation == self.me.incarnation;
         let admitted = self.admission.as_ref().filter(|_| !self.initialized);
         let number = admitted.and_then(|admission| admission.voters.iter().find(own)).map(|own| own.number);
         VoterId { number: number.unwrap_or(self.me.number), incarnation: self.me.incarnation }
     }
 
-    /// The end of its log for a candidate whose commit index is `from`.
-    pub(super) fn voted_tail(&self, from: Index) -> LogTail {
+    /// The tail of its log for a candidate whose commit index is `from`.
+    pub(super) fn log_tail_for_vote(&self, from: Index) -> LogTail {
         if self.initialized { self.log_tail_after(from) } else { LogTail::empty() }
     }
 }
 
 impl LogTail {
-    /// The tail of a voter that holds nothing.
+    /// The tail of a blank voter, which has no log.
     fn empty() -> Self {
         Self {
             log_term: Term(0),
--- a/crates/control-plane/src/consensus/bootstrap.rs
+++ b/crates/control-plane/src/consensus/bootstrap.rs
@@ -1,25 +1,25 @@
-//! How a cluster begins (design 2.5): only blank seeds, all of them, bootstrap one, and nothing that has
-//! state is ever overwritten by a blank voter.
+//! Bootstrap of a cluster (design 2.5): only once all seeds are known to be blank, or learners, and without ever
+//! overwriting the state of an initialized voter.
 
 use super::*;
 
 impl Voter {
-    /// Introduces this blank voter to the seeds, and bootstraps a cluster once that is allowed.
+    /// Announces this blank voter to the seeds, and bootstraps a cluster once that is allowed.
     pub(super) fn bootstrap_timer(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         if now.since(self.last_heartbeat) < self.timing.heartbeat_ms() {
             return;
         }
         self.last_heartbeat = now;
-        self.introduce(effects);
+        self.announce(effects);
         if let Some(proposed) = &self.proposed_bootstrap {
             return effects.extend(self.bootstrap_messages(proposed));
         }
-        // What was blank a while ago may hold a whole cluster by now.
+        // Old answers are discarded: a voter that was blank then may hold a cluster's state by now.
         let fresh_ms = self.timing.election_timeout_ms() / 2;
         let answered_ms = fresh_ms + self.timing.rpc_timeout_ms;
         self.discovered_voters.retain(|_, (_, asked)| now.since(*asked) <= answered_ms);
         self.discovered_learners.retain(|_, discovered| now.since(*discovered) <= fresh_ms);
-        if let Some(voters) = self.bootstrap_voters(now) {
+        if let Some(voters) = self.ready_bootstrap_voters(now) {
             let initial = ClusterState::bootstrapped(&self.cluster, voters);
             let cluster_state = ClusterState { secret: self.secret, ..initial };
             if self.learner {
@@ -30,7 +30,7 @@
         }
     }
 
-    fn introduce(&self, effects: &mut Vec<Effect>) {
+    fn announce(&self, effects: &mut Vec<Effect>) {
         let as_voter = Message::Discover {
             voter: self.me.clone(),
             initialized: false,
@@ -43,19 +43,21 @@
         }
     }
 
-    /// The voter set of a new cluster. The lowest seed bootstraps it, once it knows that all seeds are blank or
-    /// have no disk; with them those that found the seeds, for which it waits no longer than two leases (four, where
-    /// they are fewer than the seeds). Seeds without a disk prove nothing: beside them only the first start of the
-    /// whole system does.
-    fn bootstrap_voters(&mut self, now: Tick) -> Option<Vec<VoterInfo>> {
+    /// The voter set of a new cluster, once this voter may bootstrap it.
+    ///
+    /// The seed with the lowest address does so once it knows that all seeds are blank or learners. It includes other
+    /// blank voters that announced themselves: it waits two leases for the expected number, two more for as many
+    /// voters as there are seeds, and then takes those there are. A learner stores nothing, so its answer does not
+    /// show that no cluster exists: with learners among the seeds a bootstrap requires the first start of the system.
+    fn ready_bootstrap_voters(&mut self, now: Tick) -> Option<Vec<VoterInfo>> {
         let own = self.me.rpc_addr;
         let lowest = self.seeds.iter().min() == Some(&own);
-        let learner_seeds = self.seeds.iter().filter(|seed| self.is_learner(seed)).count();
-        let proven = learner_seeds == 0 || self.first_start;
+        let learner_seeds = self.seeds.iter().filter(|seed| self.is_learner_seed(seed)).count();
+        let no_cluster_proven = learner_seeds == 0 || self.first_start;
         let blank = |seed: &SocketAddr| *seed == own || self.discovered_voters.contains_key(seed);
-        let all_blank = self.seeds.iter().all(|seed| blank(seed) || self.is_learner(seed));
+        let all_blank = self.seeds.iter().all(|seed| blank(seed) || self.is_learner_seed(seed));
         let allowed = self.may_bootstrap && !self.saw_other_cluster && !self.is_spare();
-        if !(allowed && lowest && all_blank && proven) {
+        if !(allowed && lowest && all_blank && no_cluster_proven) {
             self.seeds_complete_since = None;
             return None;
         }
@@ -64,31 +66,31 @@
             self.discovered_voters.insert(own, (self.me.clone(), now));
         }
         let seeds = self.seeds.len();
-        let wanted = self.expected_voters.clamp(seeds, MAX_VOTERS.max(seeds));
-        let least = match now.since(since) / (2 * self.timing.lease_ms) {
-            0 => wanted,
+        let target = self.expected_voters.clamp(seeds, MAX_VOTERS.max(seeds));
+        let required = match now.since(since) / (2 * self.timing.lease_ms) {
+            0 => target,
             1 => seeds,
             _ => 1,
         };
-        (self.discovered_voters.len() >= least).then(|| self.chosen_voters(wanted))
+        (self.discovered_voters.len() >= required).then(|| self.select_bootstrap_voters(target))
     }
 
-    fn is_learner(&self, seed: &SocketAddr) -> bool {
+    fn is_learner_seed(&self, seed: &SocketAddr) -> bool {
         (self.learner && *seed == self.me.rpc_addr) || self.discovered_learners.contains_key(seed)
     }
 
-    /// The seeds among the discovered voters, then others, so that the zones have alike many.
-    fn chosen_voters(&self, wanted: usize) -> Vec<VoterInfo> {
+    /// Selects all seeds among the discovered voters, then others, each from the zone with the fewest selected voters.
+    fn select_bootstrap_voters(&self, target: usize) -> Vec<VoterInfo> {
         let discovered = self.discovered_voters.values().map(|(voter, _)| voter);
-        let (mut chosen, mut others): (Vec<&VoterInfo>, Vec<&VoterInfo>) =
+        let (mut selected, mut others): (Vec<&VoterInfo>, Vec<&VoterInfo>) =
             discovered.partition(|voter| self.seeds.contains(&voter.rpc_addr));
-        while chosen.len() < wanted && !others.is_empty() {
-            let in_zone = |zone: &Zone| chosen.iter().filter(|voter| voter.zone == *zone).count();
-            let emptiest = others.iter().enumerate().min_by_key(|(_, voter)| in_zone(&voter.zone));
-            let position = emptiest.map_or(0, |(position, _)| position);
-            chosen.push(others.remove(position));
+        while selected.len() < target && !others.is_empty() {
+            let in_zone = |zone: &Zone| selected.iter().filter(|voter| voter.zone == *zone).count();
+            let next = others.iter().enumerate().min_by_key(|(_, voter)| in_zone(&voter.zone));
+            let position = next.map_or(0, |(position, _)| position);
+            selected.push(others.remove(position));
         }
-        let numbered = chosen.into_iter().enumerate();
+        let numbered = selected.into_iter().enumerate();
         numbered.map(|(number, voter)| VoterInfo { number: number as u8, ..voter.clone() }).collect()
     }
 
@@ -98,7 +100,7 @@
         others.map(|voter| Effect::Send { to: voter.rpc_addr, msg: msg.clone() }).collect()
     }
 
-    /// Takes up the state of a new cluster; the effects in `then` wait until it is synced.
+    /// Initializes this voter with the state of a new cluster; the effects in `then` wait until it is synced.
     fn initialize(
         &mut self,
         cluster_state: ClusterState,
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Tells a voter who the voters are now.
+    /// Sends a node the current voter set.
     pub(crate) fn send_membership(&self, to: SocketAddr, effects: &mut Vec<Effect>) {
         let msg = Message::Discover {
             voter: self.me.clone(),
@@ -152,14 +154,15 @@
             (false, false) => self.query_blank_voter(from, now, effects),
             (true, false) => self.answer_blank_voter(from, &voter, effects),
             (false, true) => {
-                self.note_admission(&voters, index);
-                self.ask_to_join(&voter, &voters, effects);
+                self.record_admission(&voters, index);
+                self.send_join_requests(&voter, &voters, effects);
             }
             (true, true) => self.check_own_membership(&voters, index, effects),
         }
     }
 
-    /// An introduction may be of any age, and its sender blank no more: it is asked, and only its answer counts.
+    /// Asks the sender of an announcement whether it is still blank: the announcement may be old, so only the answer
+    /// counts.
     pub(super) fn query_blank_voter(&self, to: SocketAddr, now: Tick, effects: &mut Vec<Effect>) {
         if !self.saw_other_cluster {
             let msg = Message::BlankQuery { asker: self.me.incarnation, sent_at: now };
@@ -180,9 +183,9 @@
         }
     }
 
-    /// Only an answer to this incarnation counts, from when it was asked for: a machine that has lost its disk since,
-    /// and with it a cluster that it began, has another one.
-    pub(super) fn note_blank_voter(&mut self, voter: VoterInfo, asker: Incarnation, sent_at: Tick) {
+    /// Records a blank voter, as of the time when it was asked. Only an answer to this incarnation counts: answers to
+    /// an earlier one may predate a cluster that this node bootstrapped and then lost with its disk.
+    pub(super) fn record_blank_voter(&mut self, voter: VoterInfo, asker: Incarnation, sent_at: Tick) {
         if asker == self.me.incarnation && !self.initialized {
             self.discovered_voters.insert(voter.rpc_addr, (voter, sent_at));
         }
@@ -193,16 +196,21 @@
         let number = self.cluster_state.voters.iter().find(same).map_or(u8::MAX, |own| own.number);
         let id = VoterId { number, incarnation: voter.incarnation };
         if self.commit_index() == Index(0) && self.is_voter(&id) {
-            // The bootstrap message to one of the first voters was lost.
+            // The bootstrap message to one of the initial voters was lost.
             let msg = Message::Bootstrap { cluster_state: self.cluster_state.clone() };
             return effects.push(Effect::Send { to: from, msg });
         }
         self.send_membership(from, effects);
     }
 
-    fn ask_to_join(&mut self, initialized: &VoterInfo, voters: &[VoterInfo], effects: &mut Vec<Effect>) {
+    fn send_join_requests(
+        &mut self,
+        initialized: &VoterInfo,
+        voters: &[VoterInfo],
+        effects: &mut Vec<Effect>,
+    ) {
         self.discovered_voters.remove(&initialized.rpc_addr);
-        self.saw_other_cluster = !self.is_among(voters);
+        self.saw_other_cluster = !self.is_named_in(voters);
         if self.saw_other_cluster {
             let msg = Message::JoinRequest { voter: self.me.clone() };
             for voter in voters {
@@ -211,16 +219,16 @@
         }
     }
 
-    /// Another holder was committed in this voter's place: it takes part no more under this identity.
+    /// Stops taking part under this identity, if a newer committed voter set no longer includes it.
     fn check_own_membership(&mut self, voters: &[VoterInfo], index: Index, effects: &mut Vec<Effect>) {
-        if !self.is_among(voters) && index > self.commit_index() && !self.replaced {
+        if !self.is_named_in(voters) && index > self.commit_index() && !self.replaced {
             (self.removed, self.replaced) = (true, true);
             self.role = VoterRole::Follower { leader: None, last_contact: Tick(0) };
             effects.push(Effect::Removed);
         }
     }
 
-    fn is_among(&self, voters: &[VoterInfo]) -> bool {
+    fn is_named_in(&self, voters: &[VoterInfo]) -> bool {
         voters.iter().any(|voter| voter.incarnation == self.me.incarnation)
     }
 }
--- a/crates/control-plane/src/consensus/durability.rs
+++ b/crates/control-plane/src/consensus/durability.rs
@@ -1,27 +1,27 @@
-//! A voter and its disk (design 2.4): nothing is said before the record that it rests on is synced.
+//! Writes of a voter to its disk (design 2.4): a message is sent only once the records that it rests on are synced.
 
 use super::*;
 
-/// Records after which a new snapshot is written.
+/// Number of records after which a new snapshot is written.
 const RECORDS_PER_SNAPSHOT: usize = 512;
 
-/// A write that is not known to be synced.
+/// A write that is not yet known to be synced.
 #[derive(Clone, Debug)]
 pub(super) struct PendingWrite {
     token: u64,
     since: Tick,
-    /// End of the log when it was written.
+    /// Last index of the log when it was written.
     last_index: Index,
-    /// Effects that wait for it.
+    /// Effects to return once it is synced.
     pub(super) then: Vec<Effect>,
 }
 
-/// Writes on their way to the disk, and how long the short log has grown.
+/// Writes that are not yet synced, oldest first, and the length of the short log that follows the last snapshot.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingWrites {
     last_token: u64,
     queue: VecDeque<PendingWrite>,
-    /// Bytes and records since the last snapshot.
+    /// Bytes and records written since the last snapshot.
     log_bytes: usize,
     log_records: usize,
 }
@@ -31,8 +31,8 @@
         self.queue.back_mut()
     }
 
-    /// No writes, counted on: a late acknowledgement of an earlier one counts for nothing.
-    pub(super) fn restarted(&self) -> Self {
+    /// An empty queue whose tokens continue, so that a late acknowledgement of an earlier write matches none.
+    pub(super) fn cleared(&self) -> Self {
         Self { last_token: self.last_token, ..Self::default() }
     }
 
@@ -63,7 +63,7 @@
 }
 
 impl Voter {
-    /// Hands a record to the disk; the effects in `then` wait until it is synced.
+    /// Writes a record; the effects in `then` wait until it is synced.
     pub(super) fn persist(
         &mut self,
         record: Record,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Writes the whole state into the other slot, which begins a new short log.
+    /// Writes a snapshot of the whole state, which begins a new short log.
     pub(super) fn write_snapshot(&mut self, now: Tick, then: Vec<Effect>, effects: &mut Vec<Effect>) {
         let state = DurableState {
             me: self.me.clone(),
@@ -105,13 +105,13 @@
         }
     }
 
-    /// A write was refused: the voter steps aside, and nothing that waited for the disk is ever said. What it
-    /// has committed stays, since a majority holds that; the rest may be ahead of its disk.
+    /// Handles a failed write: the voter stops taking part, and effects that waited for the disk are discarded. Its
+    /// committed state remains valid, since a majority holds it; later entries may not be on its disk.
     pub(super) fn handle_sync_failed(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         if self.disk_failed {
             return;
         }
-        // The others need not wait for the election time-out of a leader that has stepped down.
+        // A leader tells the others, so that they need not wait for the election time-out.
         self.step_down(now, effects);
         self.disk_failed = true;
         self.role = VoterRole::Follower { leader: None, last_contact: now };
@@ -119,30 +119,29 @@
         effects.push(Effect::Interrupted);
     }
 
-    /// The disk works again: the voter starts anew from what it holds, as a new process would. It keeps what
-    /// its process was given, and goes on counting its writes, so that a late acknowledgement of an earlier
-    /// one counts for nothing.
+    /// The disk works again: the voter starts over from what is stored there, as a new process would. It keeps its
+    /// configuration, and its write tokens continue, so that a late acknowledgement of an earlier write matches none.
     pub(super) fn handle_recovered(&mut self, durable: DurableState, now: Tick, effects: &mut Vec<Effect>) {
         if !self.disk_failed {
             return;
         }
-        // One that has lost its folder knows that there is a cluster, and must not bootstrap another.
-        let lost_folder = self.initialized && durable.me.incarnation != self.me.incarnation;
+        // A voter that has lost its data folder was part of a cluster, and must not bootstrap another.
+        let lost_data_folder = self.initialized && durable.me.incarnation != self.me.incarnation;
         let (me, seeds, timing) = (self.me.clone(), self.seeds.clone(), self.timing.clone());
         let restarted = Voter::new(me, &self.cluster, seeds, timing, Some(durable), now);
         *self = Voter {
-            may_bootstrap: self.may_bootstrap && !lost_folder,
+            may_bootstrap: self.may_bootstrap && !lost_data_folder,
             expected_voters: self.expected_voters,
             first_start: self.first_start,
             secret: self.secret,
             size_limits: self.size_limits,
-            writes: self.writes.restarted(),
+            writes: self.writes.cleared(),
             ..restarted
         };
         effects.push(Effect::Interrupted);
     }
 
-    /// The own disk has not answered for too long (design 2.4).
+    /// Whether the oldest pending write has taken longer than the sync time-out (design 2.4).
     pub fn sync_overdue(&self, now: Tick) -> bool {
         let oldest = self.writes.queue.front();
         oldest.is_some_and(|write| now.since(write.since) > self.timing.sync_timeout_ms())
--- a/crates/control-plane/src/consensus/durable.rs
+++ b/crates/control-plane/src/consensus/durable.rs
@@ -1,5 +1,5 @@
-//! What a voter keeps on disk: a snapshot and the records that follow it (design 2.6). A start replays the
-//! records in the order in which the voter wrote them.
+//! The durable state of a voter: a snapshot and the records that follow it (design 2.6). A start replays the records
+//! in the order in which the voter wrote them.
 
 use crate::{
     state_machine::ClusterState,
@@ -8,60 +8,60 @@
 use common::{Index, Term};
 use serde::{Deserialize, Serialize};
 
-/// A snapshot: everything that a voter must not forget.
+/// A snapshot of everything that a voter must keep across restarts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DurableState {
-    /// The voter's identity.
+    /// Identity of the voter.
     pub me: VoterInfo,
-    /// It holds the state of a cluster; without, it is blank.
+    /// Whether it holds the state of a cluster; otherwise it is blank.
     #[serde(rename = "formed")]
     pub initialized: bool,
-    /// The newest term that it promised to take part in.
+    /// The newest term that it has joined; it takes part in no older one.
     #[serde(rename = "promised")]
     pub current_term: Term,
     /// The term in which its log was installed.
     pub log_term: Term,
-    /// Committed changes, applied.
+    /// The state after all committed changes.
     #[serde(rename = "ledger")]
     pub cluster_state: ClusterState,
-    /// Entries that are not known to be committed.
+    /// Log entries that are not known to be committed.
     pub entries: Vec<LogEntry>,
 }
 
 /// One record of the short log that follows a snapshot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A new snapshot; it begins a new short log.
+    /// A new snapshot, which begins a new short log.
     DurableState(Box<DurableState>),
-    /// A promise to take part in no older term.
+    /// The voter has joined this term and takes part in no older one.
     Promise(Term),
     /// The log of a new term.
     Install {
         /// The new term.
         term: Term,
-        /// A committed index; entries behind it are replaced.
+        /// A committed index; entries after it are replaced.
         #[serde(rename = "cut")]
         truncate_to: Index,
-        /// What follows.
+        /// Entries after `truncate_to`.
         entries: Vec<LogEntry>,
     },
-    /// Entries behind the end of the log.
+    /// Entries that are appended to the log.
     Append {
-        /// Up to here all is committed: a start applies it (design 2.8).
+        /// Index up to which entries are committed; a start applies them (design 2.8).
         #[serde(rename = "accepted")]
         commit_index: Index,
-        /// What follows.
+        /// The entries.
         entries: Vec<LogEntry>,
     },
 }
 
-/// Upper bound on the length of a promise, in bytes.
+/// Upper bound on the encoded length of [`Record::Promise`], in bytes.
 const PROMISE_BYTES: usize = 64;
-/// What a record of entries takes besides them.
+/// Upper bound on the encoded length of a record without its entries, in bytes.
 const RECORD_OVERHEAD_BYTES: usize = 96;
 
 impl Record {
-    /// Upper bound on its length in the short log, in bytes.
+    /// Upper bound on its length in the short log, in bytes; a snapshot is not part of the short log.
     pub fn weight(&self) -> usize {
         match self {
             Record::DurableState(_) => 0,
@@ -90,8 +90,8 @@
         self.entries.last().map_or(self.cluster_state.index, |entry| entry.index)
     }
 
-    /// Whether a record can have been written right behind this state: its entries follow where the log
-    /// ends, or where the record truncates it.
+    /// Whether a record can have been written directly after this state: its entries follow the end of the log, or
+    /// the index to which the record truncates it.
     pub fn can_precede(&self, record: &Record) -> bool {
         let last = self.last_index();
         let (base, entries) = match record {
@@ -103,7 +103,7 @@
         base <= last && entries.iter().zip(expected).all(|(entry, index)| entry.index.0 == index)
     }
 
-    /// Brings the state forward by one record, as the voter did when it wrote it.
+    /// Applies one record to the state, as the voter did when it wrote the record.
     pub fn replay(&mut self, record: Record) {
         match record {
             Record::DurableState(state) => *self = *state,
--- a/crates/control-plane/src/consensus/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -1,21 +1,21 @@
-//! Election of a leader (design 2.3): pre-vote, vote requests, votes with the ends of the logs, then the
-//! newest of these logs is installed in the new term.
+//! Leader election (design 2.3): a pre-vote, then votes that carry the tails of the voters' logs. The new leader
+//! installs the newest of these logs in its term.
 
 use super::*;
 
-/// Leaders that step down set their followers' last contact this many election time-outs back, so that they
-/// stand for election at once.
-const TIMEOUTS_BACK_AT_STEP_DOWN: u64 = 10;
+/// When the leader steps down, a follower sets its last contact back by this many election time-outs, so that it
+/// stands for election at once.
+const STEP_DOWN_BACKDATE_TIMEOUTS: u64 = 10;
 
 impl Voter {
-    /// Its own election time-out in milliseconds, spread by voter and term so that two candidates seldom meet.
+    /// Election time-out of this voter in milliseconds; it differs by voter and term, so that votes are seldom split.
     pub(super) fn election_timeout(&self) -> u64 {
         let base = self.timing.election_timeout_ms();
         base + base * u64::from(self.me.number) / 4 + base * (self.current_term.0 % 5) / 10
     }
 
-    /// Whether its last contact with a leader is too recent for another to be wanted.
-    fn hears_leader(&self, now: Tick) -> bool {
+    /// Whether its last contact with a leader is too recent to vote for another.
+    fn has_recent_leader_contact(&self, now: Tick) -> bool {
         match &self.role {
             VoterRole::Follower { last_contact, .. } => {
                 now.since(*last_contact) < self.timing.election_timeout_ms()
@@ -25,15 +25,15 @@
         }
     }
 
-    /// The next term that belongs to this voter: a term's number names its only possible leader.
+    /// The next term that this voter may stand for: the number of a term determines its only possible leader.
     fn next_term(&self) -> Term {
         let terms_per_round = MAX_VOTERS as u64 + 1;
         Term((self.current_term.0 / terms_per_round + 1) * terms_per_round + u64::from(self.me.number))
     }
 
-    /// Whether this process has run for an election time-out. One that just started may have answered a
-    /// leader before it stopped, and must not help to elect another until then.
-    fn may_vote(&self, now: Tick) -> bool {
+    /// Whether this process has waited for an election time-out since its start. Its former run may have answered a
+    /// leader, which counts on it until then not to elect another.
+    fn startup_wait_over(&self, now: Tick) -> bool {
         now.since(self.started) >= self.timing.election_timeout_ms()
     }
 
@@ -56,16 +56,16 @@
                 now.since(*since) >= self.election_timeout() / 2
             }
         };
-        if due && !self.sync_overdue(now) && self.may_vote(now) {
+        if due && !self.sync_overdue(now) && self.startup_wait_over(now) {
             self.become_pre_candidate(now, effects);
         }
     }
 
-    /// A leader whose disk is overdue, or that a majority has not answered for long, follows again.
+    /// Makes a leader a follower, if its disk is overdue or no majority has answered it for too long.
     fn check_leadership(&mut self, elected: Tick, now: Tick) {
-        let settled = now.since(elected) > 2 * self.timing.election_timeout_ms();
-        let deposed = settled && now >= self.leadership_until();
-        if self.sync_overdue(now) || deposed {
+        let established = now.since(elected) > 2 * self.timing.election_timeout_ms();
+        let expired = established && now >= self.leadership_until();
+        if self.sync_overdue(now) || expired {
             self.role = VoterRole::Follower { leader: None, last_contact: now };
         }
     }
@@ -74,7 +74,7 @@
         self.withdraw_replacement();
         let again = matches!(self.role, VoterRole::PreCandidate { .. } | VoterRole::Candidate { .. });
         if again {
-            // One that was admitted may be blank still, and not know that it may vote.
+            // An admitted voter may still be blank and not know that it may vote.
             let voters = self.other_voters();
             voters.iter().for_each(|voter| self.send_membership(voter.rpc_addr, effects));
         }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Gives up the term before saying so: the leadership ends here, whoever hears of it.
+    /// Gives up the leadership, and only then tells the others: it ends here whether or not the message arrives.
     pub(super) fn step_down(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         if self.is_leader() {
             self.role = VoterRole::Follower { leader: None, last_contact: now };
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Only the leader that is followed, in the term that it gives up, ends the wait for it.
+    /// Ends the wait for the current leader; a message from another voter or another term is ignored.
     pub(super) fn handle_step_down(&mut self, by: VoterId, term: Term, now: Tick) {
-        let followed =
+        let from_leader =
             matches!(&self.role, VoterRole::Follower { leader: Some(leader), .. } if *leader == by);
-        if followed && term == self.current_term {
-            let last_contact = now - TIMEOUTS_BACK_AT_STEP_DOWN * self.timing.election_timeout_ms();
+        if from_leader && term == self.current_term {
+            let last_contact = now - STEP_DOWN_BACKDATE_TIMEOUTS * self.timing.election_timeout_ms();
             self.role = VoterRole::Follower { leader: None, last_contact };
         }
     }
@@ -113,7 +113,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if self.would_vote_for(&by, term, now) {
-            let msg = Message::PreVoteGranted { by: self.elector_id(), term };
+            let msg = Message::PreVoteGranted { by: self.voting_id(), term };
             effects.push(Effect::Send { to: from, msg });
         } else if self.initialized && !self.is_voter(&by) {
             self.send_membership(from, effects);
@@ -121,11 +121,11 @@
     }
 
     fn would_vote_for(&self, candidate: &VoterId, term: Term, now: Tick) -> bool {
-        self.may_elect(candidate)
+        self.is_eligible_candidate(candidate)
             && !self.removed
             && term > self.current_term
-            && !self.hears_leader(now)
-            && self.may_vote(now)
+            && !self.has_recent_leader_contact(now)
+            && self.startup_wait_over(now)
     }
 
     pub(super) fn handle_pre_vote_granted(
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The vote requests wait until the candidate's own promise is synced.
+    /// Sends the vote requests once the candidate's own vote for the term is synced.
     fn become_candidate(&mut self, term: Term, now: Tick, effects: &mut Vec<Effect>) {
         self.current_term = term;
         self.role = VoterRole::Candidate { term, votes: BTreeMap::new(), since: now };
@@ -156,7 +156,7 @@
         self.persist(Record::Promise(term), now, then, effects);
     }
 
-    /// With its vote this voter promises that nothing is committed in an older term with its help any more.
+    /// Grants a vote. The voter then acknowledges no appends of older terms, so it helps to commit nothing in them.
     pub(super) fn handle_vote_request(
         &mut self,
         from: SocketAddr,
@@ -171,8 +171,8 @@
         }
         self.current_term = term;
         self.role = VoterRole::Follower { leader: None, last_contact: now };
-        let tail = self.voted_tail(commit_index);
-        let vote = Message::Vote { by: self.elector_id(), term, tail };
+        let tail = self.log_tail_for_vote(commit_index);
+        let vote = Message::Vote { by: self.voting_id(), term, tail };
         self.persist(Record::Promise(term), now, vec![Effect::Send { to: from, msg: vote }], effects);
     }
 
@@ -203,8 +203,8 @@
         }
     }
 
-    /// The log to be installed may end with another voter set than the one by which votes were asked for: they
-    /// must be a majority of that one, without those who were replaced (design 2.5).
+    /// The log to be installed may contain replacements that this voter did not know when it asked for votes: the
+    /// votes must form a majority of the voter set at the end of that log (design 2.5).
     fn elected_by(&self, granted: &[Incarnation], newest: Option<&LogTail>) -> bool {
         let voters = newest.map_or_else(|| self.voters(), |tail| tail.voters(&self.cluster_state));
         let voted = |voter: &&VoterInfo| {
@@ -213,7 +213,7 @@
         voters.iter().filter(voted).count() > voters.len() / 2
     }
 
-    /// Installs the newest log in the new term; `committed` is what some voter knows to be committed.
+    /// Installs the newest log in the new term; `committed` is the highest commit index that any voter knows.
     fn become_leader(
         &mut self,
         term: Term,
@@ -226,14 +226,14 @@
         if let Some(tail) = newest {
             self.install_log(self.commit_index(), tail.snapshot, tail.entries, effects);
         }
-        // Nothing counts as held in the new term until the record below is synced.
+        // No entry counts as synced in the new term until the record below is.
         self.log_term = term;
         self.durable_index = Index(0);
         self.join_requests.clear();
         let term_start = self.last_index();
         self.role = VoterRole::Leader { peers: BTreeMap::new(), since: now, term_start };
         self.led = Some(LedTerm { term, term_start });
-        // Reported at once: the count of leases must begin anew before any of them is looked at.
+        // Reported at once: the caller must reset its leases before it uses any of them.
         effects.push(Effect::BecameLeader { term });
         if from_snapshot {
             self.write_snapshot(now, Vec::new(), effects);
@@ -242,7 +242,7 @@
             let entries = self.entries_after(truncate_to);
             self.persist(Record::Install { term, truncate_to, entries }, now, Vec::new(), effects);
         }
-        // A replacement among these lets the new voter be counted.
+        // Committing a replacement adds the new voter to those that are counted.
         self.commit_to(committed.min(self.last_index()), effects);
         self.broadcast_append(now, effects);
     }
--- a/crates/control-plane/src/consensus/event.rs
+++ b/crates/control-plane/src/consensus/event.rs
@@ -1,4 +1,4 @@
-//! Events and effects of one voter (design 2.3).
+//! The events that a voter handles and the effects that it returns (design 2.3).
 
 use super::{DurableState, InvalidMessage, Message, Record};
 use crate::{
@@ -8,90 +8,90 @@
 use common::{Index, Term};
 use std::{fmt, net::SocketAddr};
 
-/// What a voter reacts to.
+/// Input to a voter.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; several times within a heartbeat.
+    /// Periodic tick, several times per heartbeat interval.
     Timer,
-    /// A message arrived from that address.
+    /// A message was received from this address.
     Msg(SocketAddr, Message),
-    /// A change is to be logged, if this voter leads.
+    /// Request to log a change, if this voter is the leader.
     Propose(Change),
-    /// The process is about to stop.
+    /// The process is about to stop: a leader gives up its term.
     StepDown,
-    /// The voter that was told [`Effect::Removed`] takes up this new identity, of a blank voter.
+    /// The new identity of a blank voter, given to a voter that returned [`Effect::Removed`].
     BecomeSpare(Box<VoterInfo>),
-    /// A learner's own membership holds this committed state.
+    /// A newer committed state that a learner's membership received.
     CommittedState {
         /// The state.
         cluster_state: Box<ClusterState>,
-        /// RPC address of the leader, as far as it is known.
+        /// RPC address of the leader, if known.
         leader: Option<SocketAddr>,
     },
-    /// The write with that token is synced.
+    /// The write with this token and all earlier ones are synced.
     Synced(u64),
-    /// A write or its sync failed; nothing written since the last sync may be trusted.
+    /// A write or its sync failed; nothing written since the last successful sync may be relied on.
     SyncFailed,
-    /// The disk works again, and this is what it holds: read from it anew, written anew and synced.
+    /// The disk works again. It holds this state, which was read back, rewritten and synced.
     Recovered(Box<DurableState>),
 }
 
-/// What the caller is to do.
+/// Output of a voter: what the caller must do or is informed of.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send a message; it may get lost.
+    /// Send a message, without retries; it may be lost.
     Send {
         /// RPC address of the receiver.
         to: SocketAddr,
         /// The message.
         msg: Message,
     },
-    /// Write and sync a record, then say so with its token.
+    /// Write and sync a record, then report this with [`Event::Synced`].
     Persist {
-        /// Names the write.
+        /// Identifies the write.
         token: u64,
-        /// What is to be written.
+        /// The record to write.
         record: Record,
     },
-    /// Logged by this leader; it will be committed or lost.
+    /// A proposed change was logged by this leader; it will be committed or lost.
     Logged {
-        /// Its index.
+        /// Index of its entry.
         index: Index,
         /// The proposed change.
         change: Change,
     },
-    /// Not logged, and never will be.
+    /// A proposed change was rejected: it is not in the log and never will be.
     NotLogged {
         /// The proposed change.
         change: Change,
-        /// Why not.
+        /// Why it was rejected.
         why: NotLogged,
     },
     /// An entry was committed and applied.
     Committed {
         /// The entry.
         entry: LogEntry,
-        /// What came of it.
+        /// The result of applying it.
         outcome: ApplyOutcome,
     },
-    /// The whole state was replaced by a snapshot: entries in between are not reported one by one.
+    /// A snapshot replaced the whole state: the entries that it covers are not reported one by one.
     SnapshotInstalled,
-    /// The disk failed, or works again: pending proposals are not reported one by one.
+    /// The voter stopped because its disk failed, or started over: the outcome of pending proposals is not reported.
     Interrupted,
-    /// This voter leads from now on.
+    /// This voter was elected leader.
     BecameLeader {
-        /// In this term.
+        /// The term that it leads.
         term: Term,
     },
-    /// Another holder has this voter's place. The caller offers it a new identity.
+    /// Another incarnation has replaced this voter. The caller offers it a new identity with [`Event::BecomeSpare`].
     Removed,
-    /// A learner was told who the voters are: its membership may ask them.
+    /// A learner received the voter set, so that its membership can query these voters.
     VotersDiscovered(Vec<VoterInfo>),
-    /// A message was refused: it changed nothing and is not answered.
+    /// A message was rejected as invalid: it changed nothing and is not answered.
     Refused {
-        /// Who sent it.
+        /// Address of the sender.
         from: SocketAddr,
-        /// What is wrong with it.
+        /// Why it is invalid.
         why: InvalidMessage,
     },
 }
@@ -99,21 +99,21 @@
 /// Why a proposed change was not logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotLogged {
-    /// This voter does not lead, or not for certain.
+    /// This voter is not the leader, or is not certain to be.
     NotLeader,
-    /// This node has no disk: it is no voter.
+    /// This node is a learner, which never logs changes.
     NotVoter,
-    /// A voter is being replaced; one change of the voter set at a time.
+    /// A replacement of a voter is logged and not committed; no other change is logged meanwhile.
     ReplacingVoter,
-    /// This voter's disk refuses writes.
+    /// A write to this voter's disk failed.
     DiskFailed,
     /// A name in the change is too long.
     NameTooLong,
-    /// The document is too long, packed.
+    /// The compressed document is too long.
     DocumentTooLong,
-    /// Too many bytes wait to be committed.
+    /// The uncommitted entries would be too long.
     TooMuchPending,
-    /// The whole state would not fit into a slot.
+    /// The whole state would not fit into a snapshot file.
     StateTooLarge,
 }
 
@@ -124,10 +124,10 @@
             NotLogged::NotVoter => "not a voter",
             NotLogged::ReplacingVoter => "a voter is being replaced",
             NotLogged::DiskFailed => "this voter's disk refuses writes",
-            NotLogged::NameTooLong => "a name of more than 64 bytes",
+            NotLogged::NameTooLong => "a name is longer than 64 bytes",
             NotLogged::DocumentTooLong => "the document is too long",
-            NotLogged::TooMuchPending => "too much waits to be committed",
-            NotLogged::StateTooLarge => "the whole state would not fit into a slot",
+            NotLogged::TooMuchPending => "too many bytes of changes wait to be committed",
+            NotLogged::StateTooLarge => "the whole state would not fit into a snapshot file",
         })
     }
 }
--- a/crates/control-plane/src/consensus/follower.rs
+++ b/crates/control-plane/src/consensus/follower.rs
@@ -1,12 +1,13 @@
-//! The ordinary run of a term at a follower (design 2.3): it syncs what the leader appends and replies with what it
-//! holds.
+//! Log replication at a follower (design 2.3): it writes and syncs what the leader appends, and replies with the state
+//! of its log.
 
 use super::*;
 
-/// What a follower must write before it replies.
+/// What a follower must write and sync before it replies.
 enum LogWrite {
-    /// The whole state.
+    /// A snapshot of the whole state.
     Snapshot,
+    /// One record.
     Record(Record),
 }
 
@@ -21,20 +22,20 @@
             return self.send_membership(from, effects);
         }
         if term < self.current_term {
-            // The reply tells the leader of an older term that it leads no more.
+            // The reply carries the current term, from which an older leader learns that it was superseded.
             return self.reply_when_durable(from, sent_at, effects);
         }
         let newer_term = term > self.current_term;
         self.current_term = term;
         self.role = VoterRole::Follower { leader: Some(by), last_contact: now };
-        let mut write = self.append_body(term, body, effects);
+        let mut write = self.apply_append_body(term, body, effects);
         if self.log_term == term {
             self.commit_to(commit_index.min(self.last_index()), effects);
         }
         if let Some(LogWrite::Record(Record::Append { commit_index, .. })) = &mut write {
             *commit_index = self.commit_index();
         }
-        // The reply names what is synced once every record up to here is.
+        // The reply states the end of the log, which is synced once all records up to this one are.
         let reply = Effect::Send { to: from, msg: self.append_reply(sent_at) };
         match write {
             Some(LogWrite::Snapshot) => self.write_snapshot(now, vec![reply], effects),
@@ -44,18 +45,23 @@
         }
     }
 
-    /// Takes into the log what an append carries, as far as it fits; what must be written for it.
-    fn append_body(&mut self, term: Term, body: AppendBody, effects: &mut Vec<Effect>) -> Option<LogWrite> {
+    /// Applies the payload of an append to the log, if it fits, and returns what must be written.
+    fn apply_append_body(
+        &mut self,
+        term: Term,
+        body: AppendBody,
+        effects: &mut Vec<Effect>,
+    ) -> Option<LogWrite> {
         match body {
             AppendBody::Heartbeat => None,
             AppendBody::Install { truncate_to, snapshot, entries } => {
-                self.append_install(term, truncate_to, snapshot, entries, effects)
+                self.install_from_append(term, truncate_to, snapshot, entries, effects)
             }
             AppendBody::Append { prev, entries } => self.append_entries(term, prev, entries),
         }
     }
 
-    fn append_install(
+    fn install_from_append(
         &mut self,
         term: Term,
         truncate_to: Index,
@@ -95,13 +101,13 @@
         Some(LogWrite::Record(Record::Append { commit_index, entries: new }))
     }
 
-    /// Replies once everything that the reply names is synced. Only the newest reply to each leader matters;
-    /// an overdue disk delays it.
+    /// Sends a reply once everything that it states is synced. A reply that still waits replaces earlier ones to the
+    /// same address.
     fn reply_when_durable(&mut self, to: SocketAddr, sent_at: Tick, effects: &mut Vec<Effect>) {
         let reply = Effect::Send { to, msg: self.append_reply(sent_at) };
         let Some(write) = self.writes.newest_mut() else { return effects.push(reply) };
-        let older = |effect: &Effect| matches!(effect, Effect::Send { to: other, msg: Message::AppendReply { .. } } if *other == to);
-        write.then.retain(|effect| !older(effect));
+        let earlier = |effect: &Effect| matches!(effect, Effect::Send { to: other, msg: Message::AppendReply { .. } } if *other == to);
+        write.then.retain(|effect| !earlier(effect));
         write.then.push(reply);
     }
 
--- a/crates/control-plane/src/consensus/join.rs
+++ b/crates/control-plane/src/consensus/join.rs
@@ -1,20 +1,20 @@
-//! Replacement of voters (design 2.5): a blank voter is admitted in place of its own former self, or of
-//! another holder that was silent for a lease.
+//! Replacement of voters (design 2.5): a blank voter is admitted in place of an earlier incarnation of the same node,
+//! or of another voter that has been silent for longer than a lease.
 
 use super::*;
 
 /// A blank voter that asks to be admitted.
 #[derive(Clone, Debug)]
 pub(super) struct JoinRequest {
-    /// With the number of the voter that it is to replace.
+    /// The blank voter, with the number of the voter that it would replace.
     voter: VoterInfo,
     /// When it first asked.
     since: Tick,
 }
 
 impl Voter {
-    /// Notes the request of a blank voter, if it may replace someone now. It is repeated with each heartbeat
-    /// and counted from the first time: over a slow link no reply would ever be newer than the last one.
+    /// Records the request of a blank voter, if it may replace a voter now. The request is repeated with each
+    /// heartbeat, but the first one counts: over a slow link no reply would ever be newer than the latest.
     pub(super) fn handle_join_request(&mut self, voter: VoterInfo, now: Tick) {
         if !self.is_leader() || self.voters().iter().any(|known| known.incarnation == voter.incarnation) {
             return;
@@ -32,23 +32,23 @@
         }
     }
 
-    /// The number of the voter that a blank one may replace: its own former self at once, another one that has
-    /// been silent for `silence_ms`.
+    /// The number of the voter that a blank voter may replace: an earlier incarnation of the same node at once, any
+    /// other after it has been silent for `silence_ms`.
     fn replaceable_by(&self, blank: &VoterInfo, silence_ms: u64, now: Tick) -> Option<u8> {
         let VoterRole::Leader { peers, since, .. } = &self.role else { return None };
         let others = self.other_voters();
-        let former_self = |voter: &&VoterInfo| voter.node == blank.node || voter.rpc_addr == blank.rpc_addr;
+        let same_node = |voter: &&VoterInfo| voter.node == blank.node || voter.rpc_addr == blank.rpc_addr;
         let silent = |voter: &&VoterInfo| {
             let last_contact = peers.get(&voter.number).map_or(*since, |progress| progress.sent_at);
             now.since(last_contact.max(*since)) > silence_ms
         };
-        let replaced = others.iter().find(former_self).or_else(|| others.iter().find(silent));
+        let replaced = others.iter().find(same_node).or_else(|| others.iter().find(silent));
         replaced.map(|voter| voter.number)
     }
 
-    /// Logs a replacement. It is committed by a majority without the old holder or not at all, and bars that
-    /// holder from the moment that it is logged: so it is begun only once enough others have answered appends
-    /// that were sent after the request.
+    /// Logs a replacement once enough of the other voters have answered appends that were sent after the request. The
+    /// replaced voter stops counting as soon as its replacement is logged, and only a majority without it can commit
+    /// the replacement, so that majority must be reachable first.
     pub(super) fn admit_joining_voter(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         let VoterRole::Leader { peers, .. } = &self.role else { return };
         let others = self.other_voters();
@@ -58,18 +58,18 @@
                 let progress = peers.get(&voter.number);
                 progress.is_some_and(|progress| progress.installed && progress.sent_at > request.since)
             };
-            let staying = others.iter().filter(|voter| voter.number != request.voter.number);
-            staying.filter(answered).count() + 1 >= quorum
+            let remaining = others.iter().filter(|voter| voter.number != request.voter.number);
+            remaining.filter(answered).count() + 1 >= quorum
         };
         let Some(voter) = self.join_requests.values().find(ready).map(|request| request.voter.clone()) else {
             return;
         };
-        // The others ask again, by the voter set as it is then.
+        // Other blank voters ask again and are checked against the new voter set.
         self.join_requests.clear();
         self.handle_propose(Change::ReplaceVoter(voter), now, effects);
     }
 
-    /// A blank voter takes its first snapshot, from a leader whose voter set names it.
+    /// Initializes a blank voter from a snapshot of a leader whose voter set includes this voter.
     pub(super) fn install_first_snapshot(
         &mut self,
         request: AppendRequest,
@@ -94,11 +94,11 @@
                 self.write_snapshot(now, vec![reply], effects);
             }
             _ => {
-                // While a leader makes contact, no other one is wanted.
+                // While a leader is in contact, this voter grants no vote to another.
                 if term >= self.current_term {
                     self.role = VoterRole::Follower { leader: None, last_contact: now };
                 }
-                effects.push(Effect::Send { to: from, msg: self.holds_nothing(to, term, sent_at) });
+                effects.push(Effect::Send { to: from, msg: self.empty_append_reply(to, term, sent_at) });
             }
         }
     }
@@ -108,8 +108,8 @@
         state.cluster == self.cluster && named
     }
 
-    /// Makes the leader send a snapshot.
-    fn holds_nothing(&self, number: u8, term: Term, sent_at: Tick) -> Message {
+    /// The reply of a blank voter, which makes the leader send a snapshot.
+    fn empty_append_reply(&self, number: u8, term: Term, sent_at: Tick) -> Message {
         Message::AppendReply {
             by: VoterId { number, incarnation: self.me.incarnation },
             term,
--- a/crates/control-plane/src/consensus/leadership.rs
+++ b/crates/control-plane/src/consensus/leadership.rs
@@ -1,23 +1,23 @@
-//! Who leads, and for how long that is certain (design 2.3).
+//! Who the leader is, and for how long that is certain (design 2.3).
 
 use super::*;
 
-/// A voter's contact with its cluster, by its own clock and by its last contacts.
+/// A voter's contact with its cluster, judged by its own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// Leads, and a majority answered it lately.
+    /// It is the leader, and a majority has answered it recently.
     Leading,
-    /// Hears its leader.
+    /// It follows a leader that has contacted it recently.
     Following,
-    /// Heard neither a majority nor a leader for half of the election time-out.
+    /// It has had contact with neither a majority nor a leader for half the election time-out.
     Isolated,
-    /// Is not a voter, or no longer: it knows of the cluster what others tell it.
+    /// It is not a voter, or no longer one: it knows the cluster only through other nodes.
     NotVoter,
 }
 
 impl Voter {
-    /// Silence after which a voter takes itself for out of contact, in milliseconds: several heartbeats, and
-    /// sooner than a lease ends or another voter stands for election.
+    /// Time without contact after which a voter regards itself as isolated, in milliseconds: several heartbeats, but
+    /// less than a lease and less than the time until another voter stands for election.
     pub fn silence_timeout_ms(&self) -> u64 {
         self.timing.election_timeout_ms() / 2
     }
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Whether it is a majority by itself.
+    /// Whether this voter alone is a majority.
     pub(super) fn is_sole_voter(&self) -> bool {
         self.quorum() == 1
     }
 
-    /// Until when no other voter can have become leader: followers grant no vote for an election time-out
-    /// after an append that they answered, and an eighth is given up for drifting clocks.
+    /// Until when no other voter can have become leader. Followers grant no vote for an election time-out after an
+    /// append that they answered; an eighth of it is subtracted to allow for clock drift.
     pub fn leadership_until(&self) -> Tick {
         if !self.is_leader() {
             return Tick(0);
@@ -57,11 +57,11 @@
         if self.is_sole_voter() {
             return Tick(u64::MAX);
         }
-        let sent = self.majority_contact();
-        sent.map_or(Tick(0), |sent| sent + self.timing.election_timeout_ms() * 7 / 8)
+        let sent_at = self.majority_contact();
+        sent_at.map_or(Tick(0), |sent_at| sent_at + self.timing.election_timeout_ms() * 7 / 8)
     }
 
-    /// Send time of the newest append that a majority of the voters answered, this leader included.
+    /// The latest time such that a majority, including this leader, has answered appends sent then or later.
     fn majority_contact(&self) -> Option<Tick> {
         let VoterRole::Leader { peers, .. } = &self.role else { return None };
         let voters = self.voters();
@@ -75,12 +75,12 @@
         answered.iter().rev().nth(self.quorum().saturating_sub(2)).copied()
     }
 
-    /// Whether it leads for certain: no other voter can have been elected, and its disk keeps up.
+    /// Whether it is certain to be the leader: no other voter can have been elected, and its disk is not overdue.
     pub fn has_leadership(&self, now: Tick) -> bool {
         self.is_leader() && now < self.leadership_until() && !self.sync_overdue(now)
     }
 
-    /// Whether it leads for certain and its committed state is the newest there is (design 2.3).
+    /// Whether it is certain to be the leader and its committed state is up to date (design 2.3).
     pub fn can_serve_reads(&self, now: Tick) -> bool {
         let caught_up = match &self.role {
             VoterRole::Leader { term_start, .. } => self.commit_index() >= *term_start,
@@ -89,14 +89,14 @@
         caught_up && self.has_leadership(now)
     }
 
-    /// Where the leader is, as far as this voter knows.
+    /// The leader, as far as this voter knows.
     pub fn leader(&self) -> Option<VoterInfo> {
         let id = match &self.role {
             VoterRole::Leader { .. } => self.id(),
             VoterRole::Follower { leader, .. } => (*leader)?,
             _ => return None,
         };
-        let holds = |voter: &VoterInfo| voter.number == id.number && voter.incarnation == id.incarnation;
-        self.voters().into_iter().find(holds)
+        let matches = |voter: &VoterInfo| voter.number == id.number && voter.incarnation == id.incarnation;
+        self.voters().into_iter().find(matches)
     }
 }
--- a/crates/control-plane/src/consensus/learner.rs
+++ b/crates/control-plane/src/consensus/learner.rs
@@ -1,16 +1,15 @@
-//! A learner (design 2.10): a control node without a disk. It takes up the committed state as it is told of it, tells
-//! others where the voters are, and bootstraps a cluster where it is the lowest seed; it never votes and stores
-//! nothing.
+//! A learner: a control node without a disk (design 2.10). It follows the committed state, tells other nodes who the
+//! voters are, and bootstraps a cluster if it is the seed with the lowest address. It never votes and stores nothing.
 
 use super::*;
 
 impl Voter {
-    /// The events that concern a learner; a proposal is not logged here.
+    /// Handles an event at a learner; most events don't apply to it, and proposals are rejected.
     pub(super) fn step_as_learner(&mut self, event: Event, now: Tick) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
             Event::CommittedState { cluster_state, leader } => {
-                self.take_up(*cluster_state, leader, now, &mut effects);
+                self.adopt_committed_state(*cluster_state, leader, now, &mut effects);
             }
             Event::Propose(change) => {
                 effects.push(Effect::NotLogged { change, why: NotLogged::NotVoter });
@@ -27,8 +26,8 @@
         effects
     }
 
-    /// A committed state, as this node's own membership follows it; it never goes back.
-    fn take_up(
+    /// Adopts a committed state that this node's membership received, unless it is older or of another cluster.
+    fn adopt_committed_state(
         &mut self,
         cluster_state: ClusterState,
         leader: Option<SocketAddr>,
@@ -60,19 +59,21 @@
             return effects.push(Effect::Refused { from, why });
         }
         match message {
-            Message::Discover { initialized: true, voters, .. } => self.discover_cluster(voters, effects),
+            Message::Discover { initialized: true, voters, .. } => {
+                self.handle_discovered_cluster(voters, effects);
+            }
             Message::Discover { voter, initialized: false, .. } if self.initialized => {
                 self.answer_blank_voter(from, &voter, effects);
             }
             Message::Discover { initialized: false, .. } => self.query_blank_voter(from, now, effects),
-            Message::Blank { voter, asker, sent_at } => self.note_blank_voter(voter, asker, sent_at),
+            Message::Blank { voter, asker, sent_at } => self.record_blank_voter(voter, asker, sent_at),
             Message::Learner => self.handle_learner(from, now, effects),
             _ => {}
         }
     }
 
-    /// A cluster exists: none is bootstrapped from here.
-    fn discover_cluster(&mut self, voters: Vec<VoterInfo>, effects: &mut Vec<Effect>) {
+    /// Another node reported an existing cluster: this learner no longer bootstraps one.
+    fn handle_discovered_cluster(&mut self, voters: Vec<VoterInfo>, effects: &mut Vec<Effect>) {
         if !self.initialized {
             self.saw_other_cluster = true;
             self.proposed_bootstrap = None;
@@ -80,7 +81,7 @@
         }
     }
 
-    /// A learner introduced itself: it is told where the voters are, or noted as a seed that does not vote.
+    /// Answers a learner with the voter set, or records it as a seed that does not vote.
     pub(super) fn handle_learner(&mut self, from: SocketAddr, now: Tick, effects: &mut Vec<Effect>) {
         if self.initialized && !self.removed {
             return self.send_membership(from, effects);
@@ -88,7 +89,7 @@
         self.discovered_learners.insert(from, now);
     }
 
-    /// Proposes the initial state of a cluster to its voters, again with each heartbeat until there is a cluster.
+    /// Sends the initial state of a cluster to its voters; this is repeated with each heartbeat until a cluster exists.
     pub(super) fn propose_bootstrap(&mut self, initial: ClusterState, effects: &mut Vec<Effect>) {
         effects.push(Effect::VotersDiscovered(initial.voters.clone()));
         effects.extend(self.bootstrap_messages(&initial));
--- a/crates/control-plane/src/consensus/log.rs
+++ b/crates/control-plane/src/consensus/log.rs
@@ -1,13 +1,13 @@
-//! The replicated log of one voter: its end, its truncation, what is committed and what is retained.
+//! The replicated log of one voter: its tail, truncation, commits, compaction and limits.
 
 use super::*;
 
-/// Committed entries retained behind the snapshot, for state updates and for voters that lag a little.
+/// Number of committed entries kept in the log, for state updates and for followers that lag a little.
 const RETAINED_ENTRIES: usize = 256;
 
 impl Voter {
-    /// The log after `from`. A snapshot comes with it where the log no longer reaches back that far, or where
-    /// the entries would be longer than one record or message may be.
+    /// The log after `from`. It includes a snapshot if the log no longer reaches back that far, or if the entries
+    /// would exceed the limit of one record or message.
     pub(super) fn log_tail_after(&self, from: Index) -> LogTail {
         let too_long = self.commit_index() > from && self.log_weight_after(from) > self.size_limits.batch();
         let needs_snapshot = self.snapshot_index > from || from == Index(0) || too_long;
@@ -30,7 +30,7 @@
         self.log.iter().filter(|entry| entry.index > index).map(LogEntry::weight).sum()
     }
 
-    /// Truncates the log, then appends entries; a snapshot that is not older replaces the whole state.
+    /// Truncates the log, then appends entries. A snapshot that is not older than the state replaces all of it.
     pub(super) fn install_log(
         &mut self,
         truncate_to: Index,
@@ -62,7 +62,7 @@
             if let (VoterRole::Leader { peers, .. }, Change::ReplaceVoter(replacement)) =
                 (&mut self.role, &entry.change)
             {
-                // Nothing is known of the new voter but that it is blank: its snapshot is sent at once.
+                // The new voter is blank: with this default progress it is sent a snapshot at once.
                 peers.insert(replacement.number, Progress::default());
             }
             effects.push(Effect::Committed { entry, outcome });
@@ -70,7 +70,7 @@
         self.compact();
     }
 
-    /// Drops committed entries beyond what is retained, by count and by bytes.
+    /// Removes old committed entries from the log beyond the limits on their number and bytes.
     fn compact(&mut self) {
         let commit_index = self.commit_index();
         let committed = self.log.iter().filter(|entry| entry.index <= commit_index);
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Why a change does not fit, in whatever order the pending entries are committed.
-    pub(super) fn exceeds_limits(&self, change: &Change) -> Option<NotLogged> {
+    /// The limit that a change would exceed, if any, assuming that all pending entries are committed too.
+    pub(super) fn exceeded_limit(&self, change: &Change) -> Option<NotLogged> {
         let document = match change {
             Change::Apply { text, .. } => text.packed_len(),
             _ => 0,
@@ -107,7 +107,7 @@
 }
 
 impl LogTail {
-    /// The voter set at its end, if it were taken on top of `base`.
+    /// The voter set at the end of this tail, if its entries follow `base`.
     pub fn voters(&self, base: &ClusterState) -> Vec<VoterInfo> {
         let mut voters = self.snapshot.as_ref().unwrap_or(base).voters.clone();
         for entry in &self.entries {
--- a/crates/control-plane/src/consensus/message.rs
+++ b/crates/control-plane/src/consensus/message.rs
@@ -1,4 +1,4 @@
-//! Messages between voters (design 2.3).
+//! The messages between voters, as sent on the wire (design 2.3).
 
 use crate::{
     state_machine::ClusterState,
@@ -7,53 +7,53 @@
 use common::{Incarnation, Index, Term, Tick};
 use serde::{Deserialize, Serialize};
 
-/// A voter's name in messages.
+/// Identifies a voter in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterId {
-    /// Its position in the voter set.
+    /// Position in the voter set.
     pub number: u8,
-    /// Tells apart the holders of that position.
+    /// Distinguishes successive voters in the same position.
     #[serde(rename = "inc")]
     pub incarnation: Incarnation,
 }
 
-/// The end of a voter's log, sent to a candidate with a vote.
+/// The tail of a voter's log, sent to a candidate with the vote.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LogTail {
     /// The term in which the log was installed.
     pub log_term: Term,
-    /// Index of its last entry.
+    /// Index of the last entry of the log.
     pub last: Index,
-    /// Up to here the voter knows all to be committed.
+    /// Index up to which the voter knows entries to be committed.
     #[serde(rename = "accepted")]
     pub commit_index: Index,
-    /// Sent where the log no longer reaches back to the candidate's commit index.
+    /// Snapshot of the state, if the log no longer reaches back to the candidate's commit index or is too long to send.
     pub snapshot: Option<ClusterState>,
-    /// Entries after the candidate's commit index, or after the snapshot.
+    /// Entries after the snapshot, else after the candidate's commit index.
     pub entries: Vec<LogEntry>,
 }
 
-/// What an append carries.
+/// The payload of an append.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum AppendBody {
-    /// Nothing: the leader is there.
+    /// Nothing: shows that the leader is alive.
     #[serde(rename = "Ping")]
     Heartbeat,
-    /// The log of a new term: truncate to `truncate_to`, or take the snapshot, then append the entries.
+    /// The log of a new term: truncate to `truncate_to` or install the snapshot, then append the entries.
     Install {
-        /// A committed index.
+        /// A committed index; later entries of the follower's log are discarded.
         #[serde(rename = "cut")]
         truncate_to: Index,
-        /// Sent where the leader's log no longer reaches back to `truncate_to`.
+        /// Snapshot of the state, if the leader's log no longer reaches back to `truncate_to` or is too long to send.
         snapshot: Option<ClusterState>,
-        /// What follows.
+        /// Entries after the snapshot, else after `truncate_to`.
         entries: Vec<LogEntry>,
     },
     /// Entries that follow `prev` in the log of the current term.
     Append {
-        /// Index that the entries follow.
+        /// Index of the entry before the first one.
         prev: Index,
-        /// What follows.
+        /// The entries.
         entries: Vec<LogEntry>,
     },
 }
@@ -61,7 +61,7 @@
 /// A message between voters.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// A blank voter introduces itself to the seeds; an initialized one answers with the voter set.
+    /// Announces a blank voter to the seeds, or states the voter set if the sender is initialized.
     Discover {
         /// The sender.
         #[serde(rename = "holder")]
@@ -69,49 +69,49 @@
         /// Whether the sender holds the state of a cluster.
         #[serde(rename = "formed")]
         initialized: bool,
-        /// The voter set, from an initialized sender.
+        /// The voter set; empty if the sender is blank.
         voters: Vec<VoterInfo>,
-        /// The commit index to which the voter set belongs.
+        /// The commit index at which this voter set is valid.
         #[serde(rename = "idx")]
         index: Index,
     },
-    /// A control node without a disk introduces itself to the seeds (design 2.10).
+    /// Announces a learner, a control node without a disk, to the seeds (design 2.10).
     Learner,
-    /// The initial state of a new cluster.
+    /// Initializes a blank voter with the initial state of a new cluster.
     Bootstrap {
-        /// With nothing applied yet.
+        /// The initial state, with no change applied.
         #[serde(rename = "ledger")]
         cluster_state: ClusterState,
     },
-    /// A blank voter asks to be admitted.
+    /// A blank voter asks the voters of a cluster to be admitted.
     JoinRequest {
         /// The sender.
         #[serde(rename = "holder")]
         voter: VoterInfo,
     },
-    /// A voter that has just started asks whether the other leads; the time names this run of its process.
+    /// A voter that has just started asks whether the receiver leads; its start time identifies the run of its process.
     LeaderQuery(Tick),
-    /// It does not.
+    /// Answer to [`Message::LeaderQuery`], with its time: the sender does not lead.
     NotLeading(Tick),
-    /// A leader that is about to stop gives up its term, so that nobody waits for its election time-out.
+    /// A leader that is about to stop gives up its term, so that the others need not wait for the election time-out.
     StepDown {
         /// The leader.
         by: VoterId,
         /// Its term.
         term: Term,
     },
-    /// Asks whether a vote in that term would be granted; promises nothing.
+    /// Asks whether a vote in this term would be granted, without committing either side to anything.
     PreVote {
         /// The candidate.
         by: VoterId,
-        /// The term that it would ask for.
+        /// The term that it would stand for.
         term: Term,
     },
-    /// It would be granted.
+    /// Answer to [`Message::PreVote`]: the vote would be granted.
     PreVoteGranted {
         /// The voter.
         by: VoterId,
-        /// The term asked for.
+        /// The term of the pre-vote.
         term: Term,
     },
     /// Asks for a vote in a new term.
@@ -120,73 +120,73 @@
         by: VoterId,
         /// The new term.
         term: Term,
-        /// What the candidate knows to be committed.
+        /// Index up to which the candidate knows entries to be committed.
         #[serde(rename = "accepted")]
         commit_index: Index,
     },
-    /// A vote: the voter takes part in no older term from now on.
+    /// Grants a vote: the voter takes part in no older term from now on.
     Vote {
         /// The voter.
         by: VoterId,
         /// The new term.
         term: Term,
-        /// The end of its log.
+        /// The tail of its log.
         tail: LogTail,
     },
-    /// From the leader to a follower.
+    /// Replicates entries, or a heartbeat, from the leader to a follower.
     Append {
         /// The leader.
         by: VoterId,
-        /// Number of the follower.
+        /// Voter number of the follower.
         to: u8,
         /// The leader's term.
         term: Term,
-        /// What the leader knows to be committed.
+        /// Index up to which the leader knows entries to be committed.
         #[serde(rename = "accepted")]
         commit_index: Index,
-        /// When it was sent, on the leader's clock.
+        /// Send time on the leader's clock.
         #[serde(rename = "stamp")]
         sent_at: Tick,
-        /// What it carries.
+        /// The payload.
         body: AppendBody,
     },
-    /// What the follower holds, synced.
+    /// Answer to [`Message::Append`]: the state of the follower's log, as far as it is synced.
     AppendReply {
         /// The follower.
         by: VoterId,
         /// Its term.
         term: Term,
-        /// Its log is the one of that term.
+        /// Whether it has installed the log of that term.
         installed: bool,
         /// Index of the last entry of its log.
         last: Index,
-        /// What it knows to be committed.
+        /// Index up to which it knows entries to be committed.
         #[serde(rename = "accepted")]
         commit_index: Index,
-        /// The time in the append that it answers.
+        /// Send time of the append that it answers.
         #[serde(rename = "stamp")]
         sent_at: Tick,
     },
-    /// Asks whether the receiver is a blank voter.
+    /// Asks whether the receiver is a blank voter that knows of no cluster.
     BlankQuery {
-        /// Incarnation of the asker.
+        /// Incarnation of the sender.
         asker: Incarnation,
-        /// When it was sent, on the asker's clock.
+        /// Send time on the sender's clock.
         sent_at: Tick,
     },
-    /// It is, and knows of no cluster.
+    /// Answer to [`Message::BlankQuery`]: the sender is blank and knows of no cluster.
     Blank {
         /// The sender.
         voter: VoterInfo,
-        /// Who asked.
+        /// Incarnation of the voter that asked.
         asker: Incarnation,
-        /// The time in the question that it answers.
+        /// Send time of the query that it answers.
         sent_at: Tick,
     },
 }
 
 impl AppendBody {
-    /// Upper bound on the state that it carries, in bytes.
+    /// Upper bound on the encoded size of the state and entries that it carries, in bytes.
     pub fn weight(&self) -> usize {
         match self {
             AppendBody::Heartbeat => 0,
@@ -197,7 +197,7 @@
 }
 
 impl Message {
-    /// Upper bound on the state that it carries, in bytes.
+    /// Upper bound on the encoded size of the state and entries that it carries, in bytes.
     pub fn weight(&self) -> usize {
         match self {
             Message::Bootstrap { cluster_state } => cluster_state.weight(),
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -1,8 +1,10 @@
-//! Consensus on the order of changes (design 2.2 to 2.5): a replicated log with one leader a term.
+//! Consensus on the order of changes: a replicated log with at most one leader per term (design 2.2 to 2.5).
 //!
-//! [`Voter`] is a state machine without input or output: [`Voter::step`] takes an event and the time and
-//! returns effects, which the caller carries out in their order. The daemon and the simulators drive the
-//! same code.
+//! [`Voter`] is a state machine that does no I/O: [`Voter::step`] takes an event and the current time and returns
+//! effects, which the caller carries out in order. The daemon and the simulators run the same code.
+//!
+//! A voter is blank until it is initialized with the state of a cluster. Its number is its position in the voter set;
+//! its incarnation identifies its disk contents, so a wiped machine returns as another incarnation.
 
 mod admission;
 mod bootstrap;
@@ -44,80 +46,80 @@
     net::SocketAddr,
 };
 
-/// One voter of a cluster, with everything that it knows.
+/// The consensus state of one voter.
 #[derive(Clone, Debug)]
 pub struct Voter {
-    /// Its identity.
+    /// Identity of this voter.
     pub me: VoterInfo,
-    /// Lengths of time-outs.
+    /// Time-outs and intervals.
     pub timing: Timing,
-    /// Name of the cluster; nothing of another one is taken in.
+    /// Name of the cluster; state of any other cluster is rejected.
     pub cluster: String,
-    /// Addresses that its settings name.
+    /// RPC addresses of the seeds, from the settings.
     pub seeds: Vec<SocketAddr>,
-    /// Whether it may bootstrap a cluster while it is blank.
+    /// Whether this voter may bootstrap a cluster while it is blank.
     pub may_bootstrap: bool,
-    /// Voters that a bootstrap waits for; the seeds alone where this is no more (design 2.5).
+    /// Number of voters that a bootstrap waits for; at least the number of seeds (design 2.5).
     pub expected_voters: usize,
-    /// The whole system starts for the first time: blank voters prove that there is no cluster.
+    /// The whole system starts for the first time: blank voters are taken as proof that no cluster exists.
     pub first_start: bool,
-    /// It has no disk: it follows the cluster and votes on nothing (design 2.10).
+    /// The node has no disk: it follows the committed state and never votes (design 2.10).
     pub learner: bool,
-    /// Drawn by the daemon; the voter that bootstraps a cluster makes it the cluster's own (design 5.6).
+    /// Random secret of this node; that of the voter that bootstraps a cluster becomes the cluster's (design 5.6).
     pub secret: u128,
-    /// It holds the state of a cluster; without, it is blank.
+    /// Whether it holds the state of a cluster; otherwise it is blank.
     pub initialized: bool,
-    /// The newest term that it promised to take part in.
+    /// The newest term that it has joined; it takes part in no older one.
     pub current_term: Term,
     /// The term in which its log was installed.
     pub log_term: Term,
-    /// Committed changes, applied.
+    /// The state after all committed changes.
     pub cluster_state: ClusterState,
     /// Entries after the snapshot; the committed ones among them are applied to the cluster state.
     pub log: VecDeque<LogEntry>,
-    /// Index of the last entry that the log no longer holds.
+    /// Index of the last entry that was removed from the log.
     pub snapshot_index: Index,
-    /// Index up to which its own log is synced.
+    /// Index up to which its own log is synced to disk.
     pub durable_index: Index,
-    /// Its part in the current term.
+    /// Its role in the current term.
     pub role: VoterRole,
-    /// A write failed: until the disk works again the voter takes part in nothing (design 2.4).
+    /// A write failed: the voter takes part in nothing until the disk works again (design 2.4).
     pub disk_failed: bool,
-    /// Another holder replaced it (design 2.5).
+    /// It is no longer in the voter set, by a logged or committed replacement (design 2.5).
     pub removed: bool,
-    /// The replacement is known to be committed.
+    /// Its replacement is known to be committed.
     replaced: bool,
-    /// What fits on disk and on the wire (design 2.8).
+    /// Limits on what is stored and sent (design 2.8).
     pub size_limits: SizeLimits,
-    /// From when it waits before it votes; moved back once no wait is needed.
+    /// When its wait before voting began; set back once no wait is needed.
     started: Tick,
     /// Identifies this run of the process in its leader queries.
     process_started: Tick,
-    /// Addresses of voters that answered this run of the process that they do not lead.
+    /// RPC addresses of voters that answered this run of the process that they do not lead.
     not_leading: BTreeSet<SocketAddr>,
     writes: PendingWrites,
-    /// Voters that were blank, and when they were asked.
+    /// Voters that answered that they are blank, by RPC address, and when they were asked.
     discovered_voters: BTreeMap<SocketAddr, (VoterInfo, Tick)>,
-    /// Learners that introduced themselves, and when.
+    /// RPC addresses of learners that announced themselves, and when they last did.
     discovered_learners: BTreeMap<SocketAddr, Tick>,
-    /// The initial state that this learner proposed to the voters of a new cluster.
+    /// The initial state that this learner sent to the voters of a new cluster.
     proposed_bootstrap: Option<ClusterState>,
-    /// A cluster without this voter was seen: it may neither bootstrap one nor be bootstrapped.
+    /// It has seen a cluster that does not include it: it may neither bootstrap a cluster nor be bootstrapped.
     saw_other_cluster: bool,
-    /// Since when all seeds are known to be blank.
+    /// Since when all seeds have been known to be blank or learners.
     seeds_complete_since: Option<Tick>,
-    /// The newest term that it led, for as long as this process runs.
+    /// The newest term that this run of the process led.
     led: Option<LedTerm>,
-    /// While it is blank: the committed voter set that names it.
+    /// While it is blank: the newest committed voter set that names it.
     admission: Option<Admission>,
-    /// Blank voters that ask to be admitted.
+    /// Blank voters that ask to be admitted, by incarnation.
     join_requests: BTreeMap<Incarnation, JoinRequest>,
-    /// When it last sent what is sent with each heartbeat.
+    /// When it last sent its periodic messages.
     last_heartbeat: Tick,
 }
 
 impl Voter {
-    /// A voter that resumes from what its disk held; without that it is blank.
+    /// Creates a voter that resumes from its durable state, or a blank one if there is none.
     pub fn new(
         me: VoterInfo,
         cluster: &str,
@@ -189,13 +191,13 @@
         self.log.back().map_or(self.snapshot_index, |entry| entry.index)
     }
 
-    /// Index up to which it knows all to be committed.
+    /// Index up to which it knows entries to be committed.
     pub fn commit_index(&self) -> Index {
         self.cluster_state.index
     }
 
-    /// The voter set with logged replacements applied: a replaced holder counts no more from the moment that
-    /// its replacement is in the log (design 2.5).
+    /// The voter set with logged replacements applied: a replaced voter no longer counts once its replacement is
+    /// in the log, committed or not (design 2.5).
     pub fn voters(&self) -> Vec<VoterInfo> {
         let mut voters = self.cluster_state.voters.clone();
         for entry in self.log.iter().filter(|entry| entry.index > self.commit_index()) {
@@ -206,10 +208,10 @@
         voters
     }
 
-    /// Whether it holds a place in the voter set.
+    /// Whether the voter set contains this number with this incarnation.
     pub fn is_voter(&self, id: &VoterId) -> bool {
-        let holds = |voter: &VoterInfo| voter.number == id.number && voter.incarnation == id.incarnation;
-        self.voters().iter().any(holds)
+        let matches = |voter: &VoterInfo| voter.number == id.number && voter.incarnation == id.incarnation;
+        self.voters().iter().any(matches)
     }
 
     /// The voter set without this voter.
@@ -219,17 +221,17 @@
         voters
     }
 
-    /// How many voters are a majority.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.cluster_state.voters.len() / 2 + 1
     }
 
-    /// Its name in messages.
+    /// Its identifier in messages.
     pub fn id(&self) -> VoterId {
         VoterId { number: self.me.number, incarnation: self.me.incarnation }
     }
 
-    /// Whether it is the leader of its term. It may have been deposed: see [`Voter::has_leadership`].
+    /// Whether it was elected leader of its term. Another may lead by now: see [`Voter::has_leadership`].
     pub fn is_leader(&self) -> bool {
         matches!(self.role, VoterRole::Leader { .. })
     }
--- a/crates/control-plane/src/consensus/replication.rs
+++ b/crates/control-plane/src/consensus/replication.rs
@@ -1,43 +1,43 @@
-//! The ordinary run of a term at its leader (design 2.3): it appends to the followers' logs and commits what a
-//! majority has synced.
+//! Log replication at the leader (design 2.3): it appends to the followers' logs and commits what a majority has
+//! synced.
 
 use super::*;
 use crate::types::take_batch;
 
 impl Voter {
-    /// To all followers: what each lacks, else a heartbeat.
+    /// Sends each follower the entries that it lacks, or else a heartbeat.
     pub(super) fn broadcast_append(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         for follower in self.replication_targets() {
-            let body = self.next_body(&follower, now).unwrap_or(AppendBody::Heartbeat);
+            let body = self.next_append_body(&follower, now).unwrap_or(AppendBody::Heartbeat);
             self.send_append(&follower, body, now, effects);
         }
     }
 
-    /// To these followers: what each lacks, if it lacks something.
+    /// Sends each of these followers the entries that it lacks, if any.
     fn send_pending_entries(&mut self, to: &[VoterInfo], now: Tick, effects: &mut Vec<Effect>) {
         for follower in to {
-            if let Some(body) = self.next_body(follower, now) {
+            if let Some(body) = self.next_append_body(follower, now) {
                 self.send_append(follower, body, now, effects);
             }
         }
     }
 
-    /// A joining voter is sent nothing before its admission is committed (design 2.5).
+    /// The followers that are sent appends: a joining voter only once its admission is committed (design 2.5).
     fn replication_targets(&self) -> Vec<VoterInfo> {
         let mut targets = self.other_voters();
         targets.retain(|voter| self.cluster_state.voters.contains(voter));
         targets
     }
 
-    /// What a follower lacks, once. It is sent again only when the reply is overdue: a long entry on a slow
-    /// link would otherwise be sent many times over, and delay the heartbeats (design 2.3).
-    fn next_body(&self, follower: &VoterInfo, now: Tick) -> Option<AppendBody> {
+    /// The entries that a follower lacks, unless they are in flight. They are sent again only when the reply is
+    /// overdue: otherwise a long entry on a slow link would be sent many times and delay the heartbeats.
+    fn next_append_body(&self, follower: &VoterInfo, now: Tick) -> Option<AppendBody> {
         let VoterRole::Leader { peers, .. } = &self.role else { return None };
         let progress = peers.get(&follower.number)?;
         if progress.in_flight.as_ref().is_some_and(|append| !append.overdue(&self.timing, now)) {
             return None;
         }
-        // A follower that lags further back than the log reaches takes a snapshot.
+        // A follower that lacks entries from before the start of the log needs a snapshot.
         if !progress.installed || progress.last < self.snapshot_index {
             let truncate_to = progress.commit_index;
             let LogTail { snapshot, entries, .. } = self.log_tail_after(truncate_to);
@@ -71,9 +71,9 @@
         }
     }
 
-    /// Logs a change, if this voter leads for certain and the change fits.
+    /// Logs a change, if this voter is certain to be the leader and the change is within the limits.
     pub(super) fn handle_propose(&mut self, change: Change, now: Tick, effects: &mut Vec<Effect>) {
-        if let Some(why) = self.refuses_proposal(&change, now) {
+        if let Some(why) = self.proposal_rejection(&change, now) {
             return effects.push(Effect::NotLogged { change, why });
         }
         let entry = LogEntry { index: self.last_index().next(), change };
@@ -84,14 +84,15 @@
         self.send_pending_entries(&self.replication_targets(), now, effects);
     }
 
-    fn refuses_proposal(&self, change: &Change, now: Tick) -> Option<NotLogged> {
+    /// Why a proposed change can't be logged, if it can't.
+    fn proposal_rejection(&self, change: &Change, now: Tick) -> Option<NotLogged> {
         if !self.has_leadership(now) || self.log_term != self.current_term {
             return Some(NotLogged::NotLeader);
         }
         if self.voters() != self.cluster_state.voters {
             return Some(NotLogged::ReplacingVoter);
         }
-        self.exceeds_limits(change)
+        self.exceeded_limit(change)
     }
 
     pub(super) fn handle_append_reply(
@@ -112,25 +113,25 @@
             return;
         }
         let before = peers.remove(&by.number).unwrap_or_default();
-        peers.insert(by.number, before.advanced_by(reply));
+        peers.insert(by.number, before.updated_by(reply));
         self.advance_commit_index(now, effects);
         self.admit_joining_voter(now, effects);
-        // What it still lacks is sent at once; a heartbeat comes with the next tick.
+        // Further entries are sent at once, a heartbeat only with the next tick.
         let follower: Vec<VoterInfo> =
             self.replication_targets().into_iter().filter(|voter| voter.number == by.number).collect();
         self.send_pending_entries(&follower, now, effects);
     }
 
-    /// Commits what a majority of the voter set in force has synced in this term (design 2.3).
+    /// Commits the entries that a majority of the committed voter set has synced in this term (design 2.3).
     pub(super) fn advance_commit_index(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         let VoterRole::Leader { peers, .. } = &self.role else { return };
-        let in_force = &self.cluster_state.voters;
+        let committed_voters = &self.cluster_state.voters;
         let synced_at = |voter: &VoterInfo| {
             let progress = peers.get(&voter.number).filter(|progress| progress.installed)?;
             Some(progress.last)
         };
         let others = self.other_voters();
-        let counted = others.iter().filter(|voter| in_force.contains(voter));
+        let counted = others.iter().filter(|voter| committed_voters.contains(voter));
         let mut synced: Vec<Index> = counted.filter_map(synced_at).collect();
         synced.push(self.durable_index);
         synced.sort();
@@ -144,8 +145,8 @@
 }
 
 impl Progress {
-    /// What is known after a reply; one that was overtaken on its way changes nothing but the contact.
-    fn advanced_by(self, reply: Progress) -> Progress {
+    /// The progress after a reply. A reply that a newer one has overtaken only counts as contact.
+    fn updated_by(self, reply: Progress) -> Progress {
         let overtaken = self.installed && (!reply.installed || reply.last < self.last);
         let sent_at = self.sent_at.max(reply.sent_at);
         let in_flight = self.in_flight;
--- a/crates/control-plane/src/consensus/role.rs
+++ b/crates/control-plane/src/consensus/role.rs
@@ -1,25 +1,25 @@
-//! A voter's part in its term (design 2.3), and what a leader knows of each follower.
+//! The roles of a voter, and what a leader knows of each follower (design 2.3).
 
 use super::{AppendBody, LogTail, VoterId};
 use common::{Incarnation, Index, Term, Tick, settings::Timing};
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// What a follower holds, as its newest reply says.
+/// The state of a follower's log according to its newest reply.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// Its log is the one of the current term.
+    /// Whether it has installed the log of the current term.
     pub installed: bool,
-    /// Index of the last entry of its log, synced.
+    /// Index of the last entry of its log; synced.
     pub last: Index,
-    /// What it knows to be committed.
+    /// Index up to which it knows entries to be committed.
     pub commit_index: Index,
-    /// Send time, on this leader's clock, of the newest append that it answered.
+    /// Send time, on the leader's clock, of the newest append that it answered.
     pub sent_at: Tick,
-    /// The append with entries that it has not acknowledged.
+    /// The append with entries or a snapshot that it has not acknowledged.
     pub in_flight: Option<InFlight>,
 }
 
-/// An append with entries or a snapshot, on its way.
+/// An append with entries or a snapshot that was sent and not acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlight {
     sent_at: Tick,
@@ -27,18 +27,18 @@
     weight: usize,
 }
 
-/// Slowest rate at which a long append is taken to travel, in bytes a millisecond.
-const BYTES_PER_MS: u64 = 1_024;
+/// Lowest link speed assumed for the transfer of a long append, in bytes per millisecond.
+const MIN_LINK_BYTES_PER_MS: u64 = 1_024;
 
 impl InFlight {
     pub(super) fn new(sent_at: Tick, last_index: Index, weight: usize) -> Self {
         Self { sent_at, last_index, weight }
     }
 
-    /// Its reply should have arrived: two heartbeats, and the time that its bytes take.
+    /// Whether its reply is overdue, after two heartbeat intervals plus the transfer time.
     pub(super) fn overdue(&self, timing: &Timing, now: Tick) -> bool {
-        let travel_ms = self.weight as u64 / BYTES_PER_MS;
-        now.since(self.sent_at) > 2 * timing.heartbeat_ms() + travel_ms
+        let transfer_ms = self.weight as u64 / MIN_LINK_BYTES_PER_MS;
+        now.since(self.sent_at) > 2 * timing.heartbeat_ms() + transfer_ms
     }
 
     pub(super) fn acknowledged_by(&self, progress: &Progress) -> bool {
@@ -46,7 +46,7 @@
     }
 }
 
-/// An append as it arrived.
+/// A received append; the fields are those of `Message::Append`, with the sender's address.
 pub(crate) struct AppendRequest {
     pub from: SocketAddr,
     pub by: VoterId,
@@ -57,42 +57,42 @@
     pub body: AppendBody,
 }
 
-/// A voter's part in its term.
+/// The role of a voter in its term.
 #[derive(Clone, Debug)]
 pub enum VoterRole {
-    /// Takes appends from a leader, or waits for one.
+    /// Accepts appends from a leader, or waits for one.
     Follower {
-        /// The leader of the current term, once it made contact.
+        /// The leader of the current term, once it has sent an append.
         leader: Option<VoterId>,
-        /// When it last had contact with the leader.
+        /// When the leader last made contact; after a restart or a vote, from when the election time-out counts.
         last_contact: Tick,
     },
-    /// Asks whether a vote would be granted.
+    /// Asks whether the others would grant it a vote.
     PreCandidate {
-        /// The term that it would ask for.
+        /// The term that it would stand for.
         term: Term,
-        /// Numbers of the voters that would grant it.
+        /// Numbers of the voters that would grant a vote.
         granted: Vec<u8>,
-        /// When it began.
+        /// When the pre-vote began.
         since: Tick,
     },
     /// Asks for votes.
     Candidate {
-        /// The term that it asks for.
+        /// The term that it stands for.
         term: Term,
-        /// Votes, each with the end of the voter's log.
+        /// Votes received, each with the tail of that voter's log.
         votes: BTreeMap<Incarnation, LogTail>,
-        /// When it began.
+        /// When the candidacy began.
         since: Tick,
     },
-    /// Appends to the followers' logs.
+    /// Replicates its log to the followers.
     Leader {
-        /// What each follower holds, by number.
+        /// Replication progress of each follower, by voter number.
         peers: BTreeMap<u8, Progress>,
         /// When it was elected.
         since: Tick,
-        /// End of its log when it was elected: reads are served only once all up to there is committed in its
-        /// own term.
+        /// Last index of its log when it was elected: it serves reads only once all entries up to here are
+        /// committed in its own term.
         term_start: Index,
     },
 }
--- a/crates/control-plane/src/consensus/spare.rs
+++ b/crates/control-plane/src/consensus/spare.rs
@@ -1,12 +1,12 @@
-//! A replaced voter becomes a spare (design 2.5): it starts over as a blank voter with an incarnation of its own, and
-//! may then take the place of another one.
+//! Reuse of replaced voters: a voter that was replaced starts over as a spare, that is a blank voter with a new
+//! incarnation, which may later replace another voter (design 2.5).
 
 use super::*;
 
 impl Voter {
-    /// Takes up a new identity, if another holder was committed in this voter's place. Nothing that it held is needed:
-    /// its replacement was committed by a majority without it. It says nothing before the identity is synced, and
-    /// whatever it promised was promised under an identity that no voter set names any more.
+    /// Starts over with a new identity, if this voter's replacement is committed. Its old state can be discarded: the
+    /// replacement was committed by a majority without it. It sends nothing before the new identity is synced; its
+    /// earlier votes no longer matter, since no voter set names the identity that cast them.
     pub(super) fn become_spare(&mut self, identity: VoterInfo, now: Tick, effects: &mut Vec<Effect>) {
         if !self.replaced {
             return;
@@ -21,21 +21,21 @@
             expected_voters: self.expected_voters,
             secret: self.secret,
             size_limits: self.size_limits,
-            writes: self.writes.restarted(),
+            writes: self.writes.cleared(),
             ..restarted
         };
         effects.push(Effect::Interrupted);
         self.write_snapshot(now, Vec::new(), effects);
     }
 
-    /// Whether it is a spare of a cluster that it knows to exist, also after a restart: it founds none, and does not
-    /// pass as a machine that was never part of one.
+    /// Whether it is a spare, also after a restart. It knows that a cluster exists, so it neither bootstraps one nor
+    /// answers that it is blank.
     pub(super) fn is_spare(&self) -> bool {
         !self.initialized && !self.cluster_state.cluster.is_empty()
     }
 
-    /// Whether its identity, or its promise, is on its way to the disk.
-    pub(super) fn is_silent(&self) -> bool {
+    /// Whether a blank voter waits for its new identity, or its vote, to be synced.
+    pub(super) fn awaits_identity_sync(&self) -> bool {
         !self.initialized && !self.writes.is_empty()
     }
 }
--- a/crates/control-plane/src/consensus/startup.rs
+++ b/crates/control-plane/src/consensus/startup.rs
@@ -1,11 +1,11 @@
-//! A voter that has just started (design 2.3). It may have answered a leader before it stopped, so it grants
-//! no vote for an election time-out, unless all other voters say that they do not lead: whoever was elected
-//! with its help would be one of them, at its address.
+//! The wait before voting after a start (design 2.3). The former run of the process may have answered a leader, so this
+//! one grants no vote for an election time-out, unless all other voters answer that they do not lead: a leader that
+//! counts on this voter would be one of them, at the same address.
 
 use super::*;
 
 impl Voter {
-    /// Asks the others with each heartbeat, for as long as it would wait.
+    /// Asks the other voters with each heartbeat whether they lead, for as long as this voter waits.
     pub(super) fn query_leader(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         let waits = now.since(self.started) < self.timing.election_timeout_ms();
         let due = now.since(self.last_heartbeat) >= self.timing.heartbeat_ms();
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Only an answer to this run of the process counts.
+    /// Counts an answer to this run of the process, and ends the wait once all other voters have answered.
     pub(super) fn handle_not_leading(&mut self, from: SocketAddr, process_started: Tick, now: Tick) {
         let waits = now.since(self.started) < self.timing.election_timeout_ms();
         if process_started != self.process_started || !self.initialized || !waits {
@@ -40,11 +40,11 @@
 
     fn end_startup_wait(&mut self, now: Tick) {
         self.started = now - self.timing.election_timeout_ms();
-        // Spread by voter, so that of several that start together one stands for election first.
-        let turn_ms = 2 * self.timing.heartbeat_ms() * u64::from(self.me.number);
-        let stands_at_turn = (now + turn_ms) - self.election_timeout();
+        // Differs by voter, so that of several that start together one stands for election first.
+        let delay_ms = 2 * self.timing.heartbeat_ms() * u64::from(self.me.number);
+        let last_contact_for_delay = (now + delay_ms) - self.election_timeout();
         if let VoterRole::Follower { leader: None, last_contact } = &mut self.role {
-            *last_contact = (*last_contact).min(stands_at_turn);
+            *last_contact = (*last_contact).min(last_contact_for_delay);
         }
     }
 }
--- a/crates/control-plane/src/consensus/step.rs
+++ b/crates/control-plane/src/consensus/step.rs
@@ -1,9 +1,9 @@
-//! The entrance of a voter: events and messages are handed to the part that handles them.
+//! Dispatch of events and messages to their handlers.
 
 use super::*;
 
 impl Voter {
-    /// The one entrance: every event goes through here.
+    /// Handles one event and returns the effects that the caller must carry out.
     pub fn step(&mut self, event: Event, now: Tick) -> Vec<Effect> {
         if self.learner {
             return self.step_as_learner(event, now);
@@ -17,13 +17,13 @@
                 effects.push(Effect::NotLogged { change, why: NotLogged::DiskFailed });
             }
             _ if self.disk_failed => {}
-            // Nothing is said by what is not synced.
-            Event::Timer | Event::Msg(..) if self.is_silent() => {}
+            // No message may rest on a new identity that is not synced.
+            Event::Timer | Event::Msg(..) if self.awaits_identity_sync() => {}
             Event::Timer => self.tick(now, &mut effects),
             Event::Propose(change) => self.handle_propose(change, now, &mut effects),
             Event::StepDown => self.step_down(now, &mut effects),
             Event::BecomeSpare(identity) => self.become_spare(*identity, now, &mut effects),
-            // A voter takes the state from the log only.
+            // A voter gets committed state from its log only.
             Event::CommittedState { .. } => {}
             Event::Msg(from, message) => self.handle_message(from, message, now, &mut effects),
         }
@@ -55,7 +55,7 @@
             }
             Message::Learner => self.handle_learner(from, now, effects),
             Message::BlankQuery { asker, sent_at } => self.handle_blank_query(from, asker, sent_at, effects),
-            Message::Blank { voter, asker, sent_at } => self.note_blank_voter(voter, asker, sent_at),
+            Message::Blank { voter, asker, sent_at } => self.record_blank_voter(voter, asker, sent_at),
             Message::Bootstrap { cluster_state } => self.handle_bootstrap(cluster_state, now, effects),
             Message::LeaderQuery(process_started) => {
                 self.handle_leader_query(from, process_started, effects);
--- a/crates/control-plane/src/consensus/validation.rs
+++ b/crates/control-plane/src/consensus/validation.rs
@@ -1,5 +1,5 @@
-//! Validation of messages (design 2.9): one that no voter of this cluster would send changes nothing, gets
-//! no answer, and is named in the log.
+//! Validation of received messages (design 2.9): a message that no voter of this cluster would send changes nothing,
+//! gets no answer, and is logged.
 
 use super::{AppendBody, LogTail, Message, Voter, VoterId, VoterRole};
 use crate::{
@@ -9,34 +9,34 @@
 use common::{Index, Term, Tick};
 use std::{collections::BTreeSet, fmt};
 
-/// Furthest that a term may be ahead of the current one: more elections than any cluster sees, and far from
-/// the end of the numbers.
+/// Limit on how far a term may be ahead of the current one: more elections than any cluster has, and far below the
+/// overflow of term numbers.
 const MAX_TERM_JUMP: u64 = 1 << 40;
-/// Indexes from here on are never reached.
+/// Limit on indexes, which no log reaches.
 const MAX_INDEX: u64 = 1 << 56;
 
-/// Why a message was refused.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidMessage {
     /// It carries the state of another cluster.
     ForeignCluster,
-    /// A voter set that is empty, has too many, or names one twice.
+    /// The voter set is empty, too large, or contains a number or incarnation twice.
     InvalidVoterSet,
-    /// It names this voter itself as its sender.
+    /// It names this voter as its sender.
     OwnIdentity,
-    /// The term belongs to another candidate than the sender.
+    /// The term belongs to another voter than the sender.
     NotTermOwner,
-    /// The term is further ahead than any number of elections could bring it.
+    /// The term is too far ahead of the current one, or a log's term is newer than the election's.
     TermOutOfRange,
-    /// An index beyond all that a log reaches.
+    /// An index is higher than any log reaches.
     IndexOutOfRange,
-    /// The entries don't follow each other, or not what they are said to follow.
+    /// The entries are not consecutive, or don't directly follow the stated index.
     Gap,
-    /// The end of the log is stated elsewhere than where its entries end.
+    /// The stated indexes contradict each other, or the entries end at another index than the stated one.
     LogEndMismatch,
-    /// It acknowledges more than was ever logged here.
+    /// It acknowledges entries that this leader has not logged.
     BeyondLog,
-    /// It answers an append that was not sent yet.
+    /// It answers a message that this voter has not sent yet.
     ReplyFromFuture,
 }
 
@@ -44,21 +44,24 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             InvalidMessage::ForeignCluster => "the state of another cluster",
-            InvalidMessage::InvalidVoterSet => "a voter set that no cluster has",
-            InvalidMessage::OwnIdentity => "this voter's own identity as the sender's",
-            InvalidMessage::NotTermOwner => "a term that belongs to another voter",
-            InvalidMessage::TermOutOfRange => "a term out of range",
-            InvalidMessage::IndexOutOfRange => "an index out of range",
-            InvalidMessage::Gap => "entries with a gap",
-            InvalidMessage::LogEndMismatch => "an end of the log where its entries don't end",
-            InvalidMessage::BeyondLog => "more held than was logged",
-            InvalidMessage::ReplyFromFuture => "an answer to what was not sent yet",
+            InvalidMessage::InvalidVoterSet => "an invalid voter set",
+            InvalidMessage::OwnIdentity => "this voter's own identity as the sender",
+            InvalidMessage::NotTermOwner => "a term that belongs to another voter than the sender",
+            InvalidMessage::TermOutOfRange => "a term that is out of range",
+            InvalidMessage::IndexOutOfRange => "an index that is out of range",
+            InvalidMessage::Gap => "entries that are not consecutive",
+            InvalidMessage::LogEndMismatch => {
+                "an end of the log that contradicts its entries or commit index"
+            }
+            InvalidMessage::BeyondLog => "an acknowledgement of entries that were not logged here",
+            InvalidMessage::ReplyFromFuture => "an answer to a message that was not sent yet",
         })
     }
 }
 
 impl std::error::Error for InvalidMessage {}
 
+/// Whether a message is valid.
 type Validity = Result<(), InvalidMessage>;
 
 fn ensure(holds: bool, otherwise: InvalidMessage) -> Validity {
@@ -85,7 +88,7 @@
 }
 
 impl Voter {
-    /// Checks all of a message before any of it is taken in.
+    /// Checks a whole message before any of it is used.
     pub(super) fn validate(&self, msg: &Message, now: Tick) -> Validity {
         match msg {
             Message::Discover { initialized: true, voters, index, .. } => {
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Only the voter whose number a term bears asks for it, leads it and gives it up.
+    /// Checks a message that only the voter to which the term belongs may send.
     fn validate_candidate(&self, by: &VoterId, term: Term) -> Validity {
         let owner = term.0 % (MAX_VOTERS as u64 + 1);
         ensure(owner == u64::from(by.number), InvalidMessage::NotTermOwner)?;
@@ -161,11 +164,11 @@
         }
     }
 
-    /// The end of another voter's log must follow the commit index for which this candidate asked. One that asks
-    /// no more takes nothing of it.
+    /// Checks that the tail of another voter's log follows the commit index that this candidate stated in its vote
+    /// request. A voter that is no longer a candidate in that term ignores the tail, so it is not checked.
     fn validate_tail(&self, term: Term, tail: &LogTail) -> Validity {
-        let awaited = matches!(&self.role, VoterRole::Candidate { term: asked, .. } if *asked == term);
-        if !awaited {
+        let requested = matches!(&self.role, VoterRole::Candidate { term: asked, .. } if *asked == term);
+        if !requested {
             return Ok(());
         }
         in_range(&[tail.last, tail.commit_index])?;
@@ -176,7 +179,7 @@
         let base = tail.snapshot.as_ref().map_or(self.commit_index(), |state| state.index);
         contiguous(base, &tail.entries)?;
         let end = tail.entries.last().map_or(base, |entry| entry.index);
-        // One that holds less than was asked for sends nothing.
+        // A voter whose log ends before the requested index sends no entries.
         let shorter = tail.snapshot.is_none() && tail.entries.is_empty() && tail.last < end;
         ensure(
             (tail.last == end || shorter) && tail.commit_index <= tail.last,
