--- a/crates/control-plane/tests/learner.rs
+++ b/crates/control-plane/tests/learner.rs
@@ -9,10 +9,10 @@
     ClusterState, Role,
     consensus::{AppendBody, DurableState, Effect, Event, Message, Record, Voter, VoterId},
     control_node::{
-        Bootstrap, ControlNode, LogWriter, LogWriterFactory, Start, voters_to_survive, without_disk,
+        Bootstrap, ControlNode, LogWriter, LogWriterFactory, Start, diskless_start, voters_to_tolerate,
     },
     daemon,
-    membership::Member,
+    membership::LocalMember,
     operator::OperationOutcome,
     storage::blank_voter,
     types::{NodeInfo, VoterInfo},
@@ -86,7 +86,7 @@
         let listeners = settings.bind().await.unwrap();
         let log: LogWriterFactory = Box::new(move |node| Box::new(MemoryLogWriter(node, ip)));
         let blank = Start::from(DurableState::blank(&blank_voter(&settings)));
-        let start = if learner { without_disk(&settings) } else { (blank, log) };
+        let start = if learner { diskless_start(&settings) } else { (blank, log) };
         let handler = move |node: Arc<ControlNode>, _, _| {
             *lock(&shared_slot) = Some(node);
             async { Ok(common::http::text(hyper::StatusCode::OK, "")) }
@@ -123,7 +123,7 @@
     /// The leader to which node `n` directs operators, if it knows one before `end`.
     async fn leader_known_at(&self, n: usize, end: u64) -> Option<SocketAddr> {
         while self.simulation.ms() < end {
-            if let Some(leader) = self.node(n).await.and_then(|node| node.operators_leader()) {
+            if let Some(leader) = self.node(n).await.and_then(|node| node.leader_http_addr()) {
                 return Some(leader);
             }
             sleep(Duration::from_millis(50)).await;
@@ -209,7 +209,7 @@
         assert!(deployment.leader_known_at(6, 20_000).await.is_some());
         let settings = settings(40, &[6, 7, 8]);
         let info = NodeInfo::of(&settings, Role::Router, Incarnation(7));
-        let member = Member::new(settings, info, Clock::default());
+        let member = LocalMember::new(settings, info, Clock::default());
         let started = member.clone();
         simulation.host(ip(40)).spawn(async move { started.start() }).await.unwrap();
         let end = simulation.ms() + 3_000;
@@ -355,5 +355,5 @@
 #[case(2, 5)]
 #[case(9, 7)]
 fn number_of_voters_that_survives_failures(#[case] failures: usize, #[case] voters: usize) {
-    assert_eq!(voters_to_survive(failures), voters);
+    assert_eq!(voters_to_tolerate(failures), voters);
 }
--- a/crates/control-plane/tests/unique_ids.rs
+++ b/crates/control-plane/tests/unique_ids.rs
@@ -1,7 +1,7 @@
 //! Random identifiers are unique even if drawn in the same millisecond by the same process (design 2.5, 4.6).
 
 use common::settings::{Settings, Timing};
-use control_plane::{operator::api::draw_operation, storage::blank_voter};
+use control_plane::{operator::api::random_operation_id, storage::blank_voter};
 use std::collections::BTreeSet;
 
 fn settings() -> Settings {
@@ -33,7 +33,7 @@
 /// with the outcome of the first.
 #[test]
 fn operation_ids_are_unique() {
-    let all: BTreeSet<_> = (0..1_000).map(|_| draw_operation()).collect();
+    let all: BTreeSet<_> = (0..1_000).map(|_| random_operation_id()).collect();
     assert_eq!(all.len(), 1_000);
     assert!(all.iter().all(|operation| common::is_valid_name(operation.as_str())));
 }
--- a/crates/data-plane/tests/serving/fleet.rs
+++ b/crates/data-plane/tests/serving/fleet.rs
@@ -1,8 +1,8 @@
 //! Routers of two zones in a world in memory, without control nodes: their leases are renewed by hand.
 
 use crate::{
-    kit::{bounds, names, zones},
-    stage::{Unread, Wire},
+    router_fixture::{TestProtocol, UnreadableDocuments},
+    test_data::{bounds, header_names, zones},
 };
 use common::{
     Clock, Epoch, Incarnation, Region, Tick,
@@ -12,7 +12,7 @@
 };
 use control_plane::{
     Change, ClusterState, Role,
-    membership::Member,
+    membership::LocalMember,
     state_machine::{singleton, state_update::StateUpdate},
     types::NodeInfo,
 };
@@ -77,13 +77,13 @@
     Site {
         region: Region::new(region),
         zones: zones().into_iter().filter(|(zone, _)| zone.as_str() != "n2").collect(),
-        readiness: None,
-        directory: None,
-        list: LIST.into(),
-        list_per_s: 100.0,
+        readiness_addr: None,
+        directory_addr: None,
+        list_addr: LIST.into(),
+        list_calls_per_s: 100.0,
         list_lag_ms: 0,
         bounds: bounds(),
-        usage: None,
+        usage_duty: None,
     }
 }
 
@@ -99,7 +99,7 @@
 /// It reads no list and asks for no reports yet.
 async fn start_in_epoch(n: usize, epoch: Epoch, renewed: Arc<AtomicBool>) -> Arc<Serving> {
     let (set, clock) = (settings(n), Clock::default());
-    let member = Member::new(set.clone(), info(n), clock.clone());
+    let member = LocalMember::new(set.clone(), info(n), clock.clone());
     let _ = member.install(StateUpdate::Snapshot(Box::new(members())), "test");
     let router = Router::new(set.clone(), member.clone(), clock.clone());
     spawn(async move {
@@ -110,7 +110,12 @@
             sleep(Duration::from_millis(50)).await;
         }
     });
-    let serving = Serving::new(router.clone(), Arc::new(Wire(names())), Arc::new(Unread), site(n));
+    let serving = Serving::new(
+        router.clone(),
+        Arc::new(TestProtocol(header_names())),
+        Arc::new(UnreadableDocuments),
+        site(n),
+    );
     let listener = bind(set.rpc_addr).await.expect("its own address");
     spawn(common::rpc::listen(listener, set.me(), data_plane::rpc::SERVICE, {
         let router = router.clone();
@@ -243,8 +248,10 @@
     pub async fn uses(&self, n: usize, id: &'static str) -> bool {
         let serving = self.routers[n].clone();
         let usable = async move {
-            let view = serving.fleet.load();
-            view.of(&"chat".into()).iter().any(|replica| replica.id == id.into() && serving.usable(replica))
+            let view = serving.replica_view.load();
+            view.of(&"chat".into())
+                .iter()
+                .any(|replica| replica.id == id.into() && serving.is_usable(replica))
         };
         let task = self.world.host(ip(n)).spawn(usable);
         let answer = tokio::time::timeout(Duration::from_millis(1), task).await;
@@ -292,7 +299,7 @@
     }
 
     pub fn knows(&self, n: usize) -> usize {
-        self.routers[n].fleet.load().of(&"chat".into()).len()
+        self.routers[n].replica_view.load().of(&"chat".into()).len()
     }
 
     /// What is done at a router, by the clock of its own host.
--- a/crates/data-plane/tests/serving/replica_choice.rs
+++ b/crates/data-plane/tests/serving/replica_choice.rs
@@ -1,11 +1,11 @@
 //! Tests of `data_plane::serving::replica_choice`.
 
-use crate::kit::{candidates, context, prompt, row};
+use crate::test_data::{candidates, choice_context, prompt, replica_row};
 use common::{ReplicaId, Tick};
 use data_plane::serving::{
     Prompt,
     prefill::{PromptSent, Reading, prefixes},
-    replica_choice::{ChoiceContext, READS_PER_MS, all_overdue, best, fits},
+    replica_choice::{ChoiceContext, PREFILL_TOKENS_PER_MS, all_overdue, choose_replica, fits_memory},
     replica_view::Candidate,
 };
 use rstest::rstest;
@@ -26,19 +26,19 @@
     let one = |n: u32| {
         let w = ChoiceContext {
             affinity: true,
-            long: a.long,
+            long_prompt: a.long,
             prefixes: if a.long { &of } else { &[] },
             now: NOW,
-            unit: f64::from(n) / 400.0,
-            ..context(a.prompt, a.reading)
+            random_unit: f64::from(n) / 400.0,
+            ..choice_context(a.prompt, a.reading)
         };
-        best(&cands, &w).expect("candidates").id.clone()
+        choose_replica(&cands, &w).expect("candidates").id.clone()
     };
     (0..400).map(one).collect()
 }
 
 fn idle(n: usize) -> Vec<Candidate> {
-    candidates((0..n).map(|i| row(i, 0)).collect())
+    candidates((0..n).map(|i| replica_row(i, 0)).collect())
 }
 
 /// A long prompt of 20000 tokens, 18000 of them kept at `r2`, which still reads so many of others.
@@ -51,8 +51,8 @@
     let p = prompt(&[(1, 10_000), (2, 8_000), (3, 2_000)], 20_000);
     let mut reading = Reading::default();
     let note = |prefixes, tokens| PromptSent { replica: "r2".into(), prefixes, tokens, memory: 1_000_000 };
-    reading.note(&note(prefixes(&p), 20_000), READS_PER_MS, Tick(0));
-    reading.note(&note(vec![], others), READS_PER_MS, NOW);
+    reading.note(&note(prefixes(&p), 20_000), PREFILL_TOKENS_PER_MS, Tick(0));
+    reading.note(&note(vec![], others), PREFILL_TOKENS_PER_MS, NOW);
     let got = chosen(&idle(6), &RequestTraits { prompt: &p, reading: &reading, long: true });
     assert_eq!(got == BTreeSet::from(["r2".into()]), kept, "{got:?}");
     assert_eq!(got.contains(&"r2".into()), kept, "{got:?}");
@@ -82,8 +82,10 @@
     );
     assert_eq!(of(&prompt(&[(7, 320)], 320), &idle(6)).len(), 6);
     let full = |n: usize| if all[7].contains(&format!("r{n}").as_str().into()) { 20 } else { 0 };
-    let got =
-        of(&prompt(&[(7, 300), (106, 20)], 320), &candidates((0..6).map(|n| row(n, full(n))).collect()));
+    let got = of(
+        &prompt(&[(7, 300), (106, 20)], 320),
+        &candidates((0..6).map(|n| replica_row(n, full(n))).collect()),
+    );
     assert!(got.is_disjoint(&all[7]), "{got:?}");
 }
 
@@ -92,9 +94,11 @@
 #[case::exactly(1_100, 1_000, true)]
 #[case::one_less(1_099, 1_000, false)]
 fn fits_by_memory(#[case] memory_total: u64, #[case] tokens_in: u32, #[case] want: bool) {
-    let c =
-        &candidates(vec![data_plane::serving::replica_report::ReplicaRow { memory_total, ..row(0, 0) }])[0];
-    assert_eq!(fits(c, &prompt(&[], tokens_in)), want);
+    let c = &candidates(vec![data_plane::serving::replica_report::ReplicaRow {
+        memory_total,
+        ..replica_row(0, 0)
+    }])[0];
+    assert_eq!(fits_memory(c, &prompt(&[], tokens_in)), want);
 }
 
 /// One request of 300 ms waits for a slot of 20: `over` x 300 / 20.
@@ -106,8 +110,8 @@
 #[case::another_is_free(&[200, 3], 0.0, false)]
 #[case::all_are_far_over(&[200, 300], 1_000.0, true)]
 fn hopeless_where_nobody_begins_in_time(#[case] running: &[u32], #[case] ms: f64, #[case] want: bool) {
-    let cands = candidates(running.iter().enumerate().map(|(n, r)| row(n, *r)).collect());
+    let cands = candidates(running.iter().enumerate().map(|(n, r)| replica_row(n, *r)).collect());
     let (p, reading) = (prompt(&[], 10), Reading::default());
-    let w = ChoiceContext { now: NOW, ..context(&p, &reading) };
+    let w = ChoiceContext { now: NOW, ..choice_context(&p, &reading) };
     assert_eq!(all_overdue(&cands.iter().collect::<Vec<_>>(), &w, ms), want);
 }
