--- a/crates/control-plane/src/consensus/bootstrap.rs
+++ b/crates/control-plane/src/consensus/bootstrap.rs
@@ -53,11 +53,11 @@
         let own = self.me.rpc_addr;
         let lowest = self.seeds.iter().min() == Some(&own);
         let learner_seeds = self.seeds.iter().filter(|seed| self.is_learner_seed(seed)).count();
-        let no_cluster_proven = learner_seeds == 0 || self.first_start;
+        let no_cluster_exists = learner_seeds == 0 || self.first_start;
         let blank = |seed: &SocketAddr| *seed == own || self.discovered_voters.contains_key(seed);
         let all_blank = self.seeds.iter().all(|seed| blank(seed) || self.is_learner_seed(seed));
         let allowed = self.may_bootstrap && !self.saw_other_cluster && !self.is_spare();
-        if !(allowed && lowest && all_blank && no_cluster_proven) {
+        if !(allowed && lowest && all_blank && no_cluster_exists) {
             self.seeds_complete_since = None;
             return None;
         }
--- a/crates/control-plane/src/consensus/durability.rs
+++ b/crates/control-plane/src/consensus/durability.rs
@@ -46,7 +46,7 @@
             (self.log_records, self.log_bytes) = (0, 0);
         } else {
             self.log_records += 1;
-            self.log_bytes += record.weight();
+            self.log_bytes += record.max_encoded_len();
         }
         self.queue.push_back(PendingWrite { token: self.last_token, since, last_index, then });
         self.last_token
--- a/crates/control-plane/src/consensus/durable.rs
+++ b/crates/control-plane/src/consensus/durable.rs
@@ -62,7 +62,7 @@
 
 impl Record {
     /// Upper bound on its length in the short log, in bytes; a snapshot is not part of the short log.
-    pub fn weight(&self) -> usize {
+    pub fn max_encoded_len(&self) -> usize {
         match self {
             Record::DurableState(_) => 0,
             Record::Promise(_) => PROMISE_BYTES,
--- a/crates/control-plane/src/consensus/log.rs
+++ b/crates/control-plane/src/consensus/log.rs
@@ -9,7 +9,8 @@
     /// The log after `from`. It includes a snapshot if the log no longer reaches back that far, or if the entries
     /// would exceed the limit of one record or message.
     pub(super) fn log_tail_after(&self, from: Index) -> LogTail {
-        let too_long = self.commit_index() > from && self.log_weight_after(from) > self.size_limits.batch();
+        let too_long =
+            self.commit_index() > from && self.max_encoded_len_after(from) > self.size_limits.batch();
         let needs_snapshot = self.snapshot_index > from || from == Index(0) || too_long;
         let snapshot = needs_snapshot.then(|| self.cluster_state.clone());
         let base = snapshot.as_ref().map_or(from, |state| state.index);
@@ -26,7 +27,8 @@
         self.log.iter().filter(|entry| entry.index > index).cloned().collect()
     }
 
-    fn log_weight_after(&self, index: Index) -> usize {
+    /// Upper bound on the encoded length of the entries after `index`, in bytes.
+    fn max_encoded_len_after(&self, index: Index) -> usize {
         self.log.iter().filter(|entry| entry.index > index).map(LogEntry::max_encoded_len).sum()
     }
 
@@ -91,7 +93,8 @@
             Change::Apply { text, .. } => text.packed_len(),
             _ => 0,
         };
-        let pending = self.log_weight_after(self.commit_index()) + LogEntry::max_encoded_len_with(change);
+        let pending =
+            self.max_encoded_len_after(self.commit_index()) + LogEntry::max_encoded_len_with(change);
         let uncommitted = self.log.iter().filter(|entry| entry.index > self.commit_index());
         let growth: usize = uncommitted.map(|entry| entry.change.max_state_growth()).sum();
         let state = self.cluster_state.weight() + pending + growth + change.max_state_growth();
--- a/crates/control-plane/src/consensus/message.rs
+++ b/crates/control-plane/src/consensus/message.rs
@@ -186,28 +186,29 @@
 }
 
 impl AppendBody {
-    /// Upper bound on the encoded size of the state and entries that it carries, in bytes.
-    pub fn weight(&self) -> usize {
+    /// Upper bound on the encoded length of the state and entries that it carries, in bytes.
+    pub fn max_payload_len(&self) -> usize {
         match self {
             AppendBody::Heartbeat => 0,
-            AppendBody::Install { snapshot, entries, .. } => state_weight(snapshot.as_ref(), entries),
-            AppendBody::Append { entries, .. } => state_weight(None, entries),
+            AppendBody::Install { snapshot, entries, .. } => max_len_of(snapshot.as_ref(), entries),
+            AppendBody::Append { entries, .. } => max_len_of(None, entries),
         }
     }
 }
 
 impl Message {
-    /// Upper bound on the encoded size of the state and entries that it carries, in bytes.
-    pub fn weight(&self) -> usize {
+    /// Upper bound on the encoded length of the state and entries that it carries, in bytes.
+    pub fn max_payload_len(&self) -> usize {
         match self {
             Message::Bootstrap { cluster_state } => cluster_state.weight(),
-            Message::Vote { tail, .. } => state_weight(tail.snapshot.as_ref(), &tail.entries),
-            Message::Append { body, .. } => body.weight(),
+            Message::Vote { tail, .. } => max_len_of(tail.snapshot.as_ref(), &tail.entries),
+            Message::Append { body, .. } => body.max_payload_len(),
             _ => 0,
         }
     }
 }
 
-fn state_weight(snapshot: Option<&ClusterState>, entries: &[LogEntry]) -> usize {
+/// Upper bound on the encoded length of a snapshot and entries, in bytes.
+fn max_len_of(snapshot: Option<&ClusterState>, entries: &[LogEntry]) -> usize {
     snapshot.map_or(0, ClusterState::weight) + entries.iter().map(LogEntry::max_encoded_len).sum::<usize>()
 }
--- a/crates/control-plane/src/consensus/replication.rs
+++ b/crates/control-plane/src/consensus/replication.rs
@@ -54,7 +54,7 @@
             AppendBody::Install { .. } => Some(self.last_index()),
             AppendBody::Append { entries, .. } => entries.last().map(|entry| entry.index),
         };
-        let weight = body.weight();
+        let payload_len = body.max_payload_len();
         let msg = Message::Append {
             by: self.id(),
             to: follower.number,
@@ -67,7 +67,7 @@
         if let (VoterRole::Leader { peers, .. }, Some(last_sent)) = (&mut self.role, last_sent)
             && let Some(progress) = peers.get_mut(&follower.number)
         {
-            progress.in_flight = Some(InFlight::new(now, last_sent, weight));
+            progress.in_flight = Some(InFlight::new(now, last_sent, payload_len));
         }
     }
 
--- a/crates/control-plane/src/consensus/role.rs
+++ b/crates/control-plane/src/consensus/role.rs
@@ -24,6 +24,7 @@
 pub struct InFlight {
     sent_at: Tick,
     last_index: Index,
+    /// Upper bound on the encoded length of its payload, in bytes.
     weight: usize,
 }
 
@@ -31,8 +32,8 @@
 const MIN_LINK_BYTES_PER_MS: u64 = 1_024;
 
 impl InFlight {
-    pub(super) fn new(sent_at: Tick, last_index: Index, weight: usize) -> Self {
-        Self { sent_at, last_index, weight }
+    pub(super) fn new(sent_at: Tick, last_index: Index, payload_len: usize) -> Self {
+        Self { sent_at, last_index, weight: payload_len }
     }
 
     /// Whether its reply is overdue, after two heartbeat intervals plus the transfer time.
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -216,7 +216,7 @@
     }
 
     fn send(self: &Arc<Self>, to: SocketAddr, msg: crate::consensus::Message) {
-        let (node, from, weight) = (self.clone(), self.settings.rpc_addr(), msg.weight());
+        let (node, from, weight) = (self.clone(), self.settings.rpc_addr(), msg.max_payload_len());
         spawn(async move {
             let (client, timeout_ms) = node.client_for(weight);
             let request = ControlRequest::Consensus { from, msg: Box::new(msg) };
--- a/crates/control-plane/tests/file_cluster/mod.rs
+++ b/crates/control-plane/tests/file_cluster/mod.rs
@@ -47,7 +47,7 @@
     longest_message: usize,
     pub logged_proposals: usize,
     pub rejected_proposals: usize,
-    /// Appends sent: to which voter, when, and the size bound of their body in bytes.
+    /// Appends sent: to which voter, when, and the maximum length of their payload in bytes.
     pub appends_sent: Vec<(usize, Tick, usize)>,
 }
 
@@ -102,7 +102,7 @@
                     let len = wire::encode(&msg).unwrap().len();
                     self.longest_message = self.longest_message.max(len);
                     if let Message::Append { to, body, .. } = &msg {
-                        self.appends_sent.push((usize::from(*to), self.now, body.weight()));
+                        self.appends_sent.push((usize::from(*to), self.now, body.max_payload_len()));
                     }
                     if len < wire::MAX_FRAME {
                         self.in_transit.push_back((n, usize::from(to.port()) - 7000, msg));
--- a/crates/control-plane/tests/size.rs
+++ b/crates/control-plane/tests/size.rs
@@ -198,5 +198,5 @@
         told.push(e);
     }
     let record = Record::Install { term: Term(u64::MAX), truncate_to: Index(u64::MAX), entries: told };
-    assert!(wire::encode(&record).unwrap().len() + 32 <= record.weight());
+    assert!(wire::encode(&record).unwrap().len() + 32 <= record.max_encoded_len());
 }
--- a/crates/simulator/src/sim/catch_up/member.rs
+++ b/crates/simulator/src/sim/catch_up/member.rs
@@ -104,9 +104,9 @@
                 bytes + SHORT_LOG_BYTES as usize
             }
             record => {
-                self.log_bytes += record.weight();
+                self.log_bytes += record.max_encoded_len();
                 fits("the short log", self.log_bytes, SHORT_LOG_BYTES as usize)?;
-                record.weight()
+                record.max_encoded_len()
             }
         };
         self.pending.push_back((token, record));
--- a/crates/simulator/src/sim/catch_up/traffic.rs
+++ b/crates/simulator/src/sim/catch_up/traffic.rs
@@ -34,14 +34,14 @@
             self.claim_all(&mut msg);
         }
         if self.watched == Some(to) {
-            self.measured.bytes += msg.weight();
+            self.measured.bytes += msg.max_payload_len();
             let snapshot =
                 matches!(&msg, Message::Append { body: AppendBody::Install { snapshot: Some(_), .. }, .. });
             self.measured.snapshots += usize::from(snapshot);
         }
-        self.measured.longest = self.measured.longest.max(msg.weight());
+        self.measured.longest = self.measured.longest.max(msg.max_payload_len());
         let line = self.lines.entry((from, to)).or_default();
-        let arrives = line.send(self.t, HEAD + msg.weight(), self.speed, &mut self.rng);
+        let arrives = line.send(self.t, HEAD + msg.max_payload_len(), self.speed, &mut self.rng);
         self.push(arrives, ClusterEvent::Message { from, to, msg: Box::new(msg) });
         Ok(())
     }
