--- a/crates/control-plane/src/consensus/admission.rs
+++ b/crates/control-plane/src/consensus/admission.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Records whether a committed voter set includes this blank voter; the newest voter set counts.
+    /// Records whether a committed voter set includes this blank voter; a newer voter set replaces an older one.
     pub(super) fn record_admission(&mut self, voters: &[VoterInfo], index: Index) {
         if self.admission.as_ref().is_some_and(|known| known.index > index) {
             return;
@@ -47,7 +47,7 @@
         self.admission = named.then(|| Admission { index, voters: voters.to_vec() });
     }
 
-    /// Whether a candidate is in the voter set that this voter goes by.
+    /// Whether a candidate is in the voter set that applies to this voter.
     ///
     /// A blank voter votes once its admission is committed. Its incarnation began with an empty disk, so it has never
     /// acknowledged an entry or voted: its vote states just that, and no entry was committed with its help. Before
--- a/crates/control-plane/src/consensus/bootstrap.rs
+++ b/crates/control-plane/src/consensus/bootstrap.rs
@@ -46,9 +46,10 @@
     /// The voter set of a new cluster, once this voter may bootstrap it.
     ///
     /// The seed with the lowest address does so once it knows that all seeds are blank or learners. It includes other
-    /// blank voters that announced themselves: it waits two leases for the expected number, two more for as many
-    /// voters as there are seeds, and then takes those there are. A learner stores nothing, so its answer does not
-    /// show that no cluster exists: with learners among the seeds a bootstrap requires the first start of the system.
+    /// blank voters that announced themselves: it waits two leases for the expected number, then two leases for as
+    /// many voters as there are seeds, and then bootstraps with however many it knows. A learner stores nothing, so its
+    /// answer does not show that no cluster exists: with learners among the seeds a bootstrap requires the first start
+    /// of the system.
     fn ready_bootstrap_voters(&mut self, now: Tick) -> Option<Vec<VoterInfo>> {
         let own = self.me.rpc_addr;
         let lowest = self.seeds.iter().min() == Some(&own);
--- a/crates/control-plane/src/consensus/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -31,12 +31,13 @@
         Term((self.current_term.0 / terms_per_round + 1) * terms_per_round + u64::from(self.me.number))
     }
 
-    /// Whether this process has waited for an election time-out since its start. Its former run may have answered a
-    /// leader, which counts on it until then not to elect another.
+    /// Whether this process has waited for an election time-out since its start. Until then a leader that its former
+    /// run answered may rely on it not to help elect another.
     fn startup_wait_over(&self, now: Tick) -> bool {
         now.since(self.started) >= self.timing.election_timeout_ms()
     }
 
+    /// Stands for election when that is due; a voter that has been replaced reports its removal instead.
     pub(super) fn election_timer(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         if !self.is_voter(&self.id()) {
             let own = |voter: &VoterInfo| voter.incarnation == self.me.incarnation;
--- a/crates/control-plane/src/consensus/follower.rs
+++ b/crates/control-plane/src/consensus/follower.rs
@@ -101,8 +101,8 @@
         Some(LogWrite::Record(Record::Append { commit_index, entries: new }))
     }
 
-    /// Sends a reply once everything that it states is synced. A reply that still waits replaces earlier ones to the
-    /// same address.
+    /// Sends a reply once everything that it states is synced; an overdue disk delays it. Only the newest reply to each
+    /// leader matters, so it replaces earlier ones that still wait.
     fn reply_when_durable(&mut self, to: SocketAddr, sent_at: Tick, effects: &mut Vec<Effect>) {
         let reply = Effect::Send { to, msg: self.append_reply(sent_at) };
         let Some(write) = self.writes.newest_mut() else { return effects.push(reply) };
--- a/crates/control-plane/src/consensus/join.rs
+++ b/crates/control-plane/src/consensus/join.rs
@@ -14,7 +14,8 @@
 
 impl Voter {
     /// Records the request of a blank voter, if it may replace a voter now. The request is repeated with each
-    /// heartbeat, but the first one counts: over a slow link no reply would ever be newer than the latest.
+    /// heartbeat, but its first time counts: over a slow link no reply would ever answer an append that was sent after
+    /// the latest request.
     pub(super) fn handle_join_request(&mut self, voter: VoterInfo, now: Tick) {
         if !self.is_leader() || self.voters().iter().any(|known| known.incarnation == voter.incarnation) {
             return;
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -97,6 +97,7 @@
     process_started: Tick,
     /// RPC addresses of voters that answered this run of the process that they do not lead.
     not_leading: BTreeSet<SocketAddr>,
+    /// Writes that are not yet synced.
     writes: PendingWrites,
     /// Voters that answered that they are blank, by RPC address, and when they were asked.
     discovered_voters: BTreeMap<SocketAddr, (VoterInfo, Tick)>,
@@ -110,11 +111,11 @@
     seeds_complete_since: Option<Tick>,
     /// The newest term that this run of the process led.
     led: Option<LedTerm>,
-    /// While it is blank: the newest committed voter set that names it.
+    /// While it is blank: the newest committed voter set that includes it.
     admission: Option<Admission>,
     /// Blank voters that ask to be admitted, by incarnation.
     join_requests: BTreeMap<Incarnation, JoinRequest>,
-    /// When it last sent its periodic messages.
+    /// When it last sent the messages that it repeats with each heartbeat interval.
     last_heartbeat: Tick,
 }
 
--- a/crates/control-plane/tests/learner.rs
+++ b/crates/control-plane/tests/learner.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// Whichever machines are the seeds, a cluster is bootstrapped with the expected number of voters, spread over the zones.
+/// Whichever machines are the seeds, a cluster is bootstrapped with the expected number of voters, in all zones.
 #[rstest]
 #[case::no_seed_has_a_disk(&[6, 7, 8])]
 #[case::only_node_0_has_a_disk(&[0, 7, 8])]
