--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -9,7 +9,7 @@
     request_queue::RequestQueue,
     retry_budget::RetryBudget,
     rpc::{RouterRequest, RouterResponse},
-    serving::{prefill::Reading, report_publication::HeldReport, usage::UsageRecord},
+    serving::{prefill::PrefillTracker, report_publication::HeldReport, usage::UsageRecord},
     summary::{Event, EventKind, RETAINED_EVENTS, Summary},
 };
 use arc_swap::ArcSwapOption;
@@ -97,7 +97,7 @@
     /// Reports of other zones' replicas as this node received them, for routers of its own zone.
     pub relayed: Mutex<BTreeMap<Zone, watch::Sender<HeldReport>>>,
     /// Prompts that replicas are reading now.
-    pub reading: Mutex<Reading>,
+    pub reading: Mutex<PrefillTracker>,
     /// What this node knows of tenants' usage.
     pub usage: UsageRecord,
     /// Metrics.
