--- a/crates/control-plane/tests/consensus.rs
+++ b/crates/control-plane/tests/consensus.rs
@@ -62,7 +62,7 @@
     )
 }
 
-fn answer_blank_query(voter: &mut Voter, n: u8, now: Tick) {
+fn introduce_blank_voter(voter: &mut Voter, n: u8, now: Tick) {
     introduce_blank(voter, addr(n), voter_info(n, 90 + u64::from(n)), now);
 }
 
@@ -209,8 +209,8 @@
 #[case::old(5_000, false)]
 fn bootstrap_needs_fresh_answers_of_three_blank_voters(#[case] gap: u64, #[case] bootstraps: bool) {
     let mut voter = blank(0);
-    answer_blank_query(&mut voter, 1, Tick(11_000));
-    answer_blank_query(&mut voter, 2, Tick(11_000 + gap));
+    introduce_blank_voter(&mut voter, 1, Tick(11_000));
+    introduce_blank_voter(&mut voter, 2, Tick(11_000 + gap));
     voter.step(Event::Timer, Tick(11_000 + gap));
     assert_eq!(voter.initialized, bootstraps);
 }
@@ -359,7 +359,7 @@
         "an answer to a query that was not sent yet: {effects:?}"
     );
     for n in [1, 2] {
-        answer_blank_query(&mut voter, n, start + 400);
+        introduce_blank_voter(&mut voter, n, start + 400);
     }
     assert!(timer(&mut voter, start + 500));
 }
