--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -114,13 +114,14 @@
 ) -> ClusterNode {
     let bootstrap = Bootstrap { expected_voters: voters, ..Bootstrap::default() };
     let ip = settings.rpc_addr.ip();
-    let make: LogWriterFactory = Box::new(move |control_node| Box::new(MemoryLogWriter { control_node, ip }));
+    let log_writer: LogWriterFactory =
+        Box::new(move |control_node| Box::new(MemoryLogWriter { control_node, ip }));
     let rpc_listener = bind(settings.rpc_addr).await.unwrap();
     let start = match disk_unavailable {
         true => Start::AwaitingDisk(Box::new(blank_voter(&settings))),
         false => Start::from(DurableState::blank(&blank_voter(&settings))),
     };
-    let control_node = ControlNode::start(settings.clone(), bootstrap, start, make);
+    let control_node = ControlNode::start(settings.clone(), bootstrap, start, log_writer);
     let info = NodeInfo::of(&settings, Role::Control, control_node.status().me.incarnation);
     LocalMember::new(settings.clone(), info, Clock::default()).start();
     spawn(control_plane::control_node::listen(rpc_listener, settings.me(), control_node.clone()));
