--- a/crates/data-plane/src/serving/attempt.rs
+++ b/crates/data-plane/src/serving/attempt.rs
@@ -208,7 +208,7 @@
         }
         let reports = lock(&self.reports);
         let publisher = reports.by_zone.get(&replica.zone).map(|held| held.report.publisher.clone());
-        log_event!(Debug, "sent by an old replica list", "peer" => replica.id, "age_ms" => age_ms, "publisher" => format!("{publisher:?}"));
+        log_event!(Debug, "sent by an old list", "peer" => replica.id, "age_ms" => age_ms, "publisher" => format!("{publisher:?}"));
     }
 
     fn answer_head(&self, plan: &Plan, answer: &Answer) -> AnswerHead {
