--- a/crates/data-plane/src/serving/directory.rs
+++ b/crates/data-plane/src/serving/directory.rs
@@ -1,5 +1,4 @@
-//! Where clients are sent (design 9.7): routers that are heard and fit, near ones first. And what
-//! the platform asks of this one.
+//! Answers to clients that ask which routers to use (design 9.7), and to the platform's readiness and metrics requests.
 
 use super::state::Serving;
 use crate::router::lock;
@@ -11,78 +10,91 @@
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 use std::{net::SocketAddr, sync::Arc};
 
-/// Routers that a zone needs before its clients are kept inside it.
-const ENOUGH: usize = 2;
-/// Most addresses in an answer.
-const MOST: usize = 64;
+/// Routers that a zone or region must have before its clients are sent only to these.
+const MIN_GROUP_SIZE: usize = 2;
+/// The most addresses in an answer.
+const MAX_ADDRESSES: usize = 64;
 
 /// A router that clients may be sent to.
 #[derive(Clone, Debug)]
 pub struct RouterAddr {
+    /// Where it takes requests.
     pub addr: SocketAddr,
+    /// Its zone.
     pub zone: Zone,
+    /// The region of that zone, if it is known.
     pub region: Option<Region>,
 }
 
-/// Those of the asker's zone, else of its region, else all: the first group that is large enough.
+/// The routers of the client's zone, else those of its region, else all: the first group that is large enough.
 pub fn nearest(all: &[RouterAddr], zone: &str, region: &str) -> Vec<SocketAddr> {
     let groups: [Vec<SocketAddr>; 3] = [
-        all.iter().filter(|e| e.zone.as_str() == zone).map(|e| e.addr).collect(),
+        all.iter().filter(|router| router.zone.as_str() == zone).map(|router| router.addr).collect(),
         all.iter()
-            .filter(|e| e.region.as_ref().is_some_and(|r| r.as_str() == region))
-            .map(|e| e.addr)
+            .filter(|router| router.region.as_ref().is_some_and(|known| known.as_str() == region))
+            .map(|router| router.addr)
             .collect(),
-        all.iter().map(|e| e.addr).collect(),
+        all.iter().map(|router| router.addr).collect(),
     ];
-    let [_, _, every] = &groups;
-    let picked = groups.iter().find(|g| g.len() >= ENOUGH).unwrap_or(every);
-    picked.iter().take(MOST).copied().collect()
+    let [_, _, everywhere] = &groups;
+    let picked = groups.iter().find(|group| group.len() >= MIN_GROUP_SIZE).unwrap_or(everywhere);
+    picked.iter().take(MAX_ADDRESSES).copied().collect()
 }
 
 impl Serving {
-    fn edges(&self) -> Vec<RouterAddr> {
-        let r = &self.router;
-        let l = r.cluster_state();
-        let mine = self.refusing().is_none();
-        let fit = |m: &&Member| {
-            let node = &m.info.node;
-            if node == r.node() { mine } else { r.is_live(m) && !lock(&r.refusing).contains(node) }
+    /// The routers that are reachable and accept work.
+    fn fit_routers(&self) -> Vec<RouterAddr> {
+        let router = &self.router;
+        let state = router.cluster_state();
+        let is_self_fit = self.refusing().is_none();
+        let is_fit = |member: &&Member| {
+            let node = &member.info.node;
+            if node == router.node() {
+                is_self_fit
+            } else {
+                router.is_live(member) && !lock(&router.refusing).contains(node)
+            }
         };
-        let all = l.routers().into_iter().filter(fit);
-        all.map(|m| RouterAddr {
-            addr: m.info.http,
-            zone: m.info.zone.clone(),
-            region: self.site.zones.get(&m.info.zone).cloned(),
+        let fit = state.routers().into_iter().filter(is_fit);
+        fit.map(|member| RouterAddr {
+            addr: member.info.http,
+            zone: member.info.zone.clone(),
+            region: self.site.zones.get(&member.info.zone).cloned(),
         })
         .collect()
     }
 
-    /// The directory's and the platform's questions.
+    /// Answers one request: readiness, a client's lookup, or metrics.
+    ///
+    /// # Errors
+    /// None; the type is that of a connection's handler.
     pub async fn answer_directory_request(
         self: Arc<Self>,
         _peer: SocketAddr,
-        req: Request<Incoming>,
+        request: Request<Incoming>,
     ) -> Result<Response<Body>, BoxErr> {
         let names = self.dialect.names();
-        let path = req.uri().path();
-        if req.method() != Method::GET {
+        let path = request.uri().path();
+        if request.method() != Method::GET {
             return Ok(text(StatusCode::METHOD_NOT_ALLOWED, "allowed: GET\n"));
         }
         if path == names.ready_path {
-            let why = self.refusing();
-            let code = if why.is_none() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-            return Ok(json(code, &serde_json::json!({"ready": why.is_none(), "why": why})));
+            let reason = self.refusing();
+            let code = if reason.is_none() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+            return Ok(json(code, &serde_json::json!({"ready": reason.is_none(), "why": reason})));
         }
         if path == names.lookup_path {
-            let q = self.dialect.lookup(req.uri().query().unwrap_or(""));
-            let addrs = nearest(&self.edges(), &q.zone, &q.region);
-            if addrs.is_empty() {
+            let lookup = self.dialect.lookup(request.uri().query().unwrap_or(""));
+            let addresses = nearest(&self.fit_routers(), &lookup.zone, &lookup.region);
+            if addresses.is_empty() {
                 return Ok(text(StatusCode::SERVICE_UNAVAILABLE, "no router is known to be fit\n"));
             }
-            let mut r = text(StatusCode::OK, self.dialect.places(&addrs, self.site.bounds.keep_ms));
-            r.headers_mut()
+            let mut response =
+                text(StatusCode::OK, self.dialect.places(&addresses, self.site.bounds.keep_ms));
+            response
+                .headers_mut()
                 .insert("content-type", hyper::header::HeaderValue::from_static("application/json"));
-            return Ok(r);
+            return Ok(response);
         }
         if path == "/metrics" {
             return Ok(text(StatusCode::OK, self.metrics()));
--- a/crates/data-plane/src/serving/list_reading.rs
+++ b/crates/data-plane/src/serving/list_reading.rs
@@ -1,10 +1,10 @@
-//! One reading of a zone's part of the platform's list, put together from its pages. Pure.
+//! One read of a zone's part of the platform's list of replicas, assembled from its pages. Pure.
 
 use super::protocol::ListedReplica;
 use common::{ReplicaId, Zone, error::PeerError};
 use std::collections::BTreeMap;
 
-/// A whole reading of a zone's part of the list.
+/// A complete read of a zone's part of the list.
 #[derive(Debug, Default)]
 pub struct ListRead {
     pub(super) rows: BTreeMap<ReplicaId, ListedReplica>,
@@ -12,22 +12,24 @@
 }
 
 impl ListRead {
-    /// Adds a page. A replica that moved between pages may stand on two: what says that it leaves counts.
+    /// Adds a page. A replica that moved between pages during the read may be on two of them; the entry that says that it
+    /// leaves takes precedence.
     pub fn add(&mut self, zone: &Zone, page: Vec<ListedReplica>) {
         self.pages += 1;
-        for row in page.into_iter().filter(|r| r.zone == *zone) {
-            let leaving = |r: &ListedReplica| r.draining || r.time_left_ms.is_some();
-            if !self.rows.get(&row.id).is_some_and(leaving) {
+        for row in page.into_iter().filter(|row| row.zone == *zone) {
+            let is_leaving = |row: &ListedReplica| row.draining || row.time_left_ms.is_some();
+            if !self.rows.get(&row.id).is_some_and(is_leaving) {
                 self.rows.insert(row.id.clone(), row);
             }
         }
     }
 }
 
-/// Why a reading failed.
+/// Why a read failed.
 #[derive(Debug)]
 pub enum ListError {
-    /// All nodes together ask too often.
+    /// The platform refused the call because all nodes together exceed the rate for it.
     OverRate(PeerError),
+    /// The call failed otherwise.
     Failed(PeerError),
 }
--- a/crates/data-plane/src/serving/mod.rs
+++ b/crates/data-plane/src/serving/mod.rs
@@ -19,6 +19,7 @@
 pub mod prefill_announce;
 pub mod prompt_length;
 pub mod protocol;
+mod received_report;
 pub mod region_choice;
 pub mod replica_choice;
 pub mod replica_list;
--- a/crates/data-plane/src/serving/prefill_announce.rs
+++ b/crates/data-plane/src/serving/prefill_announce.rs
@@ -1,5 +1,5 @@
-//! Routers of a region tell each other of long prompts (design 9.5): few requests, and each keeps a
-//! replica from all else for a while.
+//! Announcements of long prompts among the routers (design 9.5). Long prompts are few, and each occupies a replica for a
+//! while, so that other routers should know of it.
 
 use super::{
     plan::Plan, prefill::PromptSent, replica_choice::READS_PER_MS, replica_view::Candidate, state::Serving,
@@ -10,39 +10,41 @@
 };
 use std::sync::Arc;
 
-/// Up to so many members all are told; above, those of the regions at hand.
-const TELL_ALL: usize = 32;
+/// Up to this many members, all routers are told; above, only those of the two regions concerned.
+const ANNOUNCE_TO_ALL_MAX_MEMBERS: usize = 32;
 
 impl Router {
-    pub fn note_prompt(&self, n: &PromptSent) {
-        lock(&self.reading).record_sent(n, READS_PER_MS, self.now());
+    /// Records a long prompt that this or another router sent.
+    pub fn note_prompt(&self, sent: &PromptSent) {
+        lock(&self.reading).record_sent(sent, READS_PER_MS, self.now());
     }
 }
 
 impl Serving {
-    /// Notes a long prompt here, and tells the routers that send to the same replicas.
-    pub fn announce_prompt(self: &Arc<Self>, p: &Plan, c: &Candidate) {
-        if !p.long {
+    /// Records a long prompt that is sent to `replica`, and tells the routers that send to the same replicas.
+    pub fn announce_prompt(self: &Arc<Self>, plan: &Plan, replica: &Candidate) {
+        if !plan.long {
             return;
         }
         let note = PromptSent {
-            replica: c.id.clone(),
-            prefixes: p.prefixes.clone(),
-            tokens: p.prompt.tokens_in,
-            memory: c.memory_total,
+            replica: replica.id.clone(),
+            prefixes: plan.prefixes.clone(),
+            tokens: plan.prompt.tokens_in,
+            memory: replica.memory_total,
         };
         self.router.note_prompt(&note);
-        let l = self.router.cluster_state();
-        let few = l.members.len() <= TELL_ALL;
-        let near = |m: &&control_plane::Member| {
-            let r = self.site.zones.get(&m.info.zone);
-            let same = r == Some(&self.site.region) || r == Some(&c.region);
-            (few || same) && m.info.node != *self.router.node()
+        let state = self.router.cluster_state();
+        let is_small_cluster = state.members.len() <= ANNOUNCE_TO_ALL_MAX_MEMBERS;
+        let is_concerned = |member: &&control_plane::Member| {
+            let region = self.site.zones.get(&member.info.zone);
+            let in_same_region = region == Some(&self.site.region) || region == Some(&replica.region);
+            (is_small_cluster || in_same_region) && member.info.node != *self.router.node()
         };
-        for m in l.routers().into_iter().filter(near) {
-            let (me, to, note) = (self.router.clone(), m.info.rpc_addr, note.clone());
+        for member in state.routers().into_iter().filter(is_concerned) {
+            let (router, to, note) = (self.router.clone(), member.info.rpc_addr, note.clone());
             common::runtime::spawn(async move {
-                let _ = me.lines.call("announce prompt", to, RouterRequest::AnnouncePrompt { note }).await;
+                let _ =
+                    router.lines.call("announce prompt", to, RouterRequest::AnnouncePrompt { note }).await;
             });
         }
     }
--- a/crates/data-plane/src/serving/replica_selection.rs
+++ b/crates/data-plane/src/serving/replica_selection.rs
@@ -1,5 +1,5 @@
-//! Selection of the replica for one attempt (design 9.5): the regions in their order, and in each the best of the
-//! replicas that may take the request now.
+//! Selects the replica for one attempt (design 9.5): goes through the regions in order of preference, and takes the best
+//! replica of the first region that has one that can take the request now.
 
 use super::{
     dispatch::AttemptHistory,
@@ -14,30 +14,30 @@
 use common::{NodeId, Tick};
 use std::sync::{Arc, atomic::Ordering};
 
-/// Share of a replica's connections that all routers together use.
-const CONNECTIONS_USED: (usize, usize) = (9, 10);
-/// Connections that each router may use, however many routers there are.
+/// Share of a replica's connections that all routers together use, as (numerator, denominator).
+const CONNECTION_SHARE: (usize, usize) = (9, 10);
+/// Connections to a replica that each router may use, however many routers there are.
 const MIN_CONNECTIONS: usize = 2;
 
-/// What may be selected for one attempt, besides the order of preference.
+/// What decides which replicas may be selected for one attempt, apart from the order of preference.
 struct Selection<'a> {
     serving: &'a Serving,
     plan: &'a Plan,
     history: &'a AttemptHistory,
     now: Tick,
     routers: Vec<NodeId>,
-    /// The replicas as they were when the selection began: all of it goes by this one view.
+    /// Snapshot of the replicas, taken when the selection began and used by all of its steps.
     replicas: Arc<ReplicaView>,
-    /// Most requests that this router may have open at a replica.
+    /// The most requests that this router may have open at one replica.
     max_open: usize,
-    /// Requests a second that all routers together may send to a replica that warms up.
+    /// Requests per second that all routers together may send to one replica that warms up.
     warm_up_rate: f64,
 }
 
 impl<'a> Selection<'a> {
     fn new(serving: &'a Serving, plan: &'a Plan, history: &'a AttemptHistory) -> Self {
         let routers = serving.routers();
-        let (used, of) = CONNECTIONS_USED;
+        let (used, of) = CONNECTION_SHARE;
         let connections = plan.backend.max_connections as usize * used / of;
         let bounds = &serving.site.bounds;
         Self {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// This router's part of the rate at which a replica that warms up may be sent requests.
+    /// This router's part of the rate at which a warming replica may be sent requests; `None` if it has no part.
     fn own_warm_up_rate(&self, replica: &Candidate) -> Option<f64> {
         slow_start::rate(self.warm_up_rate, &replica.id, self.serving.router.node(), &self.routers)
     }
@@ -81,7 +81,7 @@
             && open < self.max_open
     }
 
-    fn is_at_home(&self, replica: &Candidate) -> bool {
+    fn is_in_home_region(&self, replica: &Candidate) -> bool {
         self.plan.is_home(&replica.region)
     }
 
@@ -105,7 +105,10 @@
 }
 
 impl Serving {
-    /// Selects a replica among those that may take the request now, and counts it as tried.
+    /// Selects a replica among those that can take the request now, and records it in `history` as tried.
+    ///
+    /// # Errors
+    /// The reason, if no replica can take the request.
     pub fn select_replica(
         self: &Arc<Self>,
         plan: &Plan,
@@ -115,7 +118,7 @@
         let reading = lock(&self.router.reading);
         let context = selection.context(&reading);
         let healthy = self.best_healthy(&selection, &context);
-        let best = healthy.or_else(|| self.best_doubtful(&selection, &context));
+        let best = healthy.or_else(|| self.best_unhealthy(&selection, &context));
         let replica = best.ok_or("no room at any replica")?;
         if selection.is_warming_up(&replica) {
             let rate = selection.own_warm_up_rate(&replica).unwrap_or(1.0);
@@ -127,7 +130,7 @@
         Ok(replica)
     }
 
-    /// The best replica of the first region that can begin the request in time.
+    /// The best healthy replica of the first region that can start the request in time.
     fn best_healthy(
         self: &Arc<Self>,
         selection: &Selection<'_>,
@@ -153,16 +156,17 @@
         None
     }
 
-    /// The best of the replicas that may be unhealthy: better a doubtful one than none.
-    fn best_doubtful(&self, selection: &Selection<'_>, context: &ChoiceContext<'_>) -> Option<Candidate> {
-        let doubtful = |replica: &&Candidate| {
-            selection.is_at_home(replica)
+    /// Fallback if no healthy replica is left: the best of the home regions' replicas that look unhealthy. Their state
+    /// may be outdated, so an attempt there is better than none.
+    fn best_unhealthy(&self, selection: &Selection<'_>, context: &ChoiceContext<'_>) -> Option<Candidate> {
+        let is_fallback = |replica: &&Candidate| {
+            selection.is_in_home_region(replica)
                 && selection.is_available(replica)
                 && selection.has_room(replica)
                 && !selection.is_healthy(replica)
         };
         let candidates: Vec<&Candidate> =
-            selection.replicas.replicas_of(&selection.plan.service).iter().filter(doubtful).collect();
+            selection.replicas.replicas_of(&selection.plan.service).iter().filter(is_fallback).collect();
         replica_choice::best(&candidates, context).cloned()
     }
 }
--- a/crates/data-plane/src/serving/report_publication.rs
+++ b/crates/data-plane/src/serving/report_publication.rs
@@ -1,5 +1,5 @@
-//! What a publisher tells those that subscribe (design 9.3), and what a router passes on inside its zone; being asked
-//! makes a router a publisher.
+//! Answers to requests for reports (design 9.3): those that this node publishes itself, and those of other zones that it
+//! relays to the routers of its own zone. A request for a zone's report makes the node its publisher.
 
 use super::{
     replica_report::{ReplicaReport, ReplicaRow},
@@ -10,16 +10,16 @@
 use std::{sync::Arc, time::Duration};
 use tokio::sync::watch;
 
-/// Longest that a request for a report waits, in milliseconds.
+/// Longest time that a request for a report may wait, in milliseconds.
 const MAX_WAIT_MS: u64 = 10_000;
-/// A publisher that counts from the start again has fallen behind what was seen of it by more than this.
-const RESTARTED: u64 = 1_000;
+/// If a publisher's number is lower than the one seen by more than this, the publisher has started to count anew.
+const RESTART_GAP: u64 = 1_000;
 
-/// The newest report of a zone.
+/// The newest report of a zone, if there is one.
 pub type HeldReport = Option<Arc<ReceivedReport>>;
 
-/// The report as it goes out now: its load reports age from when they were fresh, what is left of a warm-up from when
-/// the report came here (`ReceivedReport::received`), and the receiver subtracts the age from it.
+/// The report as it is sent now. The load in it ages from when it was up to date, but what is left of a warm-up from when
+/// the report was received here (`ReceivedReport::received_at`). The receiver subtracts the age from the latter.
 pub fn outgoing_report(held: &ReceivedReport, now: Tick, waited_ms: u64) -> ReplicaReport {
     let age_ms = now.since(held.fresh_at);
     let held_ms = now.since(held.received_at);
@@ -33,7 +33,7 @@
 }
 
 impl Router {
-    /// What this node publishes of a zone, newer than `seq`; being asked makes it publish.
+    /// Waits for this node's own report on a zone that is newer than `seq`. The request makes the node publish it.
     pub async fn wait_for_report(&self, zone: Zone, seq: u64, wait_ms: u64) -> Option<ReplicaReport> {
         let asked = self.now();
         let held = {
@@ -43,11 +43,11 @@
             publication.asked = asked;
             publication.tx.subscribe()
         };
-        let newer = |report: &ReplicaReport| report.seq > seq || seq > report.seq + RESTARTED;
+        let newer = |report: &ReplicaReport| report.seq > seq || seq > report.seq + RESTART_GAP;
         self.newer_report(held, newer, asked, wait_ms).await.filter(|report| report.seq != seq)
     }
 
-    /// What this node was told of a zone, newer than the report that the asker took last.
+    /// Waits for a report on a zone, received from another node, that is newer than the last one that the requester took.
     pub async fn wait_for_relayed_report(
         &self,
         zone: Zone,
@@ -62,14 +62,14 @@
         self.newer_report(held, newer, asked, wait_ms).await.filter(newer)
     }
 
-    /// Keeps a report for those that ask this node for it.
+    /// Keeps a report for the routers that request it from this node.
     pub fn relay_report(&self, report: ReceivedReport) {
         let mut relayed = lock(&self.relayed);
         let held = relayed.entry(report.report.zone.clone()).or_insert_with(|| watch::channel(None).0);
         held.send_replace(Some(Arc::new(report)));
     }
 
-    /// Waits for a report that is newer; the one that is held then, unless it is too old.
+    /// Waits for a newer report, and returns the one held then unless it is too old.
     async fn newer_report(
         &self,
         mut held: watch::Receiver<HeldReport>,
@@ -82,8 +82,8 @@
         let _ = tokio::time::timeout(wait, held.wait_for(is_newer)).await;
         let held = held.borrow().clone()?;
         let now = self.now();
-        // Whether the list in it is too old is up to the asker, who may then ask somebody else for it.
-        let valid = now.since(held.received_at) <= self.set.timing.report_max_age_ms();
-        valid.then(|| outgoing_report(&held, now, now.since(asked)))
+        // The requester judges whether the list in it is too old, and may then request it from another node.
+        let is_valid = now.since(held.received_at) <= self.set.timing.report_max_age_ms();
+        is_valid.then(|| outgoing_report(&held, now, now.since(asked)))
     }
 }
--- a/crates/data-plane/src/serving/report_subscription.rs
+++ b/crates/data-plane/src/serving/report_subscription.rs
@@ -1,6 +1,6 @@
-//! Subscriptions to the reports of zones (design 9.3). A router asks the publisher of its own zone; reports of other
-//! zones it has from one router of its own zone, which asks the publisher there: so a report crosses between two zones
-//! once, however many routers they have.
+//! Subscriptions to the reports of zones (design 9.3). A router requests the report of its own zone from that zone's
+//! publisher. For each other zone, one router of a zone requests the report from the publisher and relays it to the
+//! others: a report crosses between two zones once, however many routers they have.
 
 use super::{
     replica_report::ReplicaReport,
@@ -16,33 +16,35 @@
 use control_plane::{Member, state_machine::singleton};
 use std::{sync::Arc, time::Duration};
 
-/// Report intervals for which a request for a report waits.
+/// Report intervals for which a request for a report waits at the source.
 const WAIT_INTERVALS: u64 = 2;
 
-/// Whom a router asks for a zone's report.
+/// Which node a zone's report is requested from.
 enum Source {
-    /// The publisher itself, or who is to become it.
+    /// The publisher, or the node that is to become it.
     Publisher(Member),
-    /// A router of the own zone that passes the report on.
+    /// A router of the own zone that relays the report.
     Relay(Member),
 }
 
-/// Where a subscription stands: sources that failed, and the report that was taken last.
+/// State of a subscription.
 #[derive(Default)]
 struct Subscription {
+    /// Sources that failed.
     backoff: SourceBackoff,
+    /// Publisher and number of the last report.
     last: Option<(NodeId, u64)>,
 }
 
 impl Subscription {
-    /// The number of the last report, where that came from this publisher.
+    /// The number of the last report if it came from this publisher, else 0.
     fn seq_of(&self, publisher: &NodeId) -> u64 {
         self.last.as_ref().filter(|last| last.0 == *publisher).map_or(0, |last| last.1)
     }
 }
 
 impl Serving {
-    /// Subscribes to each zone's reports, and publishes those that are this node's to publish.
+    /// Starts a subscription to the reports of each zone, and the publication of those that this node is asked for.
     pub fn spawn_report_tasks(self: &Arc<Self>) {
         for zone in self.site.zones.keys() {
             common::runtime::spawn(self.clone().publish(zone.clone()));
@@ -50,17 +52,19 @@
         }
     }
 
-    /// Claimants to the publication of a zone: its own routers first, then the others.
+    /// Nodes that may publish a zone's report, in order of preference: routers of that zone first, then the others.
     pub(super) fn publishers(&self, zone: &Zone) -> Vec<Member> {
-        let l = self.router.cluster_state();
+        let state = self.router.cluster_state();
         let key = format!("board/{zone}");
-        let near = singleton::ranked_holders(&l, &key, Some(zone));
-        let far = singleton::ranked_holders(&l, &key, None).into_iter().filter(|m| m.info.zone != *zone);
-        near.into_iter().chain(far).collect()
+        let in_zone = singleton::ranked_holders(&state, &key, Some(zone));
+        let elsewhere = singleton::ranked_holders(&state, &key, None)
+            .into_iter()
+            .filter(|member| member.info.zone != *zone);
+        in_zone.into_iter().chain(elsewhere).collect()
     }
 
-    /// Routers of the own zone that precede this one in passing on the report of another zone. All see the same
-    /// order, so nobody asks in a circle.
+    /// Routers of the own zone that come before this one in relaying another zone's report. All routers use the same order,
+    /// so requests never form a cycle.
     fn relays(&self, zone: &Zone) -> Vec<Member> {
         let own = self.router.zone();
         if zone == own {
@@ -71,6 +75,7 @@
         ranked.into_iter().take_while(|member| member.info.node != *self.router.node()).collect()
     }
 
+    /// The first available relay, else the first available publisher.
     fn source(&self, zone: &Zone, backoff: &SourceBackoff) -> Option<Source> {
         let now = self.now();
         let available = |member: &Member| backoff.is_available(&member.info.node, now);
@@ -97,38 +102,39 @@
                 Ok(Some(report)) => {
                     subscription.last = Some((report.publisher.clone(), report.seq));
                     let listed_at = self.take_report(report, now);
-                    // The source passes on what nobody may go by: another one may reach the platform.
+                    // The list that the source sends is too old to be used. Another source may reach the platform.
                     if self.is_list_current(listed_at) {
                         subscription.backoff.succeed(&node);
                     } else {
-                        self.pass_over(&zone, node, &mut subscription);
+                        self.try_other_source(&zone, node, &mut subscription);
                     }
                 }
                 Ok(None) => {
-                    // A relay that has nothing to pass on may be cut off from there, a publisher from the platform:
-                    // another one, or this node, takes over.
+                    // A relay without a new report may be cut off from that zone, a publisher from the platform:
+                    // another source, or this node itself, takes over.
                     if matches!(source, Source::Relay(_)) || !self.has_current_report(&zone) {
-                        self.pass_over(&zone, node, &mut subscription);
+                        self.try_other_source(&zone, node, &mut subscription);
                     }
                     tokio::time::sleep(pause).await;
                 }
-                Err(e) => {
-                    log_event!(Debug, e.step, "peer" => e.peer, "cause" => e.cause());
-                    // From now on: the call may have taken longer than the backoff.
+                Err(error) => {
+                    log_event!(Debug, error.step, "peer" => error.peer, "cause" => error.cause());
+                    // The backoff counts from now: the call may have taken longer than it lasts.
                     subscription.backoff.fail(node, self.now(), self.router.set.timing.lease_ms);
                 }
             }
         }
     }
 
-    /// Asks another source than this one for a while, where there is one.
-    fn pass_over(&self, zone: &Zone, node: NodeId, subscription: &mut Subscription) {
+    /// Backs off from this source, unless there is no other one.
+    fn try_other_source(&self, zone: &Zone, node: NodeId, subscription: &mut Subscription) {
         subscription.backoff.fail(node.clone(), self.now(), self.router.set.timing.lease_ms);
         if self.source(zone, &subscription.backoff).is_none() {
             subscription.backoff.succeed(&node);
         }
     }
 
+    /// Whether the list in the held report is recent enough to be used.
     fn has_current_report(&self, zone: &Zone) -> bool {
         let reports = lock(&self.reports);
         let held = reports.by_zone.get(zone);
@@ -139,7 +145,7 @@
         reports.listed_at(report, self.list_max_age_ms(), self.site.zones.len())
     }
 
-    /// The next report of a zone; `None` where the source has none that is newer.
+    /// Requests the next report of a zone; `None` if the source has none that is newer.
     async fn request_report(
         &self,
         zone: &Zone,
@@ -165,28 +171,28 @@
         let timeout_ms = wait_ms + self.router.set.timing.rpc_timeout_ms;
         match self.router.lines.call_within(timeout_ms, step, to, request).await? {
             RouterResponse::ReplicaReport(report) => Ok(report.map(|report| *report)),
-            _ => Err(PeerError::new(step, to, "another answer")),
+            _ => Err(PeerError::new(step, to, "unexpected kind of answer")),
         }
     }
 
-    /// Takes a report that was asked for at `asked` up unless it is older than what is held, and passes it on to those
-    /// that ask. Tells when the list in it was the newest that there is.
-    fn take_report(&self, report: ReplicaReport, asked: Tick) -> Tick {
-        let received = self.now();
-        let at = report.fresh_at(asked, received);
-        let report = ReceivedReport { report, fresh_at: at, received_at: received };
+    /// Takes a report that was requested at `requested_at`, unless a newer one is held, and relays it. Returns when the list
+    /// in it was up to date.
+    fn take_report(&self, report: ReplicaReport, requested_at: Tick) -> Tick {
+        let received_at = self.now();
+        let fresh_at = report.fresh_at(requested_at, received_at);
+        let received = ReceivedReport { report, fresh_at, received_at };
         let mut reports = lock(&self.reports);
-        let taken = reports.accept_received(report.clone());
-        let listed_at = self.listed_at(&reports, &report);
+        let taken = reports.accept_received(received.clone());
+        let listed_at = self.listed_at(&reports, &received);
         if !taken {
             return listed_at;
         }
-        self.router.relay_report(report);
-        let valid = self.router.set.timing.report_max_age_ms();
-        let fleet = reports.build_view(&self.site.zones, valid, self.list_max_age_ms());
-        let listed = |id: &ReplicaId| fleet.by_service.values().flatten().any(|c| c.id == *id);
+        self.router.relay_report(received);
+        let valid_ms = self.router.set.timing.report_max_age_ms();
+        let view = reports.build_view(&self.site.zones, valid_ms, self.list_max_age_ms());
+        let listed = |id: &ReplicaId| view.by_service.values().flatten().any(|replica| replica.id == *id);
         lock(&self.router.reading).retain(&listed);
-        self.fleet.store(Arc::new(fleet));
+        self.fleet.store(Arc::new(view));
         listed_at
     }
 }
--- a/crates/data-plane/src/serving/source_backoff.rs
+++ b/crates/data-plane/src/serving/source_backoff.rs
@@ -3,7 +3,7 @@
 use common::{NodeId, Tick};
 use std::collections::HashMap;
 
-/// The longest backoff is the shortest one doubled so many times.
+/// The backoff doubles with each failure in a row, at most this many times.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// Sources that have failed since they last answered.
@@ -16,7 +16,7 @@
 struct FailedSource {
     /// Failures in a row.
     failures: u32,
-    /// Until then it is not asked.
+    /// The source is not asked before this time.
     until: Tick,
 }
 
@@ -26,9 +26,9 @@
         self.failed.get(source).is_none_or(|failed| failed.until <= now)
     }
 
-    /// A source failed: it is asked again after `base_ms`, and after each further failure in a row after twice as long.
-    /// Others that were due to be asked again wait for another `base_ms`: a call to a silent source lasts long, and
-    /// several of them in a row would outlast the view that they are to renew.
+    /// Records a failure. The source is asked again after `base_ms`, and after twice as long with each further failure in a
+    /// row. Other failed sources that are due earlier also wait for `base_ms`: a call to a silent source takes long, and
+    /// several of them in a row would take longer than the replica view stays valid.
     pub fn fail(&mut self, source: NodeId, now: Tick, base_ms: u64) {
         let failures = self.failed.get(&source).map_or(0, |failed| failed.failures);
         let until = now + (base_ms << failures.min(MAX_DOUBLINGS));
@@ -38,7 +38,7 @@
         self.failed.insert(source, FailedSource { failures: failures + 1, until });
     }
 
-    /// A source answered: it counts as one that never failed.
+    /// Records an answer: earlier failures no longer count.
     pub fn succeed(&mut self, source: &NodeId) {
         self.failed.remove(source);
     }
--- a/crates/data-plane/src/serving/sync_stream.rs
+++ b/crates/data-plane/src/serving/sync_stream.rs
@@ -6,7 +6,7 @@
     task::{Context, Poll},
 };
 
-/// Nobody but the body's connection ever reads it: the lock is never waited for.
+/// Wraps a stream in a mutex. Only the body's connection reads it, so the lock is never contended.
 pub struct SyncStream<S>(Mutex<S>);
 
 impl<S> SyncStream<S> {
