--- a/crates/data-plane/src/serving/usage/call.rs
+++ b/crates/data-plane/src/serving/usage/call.rs
@@ -14,10 +14,10 @@
 use hyper::{Method, Request, StatusCode};
 
 const STEP: &str = "report usage";
-/// Longest answer that is read, in bytes.
+/// The most bytes of an answer that are read.
 const MAX_ANSWER_BYTES: usize = 1 << 16;
 
-/// What a status says of a report.
+/// What an answer's status says about the report.
 pub fn call_outcome(status: StatusCode) -> CallOutcome {
     match status {
         StatusCode::CONFLICT => CallOutcome::Superseded,
@@ -29,30 +29,34 @@
 }
 
 impl UsageHolder {
-    /// Makes the call; `None` where nothing was sent since the duty has passed to another node.
+    /// Makes the call; `None` if nothing was sent because the duty passed to another node.
     pub(super) async fn report(&self, call: &Call) -> Option<Result<StatusCode, PeerError>> {
-        let ms = lock(&self.plan).spans.call_timeout_ms;
+        let timeout_ms = lock(&self.plan).spans.call_timeout_ms;
         let sent = self.send(call);
-        within(ms, STEP, self.duty.address, async { Ok(sent.await) }).await.unwrap_or_else(|e| Some(Err(e)))
+        within(timeout_ms, STEP, self.duty.address, async { Ok(sent.await) })
+            .await
+            .unwrap_or_else(|error| Some(Err(error)))
     }
 
     async fn send(&self, call: &Call) -> Option<Result<StatusCode, PeerError>> {
         let (to, router) = (self.duty.address, &self.serving.router);
-        let made = self.serving.dialect.usage_report(&self.duty.holder, call.fencing_token, &call.report);
-        let request = Request::builder().method(Method::POST).uri(made.path).header("host", to.to_string());
+        let duty_call =
+            self.serving.dialect.usage_report(&self.duty.holder, call.fencing_token, &call.report);
         let request =
-            made.headers.iter().fold(request, |request, (name, value)| request.header(*name, value));
-        let request = match request.body(full(made.body)).at_peer(STEP, to) {
+            Request::builder().method(Method::POST).uri(duty_call.path).header("host", to.to_string());
+        let request =
+            duty_call.headers.iter().fold(request, |request, (name, value)| request.header(*name, value));
+        let request = match request.body(full(duty_call.body)).at_peer(STEP, to) {
             Ok(request) => request,
             Err(error) => return Some(Err(error)),
         };
-        let ms = lock(&self.plan).spans.call_timeout_ms;
-        let mut connection = match open(router.set.rpc_addr.ip(), to, ms).await {
+        let timeout_ms = lock(&self.plan).spans.call_timeout_ms;
+        let mut connection = match open(router.set.rpc_addr.ip(), to, timeout_ms).await {
             Ok(connection) => connection,
             Err(error) => return Some(Err(error)),
         };
-        // Opening it took a while: the duty may have passed on.
-        if !lock(&self.plan).may_send(call, self.held(), router.now()) {
+        // The duty may have passed to another node while the connection was opened.
+        if !lock(&self.plan).may_send(call, self.held_token(), router.now()) {
             return None;
         }
         let answer = match connection.send_request(request).await.at_peer(STEP, to) {
@@ -60,7 +64,7 @@
             Err(error) => return Some(Err(error)),
         };
         let status = answer.status();
-        // Its body says nothing more; it is read so that the connection ends in good order.
+        // The body holds nothing of interest; it is read so that the connection is closed cleanly.
         let _ = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await;
         Some(Ok(status))
     }
--- a/crates/data-plane/src/serving/usage/clock.rs
+++ b/crates/data-plane/src/serving/usage/clock.rs
@@ -1,20 +1,21 @@
-//! The time of day as most routers see it. One machine's may jump by seconds; the median of many does not. Pure.
+//! The time of day as most routers see it. One machine's clock may jump by seconds; the median of several machines' clocks
+//! isn't affected by that. Pure.
 
 use common::Tick;
 
-/// How far the median of several clocks may be off, in milliseconds.
-const SEVERAL_CLOCKS_MS: u64 = 500;
-/// How far that of one or two may be off.
-const FEW_CLOCKS_MS: u64 = 10_000;
-/// So many clocks count as several.
-const SEVERAL: usize = 3;
+/// Maximum error of the median of several clocks, in milliseconds.
+const MEDIAN_ERROR_MS: u64 = 500;
+/// Maximum error of the median of one or two clocks, in milliseconds.
+const FEW_CLOCKS_ERROR_MS: u64 = 10_000;
+/// Clocks from which the median has the smaller error.
+const MIN_CLOCKS_FOR_MEDIAN: usize = 3;
 
-/// The time of day less the own monotonic time, in milliseconds, by one machine's clock.
+/// Offset of a machine's time of day from this router's monotonic clock, in milliseconds.
 pub fn clock_offset(time_of_day_ms: u64, at: Tick) -> i64 {
     time_of_day_ms as i64 - at.0 as i64
 }
 
-/// The time of day by the own monotonic clock.
+/// Converts between this router's monotonic clock and the time of day, by the median of several machines' clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MedianClock {
     offset_ms: i64,
@@ -22,32 +23,32 @@
 }
 
 impl MedianClock {
-    /// The median of samples of different machines, where those are more than half of all.
-    pub fn of(mut samples: Vec<i64>, machines: usize) -> Option<Self> {
-        if 2 * samples.len() <= machines && !common::mutation::enabled("usage-any-clock") {
+    /// The median of the offsets of different machines; `None` unless they are more than half of all machines.
+    pub fn of(mut offsets: Vec<i64>, machines: usize) -> Option<Self> {
+        if 2 * offsets.len() <= machines && !common::mutation::enabled("usage-any-clock") {
             return None;
         }
-        samples.sort_unstable();
-        let offset_ms = *samples.get(samples.len() / 2)?;
-        Some(Self { offset_ms, clocks: samples.len() })
+        offsets.sort_unstable();
+        let offset_ms = *offsets.get(offsets.len() / 2)?;
+        Some(Self { offset_ms, clocks: offsets.len() })
     }
 
-    /// The time of day, in milliseconds since 1970.
+    /// The time of day at `at`, in milliseconds since 1970.
     pub fn time_of_day(&self, at: Tick) -> u64 {
         u64::try_from(at.0 as i64 + self.offset_ms).unwrap_or(0)
     }
 
-    /// When it was or will be that time.
+    /// When the monotonic clock reaches that time of day.
     pub fn tick_at(&self, time_of_day_ms: u64) -> Tick {
         Tick(u64::try_from(time_of_day_ms as i64 - self.offset_ms).unwrap_or(0))
     }
 
-    /// How far it may be off, in milliseconds.
+    /// Maximum error of the time of day, in milliseconds.
     pub fn error_ms(&self) -> u64 {
-        if self.clocks < SEVERAL { FEW_CLOCKS_MS } else { SEVERAL_CLOCKS_MS }
+        if self.clocks < MIN_CLOCKS_FOR_MEDIAN { FEW_CLOCKS_ERROR_MS } else { MEDIAN_ERROR_MS }
     }
 
-    /// By how much two differ, in milliseconds.
+    /// Difference between two clocks' times of day, in milliseconds.
     pub fn difference_ms(&self, other: &Self) -> u64 {
         self.offset_ms.abs_diff(other.offset_ms)
     }
--- a/crates/data-plane/src/serving/usage/decisions.rs
+++ b/crates/data-plane/src/serving/usage/decisions.rs
@@ -1,41 +1,41 @@
-//! Counts that a holder has fixed, as it hands them to other routers before it reports them: the next holder repeats
-//! them. Pure.
+//! Decided counts that a holder hands to other routers before it reports them to the platform. A later holder reports the
+//! same counts again, never different ones. Pure.
 
 use common::{FencingToken, Tenant};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Windows of which a decision is kept: the newest.
+/// Number of windows, the newest ones, whose decisions are stored.
 pub const KEPT_WINDOWS: usize = 8;
 
 /// The counts of one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Its number: it began so many window lengths after the start of 1970.
+    /// The window's number: it began `window` window lengths after the start of 1970.
     pub window: u64,
-    /// Requests that began to run in it, by tenant.
+    /// Requests that started to run in it, by tenant.
     pub counts: BTreeMap<Tenant, u64>,
 }
 
-/// Why a decision is not kept.
+/// Why a decision is not stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeepError {
-    /// A later holder has asked already.
+    /// A later holder has made a request already, under this fencing token.
     Superseded(FencingToken),
-    /// Other counts are kept for the window.
+    /// Other counts are stored for the window.
     Differs,
 }
 
-/// The decisions that a router keeps.
+/// The decisions that a router stores.
 #[derive(Debug, Default)]
 pub struct KeptDecisions {
-    /// The highest that was seen.
+    /// The highest fencing token that was seen.
     fencing_token: FencingToken,
     reports: BTreeMap<u64, UsageReport>,
 }
 
 impl KeptDecisions {
-    /// Takes a fencing token unless a higher one was seen.
+    /// Accepts a fencing token unless a higher one was seen.
     fn check(&mut self, fencing_token: FencingToken) -> Result<(), FencingToken> {
         if fencing_token < self.fencing_token {
             return Err(self.fencing_token);
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Keeps a decision; a window's first one stays.
+    /// Stores a decision. The first one for a window is never replaced.
     ///
     /// # Errors
     /// See [`KeepError`].
@@ -58,10 +58,10 @@
         if same { Ok(()) } else { Err(KeepError::Differs) }
     }
 
-    /// All that is kept, for a new holder: from now on those before it are refused.
+    /// All stored decisions, for a new holder. From now on requests of earlier holders are rejected.
     ///
     /// # Errors
-    /// A higher fencing token was seen.
+    /// The highest fencing token that was seen, if it is above this one.
     pub fn collect(&mut self, fencing_token: FencingToken) -> Result<Vec<UsageReport>, FencingToken> {
         self.check(fencing_token)?;
         Ok(self.reports.values().cloned().collect())
--- a/crates/data-plane/src/serving/usage/holder.rs
+++ b/crates/data-plane/src/serving/usage/holder.rs
@@ -1,4 +1,5 @@
-//! The holder's tasks: one counts windows and has the counts copied, the other one reports them (design 9.10).
+//! The tasks of the holder of the usage duty (design 9.10): one counts windows and has the counts copied to other routers,
+//! the other reports them to the platform.
 
 use super::{
     UsageDuty, call::call_outcome, clock::MedianClock, pacing::CallOutcome, peer_queries::ROLE,
@@ -12,74 +13,74 @@
     time::Duration,
 };
 
-/// Time between two looks at what is to be done.
-const LOOK_MS: u64 = 100;
+/// Interval at which the tasks check what is to be done.
+const POLL_INTERVAL_MS: u64 = 100;
 
-/// A router that holds the duty, or may come to hold it.
+/// A router that holds the usage duty, or may come to hold it.
 pub struct UsageHolder {
     pub(super) serving: Arc<Serving>,
     pub(super) duty: UsageDuty,
     pub(super) plan: Mutex<HolderPlan>,
-    /// The time of day as most routers had it last.
+    /// The time of day by the clocks of most routers, as of the last exchange with them.
     clock: Mutex<Option<MedianClock>>,
 }
 
 impl Serving {
-    /// Reports usage whenever this node holds that duty, where the platform gives it.
+    /// Starts the tasks that report usage whenever this node holds the duty, if the platform has this duty.
     pub fn spawn_usage_tasks(self: &Arc<Self>) {
         let Some(duty) = self.site.usage.clone() else { return };
         let plan = Mutex::new(HolderPlan::new(duty.clone(), &self.router.set.timing));
         let holder = Arc::new(UsageHolder { serving: self.clone(), duty, plan, clock: Mutex::default() });
-        spawn(holder.clone().keep_counting());
-        spawn(holder.keep_reporting());
+        spawn(holder.clone().run_counting());
+        spawn(holder.run_reporting());
     }
 }
 
 impl UsageHolder {
-    /// The fencing token under which this node holds the duty now: with a valid lease, and by a copy of the state that
-    /// is not known to be old.
-    pub(super) fn held(&self) -> Option<FencingToken> {
+    /// The fencing token under which this node holds the duty now. It needs a valid lease and a copy of the cluster state that
+    /// isn't known to be outdated.
+    pub(super) fn held_token(&self) -> Option<FencingToken> {
         let router = &self.serving.router;
         let member = &router.member;
-        let fit = member.has_lease() && member.caught_up() && !member.lags();
-        let fit = fit || common::mutation::enabled("usage-without-lease");
+        let is_fit = member.has_lease() && member.caught_up() && !member.lags();
+        let is_fit = is_fit || common::mutation::enabled("usage-without-lease");
         let draining = router.draining.load(Ordering::Acquire);
         let role = holder_of(&router.cluster_state(), ROLE, None)?;
-        let own = role.holder.info == member.info && role.holder.epoch == member.lease().epoch;
-        (fit && !draining && own).then_some(role.fencing_token)
+        let is_own = role.holder.info == member.info && role.holder.epoch == member.lease().epoch;
+        (is_fit && !draining && is_own).then_some(role.fencing_token)
     }
 
-    fn look(&self) -> Option<Tenure> {
+    fn observe_tenure(&self) -> Option<Tenure> {
         let mut plan = lock(&self.plan);
-        let held = self.held();
-        plan.observe(held, self.serving.now())
+        let held_token = self.held_token();
+        plan.observe(held_token, self.serving.now())
     }
 
-    /// Waits for a moment at which this node holds the duty.
-    async fn next_look(&self) -> Tenure {
+    /// Waits until this node holds the duty.
+    async fn wait_until_held(&self) -> Tenure {
         loop {
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
-            if let Some(tenure) = self.look() {
+            tokio::time::sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
+            if let Some(tenure) = self.observe_tenure() {
                 return tenure;
             }
         }
     }
 
-    async fn keep_counting(self: Arc<Self>) {
+    async fn run_counting(self: Arc<Self>) {
         loop {
-            let tenure = self.next_look().await;
+            let tenure = self.wait_until_held().await;
             if lock(&self.plan).needs_collection() {
-                self.begin(&tenure).await;
+                self.collect_decisions(&tenure).await;
                 continue;
             }
             let Some(clock) = *lock(&self.clock) else { continue };
-            self.give_up_expired(&clock);
+            self.record_skipped(&clock);
             let due = lock(&self.plan).next_to_count(&clock, self.serving.now());
             if let Some(window) = due {
                 self.count(&tenure, window, clock).await;
             }
-            let undone = lock(&self.plan).next_to_copy();
-            if let Some(report) = undone {
+            let uncopied = lock(&self.plan).next_to_copy();
+            if let Some(report) = uncopied {
                 let copies = self.duty.copies();
                 if let Some(agreed) = self.serving.router.copy_usage(&tenure, &report, copies).await {
                     lock(&self.plan).record_copied(tenure.number, report.window, agreed);
@@ -88,49 +89,49 @@
         }
     }
 
-    /// The begin of a tenure: what did former holders decide?
-    async fn begin(&self, tenure: &Tenure) {
-        let Some(found) = self.serving.router.collect_usage(tenure).await else { return };
-        *lock(&self.clock) = Some(found.clock);
-        log_event!(Info, "usage holder", "epoch" => tenure.fencing_token, "found" => found.reports.len());
-        lock(&self.plan).record_collected(tenure, found.reports, &found.clock);
+    /// Starts a tenure: collects what former holders decided.
+    async fn collect_decisions(&self, tenure: &Tenure) {
+        let Some(collected) = self.serving.router.collect_usage(tenure).await else { return };
+        *lock(&self.clock) = Some(collected.clock);
+        log_event!(Info, "usage holder", "epoch" => tenure.fencing_token, "found" => collected.reports.len());
+        lock(&self.plan).record_collected(tenure, collected.reports, &collected.clock);
     }
 
     async fn count(&self, tenure: &Tenure, window: u64, clock: MedianClock) {
         let router = &self.serving.router;
         let Some((report, clock)) = router.count_usage(&self.plan, window, clock).await else { return };
         *lock(&self.clock) = Some(clock);
-        if self.look().is_none() {
+        if self.observe_tenure().is_none() {
             return;
         }
-        let taken = lock(&self.plan).decide(tenure.number, report.clone(), &clock, self.serving.now());
-        if taken {
+        let decided = lock(&self.plan).decide(tenure.number, report.clone(), &clock, self.serving.now());
+        if decided {
             let total: u64 = report.counts.values().sum();
             log_event!(Info, "usage decided", "window" => window, "tenants" => report.counts.len(), "starts" => total);
-            // It may be asked for it itself, as the next holder.
+            // If this node is the next holder too, it finds its decision here.
             let _ = lock(&router.usage.decisions).keep(tenure.fencing_token, &report);
         }
     }
 
-    fn give_up_expired(&self, clock: &MedianClock) {
+    fn record_skipped(&self, clock: &MedianClock) {
         for (window, reason) in lock(&self.plan).drop_expired(clock, self.serving.now()) {
             self.serving.router.counters.usage_windows_skipped.with_label_values(&[reason]).inc();
             log_event!(Info, "usage skipped", "window" => window, "cause" => reason);
         }
     }
 
-    async fn keep_reporting(self: Arc<Self>) {
+    async fn run_reporting(self: Arc<Self>) {
         loop {
-            self.next_look().await;
+            self.wait_until_held().await;
             let Some(clock) = *lock(&self.clock) else { continue };
             let call = lock(&self.plan).next_call(&clock, self.serving.now());
             let Some(call) = call else { continue };
             let Some(result) = self.report(&call).await else { continue };
-            let end = result.as_ref().map_or(CallOutcome::Unknown, |status| call_outcome(*status));
-            lock(&self.plan).record_outcome(&call, end, self.serving.now());
-            self.serving.router.counters.usage_reports.with_label_values(&[end.name()]).inc();
+            let outcome = result.as_ref().map_or(CallOutcome::Unknown, |status| call_outcome(*status));
+            lock(&self.plan).record_outcome(&call, outcome, self.serving.now());
+            self.serving.router.counters.usage_reports.with_label_values(&[outcome.name()]).inc();
             let answer = result.map_or_else(|error| error.cause(), |status| status.to_string());
-            log_event!(Info, "usage report", "window" => call.report.window, "epoch" => call.fencing_token, "outcome" => end.name(), "answer" => answer);
+            log_event!(Info, "usage report", "window" => call.report.window, "epoch" => call.fencing_token, "outcome" => outcome.name(), "answer" => answer);
         }
     }
 }
--- a/crates/data-plane/src/serving/usage/messages.rs
+++ b/crates/data-plane/src/serving/usage/messages.rs
@@ -1,4 +1,4 @@
-//! What a router is asked by the holder of the duty, and answers.
+//! What the holder of the usage duty requests from the other routers, and what they answer.
 
 use super::{
     decisions::{KeepError, KeptDecisions, UsageReport},
@@ -9,69 +9,70 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, sync::Mutex};
 
-/// A question of the holder.
+/// A request of the holder.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum UsageRequest {
-    /// How many requests began to run between two ages, counted back from now.
+    /// Asks how many requests started to run between two points in time, each given by its age when the request is
+    /// answered.
     Starts {
-        /// The older one, in milliseconds.
+        /// Age of the earlier one, in milliseconds.
         from_age_ms: u64,
-        /// The younger one, in milliseconds.
+        /// Age of the later one, in milliseconds.
         until_age_ms: u64,
     },
-    /// Asks to keep a decision.
+    /// Asks to store the counts that were decided for a window.
     Keep {
-        /// Under which the holder acts.
+        /// The fencing token under which the holder acts.
         fencing_token: FencingToken,
-        /// The decision.
+        /// The decided counts.
         report: UsageReport,
     },
-    /// A new holder asks for the decisions of former ones.
+    /// A new holder asks for the decisions of former holders.
     Collect {
-        /// Under which it acts.
+        /// The fencing token under which it acts.
         fencing_token: FencingToken,
     },
 }
 
-/// The answer to one.
+/// The answer to a [`UsageRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum UsageResponse {
-    /// What began.
+    /// The requests that started.
     Starts {
-        /// The time of day here, in milliseconds.
+        /// The time of day by the answering machine's clock, in milliseconds since 1970.
         time_of_day_ms: u64,
-        /// By tenant.
+        /// Their number by tenant.
         counts: BTreeMap<Tenant, u64>,
     },
-    /// The decision is kept.
+    /// The decision is stored.
     Kept,
-    /// Another decision is kept for the window.
+    /// A different decision is stored for the window.
     Differs,
-    /// A higher fencing token was seen.
+    /// The request is rejected, because a higher fencing token was seen: this one.
     Superseded(FencingToken),
-    /// The decisions that are kept here.
+    /// The decisions that are stored here.
     Collected {
-        /// The time of day here, in milliseconds.
+        /// The time of day by the answering machine's clock, in milliseconds since 1970.
         time_of_day_ms: u64,
-        /// One for each window.
+        /// At most one for each window.
         reports: Vec<UsageReport>,
     },
 }
 
-/// What each router remembers for the holder.
+/// What each router stores for the holder.
 #[derive(Debug, Default)]
 pub struct UsageRecord {
-    /// What began to run.
+    /// Requests that started to run.
     pub starts: Mutex<StartRecorder>,
     /// Decisions of holders.
     pub decisions: Mutex<KeptDecisions>,
 }
 
 impl UsageRecord {
-    /// Answers a question of the holder.
-    pub fn answer(&self, question: UsageRequest, now: Tick) -> UsageResponse {
+    /// Answers a request of the holder.
+    pub fn answer(&self, request: UsageRequest, now: Tick) -> UsageResponse {
         let time_of_day_ms = time_of_day_ms();
-        match question {
+        match request {
             UsageRequest::Starts { from_age_ms, until_age_ms } => UsageResponse::Starts {
                 time_of_day_ms,
                 counts: lock(&self.starts).counts_between(now - from_age_ms, now - until_age_ms),
@@ -80,12 +81,12 @@
                 match lock(&self.decisions).keep(fencing_token, &report) {
                     Ok(()) => UsageResponse::Kept,
                     Err(KeepError::Differs) => UsageResponse::Differs,
-                    Err(KeepError::Superseded(known)) => UsageResponse::Superseded(known),
+                    Err(KeepError::Superseded(highest)) => UsageResponse::Superseded(highest),
                 }
             }
             UsageRequest::Collect { fencing_token } => match lock(&self.decisions).collect(fencing_token) {
                 Ok(reports) => UsageResponse::Collected { time_of_day_ms, reports },
-                Err(known) => UsageResponse::Superseded(known),
+                Err(highest) => UsageResponse::Superseded(highest),
             },
         }
     }
--- a/crates/data-plane/src/serving/usage/mod.rs
+++ b/crates/data-plane/src/serving/usage/mod.rs
@@ -1,9 +1,11 @@
-//! Reports of usage (design 9.10): one router at a time tells the platform, for each window of the time of day, how many
-//! requests of each tenant began to run in it. For one window the platform must never be told two different counts.
+//! Usage reports (design 9.10): one router at a time, the holder of the usage duty, tells the platform for each window of the
+//! time of day how many requests of each tenant started to run in it. The platform must never receive two different counts
+//! for one window.
 //!
-//! - [`recorder`]: what each router saw begin, by its own monotonic clock.
+//! - [`recorder`]: the starts that each router saw, by its own monotonic clock.
 //! - [`clock`]: the time of day as most routers see it.
-//! - [`decisions`]: counts that a holder has fixed, as other routers keep them.
+//! - [`decisions`]: counts that a holder has decided, as other routers store them.
+//! - [`messages`]: requests of the holder to the other routers, and their answers.
 //! - [`tenure`], [`plan`], [`pacing`]: who may act, what is to be done for each window, and when; pure.
 //! - [`holder`], [`peer_queries`], [`call`]: the tasks of the holder.
 
@@ -26,40 +28,41 @@
 use common::Tick;
 use std::net::SocketAddr;
 
-/// The duty as the platform gives it.
+/// The usage duty as the platform configures it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageDuty {
     /// Where the platform takes reports.
     pub address: SocketAddr,
     /// The name under which this node holds the duty.
     pub holder: String,
-    /// Length of a window.
+    /// Length of a window, in milliseconds.
     pub window_ms: u64,
-    /// Time from a window's end until its report is due.
+    /// Time from a window's end until its report is due, in milliseconds.
     pub delay_ms: u64,
-    /// A holder must not act so soon after it acted before, if another one acted in between.
+    /// If another node has acted as the holder in between, a former holder must not act again for this long after it last
+    /// acted, in milliseconds.
     pub reacquire_pause_ms: u64,
-    /// Calls for duties a second, of all nodes together.
+    /// Calls for duties per second that all nodes together may make.
     pub calls_per_s: f64,
-    /// Machines that may be lost at once.
+    /// Machines that may fail at the same time.
     pub max_lost_machines: usize,
 }
 
 impl UsageDuty {
-    /// For how long a router remembers what began: until its window's report is due, and one window more.
+    /// How long a router remembers a start, in milliseconds: until the report on its window is due, and one more window.
     pub fn retention_ms(&self) -> u64 {
         2 * self.window_ms + self.delay_ms
     }
 
-    /// Routers that keep a decision beside the holder.
+    /// Number of routers that store a decision besides the holder.
     pub fn copies(&self) -> usize {
-        const LEAST_COPIES: usize = 2;
-        self.max_lost_machines.max(LEAST_COPIES)
+        const MIN_COPIES: usize = 2;
+        self.max_lost_machines.max(MIN_COPIES)
     }
 }
 
 impl Serving {
-    /// A request began to run at a replica at that time, which counts as use by its tenant.
+    /// Records that a request started to run at a replica at that time; it counts as usage of its tenant.
     pub fn note_start(&self, plan: &Plan, at: Tick) {
         if let Some(tenant) = &plan.tenant {
             lock(&self.router.usage.starts).record(&tenant.name, at, self.now());
--- a/crates/data-plane/src/serving/usage/pacing.rs
+++ b/crates/data-plane/src/serving/usage/pacing.rs
@@ -1,37 +1,37 @@
-//! When the holder may call the platform again, by what became of its calls. Pure.
+//! When the holder may call the platform again, given the outcomes of its earlier calls. Pure.
 
 use super::decisions::UsageReport;
 use common::{FencingToken, Tick};
 use std::sync::Arc;
 
 /// Shortest pause between two calls, in milliseconds.
-const LEAST_PAUSE_MS: u64 = 250;
-/// Longest pause after calls that failed.
-const MOST_PAUSE_MS: u64 = 2_000;
-/// Part of the calls that all nodes may make in a second that one holder makes.
+const MIN_PAUSE_MS: u64 = 250;
+/// Longest pause after failed calls, in milliseconds.
+const MAX_PAUSE_MS: u64 = 2_000;
+/// Share of the calls that all nodes together may make per second that one holder uses.
 const RATE_SHARE: f64 = 0.25;
 
 /// One call to the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// Number of the tenure that it belongs to.
+    /// Number of the tenure in which it is made.
     pub tenure: u64,
-    /// Under which it is made.
+    /// The fencing token under which it is made.
     pub fencing_token: FencingToken,
-    /// What is reported.
+    /// The counts that are reported.
     pub report: Arc<UsageReport>,
 }
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// The platform has the report.
     Accepted,
-    /// It has seen a higher fencing token.
+    /// The platform has seen a higher fencing token.
     Superseded,
-    /// It will never take it.
+    /// The platform will never accept this report.
     Refused,
-    /// Nothing certain: the same call may be made again.
+    /// It is unknown whether the platform has the report; the same call may be repeated.
     Unknown,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// The pause between calls, and the fencing tokens that were refused.
+/// The pause between calls, and the highest fencing token that was refused.
 #[derive(Debug)]
 pub struct CallPacing {
     first_pause_ms: u64,
@@ -57,31 +57,31 @@
 }
 
 impl CallPacing {
-    /// Keeps far within the calls for duties that all nodes may make in a second.
+    /// A pacing that stays well below the calls for duties that all nodes together may make per second.
     pub fn new(calls_per_s: f64) -> Self {
-        let least = 1_000.0 / (calls_per_s * RATE_SHARE).max(0.1);
-        let first_pause_ms = (least as u64).max(LEAST_PAUSE_MS);
+        let min_pause_ms = 1_000.0 / (calls_per_s * RATE_SHARE).max(0.1);
+        let first_pause_ms = (min_pause_ms as u64).max(MIN_PAUSE_MS);
         Self { first_pause_ms, pause_ms: first_pause_ms, next_call: Tick(0), refused: None }
     }
 
-    /// A tenure begins.
+    /// Resets the pause: a new tenure began.
     pub fn reset_pause(&mut self) {
         self.pause_ms = self.first_pause_ms;
     }
 
-    /// Whether a call may be made now: never again under a token that was refused.
+    /// Whether a call may be made now. Under a fencing token that was refused, none is made again.
     pub fn may_call(&self, fencing_token: FencingToken, now: Tick) -> bool {
         let superseded = self.refused.is_some_and(|refused| fencing_token <= refused);
         !superseded && now >= self.next_call
     }
 
-    /// A call has ended.
-    pub fn record_outcome(&mut self, fencing_token: FencingToken, end: CallOutcome, now: Tick) {
-        if end == CallOutcome::Superseded {
+    /// Records the outcome of a call.
+    pub fn record_outcome(&mut self, fencing_token: FencingToken, outcome: CallOutcome, now: Tick) {
+        if outcome == CallOutcome::Superseded {
             self.refused = self.refused.max(Some(fencing_token));
         }
-        self.pause_ms = match end {
-            CallOutcome::Unknown => (self.pause_ms * 2).min(MOST_PAUSE_MS.max(self.first_pause_ms)),
+        self.pause_ms = match outcome {
+            CallOutcome::Unknown => (self.pause_ms * 2).min(MAX_PAUSE_MS.max(self.first_pause_ms)),
             _ => self.first_pause_ms,
         };
         self.next_call = now + self.pause_ms;
--- a/crates/data-plane/src/serving/usage/peer_queries.rs
+++ b/crates/data-plane/src/serving/usage/peer_queries.rs
@@ -1,4 +1,4 @@
-//! The holder's questions to the other routers: what began to run, which decisions they keep, and to keep one.
+//! Requests of the holder to the other routers: which requests started, which decisions they store, and to store one.
 
 use super::{
     clock::{MedianClock, clock_offset},
@@ -17,63 +17,63 @@
 
 /// Name of the singleton role.
 pub const ROLE: &str = "usage";
-/// Pause until a router that did not answer is asked again.
-const ASK_AGAIN_MS: u64 = 300;
-/// Times that routers are asked for the decisions that they keep.
+/// Pause before a router that did not answer is asked again, in milliseconds.
+const RETRY_PAUSE_MS: u64 = 300;
+/// How many times routers are asked for the decisions that they store.
 const COLLECT_ROUNDS: usize = 3;
-/// Part of a window by which the time of day may turn out to be another one before all are asked again: a hundredth.
-const CLOCK_PARTS: u64 = 100;
-/// Times that all are asked again for it.
-const CLOCK_ROUNDS: usize = 3;
+/// If the time of day turns out to be wrong by more than the window length divided by this, all routers are asked again.
+const CLOCK_TOLERANCE_DIVISOR: u64 = 100;
+/// How many times all routers are asked again for that reason.
+const MAX_CLOCK_CORRECTIONS: usize = 3;
 
-/// Counts by the router that they come from, and its clock.
+/// The counts of each router that answered, with the offset of its clock.
 type Counted = BTreeMap<NodeId, (i64, BTreeMap<Tenant, u64>)>;
 
-/// Decisions that were found, and the time of day.
+/// Decisions of former holders, and the time of day.
 pub struct Collected {
-    /// Those of all that answered; of one window there may be several.
+    /// The decisions of all routers that answered; there may be several for one window.
     pub reports: Vec<UsageReport>,
-    /// By the clocks of all that answered.
+    /// The time of day by the clocks of all that answered.
     pub clock: MedianClock,
 }
 
 impl Router {
-    /// The routers by their rank in the role; the first one is its holder.
+    /// The routers by their rank in the role; the first one is the holder.
     fn usage_ranks(&self) -> Vec<Member> {
         singleton::ranked_holders(&self.cluster_state(), ROLE, None)
     }
 
-    /// Asks a router, or this one itself. The time is the middle of the call.
-    async fn ask_usage(&self, member: &Member, question: UsageRequest) -> Option<(UsageResponse, Tick)> {
+    /// Sends a request to a router, or answers it if that is this one. The returned time is the middle of the call.
+    async fn ask_usage(&self, member: &Member, request: UsageRequest) -> Option<(UsageResponse, Tick)> {
         if member.info.node == *self.node() {
-            return Some((self.usage.answer(question, self.now()), self.now()));
+            return Some((self.usage.answer(request, self.now()), self.now()));
         }
         let asked = self.now();
-        let request = RouterRequest::Usage(question);
+        let request = RouterRequest::Usage(request);
         match self.lines.call("usage", member.info.rpc_addr, request).await {
             Ok(RouterResponse::Usage(answer)) => Some((answer, asked + self.now().since(asked) / 2)),
             _ => None,
         }
     }
 
-    /// Asks for the decisions that others keep, a few times; `None` without the clocks of most routers.
+    /// Asks for the decisions that the routers store, a few times; `None` without the clocks of most routers.
     pub(super) async fn collect_usage(&self, tenure: &Tenure) -> Option<Collected> {
         let (mut clocks, mut reports) = (BTreeMap::new(), Vec::new());
         let mut ranks = self.usage_ranks();
         for round in 0..COLLECT_ROUNDS {
             if round > 0 {
-                tokio::time::sleep(Duration::from_millis(ASK_AGAIN_MS)).await;
+                tokio::time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
                 ranks = self.usage_ranks();
             }
-            let open = ranks.iter().filter(|member| !clocks.contains_key(&member.info.node));
-            let asked = open.map(|member| async {
-                let question = UsageRequest::Collect { fencing_token: tenure.fencing_token };
-                (member.info.node.clone(), self.ask_usage(member, question).await)
+            let pending = ranks.iter().filter(|member| !clocks.contains_key(&member.info.node));
+            let calls = pending.map(|member| async {
+                let request = UsageRequest::Collect { fencing_token: tenure.fencing_token };
+                (member.info.node.clone(), self.ask_usage(member, request).await)
             });
-            for (node, answer) in futures::future::join_all(asked).await {
-                if let Some((UsageResponse::Collected { time_of_day_ms, reports: kept }, at)) = answer {
+            for (node, answer) in futures::future::join_all(calls).await {
+                if let Some((UsageResponse::Collected { time_of_day_ms, reports: stored }, at)) = answer {
                     clocks.insert(node, clock_offset(time_of_day_ms, at));
-                    reports.extend(kept);
+                    reports.extend(stored);
                 }
             }
             if clocks.len() == ranks.len() {
@@ -84,24 +84,24 @@
         Some(Collected { reports, clock })
     }
 
-    /// Asks those that have not answered how many requests began in a window.
+    /// Asks the routers that have not answered yet how many requests started in a window.
     async fn count_once(&self, (from, until): (Tick, Tick), ranks: &[Member], counted: &mut Counted) {
-        let open = ranks.iter().filter(|member| !counted.contains_key(&member.info.node));
-        let asked = open.map(|member| async {
+        let pending = ranks.iter().filter(|member| !counted.contains_key(&member.info.node));
+        let calls = pending.map(|member| async {
             let now = self.now();
             let (from_age_ms, until_age_ms) = (now.since(from), now.since(until));
-            let question = UsageRequest::Starts { from_age_ms, until_age_ms };
-            (member.info.node.clone(), self.ask_usage(member, question).await)
+            let request = UsageRequest::Starts { from_age_ms, until_age_ms };
+            (member.info.node.clone(), self.ask_usage(member, request).await)
         });
-        for (node, answer) in futures::future::join_all(asked).await {
+        for (node, answer) in futures::future::join_all(calls).await {
             if let Some((UsageResponse::Starts { time_of_day_ms, counts }, at)) = answer {
                 counted.insert(node, (clock_offset(time_of_day_ms, at), counts));
             }
         }
     }
 
-    /// Counts what began in a window at all routers, by the time of day as they have it together. Those that don't
-    /// answer are asked again until there is no more time for it; `None` where most did not.
+    /// Counts the requests that started in a window at all routers, by the time of day that most of them agree on. Routers
+    /// that don't answer are asked again while there is time; `None` if most did not answer.
     pub(super) async fn count_usage(
         &self,
         plan: &Mutex<HolderPlan>,
@@ -117,30 +117,30 @@
             let ranks = self.usage_ranks();
             let span = (clock.tick_at(start_ms), clock.tick_at(end_ms));
             self.count_once(span, &ranks, &mut counted).await;
-            let samples = counted.values().map(|(clock, _)| *clock).collect();
-            let newer = MedianClock::of(samples, ranks.len());
+            let offsets = counted.values().map(|(offset, _)| *offset).collect();
+            let newer = MedianClock::of(offsets, ranks.len());
             if let Some(newer) = newer
-                && newer.difference_ms(&clock) > (end_ms - start_ms) / CLOCK_PARTS
-                && corrections < CLOCK_ROUNDS
+                && newer.difference_ms(&clock) > (end_ms - start_ms) / CLOCK_TOLERANCE_DIVISOR
+                && corrections < MAX_CLOCK_CORRECTIONS
             {
                 (clock, corrections) = (newer, corrections + 1);
                 counted.clear();
                 continue;
             }
-            let all = ranks.iter().all(|member| counted.contains_key(&member.info.node));
-            if all || clock.time_of_day(self.now()) >= until_ms {
+            let all_counted = ranks.iter().all(|member| counted.contains_key(&member.info.node));
+            if all_counted || clock.time_of_day(self.now()) >= until_ms {
                 let mut counts = BTreeMap::new();
                 for (tenant, count) in counted.into_values().flat_map(|(_, counts)| counts) {
                     *counts.entry(tenant).or_default() += count;
                 }
                 return newer.map(|clock| (UsageReport { window, counts }, clock));
             }
-            tokio::time::sleep(Duration::from_millis(ASK_AGAIN_MS)).await;
+            tokio::time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
         }
     }
 
-    /// Hands a decision to other routers by their rank until enough keep it, one of them in another zone where there
-    /// is one. `None`: not enough do; `Some(false)`: another decision is kept somewhere, or a later holder is known.
+    /// Hands a decision to other routers by rank until enough store it, among them one of another zone if there is one.
+    /// `None`: not enough do. `Some(false)`: a router stores a different decision.
     pub(super) async fn copy_usage(
         &self,
         tenure: &Tenure,
@@ -149,30 +149,30 @@
     ) -> Option<bool> {
         let others: Vec<Member> =
             self.usage_ranks().into_iter().filter(|member| member.info.node != *self.node()).collect();
-        let elsewhere = |member: &&Member| member.info.zone != *self.zone();
+        let is_elsewhere = |member: &&Member| member.info.zone != *self.zone();
         let needed = copies.min(others.len());
-        let mut needs_elsewhere = others.iter().any(|member| elsewhere(&member));
-        // The first one of another zone comes first.
-        let first = others.iter().find(elsewhere);
+        let mut needs_elsewhere = others.iter().any(|member| is_elsewhere(&member));
+        // The highest-ranked router of another zone is asked first.
+        let first = others.iter().find(is_elsewhere);
         let rest = others.iter().filter(|member| Some(*member) != first);
-        let mut kept = 0;
+        let mut stored = 0;
         for member in first.into_iter().chain(rest) {
-            if kept >= needed && !needs_elsewhere {
+            if stored >= needed && !needs_elsewhere {
                 break;
             }
-            if kept >= needed && !elsewhere(&member) {
+            if stored >= needed && !is_elsewhere(&member) {
                 continue;
             }
             let (fencing_token, report) = (tenure.fencing_token, report.clone());
             match self.ask_usage(member, UsageRequest::Keep { fencing_token, report }).await {
                 Some((UsageResponse::Kept, _)) => {
-                    kept += 1;
-                    needs_elsewhere &= !elsewhere(&member);
+                    stored += 1;
+                    needs_elsewhere &= !is_elsewhere(&member);
                 }
                 Some((UsageResponse::Differs, _)) => return Some(false),
                 _ => {}
             }
         }
-        (kept >= needed && !needs_elsewhere).then_some(true)
+        (stored >= needed && !needs_elsewhere).then_some(true)
     }
 }
--- a/crates/data-plane/src/serving/usage/recorder.rs
+++ b/crates/data-plane/src/serving/usage/recorder.rs
@@ -1,46 +1,46 @@
-//! What began to run at replicas, by tenant, as one router saw it. Pure. Its memory is bounded by the span that is kept
-//! and the number of tenants, whatever the load.
+//! The requests that one router saw start at replicas, by tenant. Memory is bounded by the retention time and the number of
+//! tenants, independent of the load. Pure.
 
 use common::{Tenant, Tick};
 use std::collections::BTreeMap;
 
-/// Starts within this time are counted as one moment, in milliseconds.
+/// Starts within one interval of this length are counted as simultaneous, in milliseconds.
 pub const RESOLUTION_MS: u64 = 10;
 
-/// Requests that began to run lately. Keeps nothing until it is told for how long.
+/// Requests that started recently. Records nothing until a retention time is set.
 #[derive(Debug, Default)]
 pub struct StartRecorder {
-    kept_ms: u64,
-    moments: BTreeMap<u64, Vec<(Tenant, u64)>>,
+    retention_ms: u64,
+    intervals: BTreeMap<u64, Vec<(Tenant, u64)>>,
 }
 
 impl StartRecorder {
-    /// From now on starts are kept for so long.
-    pub fn set_retention(&mut self, kept_ms: u64) {
-        self.kept_ms = kept_ms;
+    /// Sets for how long starts are remembered, in milliseconds.
+    pub fn set_retention(&mut self, retention_ms: u64) {
+        self.retention_ms = retention_ms;
     }
 
-    /// A request began to run at `at`, which may lie a while back.
+    /// Records that a request started at `at`, which may be some time before `now`.
     pub fn record(&mut self, tenant: &Tenant, at: Tick, now: Tick) {
-        if self.kept_ms == 0 {
+        if self.retention_ms == 0 {
             return;
         }
-        let oldest = (now - self.kept_ms).0 / RESOLUTION_MS;
-        while self.moments.first_key_value().is_some_and(|(moment, _)| *moment < oldest) {
-            self.moments.pop_first();
+        let oldest = (now - self.retention_ms).0 / RESOLUTION_MS;
+        while self.intervals.first_key_value().is_some_and(|(interval, _)| *interval < oldest) {
+            self.intervals.pop_first();
         }
-        let counts = self.moments.entry(at.0 / RESOLUTION_MS).or_default();
+        let counts = self.intervals.entry(at.0 / RESOLUTION_MS).or_default();
         match counts.iter_mut().find(|(known, _)| known == tenant) {
             Some((_, count)) => *count += 1,
             None => counts.push((tenant.clone(), 1)),
         }
     }
 
-    /// How many began from one time on and before another.
+    /// How many requests started at or after `from` and before `until`, by tenant.
     pub fn counts_between(&self, from: Tick, until: Tick) -> BTreeMap<Tenant, u64> {
         let mut counts = BTreeMap::new();
         let (first, end) = (from.0.div_ceil(RESOLUTION_MS), until.0.div_ceil(RESOLUTION_MS));
-        let within = (first < end).then(|| self.moments.range(first..end));
+        let within = (first < end).then(|| self.intervals.range(first..end));
         for (tenant, count) in within.into_iter().flatten().flat_map(|(_, counts)| counts) {
             *counts.entry(tenant.clone()).or_default() += count;
         }
--- a/crates/data-plane/src/serving/usage/tenure.rs
+++ b/crates/data-plane/src/serving/usage/tenure.rs
@@ -1,40 +1,42 @@
-//! For how long a node has held the duty without a break (design 9.10). Pure.
+//! For how long a node has held the duty without interruption (design 9.10). Pure.
 //!
-//! A former holder may act, and may take itself for the holder, for a while after the change: its lease is valid, and
-//! its copy of the state is old. All spans here are made of that while.
+//! For a while after the duty has passed on, a former holder may still consider itself the holder and act: its lease is still
+//! valid, and its copy of the cluster state outdated. All safety margins here derive from the length of that period.
 
 use super::UsageDuty;
 use common::{FencingToken, Tick, mutation::enabled as broken, settings::Timing};
 
-/// Spans that keep the holders apart, in milliseconds.
+/// Safety margins that keep two holders from acting at once, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct HandoverSpans {
-    /// Longest time between two looks at who holds the duty: another node may have held it meanwhile.
+    /// Longest time between two observations of the holder within one tenure: in a longer gap another node may have been the
+    /// holder unnoticed.
     pub max_unwatched_ms: u64,
-    /// Longest time for which a node may act as the holder after the change: by a valid lease, and by a copy of the
-    /// state that it doesn't yet know to lag.
+    /// Longest time for which a former holder may act after the duty has passed on: by a lease that is still valid, and by a
+    /// copy of the cluster state that it doesn't know to be outdated yet.
     pub max_overlap_ms: u64,
-    /// From the begin of a tenure until the first window that only its holder can have decided ends.
+    /// Time from the start of a tenure until the end of the first window that no other holder can have decided.
     pub undecided_ms: u64,
-    /// From the begin of a tenure until its first call.
+    /// Time from the start of a tenure until its first call.
     pub quiet_ms: u64,
-    /// Longest wait for the answer to a call.
+    /// Timeout of a call to the platform.
     pub call_timeout_ms: u64,
 }
 
-/// Longest wait for the platform's answer, in milliseconds.
-const CALL_MS: u64 = 2_000;
+/// Timeout of a call to the platform, in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 2_000;
 
 impl HandoverSpans {
-    /// The spans for a duty.
+    /// The margins for a duty.
     pub fn of(duty: &UsageDuty, timing: &Timing) -> Self {
         let unwatched = timing.lease_ms;
         let overlap = timing.lease_ms + timing.election_timeout_ms();
-        let call = CALL_MS;
+        let call = CALL_TIMEOUT_MS;
         Self {
             max_unwatched_ms: unwatched,
             max_overlap_ms: overlap,
-            // Another one may have held it unseen for `unwatched` and an old copy, and gone on after that.
+            // Another node may have held the duty unnoticed for `unwatched` and while the copy of the state was outdated, and
+            // may have acted for another overlap after that.
             undecided_ms: unwatched + 2 * overlap + timing.rpc_timeout_ms,
             quiet_ms: duty.reacquire_pause_ms + overlap + call + timing.rpc_timeout_ms,
             call_timeout_ms: call,
@@ -42,19 +44,20 @@
     }
 }
 
-/// An unbroken time as the holder.
+/// A time without interruption as the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tenure {
-    /// Tenures of this process are counted.
+    /// Number of the tenure, counted by this process.
     pub number: u64,
-    /// When this node first saw that it holds the duty.
+    /// When this node first observed that it holds the duty.
     pub began: Tick,
-    /// Under which it acts now.
+    /// The fencing token under which it acts now.
     pub fencing_token: FencingToken,
-    seen: Tick,
+    /// When it was last observed.
+    last_observed: Tick,
 }
 
-/// Watches whether this node holds the duty.
+/// Observes whether this node holds the duty.
 #[derive(Debug, Default)]
 pub struct TenureWatch {
     tenures: u64,
@@ -62,23 +65,31 @@
 }
 
 impl TenureWatch {
-    /// Takes a look: the fencing token under which this node holds the duty now, if it does.
-    pub fn observe(&mut self, held: Option<FencingToken>, unwatched_ms: u64, now: Tick) -> Option<Tenure> {
-        let goes_on = |tenure: &Tenure, token: FencingToken| {
-            let watched = now.since(tenure.seen) <= unwatched_ms || broken("usage-gap-unseen");
-            watched && token >= tenure.fencing_token
+    /// Records an observation: the fencing token under which this node holds the duty now, if it does. Returns the tenure.
+    pub fn observe(
+        &mut self,
+        held: Option<FencingToken>,
+        max_unwatched_ms: u64,
+        now: Tick,
+    ) -> Option<Tenure> {
+        let continues = |tenure: &Tenure, token: FencingToken| {
+            let was_watched =
+                now.since(tenure.last_observed) <= max_unwatched_ms || broken("usage-gap-unseen");
+            was_watched && token >= tenure.fencing_token
         };
         self.current = held.map(|token| match self.current {
-            Some(tenure) if goes_on(&tenure, token) => Tenure { fencing_token: token, seen: now, ..tenure },
+            Some(tenure) if continues(&tenure, token) => {
+                Tenure { fencing_token: token, last_observed: now, ..tenure }
+            }
             _ => {
                 self.tenures += 1;
-                Tenure { number: self.tenures, began: now, fencing_token: token, seen: now }
+                Tenure { number: self.tenures, began: now, fencing_token: token, last_observed: now }
             }
         });
         self.current
     }
 
-    /// The tenure as of the last look.
+    /// The tenure as of the last observation.
     pub fn current(&self) -> Option<Tenure> {
         self.current
     }
