--- a/crates/data-plane/src/serving/directory.rs
+++ b/crates/data-plane/src/serving/directory.rs
@@ -46,7 +46,7 @@
     fn fit_routers(&self) -> Vec<RouterAddr> {
         let router = &self.router;
         let state = router.cluster_state();
-        let is_self_fit = self.refusing().is_none();
+        let is_self_fit = self.not_ready_reason().is_none();
         let is_fit = |member: &&Member| {
             let node = &member.info.node;
             if node == router.node() {
@@ -73,24 +73,26 @@
         _peer: SocketAddr,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, BoxErr> {
-        let names = self.dialect.names();
+        let names = self.protocol.header_names();
         let path = request.uri().path();
         if request.method() != Method::GET {
             return Ok(text(StatusCode::METHOD_NOT_ALLOWED, "allowed: GET\n"));
         }
         if path == names.ready_path {
-            let reason = self.refusing();
+            let reason = self.not_ready_reason();
             let code = if reason.is_none() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             return Ok(json(code, &serde_json::json!({"ready": reason.is_none(), "why": reason})));
         }
         if path == names.lookup_path {
-            let lookup = self.dialect.lookup(request.uri().query().unwrap_or(""));
+            let lookup = self.protocol.parse_lookup(request.uri().query().unwrap_or(""));
             let addresses = nearest(&self.fit_routers(), &lookup.zone, &lookup.region);
             if addresses.is_empty() {
                 return Ok(text(StatusCode::SERVICE_UNAVAILABLE, "no router is known to be fit\n"));
             }
-            let mut response =
-                text(StatusCode::OK, self.dialect.places(&addresses, self.site.bounds.keep_ms));
+            let mut response = text(
+                StatusCode::OK,
+                self.protocol.directory_answer(&addresses, self.site.bounds.directory_ttl_ms),
+            );
             response
                 .headers_mut()
                 .insert("content-type", hyper::header::HeaderValue::from_static("application/json"));
--- a/crates/data-plane/src/serving/health_prober.rs
+++ b/crates/data-plane/src/serving/health_prober.rs
@@ -25,7 +25,7 @@
 impl Serving {
     /// Time between two rounds of probes of a zone's replicas.
     pub(super) fn report_interval_ms(&self) -> u64 {
-        self.router.set.timing.probe_interval_ms / 2
+        self.router.settings.timing.probe_interval_ms / 2
     }
 
     /// Probes a zone's replicas and publishes their report, while any node requests it from this one.
@@ -103,7 +103,7 @@
 
     /// For how much longer a recovered replica may have to warm up although the list can't say so yet.
     fn unlisted_cold_ms(&self, replica: &ListedReplica, health: &ReplicaHealth, read_started: Tick) -> u64 {
-        let map = self.map.load();
+        let map = self.route_map.load();
         let backend = map.as_ref().and_then(|map| map.backends.get(&replica.service));
         let slow_start_ms = backend.map_or(0, |backend| backend.slow_start_ms);
         health.unlisted_cold_ms(slow_start_ms, read_started, self.site.list_lag_ms, self.now())
@@ -141,27 +141,29 @@
     }
 
     async fn probe(&self, replica: &ListedReplica) -> ProbeResult {
-        let map = self.map.load();
+        let map = self.route_map.load();
         let backend = map.as_ref().and_then(|map| map.backends.get(&replica.service));
         let has_engine = backend.is_some_and(|backend| backend.engine.is_some());
         let path = match backend {
             Some(backend) if !has_engine => backend.health_path.as_str(),
-            _ => self.dialect.names().report_path,
+            _ => self.protocol.header_names().report_path,
         };
         let timeout_ms = self.report_interval_ms().min(400);
-        match ask(self.router.set.rpc_addr.ip(), replica.addr, Method::GET, path, &[], "", timeout_ms).await {
+        match ask(self.router.settings.rpc_addr.ip(), replica.addr, Method::GET, path, &[], "", timeout_ms)
+            .await
+        {
             Ok((code, head, body)) if code.is_success() => {
-                let names = self.dialect.names();
+                let names = self.protocol.header_names();
                 let load = if has_engine {
-                    self.dialect.report(&body)
+                    self.protocol.parse_engine_report(&body)
                 } else {
                     parse_load_header(&head, &names.load)
                 };
                 ProbeResult::Answered(load.unwrap_or_default())
             }
             // Full, not unhealthy: it rejected the probe as it would reject a request.
-            Ok((_, head, _)) if head.contains_key(&self.dialect.names().not_run) => {
-                let load = parse_load_header(&head, &self.dialect.names().load).unwrap_or_default();
+            Ok((_, head, _)) if head.contains_key(&self.protocol.header_names().not_run) => {
+                let load = parse_load_header(&head, &self.protocol.header_names().load).unwrap_or_default();
                 ProbeResult::Answered(load)
             }
             Ok(_) => ProbeResult::Unhealthy,
--- a/crates/data-plane/src/serving/prefill_announce.rs
+++ b/crates/data-plane/src/serving/prefill_announce.rs
@@ -2,7 +2,8 @@
 //! while, so that other routers should know of it.
 
 use super::{
-    plan::Plan, prefill::PromptSent, replica_choice::READS_PER_MS, replica_view::Candidate, state::Serving,
+    plan::Plan, prefill::PromptSent, replica_choice::PREFILL_TOKENS_PER_MS, replica_view::Candidate,
+    state::Serving,
 };
 use crate::{
     router::{Router, lock},
@@ -16,14 +17,14 @@
 impl Router {
     /// Records a long prompt that this or another router sent.
     pub fn note_prompt(&self, sent: &PromptSent) {
-        lock(&self.reading).record_sent(sent, READS_PER_MS, self.now());
+        lock(&self.reading).record_sent(sent, PREFILL_TOKENS_PER_MS, self.now());
     }
 }
 
 impl Serving {
     /// Records a long prompt that is sent to `replica`, and tells the routers that send to the same replicas.
     pub fn announce_prompt(self: &Arc<Self>, plan: &Plan, replica: &Candidate) {
-        if !plan.long {
+        if !plan.long_prompt {
             return;
         }
         let note = PromptSent {
@@ -43,8 +44,10 @@
         for member in state.routers().into_iter().filter(is_concerned) {
             let (router, to, note) = (self.router.clone(), member.info.rpc_addr, note.clone());
             common::runtime::spawn(async move {
-                let _ =
-                    router.lines.call("announce prompt", to, RouterRequest::AnnouncePrompt { note }).await;
+                let _ = router
+                    .rpc_client
+                    .call("announce prompt", to, RouterRequest::AnnouncePrompt { note })
+                    .await;
             });
         }
     }
--- a/crates/data-plane/src/serving/replica_list.rs
+++ b/crates/data-plane/src/serving/replica_list.rs
@@ -206,7 +206,7 @@
     /// Interval between two reads of a zone's list; it keeps all zones together far below the rate limit.
     fn list_interval_ms(&self) -> u64 {
         let zones = self.site.zones.len().max(1) as f64;
-        let min_interval_ms = RATE_HEADROOM * 1_000.0 * zones / self.site.list_per_s.max(0.1);
+        let min_interval_ms = RATE_HEADROOM * 1_000.0 * zones / self.site.list_calls_per_s.max(0.1);
         self.report_interval_ms().max(min_interval_ms as u64)
     }
 
@@ -221,13 +221,17 @@
                 None => return Ok(read),
             }
         }
-        Err(ListError::Failed(PeerError::new("list replicas", self.site.list, "the list has too many pages")))
+        Err(ListError::Failed(PeerError::new(
+            "list replicas",
+            self.site.list_addr,
+            "the list has too many pages",
+        )))
     }
 
     async fn read_page(&self, zone: &Zone, page: Option<&str>) -> Result<ListPage, ListError> {
         const STEP: &str = "list replicas";
-        let (local_ip, to) = (self.router.set.rpc_addr.ip(), self.site.list);
-        let path = self.dialect.listing_path(zone, page);
+        let (local_ip, to) = (self.router.settings.rpc_addr.ip(), self.site.list_addr);
+        let path = self.protocol.list_page_path(zone, page);
         let answer = ask(local_ip, to, Method::GET, &path, &[], "", PAGE_TIMEOUT_MS).await;
         let (code, _, body) = answer.map_err(ListError::Failed)?;
         match code {
@@ -238,6 +242,6 @@
             _ => return Err(ListError::Failed(PeerError::new(STEP, to, code.to_string()))),
         }
         let unreadable = || ListError::Failed(PeerError::new(STEP, to, "the answer could not be read"));
-        self.dialect.listing(&body).ok_or_else(unreadable)
+        self.protocol.parse_list_page(&body).ok_or_else(unreadable)
     }
 }
--- a/crates/data-plane/src/serving/report_publication.rs
+++ b/crates/data-plane/src/serving/report_publication.rs
@@ -83,7 +83,7 @@
         let held = held.borrow().clone()?;
         let now = self.now();
         // The requester judges whether the list in it is too old, and may then request it from another node.
-        let is_valid = now.since(held.received_at) <= self.set.timing.report_max_age_ms();
+        let is_valid = now.since(held.received_at) <= self.settings.timing.report_max_age_ms();
         is_valid.then(|| outgoing_report(&held, now, now.since(asked)))
     }
 }
--- a/crates/data-plane/src/serving/report_subscription.rs
+++ b/crates/data-plane/src/serving/report_subscription.rs
@@ -88,7 +88,7 @@
 
     async fn subscribe(self: Arc<Self>, zone: Zone) {
         let mut subscription = Subscription::default();
-        let pause_ms = self.router.set.timing.heartbeat_ms().min(self.report_interval_ms());
+        let pause_ms = self.router.settings.timing.heartbeat_ms().min(self.report_interval_ms());
         let pause = Duration::from_millis(pause_ms);
         loop {
             let now = self.now();
@@ -120,7 +120,7 @@
                 Err(error) => {
                     log_event!(Debug, error.step, "peer" => error.peer, "cause" => error.cause());
                     // The backoff counts from now: the call may have taken longer than it lasts.
-                    subscription.backoff.fail(node, self.now(), self.router.set.timing.lease_ms);
+                    subscription.backoff.fail(node, self.now(), self.router.settings.timing.lease_ms);
                 }
             }
         }
@@ -128,7 +128,7 @@
 
     /// Backs off from this source, unless there is no other one.
     fn try_other_source(&self, zone: &Zone, node: NodeId, subscription: &mut Subscription) {
-        subscription.backoff.fail(node.clone(), self.now(), self.router.set.timing.lease_ms);
+        subscription.backoff.fail(node.clone(), self.now(), self.router.settings.timing.lease_ms);
         if self.source(zone, &subscription.backoff).is_none() {
             subscription.backoff.succeed(&node);
         }
@@ -168,8 +168,8 @@
             }
         };
         let (to, step) = (member.info.rpc_addr, "watch replicas");
-        let timeout_ms = wait_ms + self.router.set.timing.rpc_timeout_ms;
-        match self.router.lines.call_within(timeout_ms, step, to, request).await? {
+        let timeout_ms = wait_ms + self.router.settings.timing.rpc_timeout_ms;
+        match self.router.rpc_client.call_within(timeout_ms, step, to, request).await? {
             RouterResponse::ReplicaReport(report) => Ok(report.map(|report| *report)),
             _ => Err(PeerError::new(step, to, "unexpected kind of answer")),
         }
@@ -188,11 +188,11 @@
             return listed_at;
         }
         self.router.relay_report(received);
-        let valid_ms = self.router.set.timing.report_max_age_ms();
+        let valid_ms = self.router.settings.timing.report_max_age_ms();
         let view = reports.build_view(&self.site.zones, valid_ms, self.list_max_age_ms());
         let listed = |id: &ReplicaId| view.by_service.values().flatten().any(|replica| replica.id == *id);
         lock(&self.router.reading).retain(&listed);
-        self.fleet.store(Arc::new(view));
+        self.replica_view.store(Arc::new(view));
         listed_at
     }
 }
--- a/crates/data-plane/src/serving/usage/call.rs
+++ b/crates/data-plane/src/serving/usage/call.rs
@@ -41,7 +41,7 @@
     async fn send(&self, call: &Call) -> Option<Result<StatusCode, PeerError>> {
         let (to, router) = (self.duty.address, &self.serving.router);
         let duty_call =
-            self.serving.dialect.usage_report(&self.duty.holder, call.fencing_token, &call.report);
+            self.serving.protocol.usage_report(&self.duty.holder, call.fencing_token, &call.report);
         let request =
             Request::builder().method(Method::POST).uri(duty_call.path).header("host", to.to_string());
         let request =
@@ -51,7 +51,7 @@
             Err(error) => return Some(Err(error)),
         };
         let timeout_ms = lock(&self.plan).spans.call_timeout_ms;
-        let mut connection = match open(router.set.rpc_addr.ip(), to, timeout_ms).await {
+        let mut connection = match open(router.settings.rpc_addr.ip(), to, timeout_ms).await {
             Ok(connection) => connection,
             Err(error) => return Some(Err(error)),
         };
--- a/crates/data-plane/src/serving/usage/holder.rs
+++ b/crates/data-plane/src/serving/usage/holder.rs
@@ -28,8 +28,8 @@
 impl Serving {
     /// Starts the tasks that report usage whenever this node holds the duty, if the platform has this duty.
     pub fn spawn_usage_tasks(self: &Arc<Self>) {
-        let Some(duty) = self.site.usage.clone() else { return };
-        let plan = Mutex::new(HolderPlan::new(duty.clone(), &self.router.set.timing));
+        let Some(duty) = self.site.usage_duty.clone() else { return };
+        let plan = Mutex::new(HolderPlan::new(duty.clone(), &self.router.settings.timing));
         let holder = Arc::new(UsageHolder { serving: self.clone(), duty, plan, clock: Mutex::default() });
         spawn(holder.clone().run_counting());
         spawn(holder.run_reporting());
--- a/crates/data-plane/tests/serving/kit.rs
+++ b/crates/data-plane/tests/serving/test_data.rs
@@ -5,19 +5,19 @@
 use data_plane::serving::{
     Bounds, HeaderNames, Prompt,
     prefill::PrefillTracker,
-    replica_choice::{ChoiceContext, READS_PER_MS},
+    replica_choice::{ChoiceContext, PREFILL_TOKENS_PER_MS},
     replica_report::{ReplicaReport, ReplicaRow},
     replica_view::{Candidate, ReportStore},
 };
 use hyper::header::HeaderName;
 use std::{collections::BTreeMap, sync::LazyLock};
 
-pub fn nodes(n: usize) -> Vec<NodeId> {
+pub fn node_ids(n: usize) -> Vec<NodeId> {
     (0..n).map(|i| NodeId::new(format!("p{i}"))).collect()
 }
 
 /// A well replica of the service `chat` with nothing open.
-pub fn row(n: usize, running: u32) -> ReplicaRow {
+pub fn replica_row(n: usize, running: u32) -> ReplicaRow {
     ReplicaRow {
         id: format!("r{n}").as_str().into(),
         service: "chat".into(),
@@ -33,7 +33,7 @@
     }
 }
 
-pub fn board(zone: &str, seq: u64, rows: Vec<ReplicaRow>) -> ReplicaReport {
+pub fn replica_report(zone: &str, seq: u64, rows: Vec<ReplicaRow>) -> ReplicaReport {
     ReplicaReport {
         zone: zone.into(),
         publisher: "p0".into(),
@@ -53,20 +53,20 @@
 static REGION: LazyLock<Region> = LazyLock::new(|| "north".into());
 
 /// A choice by a router of zone `n1` for a short request without affinity.
-pub fn context<'a>(prompt: &'a Prompt, reading: &'a PrefillTracker) -> ChoiceContext<'a> {
+pub fn choice_context<'a>(prompt: &'a Prompt, reading: &'a PrefillTracker) -> ChoiceContext<'a> {
     ChoiceContext {
         prompt,
         zone: &ZONE,
         region: &REGION,
         affinity: false,
-        long: false,
+        long_prompt: false,
         reading,
         prefixes: &[],
-        reads_per_ms: READS_PER_MS,
-        pause_ms: 200.0,
+        prefill_tokens_per_ms: PREFILL_TOKENS_PER_MS,
+        max_pause_ms: 200.0,
         now: Tick(0),
-        hold_ms: 300.0,
-        unit: 0.5,
+        service_time_ms: 300.0,
+        random_unit: 0.5,
     }
 }
 
@@ -78,7 +78,7 @@
         retry_ratio: 0.1,
         extra_tries: 64.0,
         retry_window_ms: 10_000,
-        keep_ms: 1_000,
+        directory_ttl_ms: 1_000,
         grace_ms: 10_000,
         drain_ms: 4_000,
     }
@@ -92,7 +92,7 @@
 /// Candidates of one zone.
 pub fn candidates(rows: Vec<ReplicaRow>) -> Vec<Candidate> {
     let mut f = ReportStore::default();
-    assert!(f.accept(board("n1", 1, rows), Tick(0)));
+    assert!(f.accept(replica_report("n1", 1, rows), Tick(0)));
     f.build_view(&zones(), 3_000, LIST_MAX_AGE_MS).replicas_of(&"chat".into()).to_vec()
 }
 
@@ -119,12 +119,12 @@
     }
 }
 
-pub fn names() -> HeaderNames {
+pub fn header_names() -> HeaderNames {
     let h = HeaderName::from_static;
     HeaderNames {
         request_id: h("x-request"),
         time_left: h("x-left"),
-        wanted: h("x-wanted"),
+        wanted_replica: h("x-wanted"),
         urgency: h("x-urgency"),
         seal: h("x-seal"),
         not_run: h("x-not-run"),
