--- a/crates/data-plane/tests/serving/source_backoff.rs
+++ b/crates/data-plane/tests/serving/source_backoff.rs
@@ -9,13 +9,13 @@
     NodeId::new(name)
 }
 
-/// From a failure until the source may be asked again.
+/// Time from a failure until the source may be asked again.
 fn pause(backoff: &SourceBackoff, source: &NodeId, failed: Tick) -> u64 {
-    (0..).find(|ms| backoff.is_available(source, failed + *ms)).expect("again at last")
+    (0..).find(|ms| backoff.is_available(source, failed + *ms)).expect("available in the end")
 }
 
 #[test]
-fn pauses_double_up_to_eight_times_and_end_with_an_answer() {
+fn pauses_double_up_to_a_factor_of_eight_and_reset_with_an_answer() {
     let (mut backoff, a, mut now) = (SourceBackoff::default(), node("a"), Tick(0));
     assert!(backoff.is_available(&a, now));
     for expected in [1, 2, 4, 8, 8, 8] {
@@ -28,9 +28,9 @@
     assert_eq!(pause(&backoff, &a, now), BASE_MS);
 }
 
-/// Of several that failed only one is tried at a time, so that a whole one is asked between.
+/// Of several failed sources only one is tried at a time, so that a working one is asked in between.
 #[test]
-fn one_that_fails_again_holds_the_others_back() {
+fn a_repeated_failure_delays_other_failed_sources() {
     let (mut backoff, a, b, now) = (SourceBackoff::default(), node("a"), node("b"), Tick(0));
     backoff.fail(a.clone(), now, BASE_MS);
     backoff.fail(b.clone(), now, BASE_MS);
