--- a/crates/data-plane/tests/serving/fleet.rs
+++ b/crates/data-plane/tests/serving/fleet.rs
@@ -1,4 +1,4 @@
-//! Routers of two zones in a world in memory, without control nodes: their leases are renewed by hand.
+//! Routers of two zones in a simulated network without control nodes; the tests renew the routers' leases themselves.
 
 use crate::{
     router_fixture::{TestProtocol, UnreadableDocuments},
@@ -31,18 +31,20 @@
 };
 use tokio::{sync::watch, time::sleep};
 
+/// Address of the platform's list.
 pub const LIST: ([u8; 4], u16) = ([10, 0, 9, 9], 9);
-/// Routers of the zone that is reported, and of the zone that the reports go to.
+/// Number of routers in zone `n1`, whose replicas are reported.
 pub const REPORTED: usize = 2;
+/// Number of routers in zone `s1`, which receives the reports.
 pub const SUBSCRIBED: usize = 4;
-/// Until each has its first reports.
+/// Time until every router has its first reports.
 const SETTLED_MS: u64 = 5_000;
-/// Epochs of routers that have started anew lie above this.
+/// Epochs of restarted routers are above this.
 const RESTARTED_EPOCH: u64 = 100;
-/// Time between two looks at what the routers would use.
+/// Interval at which `users_after` checks what the routers would use.
 pub const SAMPLE_MS: u64 = 50;
 
-/// In the proportions of the users' platform: a lease is shorter than a request for a report may take.
+/// Proportions as in production: a lease is shorter than a request for a report may take.
 pub fn timing() -> Timing {
     Timing { lease_ms: 1_200, ..Timing::default() }
 }
@@ -95,13 +97,13 @@
     state
 }
 
-/// A router whose lease is renewed by hand, since there is no control node; by its own clock.
-/// It reads no list and asks for no reports yet.
+/// Starts a router whose lease is renewed by a task, since there is no control node. It reads no list and requests no
+/// reports yet.
 async fn start_in_epoch(n: usize, epoch: Epoch, renewed: Arc<AtomicBool>) -> Arc<Serving> {
-    let (set, clock) = (settings(n), Clock::default());
-    let member = LocalMember::new(set.clone(), info(n), clock.clone());
+    let (settings, clock) = (settings(n), Clock::default());
+    let member = LocalMember::new(settings.clone(), info(n), clock.clone());
     let _ = member.install(StateUpdate::Snapshot(Box::new(members())), "test");
-    let router = Router::new(set.clone(), member.clone(), clock.clone());
+    let router = Router::new(settings.clone(), member.clone(), clock.clone());
     spawn(async move {
         loop {
             if renewed.load(Ordering::Acquire) {
@@ -116,8 +118,8 @@
         Arc::new(UnreadableDocuments),
         site(n),
     );
-    let listener = bind(set.rpc_addr).await.expect("its own address");
-    spawn(common::rpc::listen(listener, set.me(), data_plane::rpc::SERVICE, {
+    let listener = bind(settings.rpc_addr).await.expect("its own address");
+    spawn(common::rpc::listen(listener, settings.me(), data_plane::rpc::SERVICE, {
         let router = router.clone();
         move |node, request| router.clone().answer(node, request)
     }));
@@ -125,13 +127,13 @@
     serving
 }
 
-/// What the platform answers: pages of zone `n1` by their token (other zones have none), or one status to all.
+/// What the platform answers: pages of zone `n1` by token (other zones have no replicas), or one status for all calls.
 #[derive(Clone, Default)]
 struct Listing {
     pages: Vec<(&'static str, &'static str)>,
     status: Option<StatusCode>,
-    /// Whole readings of zone `n1`.
-    readings: usize,
+    /// Complete reads of zone `n1`.
+    complete_reads: usize,
 }
 
 impl Listing {
@@ -143,7 +145,7 @@
         match (self.status, page) {
             (Some(status), _) => (status, ""),
             (None, Some(text)) => {
-                self.readings += usize::from(!text.contains("next "));
+                self.complete_reads += usize::from(!text.contains("next "));
                 (StatusCode::OK, text)
             }
             (None, None) => (StatusCode::BAD_REQUEST, ""),
@@ -151,6 +153,7 @@
     }
 }
 
+/// The routers, and the platform's list.
 pub struct Fleet {
     pub world: Arc<Simulation>,
     pub routers: Vec<Arc<Serving>>,
@@ -159,6 +162,7 @@
 }
 
 impl Fleet {
+    /// Starts routers that subscribe to reports, and waits until they have their first ones.
     pub async fn start(world: Arc<Simulation>) -> Self {
         let list = SocketAddr::from(LIST);
         let listener = bind(list).await.expect("the list's address");
@@ -174,16 +178,16 @@
             http::serve(listener, Arc::default(), ended, handler).await;
             drop(end);
         });
-        let fleet = Self { listing, ..Self::start_still(world).await };
+        let fleet = Self { listing, ..Self::start_without_reports(world).await };
         for n in 0..REPORTED + SUBSCRIBED {
-            fleet.on(n, Serving::spawn_report_tasks).await;
+            fleet.run_on(n, Serving::spawn_report_tasks).await;
         }
-        fleet.pass(SETTLED_MS, true).await;
+        fleet.advance(SETTLED_MS, true).await;
         fleet
     }
 
-    /// Routers that know of replicas only what a test tells them.
-    pub async fn start_still(world: Arc<Simulation>) -> Self {
+    /// Starts routers that know only those replicas that a test passes to them.
+    pub async fn start_without_reports(world: Arc<Simulation>) -> Self {
         let renewed = Arc::new(AtomicBool::new(true));
         let mut routers = Vec::new();
         for n in 0..REPORTED + SUBSCRIBED {
@@ -193,42 +197,42 @@
         Self { world, routers, renewed, listing: Arc::default() }
     }
 
-    /// A router's process starts anew, with the next epoch.
+    /// Restarts a router's process, with a new epoch.
     pub async fn restart(&mut self, n: usize) {
         let renewed = self.renewed.clone();
         let router = start_in_epoch(n, Epoch(RESTARTED_EPOCH + n as u64), renewed);
         self.routers[n] = self.world.host(ip(n)).spawn(router).await.expect("a router");
-        self.on(n, Serving::spawn_report_tasks).await;
+        self.run_on(n, Serving::spawn_report_tasks).await;
     }
 
-    /// From now on the list says this of zone `n1`; `None`: the platform answers nothing but 503.
-    pub fn lists(&self, rows: Option<&'static str>) {
+    /// From now on the list has these rows for zone `n1`; with `None` the platform answers every call with 503.
+    pub fn set_list(&self, rows: Option<&'static str>) {
         match rows {
-            Some(rows) => self.lists_pages(&[("first", rows)]),
-            None => self.refuses(StatusCode::SERVICE_UNAVAILABLE),
+            Some(rows) => self.set_list_pages(&[("first", rows)]),
+            None => self.set_list_status(StatusCode::SERVICE_UNAVAILABLE),
         }
     }
 
-    /// The same with several pages, the first one under `first`.
-    pub fn lists_pages(&self, pages: &[(&'static str, &'static str)]) {
+    /// The same with several pages; the first one has the token `first`.
+    pub fn set_list_pages(&self, pages: &[(&'static str, &'static str)]) {
         let mut listing = lock(&self.listing);
         (listing.pages, listing.status) = (pages.to_vec(), None);
     }
 
-    /// From now on the platform answers nothing but this.
-    pub fn refuses(&self, status: StatusCode) {
+    /// From now on the platform answers every call with this status.
+    pub fn set_list_status(&self, status: StatusCode) {
         lock(&self.listing).status = Some(status);
     }
 
-    /// Until somebody has read the whole list of zone `n1` once more.
-    pub async fn until_read(&self) {
-        let before = lock(&self.listing).readings;
-        while lock(&self.listing).readings == before {
-            self.pass(1, true).await;
+    /// Waits until a router has read the complete list of zone `n1` once more.
+    pub async fn wait_for_list_read(&self) {
+        let before = lock(&self.listing).complete_reads;
+        while lock(&self.listing).complete_reads == before {
+            self.advance(1, true).await;
         }
     }
 
-    /// The publisher of zone `n1`, and the router of zone `s1` that passes its reports on.
+    /// The publisher of zone `n1`, and the router of zone `s1` that relays its reports.
     pub fn publisher_and_relay(&self) -> (usize, usize) {
         let state = self.routers[REPORTED].router.cluster_state();
         let first = |role: &str, zone: &str| {
@@ -239,12 +243,12 @@
         (first("board/n1", "n1"), first("relay/n1", "s1"))
     }
 
-    /// Whether a router would send something to replica `r1` now; not while it stands still.
-    pub async fn may_use(&self, n: usize) -> bool {
+    /// Whether a router would send a request to replica `r1` now; `false` while it is frozen.
+    pub async fn uses_r1(&self, n: usize) -> bool {
         self.uses(n, "r1").await
     }
 
-    /// Whether a router would send something to a replica now; not while it stands still.
+    /// Whether a router would send a request to a replica now; `false` while it is frozen.
     pub async fn uses(&self, n: usize, id: &'static str) -> bool {
         let serving = self.routers[n].clone();
         let usable = async move {
@@ -258,7 +262,7 @@
         answer.is_ok_and(|usable| usable.unwrap_or(false))
     }
 
-    /// Which of the routers use replica `r1` so many milliseconds from now or later, within a while.
+    /// Which of the routers use replica `r1` after `ms` milliseconds or later, checked for a while; each with the time.
     pub async fn users_after(
         &self,
         ms: u64,
@@ -266,73 +270,78 @@
     ) -> Vec<(usize, u64)> {
         const WATCHED_MS: u64 = 6_000;
         let mut users = Vec::new();
-        self.pass(ms, true).await;
+        self.advance(ms, true).await;
         for at in (ms..ms + WATCHED_MS).step_by(SAMPLE_MS as usize) {
             for n in routers.clone() {
-                if self.may_use(n).await {
+                if self.uses_r1(n).await {
                     users.push((n, at));
                 }
             }
-            self.pass(SAMPLE_MS, true).await;
+            self.advance(SAMPLE_MS, true).await;
         }
         users
     }
 
-    /// Time goes on, with or without renewals of the leases.
-    pub async fn pass(&self, ms: u64, renewed: bool) {
+    /// Lets time pass, with or without renewal of the leases.
+    pub async fn advance(&self, ms: u64, renewed: bool) {
         self.renewed.store(renewed, Ordering::Release);
         sleep(Duration::from_millis(ms)).await;
     }
 
-    /// Calls of one kind from a zone to another, counted while time goes on.
-    pub async fn calls(&self, step: &str, from: &str, to: &str, ms: u64, renewed: bool) -> u64 {
+    /// Number of calls of one kind from one zone to another during the next `ms` milliseconds.
+    pub async fn count_calls(&self, step: &str, from: &str, to: &str, ms: u64, renewed: bool) -> u64 {
         self.world.traffic.begin();
-        self.pass(ms, renewed).await;
+        self.advance(ms, renewed).await;
         let counted = self.world.traffic.end();
         let in_zone = |ip: &IpAddr, zone: &str| {
             let n = (0..REPORTED + SUBSCRIBED).find(|n| self::ip(*n) == *ip);
             n.is_some_and(|n| settings(n).zone == zone)
         };
         let matches = |(caller, called): &(IpAddr, IpAddr)| in_zone(caller, from) && in_zone(called, to);
-        let of = counted.calls.iter().filter(|((ends, kind), _)| kind.1 == step && matches(ends));
-        of.map(|(_, calls)| calls.calls).sum()
+        let matching = counted.calls.iter().filter(|((ends, kind), _)| kind.1 == step && matches(ends));
+        matching.map(|(_, calls)| calls.calls).sum()
     }
 
-    pub fn knows(&self, n: usize) -> usize {
+    /// Number of replicas that a router knows.
+    pub fn known_replicas(&self, n: usize) -> usize {
         self.routers[n].replica_view.load().replicas_of(&"chat".into()).len()
     }
 
-    /// What is done at a router, by the clock of its own host.
-    pub async fn on<T: Send + 'static>(
+    /// Runs a function at a router, on its own host.
+    pub async fn run_on<T: Send + 'static>(
         &self,
         n: usize,
-        f: impl FnOnce(&Arc<Serving>) -> T + Send + 'static,
+        action: impl FnOnce(&Arc<Serving>) -> T + Send + 'static,
     ) -> T {
         let serving = self.routers[n].clone();
-        self.world.host(ip(n)).spawn(async move { f(&serving) }).await.expect("it runs")
+        self.world.host(ip(n)).spawn(async move { action(&serving) }).await.expect("it runs")
     }
 
-    /// What a router knows.
-    pub async fn at<T: Send + 'static>(&self, n: usize, f: impl FnOnce(&Router) -> T + Send + 'static) -> T {
-        self.on(n, |serving| f(&serving.router)).await
+    /// Runs a function on a router's state, on its own host.
+    pub async fn query<T: Send + 'static>(
+        &self,
+        n: usize,
+        action: impl FnOnce(&Router) -> T + Send + 'static,
+    ) -> T {
+        self.run_on(n, |serving| action(&serving.router)).await
     }
 
-    /// Time since a moment of the report of zone `n1` that a router holds.
-    async fn since(&self, n: usize, moment: impl Fn(&ReceivedReport) -> Tick + Send + 'static) -> u64 {
-        self.on(n, move |serving| {
+    /// Time since a moment that is recorded with the report on zone `n1` that a router holds.
+    async fn time_since(&self, n: usize, moment: impl Fn(&ReceivedReport) -> Tick + Send + 'static) -> u64 {
+        self.run_on(n, move |serving| {
             let reports = lock(&serving.reports);
             reports.by_zone.get(&"n1".into()).map_or(u64::MAX, |held| serving.now().since(moment(held)))
         })
         .await
     }
 
-    /// Time since a router had a new report.
-    pub async fn silence_ms(&self, n: usize) -> u64 {
-        self.since(n, |held| held.received_at).await
+    /// Time since a router received its newest report.
+    pub async fn ms_since_report(&self, n: usize) -> u64 {
+        self.time_since(n, |held| held.received_at).await
     }
 
-    /// How old the report is that a router holds.
+    /// Age of the report that a router holds.
     pub async fn report_age_ms(&self, n: usize) -> u64 {
-        self.since(n, |held| held.fresh_at).await
+        self.time_since(n, |held| held.fresh_at).await
     }
 }
--- a/crates/data-plane/tests/serving/main.rs
+++ b/crates/data-plane/tests/serving/main.rs
@@ -25,6 +25,6 @@
 mod stream_relay;
 mod test_data;
 mod usage;
+mod usage_cluster;
 mod usage_faults;
 mod usage_platform;
-mod usage_world;
--- a/crates/data-plane/tests/serving/placement.rs
+++ b/crates/data-plane/tests/serving/placement.rs
@@ -76,7 +76,7 @@
         };
         USERS.map(first).collect()
     };
-    fleet.on(n, choose).await
+    fleet.run_on(n, choose).await
 }
 
 async fn race(fleet: &Fleet) -> [Vec<Region>; 2] {
@@ -89,7 +89,7 @@
 #[test]
 fn racing_routers_agree_on_a_first_region() {
     Simulation::run(21, None, |world| async move {
-        let fleet = Fleet::start_still(world).await;
+        let fleet = Fleet::start_without_reports(world).await;
         let [a, b] = RACERS;
         tell(&fleet.routers[a], 2, 18);
         tell(&fleet.routers[b], 18, 2);
@@ -111,7 +111,7 @@
 #[test]
 fn without_the_table_routers_go_on_and_agree_by_key() {
     Simulation::run(22, None, |world| async move {
-        let fleet = Fleet::start_still(world).await;
+        let fleet = Fleet::start_without_reports(world).await;
         let [a, b] = RACERS;
         let others = || (0..REPORTED + SUBSCRIBED).filter(|n| !RACERS.contains(n));
         let links: std::collections::BTreeSet<_> = others()
@@ -145,7 +145,7 @@
 #[test]
 fn a_stored_region_outside_the_homes_is_not_used() {
     Simulation::run(23, None, |world| async move {
-        let fleet = Fleet::start_still(world).await;
+        let fleet = Fleet::start_without_reports(world).await;
         let n = RACERS[0];
         tell(&fleet.routers[n], 2, 2);
         let look = |serving: &Arc<Serving>| {
@@ -167,6 +167,6 @@
                 assert_eq!(regions(&["north"]), ["north".into()], "user {user}");
             }
         };
-        fleet.on(n, look).await;
+        fleet.run_on(n, look).await;
     });
 }
--- a/crates/data-plane/tests/serving/usage_world.rs
+++ b/crates/data-plane/tests/serving/usage_cluster.rs
@@ -1,5 +1,5 @@
-//! Routers that hold the duty to report usage in turn, in a world in memory: a stand-in for the control nodes that counts
-//! leases as their leader does, and one for the platform that judges what it is told.
+//! Routers that hold the usage duty in turn, in a simulated network. The control nodes are simulated too, with the real lease
+//! rules of the leader, and so is the platform, which checks what it receives.
 
 use crate::{
     router_fixture::{TestProtocol, UnreadableDocuments},
@@ -30,22 +30,22 @@
 };
 use tokio::time::sleep;
 
-/// Two in each of three zones.
+/// Two routers in each of three zones.
 pub const ROUTERS: usize = 6;
 pub const WINDOW_MS: u64 = 5_000;
 const ZONES: [&str; 3] = ["n1", "n2", "s1"];
-/// Longest way of a renewal or of its answer.
-const WAY_MS: u64 = 40;
-/// Longest way of a new state: a former holder may not know it for a while.
-const STATE_WAY_MS: u64 = 900;
+/// Longest travel time of a lease renewal or of its answer.
+const MAX_TRAVEL_MS: u64 = 40;
+/// Longest travel time of a new cluster state: a former holder may not know it for that long.
+const MAX_STATE_TRAVEL_MS: u64 = 900;
 /// Longest pause between two starts at a router.
-const START_PAUSE_MS: u64 = 30;
+const MAX_START_PAUSE_MS: u64 = 30;
 
 pub fn ip(n: usize) -> IpAddr {
     IpAddr::from([10, 0, 8, n as u8 + 1])
 }
 
-/// In the proportions of the users' platform.
+/// Proportions as in production.
 pub fn timing() -> Timing {
     Timing { lease_ms: 1_200, rpc_timeout_ms: 500, ..Timing::default() }
 }
@@ -93,44 +93,45 @@
     }
 }
 
-/// What the control nodes hold together.
+/// The state that the control nodes share.
 struct Core {
     state: ClusterState,
     leases: Leases,
-    /// Routers that don't reach it.
+    /// Routers that can't reach the control nodes.
     cut: BTreeSet<usize>,
 }
 
-/// Which window of the time of day, and which tenant.
-type Truth = BTreeMap<u64, BTreeMap<Tenant, u64>>;
+/// The actual starts, by window of the time of day and by tenant.
+type ActualStarts = BTreeMap<u64, BTreeMap<Tenant, u64>>;
 
-pub struct World {
+/// The routers, the control nodes and the platform.
+pub struct UsageCluster {
     pub simulation: Arc<Simulation>,
     pub platform: Arc<Platform>,
     core: Arc<Mutex<Core>>,
-    truth: Arc<Mutex<Truth>>,
+    actual_starts: Arc<Mutex<ActualStarts>>,
     starts: u64,
 }
 
-impl World {
+impl UsageCluster {
     pub async fn start(simulation: Arc<Simulation>) -> Self {
         let state = ClusterState::bootstrapped("line", vec![]);
         let core = Core { state, leases: Leases::new_leader(Tick(0)), cut: BTreeSet::new() };
         let platform = Platform::start(&simulation).await;
-        let (core, truth) = (Arc::new(Mutex::new(core)), Arc::default());
+        let (core, actual_starts) = (Arc::new(Mutex::new(core)), Arc::default());
         spawn(keep_leases(simulation.clone(), core.clone()));
-        let mut world = Self { simulation, platform, core, truth, starts: 0 };
+        let mut cluster = Self { simulation, platform, core, actual_starts, starts: 0 };
         for n in 0..ROUTERS {
-            world.start_router(n);
+            cluster.start_router(n);
         }
-        world
+        cluster
     }
 
-    /// A process starts, and begins to take requests.
+    /// Starts a router's process, which begins to record starts.
     pub fn start_router(&mut self, n: usize) {
         self.starts += 1;
-        let (core, truth) = (self.core.clone(), self.truth.clone());
-        let process = run_router(n, Incarnation(self.starts), self.simulation.clone(), core, truth);
+        let (core, actual_starts) = (self.core.clone(), self.actual_starts.clone());
+        let process = run_router(n, Incarnation(self.starts), self.simulation.clone(), core, actual_starts);
         self.simulation.host(ip(n)).spawn(process);
     }
 
@@ -138,14 +139,14 @@
         self.simulation.host(ip(n)).kill();
     }
 
-    /// Whom the control nodes hold for the holder now.
+    /// The holder by the state of the control nodes.
     pub fn holder(&self) -> Option<usize> {
         let core = lock(&self.core);
         let role = holder_of(&core.state, "usage", None)?;
         (0..ROUTERS).find(|n| ip(*n) == role.holder.info.rpc_addr.ip())
     }
 
-    /// Whether a router reaches the control nodes from now on.
+    /// Sets whether a router is cut off from the control nodes.
     pub fn cut_from_core(&self, n: usize, cut: bool) {
         let mut core = lock(&self.core);
         if cut {
@@ -155,7 +156,7 @@
         };
     }
 
-    /// Cuts what a router sends to the others, or what they send to it.
+    /// Cuts the links from a router to the others, or those from the others to it.
     pub fn cut_from_others(&self, n: usize, outwards: bool) -> BTreeSet<(IpAddr, IpAddr)> {
         let others = (0..ROUTERS).filter(|other| *other != n).map(ip);
         let links: BTreeSet<_> =
@@ -169,22 +170,22 @@
         time_of_day_ms() / WINDOW_MS - 1
     }
 
-    /// Whether the platform was told of a window in time, each tenant within a part of the truth.
-    pub fn reported_well(&self, window: u64, error: f64) -> bool {
-        let (truth, told) = (lock(&self.truth), self.platform.accepted(window));
-        let Some((told, at)) = told else { return false };
-        let true_counts = truth.get(&window).cloned().unwrap_or_default();
-        let tenants: BTreeSet<&Tenant> = true_counts.keys().chain(told.keys()).collect();
-        let off = |tenant: &&Tenant| {
-            let (was, said) = (true_counts.get(*tenant).copied(), told.get(*tenant).copied());
-            let was = was.unwrap_or(0) as f64;
-            (said.unwrap_or(0) as f64 - was).abs() > (was * error).max(2.0)
+    /// Whether the platform received a report on a window in time, with each tenant's count within `error` of the actual one.
+    pub fn is_reported_within(&self, window: u64, error: f64) -> bool {
+        let (actual_starts, reported) = (lock(&self.actual_starts), self.platform.accepted(window));
+        let Some((reported, at)) = reported else { return false };
+        let true_counts = actual_starts.get(&window).cloned().unwrap_or_default();
+        let tenants: BTreeSet<&Tenant> = true_counts.keys().chain(reported.keys()).collect();
+        let is_off = |tenant: &&Tenant| {
+            let (actual, count) = (true_counts.get(*tenant).copied(), reported.get(*tenant).copied());
+            let actual = actual.unwrap_or(0) as f64;
+            (count.unwrap_or(0) as f64 - actual).abs() > (actual * error).max(2.0)
         };
-        at <= (window + 1) * WINDOW_MS + duty(0).delay_ms && !tenants.iter().any(off)
+        at <= (window + 1) * WINDOW_MS + duty(0).delay_ms && !tenants.iter().any(is_off)
     }
 }
 
-/// The leader's side of the leases.
+/// The leader's part of the leases: removes members whose leases have expired.
 async fn keep_leases(simulation: Arc<Simulation>, core: Arc<Mutex<Core>>) {
     loop {
         sleep(Duration::from_millis(100)).await;
@@ -196,6 +197,7 @@
     }
 }
 
+/// The leader's answer to a lease renewal.
 fn renewal(core: &Mutex<Core>, n: usize, info: &NodeInfo, now: Tick) -> Option<(Epoch, Index)> {
     let mut core = lock(core);
     if core.cut.contains(&n) {
@@ -211,16 +213,18 @@
     }
 }
 
-async fn way(most_ms: u64) {
-    sleep(Duration::from_millis(random::<u64>() % most_ms)).await;
+/// Waits for a random travel time.
+async fn travel(max_ms: u64) {
+    sleep(Duration::from_millis(random::<u64>() % max_ms)).await;
 }
 
+/// Renews a router's lease.
 async fn keep_lease(n: usize, member: Arc<LocalMember>, simulation: Arc<Simulation>, core: Arc<Mutex<Core>>) {
     loop {
         let sent = member.clock.now();
-        way(WAY_MS).await;
+        travel(MAX_TRAVEL_MS).await;
         let renewed = renewal(&core, n, &member.info, Tick(simulation.ms()));
-        way(WAY_MS).await;
+        travel(MAX_TRAVEL_MS).await;
         if let Some((epoch, index)) = renewed.filter(|_| !lock(&core).cut.contains(&n)) {
             member.note_announced_index(index, sent);
             member.extend_lease(epoch, sent);
@@ -229,10 +233,11 @@
     }
 }
 
+/// Sends new cluster states to a router.
 async fn keep_state(n: usize, member: Arc<LocalMember>, core: Arc<Mutex<Core>>) {
     loop {
         let state = lock(&core).state.clone();
-        way(STATE_WAY_MS).await;
+        travel(MAX_STATE_TRAVEL_MS).await;
         if !lock(&core).cut.contains(&n) {
             let _ = member.install(StateUpdate::Snapshot(Box::new(state)), "test");
         }
@@ -240,17 +245,18 @@
     }
 }
 
+/// A router's process, which records random starts.
 async fn run_router(
     n: usize,
     incarnation: Incarnation,
     simulation: Arc<Simulation>,
     core: Arc<Mutex<Core>>,
-    truth: Arc<Mutex<Truth>>,
+    actual_starts: Arc<Mutex<ActualStarts>>,
 ) {
-    let (set, clock) = (settings(n), Clock::default());
-    let info = NodeInfo::of(&set, Role::Router, incarnation);
-    let member = LocalMember::new(set.clone(), info, clock.clone());
-    let router = Router::new(set.clone(), member.clone(), clock);
+    let (settings, clock) = (settings(n), Clock::default());
+    let info = NodeInfo::of(&settings, Role::Router, incarnation);
+    let member = LocalMember::new(settings.clone(), info, clock.clone());
+    let router = Router::new(settings.clone(), member.clone(), clock);
     let serving = Serving::new(
         router.clone(),
         Arc::new(TestProtocol(header_names())),
@@ -260,21 +266,21 @@
     spawn(keep_lease(n, member.clone(), simulation.clone(), core.clone()));
     spawn(keep_state(n, member, core));
     let listener = loop {
-        // The one of the process before may still be there.
-        match bind(set.rpc_addr).await {
+        // The listener of the previous process may still exist.
+        match bind(settings.rpc_addr).await {
             Ok(listener) => break listener,
             Err(_) => sleep(Duration::from_millis(10)).await,
         }
     };
-    spawn(common::rpc::listen(listener, set.me(), data_plane::rpc::SERVICE, {
+    spawn(common::rpc::listen(listener, settings.me(), data_plane::rpc::SERVICE, {
         move |node, request| router.clone().answer(node, request)
     }));
     serving.spawn_usage_tasks();
     loop {
-        way(START_PAUSE_MS).await;
+        travel(MAX_START_PAUSE_MS).await;
         let tenant = Tenant::new(["club", "guild", "league"][random::<u64>() as usize % 3]);
         lock(&serving.router.usage.starts).record(&tenant, serving.now(), serving.now());
         let window = simulation.time_of_day_ms() / WINDOW_MS;
-        *lock(&truth).entry(window).or_default().entry(tenant).or_default() += 1;
+        *lock(&actual_starts).entry(window).or_default().entry(tenant).or_default() += 1;
     }
 }
--- a/crates/data-plane/tests/serving/usage_faults.rs
+++ b/crates/data-plane/tests/serving/usage_faults.rs
@@ -1,162 +1,168 @@
-//! For one window the platform is never told two different counts, whatever happens to the holders (design 9.10).
+//! The platform never receives two different counts for one window, whatever faults hit the holders (design 9.10).
 
 use crate::{
-    usage_platform::{Mood, PLATFORM},
-    usage_world::{ROUTERS, WINDOW_MS, World, ip},
+    usage_cluster::{ROUTERS, UsageCluster, WINDOW_MS, ip},
+    usage_platform::{Behavior, PLATFORM},
 };
 use common::runtime::{Simulation, random};
 use rstest::rstest;
 use std::{collections::BTreeSet, net::IpAddr, time::Duration};
 use tokio::time::sleep;
 
-/// Until the first holder reports.
+/// Time until the first holder reports.
 const SETTLED_MS: u64 = 25_000;
 const FAULTS: usize = 30;
 
-fn draw(below: u64) -> u64 {
+fn random_below(below: u64) -> u64 {
     random::<u64>() % below
 }
 
-async fn pass(ms: u64) {
+async fn advance(ms: u64) {
     sleep(Duration::from_millis(ms)).await;
 }
 
-/// The holder, or now and then any router.
-fn victim(world: &World) -> usize {
-    let any = draw(ROUTERS as u64) as usize;
-    if draw(4) == 0 { any } else { world.holder().unwrap_or(any) }
+/// The holder, or with a chance of one in four any router.
+fn victim(cluster: &UsageCluster) -> usize {
+    let any = random_below(ROUTERS as u64) as usize;
+    if random_below(4) == 0 { any } else { cluster.holder().unwrap_or(any) }
 }
 
-/// Waits until a little after a window's end, when its counts are fixed and sent.
-async fn await_deciding(world: &World) {
-    let past = world.simulation.time_of_day_ms() % WINDOW_MS;
-    pass(WINDOW_MS - past + 250 + draw(400)).await;
+/// Waits until shortly after the end of a window, when its counts are decided and sent.
+async fn await_deciding(cluster: &UsageCluster) {
+    let past = cluster.simulation.time_of_day_ms() % WINDOW_MS;
+    advance(WINDOW_MS - past + 250 + random_below(400)).await;
 }
 
-/// One trouble, from its begin to its end.
-async fn trouble(world: &mut World) -> &'static str {
-    let n = victim(world);
+/// One random fault, from its start to its end. Returns its kind.
+async fn inject_fault(cluster: &mut UsageCluster) -> &'static str {
+    let n = victim(cluster);
     let platform = IpAddr::from(PLATFORM.0);
-    if draw(2) == 0 {
-        await_deciding(world).await;
+    if random_below(2) == 0 {
+        await_deciding(cluster).await;
     }
-    let ms = [draw(1_500), draw(4_000), draw(12_000)][draw(3) as usize] + 1;
-    let simulation = world.simulation.clone();
-    match draw(10) {
+    let ms = [random_below(1_500), random_below(4_000), random_below(12_000)][random_below(3) as usize] + 1;
+    let simulation = cluster.simulation.clone();
+    match random_below(10) {
         0 => {
-            world.kill(n);
-            pass(ms).await;
-            world.start_router(n);
+            cluster.kill(n);
+            advance(ms).await;
+            cluster.start_router(n);
             "killed"
         }
         1 | 2 => {
             simulation.host(ip(n)).freeze();
-            pass(ms).await;
+            advance(ms).await;
             simulation.host(ip(n)).thaw();
             "frozen"
         }
         3 => {
-            world.cut_from_core(n, true);
-            pass(ms).await;
-            world.cut_from_core(n, false);
+            cluster.cut_from_core(n, true);
+            advance(ms).await;
+            cluster.cut_from_core(n, false);
             "cut from the core"
         }
         4 | 5 => {
-            let links = world.cut_from_others(n, draw(2) == 0);
-            pass(ms).await;
+            let links = cluster.cut_from_others(n, random_below(2) == 0);
+            advance(ms).await;
             simulation.heal(&links);
             "cut from the others"
         }
         6 => {
-            let links = match draw(3) {
+            let links = match random_below(3) {
                 0 => vec![(ip(n), platform)],
                 1 => vec![(platform, ip(n))],
                 _ => vec![(ip(n), platform), (platform, ip(n))],
             };
             simulation.partition(links.clone());
-            pass(ms).await;
+            advance(ms).await;
             simulation.heal(&BTreeSet::from_iter(links));
             "cut from the platform"
         }
         7 => {
-            let moods =
-                [Mood::Says(429), Mood::Says(503), Mood::AnswersLost, Mood::Slow(1_500), Mood::Slow(3_500)];
-            world.platform.mood(moods[draw(5) as usize]);
-            pass(ms).await;
-            world.platform.mood(Mood::Well);
+            let behaviors = [
+                Behavior::Rejects(429),
+                Behavior::Rejects(503),
+                Behavior::AnswersLost,
+                Behavior::Slow(1_500),
+                Behavior::Slow(3_500),
+            ];
+            cluster.platform.set_behavior(behaviors[random_below(5) as usize]);
+            advance(ms).await;
+            cluster.platform.set_behavior(Behavior::Accepts);
             "platform"
         }
         8 => {
-            let step = draw(20_000) as i64 - 10_000;
+            let step = random_below(20_000) as i64 - 10_000;
             simulation.host(ip(n)).step_clock(step);
-            pass(ms).await;
+            advance(ms).await;
             simulation.host(ip(n)).step_clock(0);
             "clock"
         }
         _ => {
-            (0..ROUTERS).for_each(|n| world.kill(n));
-            pass(ms.min(1_000)).await;
-            (0..ROUTERS).for_each(|n| world.start_router(n));
+            (0..ROUTERS).for_each(|n| cluster.kill(n));
+            advance(ms.min(1_000)).await;
+            (0..ROUTERS).for_each(|n| cluster.start_router(n));
             "all killed"
         }
     }
 }
 
-/// What is broken in a day of troubles, and how many windows were reported well of how many.
-fn play(seed: u64, mutation: Option<&str>, checks_fence: bool) -> (Vec<String>, usize, usize) {
+/// Runs a series of random faults. Returns the violations, and how many windows were reported within the error, of how
+/// many.
+fn run_faults(seed: u64, mutation: Option<&str>, checks_fence: bool) -> (Vec<String>, usize, usize) {
     Simulation::run(seed, mutation.map(String::from), |simulation| async move {
-        let mut world = World::start(simulation).await;
-        world.platform.checks_fence(checks_fence);
-        pass(SETTLED_MS).await;
-        let first = world.newest_ended();
+        let mut cluster = UsageCluster::start(simulation).await;
+        cluster.platform.checks_fence(checks_fence);
+        advance(SETTLED_MS).await;
+        let first = cluster.newest_ended();
         for _ in 0..FAULTS {
-            trouble(&mut world).await;
-            pass(draw(4_000)).await;
+            inject_fault(&mut cluster).await;
+            advance(random_below(4_000)).await;
         }
-        pass(40_000).await;
-        let calm = world.newest_ended() - 4;
-        let mut broken = world.platform.broken();
-        if !(calm..calm + 2).all(|window| world.reported_well(window, 0.05)) {
-            broken.push("no reports in time once all is well".into());
+        advance(40_000).await;
+        let calm = cluster.newest_ended() - 4;
+        let mut violations = cluster.platform.violations();
+        if !(calm..calm + 2).all(|window| cluster.is_reported_within(window, 0.05)) {
+            violations.push("no reports in time after the last fault".into());
         }
-        let well = (first..calm).filter(|window| world.reported_well(*window, 0.05)).count();
-        (broken, well, (calm - first) as usize)
+        let reported = (first..calm).filter(|window| cluster.is_reported_within(*window, 0.05)).count();
+        (violations, reported, (calm - first) as usize)
     })
 }
 
 #[test]
-fn each_window_is_reported_within_its_error_when_nothing_happens() {
+fn without_faults_each_window_is_reported_within_its_error() {
     Simulation::run(1, None, |simulation| async move {
-        let world = World::start(simulation).await;
-        pass(SETTLED_MS).await;
-        let (first, calls) = (world.newest_ended(), world.platform.calls());
-        pass(20 * WINDOW_MS).await;
+        let cluster = UsageCluster::start(simulation).await;
+        advance(SETTLED_MS).await;
+        let (first, calls) = (cluster.newest_ended(), cluster.platform.calls());
+        advance(20 * WINDOW_MS).await;
         for window in first..first + 18 {
             assert!(
-                world.reported_well(window, 0.05),
+                cluster.is_reported_within(window, 0.05),
                 "window {window}: {:?}",
-                world.platform.accepted(window)
+                cluster.platform.accepted(window)
             );
         }
-        assert_eq!(world.platform.broken(), Vec::<String>::new());
-        assert!(world.platform.calls() - calls <= 21, "one call for each window");
+        assert_eq!(cluster.platform.violations(), Vec::<String>::new());
+        assert!(cluster.platform.calls() - calls <= 21, "one call for each window");
     });
 }
 
 #[rstest]
-fn no_window_is_reported_twice_with_other_counts(
+fn no_window_is_reported_with_different_counts(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] seed: u64,
     #[values(true, false)] checks_fence: bool,
 ) {
-    let (broken, well, all) = play(seed, None, checks_fence);
-    println!("seed {seed}: {well} of {all} windows well");
-    assert_eq!(broken, Vec::<String>::new(), "seed {seed}");
+    let (violations, reported, all) = run_faults(seed, None, checks_fence);
+    println!("seed {seed}: {reported} of {all} windows reported within the error");
+    assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
 }
 
-/// The days of troubles see it when a new holder acts at once. Without the margin alone nothing breaks, since routers
-/// refuse to keep decisions of former holders; `usage.rs` sees each guard.
+/// The runs with faults detect a new holder that acts at once. Without the safety margin alone nothing breaks, since routers
+/// reject decisions of former holders; `usage.rs` tests each guard.
 #[test]
-fn a_holder_that_acts_at_once_breaks_some_day() {
-    let broken = (1..=40).any(|seed| !play(seed, Some("usage-acts-at-once"), true).0.is_empty());
-    assert!(broken, "it was never seen");
+fn faults_detect_a_holder_that_acts_at_once() {
+    let violations = (1..=40).any(|seed| !run_faults(seed, Some("usage-acts-at-once"), true).0.is_empty());
+    assert!(violations, "no run showed a violation");
 }
--- a/crates/data-plane/tests/serving/usage_platform.rs
+++ b/crates/data-plane/tests/serving/usage_platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform that takes reports of usage, and judges them.
+//! A simulated platform that accepts usage reports and records violations of its rules.
 
 use common::{
     Tenant,
@@ -16,63 +16,71 @@
 use tokio::{sync::watch, time::sleep};
 
 pub const PLATFORM: ([u8; 4], u16) = ([10, 0, 9, 9], 9);
-/// Within which no holder may act again once another one has.
-const RETURN_MS: u64 = 3_000;
+/// After another node has acted as holder, a former holder must not act again within this time, in milliseconds.
+const REACQUIRE_PAUSE_MS: u64 = 3_000;
 
-/// How it answers.
+/// How the platform answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Mood {
+pub enum Behavior {
+    /// Accepts reports.
     #[default]
-    Well,
-    /// Takes nothing.
-    Says(u16),
-    /// Takes the report, and its answer is lost.
+    Accepts,
+    /// Rejects every report with this status.
+    Rejects(u16),
+    /// Accepts the report, but the answer is lost.
     AnswersLost,
-    /// Takes the report so much later, whoever waits.
+    /// Accepts the report after this many milliseconds, even if the caller has stopped waiting.
     Slow(u64),
 }
 
 type Counts = BTreeMap<Tenant, u64>;
 
+/// State of the platform.
 #[derive(Default)]
-struct Judged {
-    mood: Mood,
-    /// Whether a lower fencing token than one before is refused.
+struct PlatformState {
+    behavior: Behavior,
+    /// Whether a fencing token below an earlier one is refused.
     checks_fence: bool,
+    /// The counts accepted first for each window, and when.
     accepted: BTreeMap<u64, (Counts, u64)>,
+    /// The highest fencing token seen.
     fence: u64,
+    /// The holder that used each fencing token.
     holders: BTreeMap<u64, String>,
-    /// Who acted when.
+    /// When each holder acted.
     acts: Vec<(u64, String)>,
-    broken: Vec<String>,
+    /// Violations of the rules.
+    violations: Vec<String>,
+    /// Calls received.
     calls: usize,
 }
 
+/// The simulated platform.
 #[derive(Default)]
-pub struct Platform(Mutex<Judged>);
+pub struct Platform(Mutex<PlatformState>);
 
-impl Judged {
-    /// Takes a report, and says what is broken by it.
-    fn take(&mut self, holder: &str, fence: u64, window: u64, counts: Counts, now: u64) -> StatusCode {
+impl PlatformState {
+    /// Accepts a report, and records each rule that it violates.
+    fn accept(&mut self, holder: &str, fence: u64, window: u64, counts: Counts, now: u64) -> StatusCode {
         let known = self.holders.entry(fence).or_insert_with(|| holder.to_string());
         if known != holder {
-            self.broken.push(format!("{known} and {holder} send fence {fence}"));
+            self.violations.push(format!("{known} and {holder} send fence {fence}"));
         }
         if self.checks_fence && fence < self.fence {
             return StatusCode::CONFLICT;
         }
         self.fence = self.fence.max(fence);
         self.acts.push((now, holder.to_string()));
-        let between = self.acts.iter().rposition(|(_, other)| other != holder);
-        if let Some(between) = between
-            && let Some((before, _)) = self.acts[..between].iter().rfind(|(_, other)| other == holder)
-            && now - before < RETURN_MS
+        let last_other = self.acts.iter().rposition(|(_, other)| other != holder);
+        if let Some(last_other) = last_other
+            && let Some((previous, _)) = self.acts[..last_other].iter().rfind(|(_, other)| other == holder)
+            && now - previous < REACQUIRE_PAUSE_MS
         {
-            self.broken.push(format!("{holder} is back within {} ms", now - before));
+            self.violations.push(format!("{holder} acted again within {} ms", now - previous));
         }
         let (first, _) = self.accepted.entry(window).or_insert_with(|| (counts.clone(), now));
         if *first != counts {
-            self.broken.push(format!("window {window}: {first:?}, then {counts:?} by {holder}"));
+            self.violations.push(format!("window {window}: {first:?}, then {counts:?} by {holder}"));
         }
         StatusCode::OK
     }
@@ -80,13 +88,13 @@
 
 impl Platform {
     pub async fn start(simulation: &Arc<Simulation>) -> Arc<Self> {
-        let judged = Judged { checks_fence: true, ..Judged::default() };
-        let platform = Arc::new(Self(Mutex::new(judged)));
+        let state = PlatformState { checks_fence: true, ..PlatformState::default() };
+        let platform = Arc::new(Self(Mutex::new(state)));
         let listener = common::runtime::bind(PLATFORM.into()).await.expect("its address");
         let (end, ended) = watch::channel(false);
-        let me = platform.clone();
+        let server = platform.clone();
         simulation.host(std::net::IpAddr::from(PLATFORM.0)).spawn(async move {
-            let handler = move |_, request| me.clone().answer(request);
+            let handler = move |_, request| server.clone().answer(request);
             http::serve(listener, Arc::default(), ended, handler).await;
             drop(end);
         });
@@ -97,8 +105,8 @@
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Result<hyper::Response<http::Body>, http::BoxErr> {
-        let head = |name: &str| request.headers()[name].to_str().expect("text").to_string();
-        let (holder, fence) = (head("x-holder"), head("x-fence").parse().expect("a number"));
+        let header = |name: &str| request.headers()[name].to_str().expect("text").to_string();
+        let (holder, fence) = (header("x-holder"), header("x-fence").parse().expect("a number"));
         let body = request.into_body().collect().await?.to_bytes();
         let body = String::from_utf8(body.to_vec())?;
         let (window, counts) = body.split_once(' ').expect("a window and its counts");
@@ -106,29 +114,29 @@
         let counts: Counts =
             pairs.map(|(tenant, count)| (Tenant::new(tenant), count.parse().expect("a count"))).collect();
         let window = window.parse().expect("a number");
-        let mood = {
-            let mut judged = lock(&self.0);
-            judged.calls += 1;
-            judged.mood
+        let behavior = {
+            let mut state = lock(&self.0);
+            state.calls += 1;
+            state.behavior
         };
-        match mood {
-            Mood::Says(status) => return Ok(text(StatusCode::from_u16(status)?, "")),
-            Mood::Slow(ms) => sleep(Duration::from_millis(ms)).await,
-            Mood::Well | Mood::AnswersLost => {}
+        match behavior {
+            Behavior::Rejects(status) => return Ok(text(StatusCode::from_u16(status)?, "")),
+            Behavior::Slow(ms) => sleep(Duration::from_millis(ms)).await,
+            Behavior::Accepts | Behavior::AnswersLost => {}
         }
         let now = common::clock::time_of_day_ms();
-        let status = lock(&self.0).take(&holder, fence, window, counts, now);
-        if mood == Mood::AnswersLost {
+        let status = lock(&self.0).accept(&holder, fence, window, counts, now);
+        if behavior == Behavior::AnswersLost {
             sleep(Duration::from_secs(60)).await;
         }
         Ok(text(status, ""))
     }
 
-    pub fn mood(&self, mood: Mood) {
-        lock(&self.0).mood = mood;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        lock(&self.0).behavior = behavior;
     }
 
-    /// What was accepted for a window, and when.
+    /// The counts that were accepted for a window, and when.
     pub fn accepted(&self, window: u64) -> Option<(Counts, u64)> {
         lock(&self.0).accepted.get(&window).cloned()
     }
@@ -137,8 +145,8 @@
         lock(&self.0).calls
     }
 
-    pub fn broken(&self) -> Vec<String> {
-        lock(&self.0).broken.clone()
+    pub fn violations(&self) -> Vec<String> {
+        lock(&self.0).violations.clone()
     }
 
     pub fn checks_fence(&self, checks: bool) {
