--- a/crates/data-plane/src/serving/health_prober.rs
+++ b/crates/data-plane/src/serving/health_prober.rs
@@ -1,6 +1,7 @@
-//! The publisher of a zone (design 9.3): one router reads a zone's part of the platform's list and probes its replicas; the
-//! others subscribe to the reports that it publishes ([`super::report_subscription`]). A router becomes publisher as soon as it
-//! is asked for reports, so that a lost publisher is replaced as soon as another node misses its reports.
+//! The publisher of a zone (design 9.3): one router reads a zone's part of the platform's list and probes its
+//! replicas; the others subscribe to the reports that it publishes ([`super::report_subscription`]). A router becomes
+//! publisher as soon as it is asked for reports, so that a lost publisher is replaced as soon as another node misses
+//! its reports.
 
 use super::{
     protocol::ListedReplica,
@@ -70,8 +71,8 @@
         lock(&self.router.publications).get(zone).is_some_and(|publication| is_recent(publication.asked))
     }
 
-    /// Probes the listed replicas; healthy ones only in every second round, since the answers and refusals of requests say
-    /// more about them.
+    /// Probes the listed replicas; healthy ones only in every second round, since the answers and refusals of
+    /// requests say more about them.
     async fn probe_listed(
         &self,
         listed: &[ListedReplica],
--- a/crates/data-plane/src/serving/list_reading.rs
+++ b/crates/data-plane/src/serving/list_reading.rs
@@ -12,8 +12,8 @@
 }
 
 impl ListRead {
-    /// Adds a page. A replica that moved between pages during the read may be on two of them; the entry that says that it
-    /// leaves takes precedence.
+    /// Adds a page. A replica that moved between pages during the read may be on two of them; the entry that says
+    /// that it leaves takes precedence.
     pub fn add(&mut self, zone: &Zone, page: Vec<ListedReplica>) {
         self.pages += 1;
         for row in page.into_iter().filter(|row| row.zone == *zone) {
--- a/crates/data-plane/src/serving/prefill.rs
+++ b/crates/data-plane/src/serving/prefill.rs
@@ -1,5 +1,5 @@
-//! Tracks which long prompts the replicas are reading and which prefixes they still hold (design 9.5), from what the routers
-//! of a region announce to each other when they send one. Pure.
+//! Tracks which long prompts the replicas are reading and which prefixes they still hold (design 9.5), from what the
+//! routers of a region announce to each other when they send one. Pure.
 
 use super::protocol::Prompt;
 use common::{ReplicaId, Tick, rendezvous::stable_hash};
--- a/crates/data-plane/src/serving/prefill_announce.rs
+++ b/crates/data-plane/src/serving/prefill_announce.rs
@@ -1,5 +1,5 @@
-//! Announcements of long prompts among the routers (design 9.5). Long prompts are few, and each occupies a replica for a
-//! while, so that other routers should know of it.
+//! Announcements of long prompts among the routers (design 9.5). Long prompts are few, and each occupies a replica
+//! for a while, so that other routers should know of it.
 
 use super::{
     plan::Plan, prefill::PromptSent, replica_choice::PREFILL_TOKENS_PER_MS, replica_view::Candidate,
@@ -11,7 +11,7 @@
 };
 use std::sync::Arc;
 
-/// Up to this many members, all routers are told; above, only those of the two regions concerned.
+/// Up to this many members, a prompt is announced to all routers; above, only to those of the two regions concerned.
 const ANNOUNCE_TO_ALL_MAX_MEMBERS: usize = 32;
 
 impl Router {
--- a/crates/data-plane/src/serving/received_report.rs
+++ b/crates/data-plane/src/serving/received_report.rs
@@ -1,5 +1,5 @@
-//! A report on the replicas of one zone, with the times that this router received it at and that it is valid from (design
-//! 9.3). Pure.
+//! A report on the replicas of one zone, with the times that this router received it at and that it is valid from
+//! (design 9.3). Pure.
 
 use super::{
     protocol::ListedReplica,
--- a/crates/data-plane/src/serving/replica_list.rs
+++ b/crates/data-plane/src/serving/replica_list.rs
@@ -1,5 +1,5 @@
-//! The platform's list of replicas, as the publisher of a zone reads it (design 9.3): page by page, within the rate limit
-//! that all nodes share, and concurrently with the health probes.
+//! The platform's list of replicas, as the publisher of a zone reads it (design 9.3): page by page, within the rate
+//! limit that all nodes share, and concurrently with the health probes.
 
 pub use super::list_reading::{ListError, ListRead};
 use super::{
@@ -53,9 +53,9 @@
         now >= self.due
     }
 
-    /// Records a read that started at `started` and whose answer arrived at `arrived`. A replica that moves to an earlier
-    /// page while later ones are read is on none of them. It therefore counts as gone only if a second read lacks it too;
-    /// until then the rows count as old as the read before.
+    /// Records a read that started at `started` and whose answer arrived at `arrived`. A replica that moves to an
+    /// earlier page while later ones are read is on none of them. It therefore counts as gone only if a second read
+    /// lacks it too; until then the rows count as old as the read before.
     pub fn record_read(&mut self, read: ListRead, started: Tick, arrived: Tick, interval_ms: u64) {
         let mut rows = read.rows;
         let is_missing = |(id, _): &(&ReplicaId, &ListedReplica)| !rows.contains_key(*id);
@@ -82,8 +82,9 @@
         self.due = now + interval_ms * self.backoff_factor;
     }
 
-    /// Continues with what another publisher read at `read_at`, because neither that one nor this node reaches the platform
-    /// now. Whether the platform is down for all routers is decided by the receivers of this list (`ReportStore::listed_at`).
+    /// Continues with what another publisher read at `read_at`, because neither that one nor this node reaches the
+    /// platform now. Whether the platform is down for all routers is decided by the receivers of this list
+    /// (`ReportStore::listed_at`).
     pub fn adopt(&mut self, rows: Vec<ListedReplica>, read_at: Tick, now: Tick) {
         self.rows = Some(rows.into_iter().map(|row| (row.id.clone(), row)).collect());
         (self.started, self.arrived, self.read_at, self.adopted) = (Tick(0), now, read_at, true);
@@ -191,8 +192,8 @@
 }
 
 impl Serving {
-    /// A zone's replicas by the last report, and when they were read, if its publisher failed to renew the list and no list
-    /// of any zone was read recently. This node's own report counts only if no other node could publish.
+    /// A zone's replicas by the last report, and when they were read, if its publisher failed to renew the list and
+    /// no list of any zone was read recently. This node's own report counts only if no other node could publish.
     fn last_reported_replicas(&self, zone: &Zone) -> Option<(Vec<ListedReplica>, Tick)> {
         let reports = lock(&self.reports);
         if self.is_list_current(reports.newest_list_read()) {
--- a/crates/data-plane/src/serving/replica_report.rs
+++ b/crates/data-plane/src/serving/replica_report.rs
@@ -82,8 +82,8 @@
     pub refused: bool,
     /// What the replica last reported of itself.
     pub load: EngineReport,
-    /// When it was last found healthy again. It may have lost its warm state while it was away, which the list shows only
-    /// later.
+    /// When it was last found healthy again. It may have lost its warm state while it was away, which the list shows
+    /// only later.
     pub recovered_at: Option<Tick>,
 }
 
@@ -101,8 +101,8 @@
 }
 
 impl ReplicaHealth {
-    /// Records a probe. A refused connection makes the replica unhealthy at once, a missing answer after `max_failures` in a
-    /// row.
+    /// Records a probe. A refused connection makes the replica unhealthy at once, a missing answer after
+    /// `max_failures` in a row.
     pub fn record(&mut self, result: ProbeResult, max_failures: u32) {
         match result {
             ProbeResult::Answered(load) => (self.failed_probes, self.refused, self.load) = (0, false, load),
@@ -117,8 +117,8 @@
         self.failed_probes < max_failures
     }
 
-    /// For how much longer a recovered replica may have to warm up although the list doesn't say so yet. `list_read_at` is
-    /// when the last read of the list started; the list shows the state of `lag_ms` before that.
+    /// For how much longer a recovered replica may have to warm up although the list doesn't say so yet.
+    /// `list_read_at` is when the last read of the list started; the list shows the state of `lag_ms` before that.
     pub fn unlisted_cold_ms(&self, slow_start_ms: u64, list_read_at: Tick, lag_ms: u64, now: Tick) -> u64 {
         let unlisted = self.recovered_at.filter(|recovered_at| list_read_at < *recovered_at + lag_ms);
         unlisted.map_or(0, |recovered_at| slow_start_ms.saturating_sub(now.since(recovered_at)))
@@ -142,8 +142,8 @@
     }
 }
 
-/// Requests that each router of other regions may open here, by service: a share of the free capacity of warm and healthy
-/// replicas, divided among `routers`.
+/// Requests that each router of other regions may open here, by service: a share of the free capacity of warm and
+/// healthy replicas, divided among `routers`.
 pub fn lending_grants(rows: &[ReplicaRow], share: f64, routers: usize) -> BTreeMap<Service, u32> {
     let mut free_slots: BTreeMap<Service, f64> = BTreeMap::new();
     for row in rows.iter().filter(|row| row.healthy && !row.draining && row.cold_left_ms == 0) {
--- a/crates/data-plane/src/serving/replica_selection.rs
+++ b/crates/data-plane/src/serving/replica_selection.rs
@@ -1,5 +1,5 @@
-//! Selects the replica for one attempt (design 9.5): goes through the regions in order of preference, and takes the best
-//! replica of the first region that has one that can take the request now.
+//! Selects the replica for one attempt (design 9.5): goes through the regions in order of preference, and takes the
+//! best replica of the first region that has one that can take the request now.
 
 use super::{
     dispatch::AttemptHistory,
--- a/crates/data-plane/src/serving/replica_view.rs
+++ b/crates/data-plane/src/serving/replica_view.rs
@@ -58,7 +58,7 @@
     pub service: Service,
     /// Where it takes requests.
     pub addr: SocketAddr,
-    /// The zone that it stands in.
+    /// Its zone.
     pub zone: Zone,
     /// The region of that zone.
     pub region: Region,
@@ -87,9 +87,9 @@
 }
 
 impl Candidate {
-    /// Requests there: those of the report, corrected by what this router itself has started and ended since. What other
-    /// routers did since is unknown; the selection compares only a few replicas per request so that not all routers send to
-    /// the same ones ([`super::replica_choice`]).
+    /// Requests there: those of the report, corrected by what this router itself has started and ended since. What
+    /// other routers did since is unknown; the selection compares only a few replicas per request so that not all
+    /// routers send to the same ones ([`super::replica_choice`]).
     pub fn load(&self) -> f64 {
         let open = self.local.open.load(Ordering::Relaxed).max(0);
         (self.total_at_report + open - self.own_at_report).max(open) as f64
@@ -141,10 +141,10 @@
         self.newest_list_read
     }
 
-    /// When the list in a report counts as up to date, at the latest: normally when it was read. During an outage of the
-    /// platform it is the newest list that there is, and counts as up to date when the report was received. An outage is
-    /// assumed only if the sender marked the list as too old, the report of another zone did so too, and no list was read
-    /// much later. Reports that this router itself missed don't show one.
+    /// When the list in a report counts as up to date, at the latest: normally when it was read. During an outage of
+    /// the platform it is the newest list that there is, and counts as up to date when the report was received. An
+    /// outage is assumed only if the sender marked the list as too old, the report of another zone did so too, and no
+    /// list was read much later. Reports that this router itself missed don't show one.
     pub fn listed_at(&self, received: &ReceivedReport, list_max_age_ms: u64, zones: usize) -> Tick {
         let is_marked_old = |received: &ReceivedReport| received.report.age_ms > list_max_age_ms;
         let mut others = self.by_zone.values().filter(|other| other.report.zone != received.report.zone);
@@ -155,8 +155,8 @@
         if out_of_service { received.received_at } else { received.fresh_at }
     }
 
-    /// Combines all reports into the view of what may be selected. Lending grants hold for `valid_ms`; lists are usable up
-    /// to `list_max_age_ms`.
+    /// Combines all reports into the view of what may be selected. Lending grants hold for `valid_ms`; lists are
+    /// usable up to `list_max_age_ms`.
     pub fn build_view(
         &mut self,
         zones: &BTreeMap<Zone, Region>,
--- a/crates/data-plane/src/serving/report_publication.rs
+++ b/crates/data-plane/src/serving/report_publication.rs
@@ -1,5 +1,5 @@
-//! Answers to requests for reports (design 9.3): those that this node publishes itself, and those of other zones that it
-//! relays to the routers of its own zone. A request for a zone's report makes the node its publisher.
+//! Answers to requests for reports (design 9.3): those that this node publishes itself, and those of other zones that
+//! it relays to the routers of its own zone. A request for a zone's report makes the node its publisher.
 
 use super::{
     replica_report::{ReplicaReport, ReplicaRow},
@@ -12,14 +12,14 @@
 
 /// Longest time that a request for a report may wait, in milliseconds.
 const MAX_WAIT_MS: u64 = 10_000;
-/// If a publisher's number is lower than the one seen by more than this, the publisher has started to count anew.
+/// If a publisher's number is lower than the one seen by more than this, the publisher has restarted its numbering.
 const RESTART_GAP: u64 = 1_000;
 
 /// The newest report of a zone, if there is one.
 pub type HeldReport = Option<Arc<ReceivedReport>>;
 
-/// The report as it is sent now. The load in it ages from when it was up to date, but what is left of a warm-up from when
-/// the report was received here (`ReceivedReport::received_at`). The receiver subtracts the age from the latter.
+/// The report as it is sent now. The load in it ages from when it was up to date, but what is left of a warm-up from
+/// when the report was received here (`ReceivedReport::received_at`). The receiver subtracts the age from the latter.
 pub fn outgoing_report(held: &ReceivedReport, now: Tick, waited_ms: u64) -> ReplicaReport {
     let age_ms = now.since(held.fresh_at);
     let held_ms = now.since(held.received_at);
@@ -47,7 +47,8 @@
         self.newer_report(held, newer, asked, wait_ms).await.filter(|report| report.seq != seq)
     }
 
-    /// Waits for a report on a zone, received from another node, that is newer than the last one that the requester took.
+    /// Waits for a report on a zone, received from another node, that is newer than the last one that the requester
+    /// took.
     pub async fn wait_for_relayed_report(
         &self,
         zone: Zone,
--- a/crates/data-plane/src/serving/report_subscription.rs
+++ b/crates/data-plane/src/serving/report_subscription.rs
@@ -63,8 +63,8 @@
         in_zone.into_iter().chain(elsewhere).collect()
     }
 
-    /// Routers of the own zone that come before this one in relaying another zone's report. All routers use the same order,
-    /// so requests never form a cycle.
+    /// Routers of the own zone that come before this one in relaying another zone's report. All routers use the same
+    /// order, so requests never form a cycle.
     fn relays(&self, zone: &Zone) -> Vec<Member> {
         let own = self.router.zone();
         if zone == own {
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Takes a report that was requested at `requested_at`, unless a newer one is held, and relays it. Returns when the list
-    /// in it was up to date.
+    /// Takes a report that was requested at `requested_at`, unless a newer one is held, and relays it. Returns when
+    /// the list in it was up to date.
     fn take_report(&self, report: ReplicaReport, requested_at: Tick) -> Tick {
         let received_at = self.now();
         let fresh_at = report.fresh_at(requested_at, received_at);
--- a/crates/data-plane/src/serving/source_backoff.rs
+++ b/crates/data-plane/src/serving/source_backoff.rs
@@ -26,9 +26,9 @@
         self.failed.get(source).is_none_or(|failed| failed.until <= now)
     }
 
-    /// Records a failure. The source is asked again after `base_ms`, and after twice as long with each further failure in a
-    /// row. Other failed sources that are due earlier also wait for `base_ms`: a call to a silent source takes long, and
-    /// several of them in a row would take longer than the replica view stays valid.
+    /// Records a failure. The source is asked again after `base_ms`, and after twice as long with each further
+    /// failure in a row. Other failed sources that are due earlier also wait for `base_ms`: a call to a silent source
+    /// takes long, and several of them in a row would take longer than the replica view stays valid.
     pub fn fail(&mut self, source: NodeId, now: Tick, base_ms: u64) {
         let failures = self.failed.get(&source).map_or(0, |failed| failed.failures);
         let until = now + (base_ms << failures.min(MAX_DOUBLINGS));
--- a/crates/data-plane/src/serving/usage/clock.rs
+++ b/crates/data-plane/src/serving/usage/clock.rs
@@ -1,5 +1,5 @@
-//! The time of day as most routers see it. One machine's clock may jump by seconds; the median of several machines' clocks
-//! isn't affected by that. Pure.
+//! The time of day as most routers see it. One machine's clock may jump by seconds; the median of several machines'
+//! clocks isn't affected by that. Pure.
 
 use common::Tick;
 
--- a/crates/data-plane/src/serving/usage/decisions.rs
+++ b/crates/data-plane/src/serving/usage/decisions.rs
@@ -1,5 +1,5 @@
-//! Decided counts that a holder hands to other routers before it reports them to the platform. A later holder reports the
-//! same counts again, never different ones. Pure.
+//! Decided counts that a holder hands to other routers before it reports them to the platform. A later holder reports
+//! the same counts again, never different ones. Pure.
 
 use common::{FencingToken, Tenant};
 use serde::{Deserialize, Serialize};
--- a/crates/data-plane/src/serving/usage/holder.rs
+++ b/crates/data-plane/src/serving/usage/holder.rs
@@ -1,5 +1,5 @@
-//! The tasks of the holder of the usage duty (design 9.10): one counts windows and has the counts copied to other routers,
-//! the other reports them to the platform.
+//! The tasks of the holder of the usage duty (design 9.10): one counts windows and has the counts copied to other
+//! routers, the other reports them to the platform.
 
 use super::{
     UsageDuty, call::call_outcome, clock::MedianClock, pacing::CallOutcome, peer_queries::ROLE,
@@ -37,8 +37,8 @@
 }
 
 impl UsageHolder {
-    /// The fencing token under which this node holds the duty now. It needs a valid lease and a copy of the cluster state that
-    /// isn't known to be outdated.
+    /// The fencing token under which this node holds the duty now. It needs a valid lease and a copy of the cluster
+    /// state that isn't known to be outdated.
     pub(super) fn held_token(&self) -> Option<FencingToken> {
         let router = &self.serving.router;
         let member = &router.member;
--- a/crates/data-plane/src/serving/usage/mod.rs
+++ b/crates/data-plane/src/serving/usage/mod.rs
@@ -1,6 +1,6 @@
-//! Usage reports (design 9.10): one router at a time, the holder of the usage duty, tells the platform for each window of the
-//! time of day how many requests of each tenant started to run in it. The platform must never receive two different counts
-//! for one window.
+//! Usage reports (design 9.10): one router at a time, the holder of the usage duty, tells the platform for each
+//! window of the time of day how many requests of each tenant started to run in it. The platform must never receive
+//! two different counts for one window.
 //!
 //! - [`recorder`]: the starts that each router saw, by its own monotonic clock.
 //! - [`clock`]: the time of day as most routers see it.
@@ -39,8 +39,8 @@
     pub window_ms: u64,
     /// Time from a window's end until its report is due, in milliseconds.
     pub delay_ms: u64,
-    /// If another node has acted as the holder in between, a former holder must not act again for this long after it last
-    /// acted, in milliseconds.
+    /// If another node has acted as the holder in between, a former holder must not act again for this long after it
+    /// last acted, in milliseconds.
     pub reacquire_pause_ms: u64,
     /// Calls for duties per second that all nodes together may make.
     pub calls_per_s: f64,
@@ -49,7 +49,8 @@
 }
 
 impl UsageDuty {
-    /// How long a router remembers a start, in milliseconds: until the report on its window is due, and one more window.
+    /// How long a router remembers a start, in milliseconds: until the report on its window is due, and one more
+    /// window.
     pub fn retention_ms(&self) -> u64 {
         2 * self.window_ms + self.delay_ms
     }
--- a/crates/data-plane/src/serving/usage/peer_queries.rs
+++ b/crates/data-plane/src/serving/usage/peer_queries.rs
@@ -21,7 +21,8 @@
 const RETRY_PAUSE_MS: u64 = 300;
 /// How many times routers are asked for the decisions that they store.
 const COLLECT_ROUNDS: usize = 3;
-/// If the time of day turns out to be wrong by more than the window length divided by this, all routers are asked again.
+/// If the time of day turns out to be wrong by more than the window length divided by this, all routers are asked
+/// again.
 const CLOCK_TOLERANCE_DIVISOR: u64 = 100;
 /// How many times all routers are asked again for that reason.
 const MAX_CLOCK_CORRECTIONS: usize = 3;
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Counts the requests that started in a window at all routers, by the time of day that most of them agree on. Routers
-    /// that don't answer are asked again while there is time; `None` if most did not answer.
+    /// Counts the requests that started in a window at all routers, by the time of day that most of them agree on.
+    /// Routers that don't answer are asked again while there is time; `None` if most did not answer.
     pub(super) async fn count_usage(
         &self,
         plan: &Mutex<HolderPlan>,
--- a/crates/data-plane/src/serving/usage/plan.rs
+++ b/crates/data-plane/src/serving/usage/plan.rs
@@ -1,7 +1,7 @@
-//! What the holder has to do for each window, as a state machine without I/O (design 9.10). The counts of a window are decided
-//! once and never change. They are copied to other routers, and then sent until the platform has accepted them or the
-//! report's deadline has passed. A window that a former holder may have reported is sent only as that holder decided it, or
-//! not at all.
+//! What the holder has to do for each window, as a state machine without I/O (design 9.10). The counts of a window
+//! are decided once and never change. They are copied to other routers, and then sent until the platform has accepted
+//! them or the report's deadline has passed. A window that a former holder may have reported is sent only as that
+//! holder decided it, or not at all.
 
 use super::{
     UsageDuty,
@@ -141,7 +141,8 @@
         self.entries.values().find(is_uncopied).map(|entry| entry.report.clone())
     }
 
-    /// Records that enough other routers store a decision, or, if not `agreed`, that one of them stores a different one.
+    /// Records that enough other routers store a decision, or, if not `agreed`, that one of them stores a different
+    /// one.
     pub fn record_copied(&mut self, tenure: u64, window: u64, agreed: bool) {
         if self.is_current(tenure)
             && let Some(entry) = self.entries.get_mut(&window).filter(|entry| entry.stage == Stage::Decided)
--- a/crates/data-plane/src/serving/usage/recorder.rs
+++ b/crates/data-plane/src/serving/usage/recorder.rs
@@ -1,5 +1,5 @@
-//! The requests that one router saw start at replicas, by tenant. Memory is bounded by the retention time and the number of
-//! tenants, independent of the load. Pure.
+//! The requests that one router saw start at replicas, by tenant. Memory is bounded by the retention time and the
+//! number of tenants, independent of the load. Pure.
 
 use common::{Tenant, Tick};
 use std::collections::BTreeMap;
--- a/crates/data-plane/src/serving/usage/tenure.rs
+++ b/crates/data-plane/src/serving/usage/tenure.rs
@@ -1,7 +1,8 @@
 //! For how long a node has held the duty without interruption (design 9.10). Pure.
 //!
-//! For a while after the duty has passed on, a former holder may still consider itself the holder and act: its lease is still
-//! valid, and its copy of the cluster state outdated. All safety margins here derive from the length of that period.
+//! For a while after the duty has passed on, a former holder may still consider itself the holder and act: its lease
+//! is still valid, and its copy of the cluster state outdated. All safety margins here derive from the length of that
+//! period.
 
 use super::UsageDuty;
 use common::{FencingToken, Tick, mutation::enabled as broken, settings::Timing};
@@ -9,11 +10,11 @@
 /// Safety margins that keep two holders from acting at once, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct HandoverSpans {
-    /// Longest time between two observations of the holder within one tenure: in a longer gap another node may have been the
-    /// holder unnoticed.
+    /// Longest time between two observations of the holder within one tenure: in a longer gap another node may have
+    /// been the holder unnoticed.
     pub max_unwatched_ms: u64,
-    /// Longest time for which a former holder may act after the duty has passed on: by a lease that is still valid, and by a
-    /// copy of the cluster state that it doesn't know to be outdated yet.
+    /// Longest time for which a former holder may act after the duty has passed on: by a lease that is still valid,
+    /// and by a copy of the cluster state that it doesn't know to be outdated yet.
     pub max_overlap_ms: u64,
     /// Time from the start of a tenure until the end of the first window that no other holder can have decided.
     pub undecided_ms: u64,
@@ -35,8 +36,8 @@
         Self {
             max_unwatched_ms: unwatched,
             max_overlap_ms: overlap,
-            // Another node may have held the duty unnoticed for `unwatched` and while the copy of the state was outdated, and
-            // may have acted for another overlap after that.
+            // Another node may have held the duty unnoticed for `unwatched` and while the copy of the state was
+            // outdated, and may have acted for another overlap after that.
             undecided_ms: unwatched + 2 * overlap + timing.rpc_timeout_ms,
             quiet_ms: duty.reacquire_pause_ms + overlap + call + timing.rpc_timeout_ms,
             call_timeout_ms: call,
@@ -65,7 +66,8 @@
 }
 
 impl TenureWatch {
-    /// Records an observation: the fencing token under which this node holds the duty now, if it does. Returns the tenure.
+    /// Records an observation: the fencing token under which this node holds the duty now, if it does. Returns the
+    /// tenure.
     pub fn observe(
         &mut self,
         held: Option<FencingToken>,
--- a/crates/data-plane/tests/serving/replica_list.rs
+++ b/crates/data-plane/tests/serving/replica_list.rs
@@ -195,8 +195,8 @@
     });
 }
 
-/// A list that is silent, slow or broken delays no probe: a replica that has ended is found as soon as with a working list,
-/// and listed replicas stay known.
+/// A list that is silent, slow or broken delays no probe: a replica that has ended is found as soon as with a working
+/// list, and listed replicas stay known.
 #[rstest]
 #[case::answers(0, 200)]
 #[case::slow(900, 200)]
@@ -218,8 +218,8 @@
     });
 }
 
-/// Reads of lists with many pages stay within the configured rate. While the list refuses calls for their rate, it is read
-/// with growing pauses.
+/// Reads of lists with many pages stay within the configured rate. While the list refuses calls for their rate, it is
+/// read with growing pauses.
 #[test]
 fn calls_stay_within_the_rate() {
     run_with_list(List::default(), |router, list| async move {
--- a/crates/data-plane/tests/serving/replica_list_pages.rs
+++ b/crates/data-plane/tests/serving/replica_list_pages.rs
@@ -115,12 +115,12 @@
     assert!(known.is_due(Tick(now + INTERVAL_MS)), "other failures cause no extra pause");
 }
 
-/// A list that can't be read anew ages: what was cold for so long is not cold for ever.
+/// Warm-up times in a list that can't be read again run down with its age.
 #[test]
-fn cold_spans_run_on() {
+fn warm_up_times_run_down_with_the_age_of_the_list() {
     let (mut reading, mut known) = (ListRead::default(), KnownReplicas::default());
     reading.add(&"n1".into(), vec![ListedReplica { cold_left_ms: 3_000, ..listed("r1", false) }]);
     known.record_read(reading, Tick(1_000), Tick(1_000), INTERVAL_MS);
-    let cold = |at| known.rows(Tick(at)).expect("a list").first().map(|r| r.cold_left_ms);
+    let cold = |at| known.rows(Tick(at)).expect("a list").first().map(|row| row.cold_left_ms);
     assert_eq!((cold(1_000), cold(3_000), cold(9_000)), (Some(3_000), Some(1_000), Some(0)));
 }
--- a/crates/data-plane/tests/serving/replica_report.rs
+++ b/crates/data-plane/tests/serving/replica_report.rs
@@ -112,8 +112,8 @@
     assert_eq!(parse_load_header(&headers, &name), want);
 }
 
-/// A replica that was unhealthy may have restarted cold: it counts as cold until a list can show whether it did. Otherwise
-/// it would count as warm with its first successful probe, and all routers would send to it at full rate.
+/// A replica that was unhealthy may have restarted cold: it counts as cold until a list can show whether it did.
+/// Otherwise it would count as warm with its first successful probe, and all routers would send to it at full rate.
 #[rstest]
 #[case::never_unhealthy(None, 0, 1_000, 0)]
 #[case::the_list_is_older(Some(1_000), 900, 1_500, 2_500)]
--- a/crates/data-plane/tests/serving/replica_view.rs
+++ b/crates/data-plane/tests/serving/replica_view.rs
@@ -71,9 +71,9 @@
     assert_eq!(replica.load(), want);
 }
 
-/// Load of each replica after each router has sent eight requests by one stale report. Each replica has 20 slots, and all
-/// together have room for all requests. With `best_of_all` a router takes the replica that is least loaded by the report,
-/// as a comparison.
+/// Load of each replica after each router has sent eight requests by one stale report. Each replica has 20 slots, and
+/// all together have room for all requests. With `best_of_all` a router takes the replica that is least loaded by the
+/// report, as a comparison.
 fn simulate_load(routers: usize, best_of_all: bool, seed: u64) -> Vec<u32> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut load: Vec<u32> = (0..routers * 10 / 12).map(|n| n as u32 * 2 % 20).collect();
@@ -121,8 +121,8 @@
     );
 }
 
-/// A list that its publisher can't renew stays usable only while nobody else has read a newer one. Otherwise a publisher
-/// that alone is cut off from the platform would keep its old list current by itself.
+/// A list that its publisher can't renew stays usable only while nobody else has read a newer one. Otherwise a
+/// publisher that alone is cut off from the platform would keep its old list current by itself.
 #[rstest]
 #[case::renewed(1_000, 1_500, (0, 3_001), 1_000)]
 #[case::not_old_yet(1_000, 4_000, (0, 3_001), 1_000)]
@@ -203,7 +203,7 @@
     let open = |store: &mut ReportStore, seq: u64, rows: Vec<_>| {
         assert!(store.accept(replica_report("n1", seq, rows), Tick(seq)));
         let view = store.build_view(&zones(), 1, LIST_MAX_AGE_MS);
-        view.replicas_of(&"chat".into()).first().map(|c| c.local.clone())
+        view.replicas_of(&"chat".into()).first().map(|replica| replica.local.clone())
     };
     open(&mut store, 1, vec![replica_row(0, 0)]).unwrap().open.store(1, Ordering::Relaxed);
     assert!(open(&mut store, 2, vec![]).is_none());
--- a/crates/data-plane/tests/serving/report_subscription.rs
+++ b/crates/data-plane/tests/serving/report_subscription.rs
@@ -1,5 +1,5 @@
-//! A zone's reports reach the routers of another zone through one of them, and heartbeats stay within a zone (design 3.5,
-//! 9.3).
+//! A zone's reports reach the routers of another zone through one of them, and heartbeats stay within a zone (design
+//! 3.5, 9.3).
 
 use crate::{
     fleet::{Fleet, LIST, REPORTED, SAMPLE_MS, SUBSCRIBED, ip, timing},
@@ -39,8 +39,8 @@
     });
 }
 
-/// If the relaying router is killed, cut off or frozen, the other routers of its zone receive reports again before those
-/// they hold are too old.
+/// If the relaying router is killed, cut off or frozen, the other routers of its zone receive reports again before
+/// those they hold are too old.
 #[test]
 fn a_lost_relay_is_replaced() {
     for how in ["killed", "cut off from the reported zone", "frozen"] {
@@ -92,9 +92,9 @@
     });
 }
 
-/// A replica that is cold for the sender of a report counts as cold for at least as long at every receiver, however long
-/// reports and requests travel, also through a relay. Guards against counting the warm-up from when the report was
-/// requested.
+/// A replica that is cold for the sender of a report counts as cold for at least as long at every receiver, however
+/// long reports and requests travel, also through a relay. Guards against counting the warm-up from when the report
+/// was requested.
 #[rstest]
 fn a_warm_up_never_ends_early_at_a_receiver(
     #[values(1, 60, 250)] way_ms: u64,
@@ -132,9 +132,9 @@
     assert!(cold_until <= Tick(made_at + LEFT_MS + 2 * hops * way_ms), "{cold_until:?}");
 }
 
-/// A replica becomes listed as draining just when a publisher or a relay is lost. No remaining router uses it for longer
-/// than the drain bound allows, less the share for a request's travel time. Guards against a router that uses the report it
-/// holds for as long as no other arrives.
+/// A replica becomes listed as draining just when a publisher or a relay is lost. No remaining router uses it for
+/// longer than the drain bound allows, less the share for a request's travel time. Guards against a router that uses
+/// the report it holds for as long as no other arrives.
 #[rstest]
 fn an_old_list_is_not_used(
     #[values("killed", "frozen", "cut off", "not heard", "not reached")] how: &str,
@@ -178,8 +178,8 @@
     });
 }
 
-/// If only some routers can't reach the platform they don't go on with an old list of their zone: other routers can read
-/// it.
+/// If only some routers can't reach the platform they don't go on with an old list of their zone: other routers can
+/// read it.
 #[rstest]
 fn a_publisher_that_alone_is_cut_off_from_the_platform_keeps_no_old_list(
     #[values("silent", "one way", "the publisher alone")] how: &str,
@@ -256,8 +256,8 @@
     });
 }
 
-/// The report numbers of a restarted publisher continue above its earlier ones. Otherwise a subscriber that had not noticed
-/// the restart would reject its reports as old until it had published as many again.
+/// The report numbers of a restarted publisher continue above its earlier ones. Otherwise a subscriber that had not
+/// noticed the restart would reject its reports as old until it had published as many again.
 #[test]
 fn report_numbers_continue_after_a_restart() {
     let mut store = ReportStore::default();
@@ -272,8 +272,8 @@
     assert!(report(5, 2, 3_000));
 }
 
-/// During an outage of the platform its last list stays in use: a publisher that can't read it is replaced by another one
-/// that can't either, and that one adopts the list.
+/// During an outage of the platform its last list stays in use: a publisher that can't read it is replaced by another
+/// one that can't either, and that one adopts the list.
 #[test]
 fn routers_go_on_during_a_platform_outage() {
     Simulation::run(9, None, |world| async move {
--- a/crates/data-plane/tests/serving/usage.rs
+++ b/crates/data-plane/tests/serving/usage.rs
@@ -18,7 +18,7 @@
 
 /// Difference between the time of day and the ticks of these tests.
 const OFFSET_MS: u64 = 1_800_000_000_000;
-/// A time at which a window begins, and the tenure too.
+/// Time at which a window and the tenure begin.
 const START: Tick = Tick(100_000);
 const TOKEN: FencingToken = FencingToken(12);
 
--- a/crates/data-plane/tests/serving/usage_cluster.rs
+++ b/crates/data-plane/tests/serving/usage_cluster.rs
@@ -1,5 +1,5 @@
-//! Routers that hold the usage duty in turn, in a simulated network. The control nodes are simulated too, with the real lease
-//! rules of the leader, and so is the platform, which checks what it receives.
+//! Routers that hold the usage duty in turn, in a simulated network. The control nodes are simulated too, with the
+//! real lease rules of the leader, and so is the platform, which checks what it receives.
 
 use crate::{
     router_fixture::{TestProtocol, UnreadableDocuments},
@@ -170,7 +170,8 @@
         time_of_day_ms() / WINDOW_MS - 1
     }
 
-    /// Whether the platform received a report on a window in time, with each tenant's count within `error` of the actual one.
+    /// Whether the platform received a report on a window in time, with each tenant's count within `error` of the
+    /// actual one.
     pub fn is_reported_within(&self, window: u64, error: f64) -> bool {
         let (actual_starts, reported) = (lock(&self.actual_starts), self.platform.accepted(window));
         let Some((reported, at)) = reported else { return false };
--- a/crates/data-plane/tests/serving/usage_faults.rs
+++ b/crates/data-plane/tests/serving/usage_faults.rs
@@ -109,10 +109,10 @@
 
 /// Runs a series of random faults. Returns the violations, and how many windows were reported within the error, of how
 /// many.
-fn run_faults(seed: u64, mutation: Option<&str>, checks_fence: bool) -> (Vec<String>, usize, usize) {
+fn run_faults(seed: u64, mutation: Option<&str>, checks_fencing_tokens: bool) -> (Vec<String>, usize, usize) {
     Simulation::run(seed, mutation.map(String::from), |simulation| async move {
         let mut cluster = UsageCluster::start(simulation).await;
-        cluster.platform.checks_fence(checks_fence);
+        cluster.platform.checks_fencing_tokens(checks_fencing_tokens);
         advance(SETTLED_MS).await;
         let first = cluster.newest_ended();
         for _ in 0..FAULTS {
@@ -152,15 +152,15 @@
 #[rstest]
 fn no_window_is_reported_with_different_counts(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] seed: u64,
-    #[values(true, false)] checks_fence: bool,
+    #[values(true, false)] checks_fencing_tokens: bool,
 ) {
-    let (violations, reported, all) = run_faults(seed, None, checks_fence);
+    let (violations, reported, all) = run_faults(seed, None, checks_fencing_tokens);
     println!("seed {seed}: {reported} of {all} windows reported within the error");
     assert_eq!(violations, Vec::<String>::new(), "seed {seed}");
 }
 
-/// The runs with faults detect a new holder that acts at once. Without the safety margin alone nothing breaks, since routers
-/// reject decisions of former holders; `usage.rs` tests each guard.
+/// The runs with faults detect a new holder that acts at once. Without the safety margin alone nothing breaks, since
+/// routers reject decisions of former holders; `usage.rs` tests each guard.
 #[test]
 fn faults_detect_a_holder_that_acts_at_once() {
     let violations = (1..=40).any(|seed| !run_faults(seed, Some("usage-acts-at-once"), true).0.is_empty());
--- a/crates/data-plane/tests/serving/usage_platform.rs
+++ b/crates/data-plane/tests/serving/usage_platform.rs
@@ -40,11 +40,11 @@
 struct PlatformState {
     behavior: Behavior,
     /// Whether a fencing token below an earlier one is refused.
-    checks_fence: bool,
+    checks_fencing_tokens: bool,
     /// The counts accepted first for each window, and when.
     accepted: BTreeMap<u64, (Counts, u64)>,
     /// The highest fencing token seen.
-    fence: u64,
+    fencing_token: u64,
     /// The holder that used each fencing token.
     holders: BTreeMap<u64, String>,
     /// When each holder acted.
@@ -61,15 +61,22 @@
 
 impl PlatformState {
     /// Accepts a report, and records each rule that it violates.
-    fn accept(&mut self, holder: &str, fence: u64, window: u64, counts: Counts, now: u64) -> StatusCode {
-        let known = self.holders.entry(fence).or_insert_with(|| holder.to_string());
+    fn accept(
+        &mut self,
+        holder: &str,
+        fencing_token: u64,
+        window: u64,
+        counts: Counts,
+        now: u64,
+    ) -> StatusCode {
+        let known = self.holders.entry(fencing_token).or_insert_with(|| holder.to_string());
         if known != holder {
-            self.violations.push(format!("{known} and {holder} send fence {fence}"));
+            self.violations.push(format!("{known} and {holder} send fencing token {fencing_token}"));
         }
-        if self.checks_fence && fence < self.fence {
+        if self.checks_fencing_tokens && fencing_token < self.fencing_token {
             return StatusCode::CONFLICT;
         }
-        self.fence = self.fence.max(fence);
+        self.fencing_token = self.fencing_token.max(fencing_token);
         self.acts.push((now, holder.to_string()));
         let last_other = self.acts.iter().rposition(|(_, other)| other != holder);
         if let Some(last_other) = last_other
@@ -88,7 +95,7 @@
 
 impl Platform {
     pub async fn start(simulation: &Arc<Simulation>) -> Arc<Self> {
-        let state = PlatformState { checks_fence: true, ..PlatformState::default() };
+        let state = PlatformState { checks_fencing_tokens: true, ..PlatformState::default() };
         let platform = Arc::new(Self(Mutex::new(state)));
         let listener = common::runtime::bind(PLATFORM.into()).await.expect("its address");
         let (end, ended) = watch::channel(false);
@@ -106,7 +113,7 @@
         request: Request<Incoming>,
     ) -> Result<hyper::Response<http::Body>, http::BoxErr> {
         let header = |name: &str| request.headers()[name].to_str().expect("text").to_string();
-        let (holder, fence) = (header("x-holder"), header("x-fence").parse().expect("a number"));
+        let (holder, fencing_token) = (header("x-holder"), header("x-fence").parse().expect("a number"));
         let body = request.into_body().collect().await?.to_bytes();
         let body = String::from_utf8(body.to_vec())?;
         let (window, counts) = body.split_once(' ').expect("a window and its counts");
@@ -125,7 +132,7 @@
             Behavior::Accepts | Behavior::AnswersLost => {}
         }
         let now = common::clock::time_of_day_ms();
-        let status = lock(&self.0).accept(&holder, fence, window, counts, now);
+        let status = lock(&self.0).accept(&holder, fencing_token, window, counts, now);
         if behavior == Behavior::AnswersLost {
             sleep(Duration::from_secs(60)).await;
         }
@@ -149,7 +156,7 @@
         lock(&self.0).violations.clone()
     }
 
-    pub fn checks_fence(&self, checks: bool) {
-        lock(&self.0).checks_fence = checks;
+    pub fn checks_fencing_tokens(&self, checks: bool) {
+        lock(&self.0).checks_fencing_tokens = checks;
     }
 }
