--- a/crates/data-plane/src/serving/usage/tenure.rs
+++ b/crates/data-plane/src/serving/usage/tenure.rs
@@ -30,17 +30,17 @@
 impl HandoverSpans {
     /// The margins for a duty.
     pub fn of(duty: &UsageDuty, timing: &Timing) -> Self {
-        let unwatched = timing.lease_ms;
-        let overlap = timing.lease_ms + timing.election_timeout_ms();
-        let call = CALL_TIMEOUT_MS;
+        let unwatched_ms = timing.lease_ms;
+        let overlap_ms = timing.lease_ms + timing.election_timeout_ms();
+        let call_timeout_ms = CALL_TIMEOUT_MS;
         Self {
-            max_unwatched_ms: unwatched,
-            max_overlap_ms: overlap,
-            // Another node may have held the duty unnoticed for `unwatched` and while the copy of the state was
+            max_unwatched_ms: unwatched_ms,
+            max_overlap_ms: overlap_ms,
+            // Another node may have held the duty unnoticed for `unwatched_ms` and while the copy of the state was
             // outdated, and may have acted for another overlap after that.
-            undecided_ms: unwatched + 2 * overlap + timing.rpc_timeout_ms,
-            quiet_ms: duty.reacquire_pause_ms + overlap + call + timing.rpc_timeout_ms,
-            call_timeout_ms: call,
+            undecided_ms: unwatched_ms + 2 * overlap_ms + timing.rpc_timeout_ms,
+            quiet_ms: duty.reacquire_pause_ms + overlap_ms + call_timeout_ms + timing.rpc_timeout_ms,
+            call_timeout_ms,
         }
     }
 }
