--- a/crates/data-plane/src/capacity_grant.rs
+++ b/crates/data-plane/src/capacity_grant.rs
@@ -1,115 +1,130 @@
-//! Lending grants (design 5.5): no input or output. A grant issuer hands out a share of measured
-//! headroom; a held grants holds what was handed out; each pick elsewhere uses one.
+//! Capacity grants (design 5.5), without input or output. A region's grant issuer grants other regions' routers a share
+//! of its measured free capacity. A router that sends a request there without a stored placement uses up one grant.
 
 use common::{FencingToken, NodeId, Region, Service, Tick};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// Permits a router to send a number of requests to a region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapacityGrant {
+    /// The region that grants it.
     pub region: Region,
+    /// The service.
     pub service: Service,
+    /// Under which the issuer acts.
     #[serde(rename = "fence")]
     pub fencing_token: FencingToken,
+    /// Number of the grant, counted by the issuer.
     pub serial: u64,
+    /// How many requests it permits.
     pub count: u32,
+    /// How long it is valid, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
 
-/// One use of a pass, shown to the lending region.
+/// Use of a grant for one request, which the issuer checks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantUse {
+    /// The region that granted it.
     pub region: Region,
+    /// The service.
     pub service: Service,
+    /// Fencing token of the grant.
     #[serde(rename = "fence")]
     pub fencing_token: FencingToken,
+    /// Number of the grant.
     pub serial: u64,
+    /// The router that it was granted to.
     pub node: NodeId,
 }
 
 #[derive(Clone, Debug)]
-struct Grant {
+struct IssuedGrant {
     serial: u64,
     left: u32,
     until: Tick,
 }
 
-/// Held by the one router that lends for a region, under its fencing token.
+/// The grants of a region, issued by the one router that holds this role.
 #[derive(Clone, Debug, Default)]
 pub struct GrantIssuer {
+    /// Under which grants are issued now.
     pub fencing_token: FencingToken,
     serial: u64,
-    well_since: Option<Tick>,
-    grants: BTreeMap<(Service, NodeId), Grant>,
-    /// Passes used lately: room that is spoken for but not yet in the load reports.
+    healthy_since: Option<Tick>,
+    grants: BTreeMap<(Service, NodeId), IssuedGrant>,
+    /// When grants were used lately: their requests may not be in the load reports yet.
     used: BTreeMap<Service, Vec<Tick>>,
 }
 
 impl GrantIssuer {
-    /// A new fencing token voids all that was granted under the old one, and wellness starts anew.
+    /// Sets the fencing token. A new one voids all grants under the old one, and the region must prove healthy again.
     pub fn set_fencing_token(&mut self, fencing_token: FencingToken) {
         if fencing_token != self.fencing_token {
             *self = Self { fencing_token, serial: self.serial, ..Self::default() };
         }
     }
 
-    /// Called with each look at the region; being unwell once starts the count again.
-    pub fn observe(&mut self, well: bool, now: Tick) {
-        self.well_since = if well { self.well_since.or(Some(now)) } else { None };
-        if !well {
+    /// Records whether the region is healthy now. If it isn't, all grants are void, and it must prove healthy again.
+    pub fn observe(&mut self, healthy: bool, now: Tick) {
+        self.healthy_since = if healthy { self.healthy_since.or(Some(now)) } else { None };
+        if !healthy {
             self.grants.clear();
         }
     }
 
-    pub fn is_healthy(&self, now: Tick, full_set_ms: u64) -> bool {
-        self.well_since.is_some_and(|s| now.since(s) >= full_set_ms)
+    /// Whether the region was healthy at each observation for at least `min_healthy_ms`.
+    pub fn is_healthy(&self, now: Tick, min_healthy_ms: u64) -> bool {
+        self.healthy_since.is_some_and(|since| now.since(since) >= min_healthy_ms)
     }
 
-    /// Grants `node` its part; what it still held of an older grant is given back first.
+    /// Grants `node` its share of the free capacity. What is left of its earlier grant is returned first.
     #[allow(clippy::too_many_arguments)]
     pub fn grant(
         &mut self,
         region: &Region,
         service: &Service,
         node: &NodeId,
-        room: f64,
-        askers: usize,
+        free_capacity: f64,
+        requesters: usize,
         ttl_ms: u64,
         now: Tick,
     ) -> Option<CapacityGrant> {
-        let at = (service.clone(), node.clone());
-        self.grants.remove(&at);
+        let key = (service.clone(), node.clone());
+        self.grants.remove(&key);
         self.grants.retain(|_, g| g.until > now);
-        let out: u32 = self.grants.iter().filter(|((s, _), _)| s == service).map(|(_, g)| g.left).sum();
+        let outstanding: u32 =
+            self.grants.iter().filter(|((s, _), _)| s == service).map(|(_, g)| g.left).sum();
         let used = self.used.entry(service.clone()).or_default();
         used.retain(|t| now.since(*t) < ttl_ms);
-        let free = room.max(0.0) as i64 - i64::from(out) - used.len() as i64;
-        let part = (room.max(0.0) / askers.max(1) as f64).ceil() as i64;
-        let count = part.min(free).max(0) as u32;
+        let free = free_capacity.max(0.0) as i64 - i64::from(outstanding) - used.len() as i64;
+        let share = (free_capacity.max(0.0) / requesters.max(1) as f64).ceil() as i64;
+        let count = share.min(free).max(0) as u32;
         if count == 0 {
             return None;
         }
         self.serial += 1;
         let serial = self.serial;
-        self.grants.insert(at, Grant { serial, left: count, until: now + ttl_ms });
+        self.grants.insert(key, IssuedGrant { serial, left: count, until: now + ttl_ms });
         let (region, service, fencing_token) = (region.clone(), service.clone(), self.fencing_token);
         Some(CapacityGrant { region, service, fencing_token, serial, count, ttl_ms })
     }
 
-    /// The grant issuer's last word on one use.
-    pub fn redeem(&mut self, s: &GrantUse, now: Tick) -> Result<(), &'static str> {
-        if s.fencing_token != self.fencing_token {
+    /// Accepts one use of a grant, or says why it is not valid.
+    pub fn redeem(&mut self, used: &GrantUse, now: Tick) -> Result<(), &'static str> {
+        if used.fencing_token != self.fencing_token {
             return Err("stale fence");
         }
-        let at = (s.service.clone(), s.node.clone());
-        match self.grants.get_mut(&at) {
-            Some(g) if g.serial != s.serial => Err("pass replaced"),
+        let key = (used.service.clone(), used.node.clone());
+        match self.grants.get_mut(&key) {
+            Some(g) if g.serial != used.serial => Err("pass replaced"),
             Some(g) if g.until <= now => Err("pass expired"),
             Some(g) if g.left == 0 => Err("pass used up"),
             Some(g) => {
                 g.left -= 1;
-                self.used.entry(s.service.clone()).or_default().push(now);
+                self.used.entry(used.service.clone()).or_default().push(now);
                 Ok(())
             }
             None => Err("unknown pass"),
@@ -117,29 +132,33 @@
     }
 }
 
-/// What a router has in hand.
+/// Grants that a router holds, with when they expire.
 #[derive(Clone, Debug, Default)]
 pub struct HeldGrants(BTreeMap<(Region, Service), (CapacityGrant, Tick)>);
 
 impl HeldGrants {
-    /// `asked` is when the pass was asked for: life is counted from before it was granted.
-    pub fn put(&mut self, region: &Region, service: &Service, pass: Option<CapacityGrant>, asked: Tick) {
-        let at = (region.clone(), service.clone());
-        match pass {
-            Some(p) => {
-                let until = asked + p.ttl_ms;
-                self.0.insert(at, (p, until));
+    /// Replaces the grant that is held. It was requested at `asked`, and its lifetime counts from then: the issuer
+    /// granted it no earlier.
+    pub fn put(&mut self, region: &Region, service: &Service, grant: Option<CapacityGrant>, asked: Tick) {
+        let key = (region.clone(), service.clone());
+        match grant {
+            Some(grant) => {
+                let until = asked + grant.ttl_ms;
+                self.0.insert(key, (grant, until));
             }
             None => {
-                self.0.remove(&at);
+                self.0.remove(&key);
             }
         }
     }
 
+    /// Whether there is a valid grant with a use left.
     pub fn has(&self, region: &Region, service: &Service, now: Tick) -> bool {
-        self.0.get(&(region.clone(), service.clone())).is_some_and(|(p, until)| p.count > 0 && *until > now)
+        let held = self.0.get(&(region.clone(), service.clone()));
+        held.is_some_and(|(grant, until)| grant.count > 0 && *until > now)
     }
 
+    /// Uses a grant for one request, if there is a valid one.
     pub fn spend(
         &mut self,
         region: &Region,
@@ -147,13 +166,13 @@
         node: &NodeId,
         now: Tick,
     ) -> Option<GrantUse> {
-        let (p, until) = self.0.get_mut(&(region.clone(), service.clone()))?;
-        (p.count > 0 && *until > now).then(|| p.count -= 1)?;
+        let (grant, until) = self.0.get_mut(&(region.clone(), service.clone()))?;
+        (grant.count > 0 && *until > now).then(|| grant.count -= 1)?;
         Some(GrantUse {
             region: region.clone(),
             service: service.clone(),
-            fencing_token: p.fencing_token,
-            serial: p.serial,
+            fencing_token: grant.fencing_token,
+            serial: grant.serial,
             node: node.clone(),
         })
     }
--- a/crates/data-plane/src/contact.rs
+++ b/crates/data-plane/src/contact.rs
@@ -1,5 +1,5 @@
-//! Signs of life between nodes (design 3.5): who is heard, whether this node is cut off, and
-//! newer state updates from peers.
+//! Heartbeats between nodes (design 3.5): which nodes are reachable, whether this node is cut off from the cluster, and
+//! state updates from peers that are ahead.
 
 use crate::{
     router::{Router, lock},
@@ -14,41 +14,41 @@
 use hyper::{Response, StatusCode};
 use std::{collections::HashMap, sync::Arc, sync::atomic::Ordering, time::Duration};
 
-/// Leases after which a contact is forgotten.
-const FORGOTTEN_LEASES: u64 = 10;
-/// Renewal intervals after the last granted renewal from which a lease is in doubt. What is left of it is long enough
-/// to hear a majority of the members before it ends.
+/// Age at which a contact is dropped, in lease durations.
+const CONTACT_RETENTION_LEASES: u64 = 10;
+/// A lease is in doubt this many renewal intervals after its last renewal. The rest of the lease is long enough to
+/// exchange heartbeats with a majority of the members before it ends.
 const DOUBT_INTERVALS: u64 = 2;
 
 impl Router {
-    /// Answered, within a lease's length, a heartbeat from here.
-    pub fn is_reachable(&self, n: &NodeId) -> bool {
+    /// Whether a node answered a heartbeat from here within the last lease duration.
+    pub fn is_reachable(&self, node: &NodeId) -> bool {
         let now = self.now();
-        lock(&self.last_contacts).get(n).is_some_and(|t| now.since(*t) <= self.settings.timing.lease_ms)
+        lock(&self.last_contacts).get(node).is_some_and(|t| now.since(*t) <= self.settings.timing.lease_ms)
     }
 
-    /// Whether a renewal is overdue: the lease may end, and then contact with a majority of the members decides
-    /// whether this node is cut off.
+    /// Whether a renewal of the lease is overdue. Should the lease end, this node is cut off unless it is in contact
+    /// with a majority of the members.
     fn lease_in_doubt(&self) -> bool {
         let timing = &self.settings.timing;
         let certain_ms = timing.lease_ms.saturating_sub(DOUBT_INTERVALS * timing.renew_interval_ms());
         self.member.lease().until < self.now() + certain_ms
     }
 
-    /// Whether a member is sent heartbeats now. Those of the own zone always are, since clients are sent to them;
-    /// all others only while the own lease is in doubt, so that control traffic does not grow with the square of
-    /// the members.
+    /// Whether this node sends a member heartbeats now. Members of its own zone always get them, since clients are
+    /// referred to them. The others get them only while the lease is in doubt, so that the traffic does not grow with the
+    /// square of the number of members.
     fn monitors(&self, member: &Member) -> bool {
         member.info.zone == *self.zone() || self.lease_in_doubt()
     }
 
-    /// Whether a member may be taken to be there: it was heard lately, or it holds a membership and is not monitored.
+    /// Whether a member counts as live: it is reachable, or it is not monitored, and its membership is the evidence.
     pub fn is_live(&self, member: &Member) -> bool {
         self.is_reachable(&member.info.node) || !self.monitors(member)
     }
 
-    /// Without a lease, and without a majority of the last known members: new work is rejected.
-    /// With that majority it is the core that is out, and traffic goes on.
+    /// Whether this node has neither a lease nor contact with a majority of the last known members, and so rejects new
+    /// work. Without a lease but with that majority it is the core that has failed, and traffic goes on.
     pub fn cut_off(&self) -> bool {
         if !self.member.caught_up() {
             return true;
@@ -56,30 +56,30 @@
         if self.member.has_lease() {
             return false;
         }
-        let l = self.cluster_state();
-        let all = l.members.len();
-        let reachable = l.members.keys().filter(|n| **n == *self.node() || self.is_reachable(n)).count();
+        let state = self.cluster_state();
+        let all = state.members.len();
+        let reachable = state.members.keys().filter(|n| **n == *self.node() || self.is_reachable(n)).count();
         reachable * 2 <= all
     }
 
-    /// Why this node takes no new work now (design 3.5, 3.6).
+    /// Why this node rejects new work now, if it does (design 3.5, 3.6).
     pub fn refuses_work(&self) -> Option<&'static str> {
-        let l = self.cluster_state();
-        let newer = self.configuration.load().as_ref().is_none_or(|g| g.revision < l.revision);
+        let state = self.cluster_state();
+        let newer = self.configuration.load().as_ref().is_none_or(|c| c.revision < state.revision);
         [
             (!self.member.caught_up(), "joining"),
             (self.cut_off(), "cut off"),
             (self.member.lags(), "lags behind the core"),
             (
-                newer && self.unreadable_revision.load(Ordering::Acquire) == l.revision.0,
+                newer && self.unreadable_revision.load(Ordering::Acquire) == state.revision.0,
                 "document not readable",
             ),
         ]
         .into_iter()
-        .find_map(|(no, why)| no.then_some(why))
+        .find_map(|(applies, reason)| applies.then_some(reason))
     }
 
-    /// Sends a heartbeat to each member that is monitored, once within a renewal interval.
+    /// Sends a heartbeat to each monitored member once in a renewal interval.
     pub async fn send_heartbeats(self: Arc<Self>) {
         let interval = Duration::from_millis(self.settings.timing.renew_interval_ms());
         let mut ticks = tokio::time::interval(interval);
@@ -92,14 +92,14 @@
             for member in others.filter(|member| self.monitors(member)) {
                 common::runtime::spawn(self.clone().send_heartbeat(member.clone(), state.index));
             }
-            let (forgotten_ms, now) = (self.settings.timing.lease_ms * FORGOTTEN_LEASES, self.now());
-            lock(&self.last_contacts).retain(|_, at| now.since(*at) < forgotten_ms);
+            let (retention_ms, now) = (self.settings.timing.lease_ms * CONTACT_RETENTION_LEASES, self.now());
+            lock(&self.last_contacts).retain(|_, at| now.since(*at) < retention_ms);
             lock(&self.placements).sweep(now);
         }
     }
 
-    /// A contact counts from before its heartbeat was sent: an answer may lie in a socket for as long as this node
-    /// is frozen. It is polled from a task of its own.
+    /// Sends one heartbeat, and records the contact as of the time before it was sent: a response may lie unread in a
+    /// socket for as long as this process is suspended. The future runs in a task of its own.
     fn send_heartbeat(self: Arc<Self>, member: Member, index: Index) -> impl Future<Output = ()> + Send {
         let sent = self.now();
         async move {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The index that a router answers with; `None` without an answer of that incarnation.
+    /// The index that a router answers with; `None` without a response from the incarnation that is a member.
     async fn router_heartbeat(&self, member: &Member, index: Index) -> Option<Index> {
         let (to, node) = (member.info.rpc_addr, &member.info.node);
         match self.rpc_client.call("heartbeat", to, RouterRequest::Heartbeat { index }).await {
@@ -130,7 +130,7 @@
                 }
                 Some(index)
             }
-            // Nothing listens there any more: no need to wait until it is missed.
+            // Nothing listens there any more: the node is unreachable without waiting for the contact to age.
             Err(e) if e.is_refused() => {
                 lock(&self.last_contacts).remove(node);
                 None
@@ -139,6 +139,7 @@
         }
     }
 
+    /// The index that a control node answers with.
     async fn control_heartbeat(&self, member: &Member, index: Index) -> Option<Index> {
         let request = ControlRequest::Heartbeat { index };
         match self.member.control.call("heartbeat", member.info.rpc_addr, request).await {
@@ -147,72 +148,73 @@
         }
     }
 
-    fn note_contact(&self, n: NodeId, asked: common::Tick) {
-        lock(&self.last_contacts).insert(n, asked);
+    fn note_contact(&self, node: NodeId, asked: common::Tick) {
+        lock(&self.last_contacts).insert(node, asked);
     }
 
-    /// Changes of the own contact go into the event log.
+    /// Records in the event log that this node was cut off or reconnected, or got a new membership.
     fn record_contact(&self) {
-        let (cut, epoch) = (self.cut_off(), self.member.lease().epoch);
-        let d = self.event_log.with(|d| (d.cut_off, d.epoch));
-        if d.0 != cut {
-            self.record_event(EventKind::CutOff(cut));
+        let (cut_off, epoch) = (self.cut_off(), self.member.lease().epoch);
+        let (was_cut_off, last_epoch) = self.event_log.with(|summary| (summary.cut_off, summary.epoch));
+        if was_cut_off != cut_off {
+            self.record_event(EventKind::CutOff(cut_off));
         }
-        if d.1 < epoch {
+        if last_epoch < epoch {
             self.record_event(EventKind::Member(epoch));
         }
     }
 
-    /// A peer that has seen more tells it; an older state is never installed.
+    /// Fetches the cluster state of a peer whose state is newer than this node's.
     async fn fetch_state_from(&self, peer: std::net::SocketAddr, index: Index) {
         let have = self.cluster_state().index;
         if index <= have {
             return;
         }
-        if let Ok(RouterResponse::StateUpdate(n)) =
+        if let Ok(RouterResponse::StateUpdate(update)) =
             self.rpc_client.call("fetch state", peer, RouterRequest::FetchState { have }).await
         {
-            let _ = self.member.install(n, &peer.to_string());
+            let _ = self.member.install(update, &peer.to_string());
         }
     }
 
-    /// Fit to take new work, as the platform asks it.
+    /// Response of the readiness check: whether this node takes new work, and if not, why.
     pub fn ready(&self) -> Response<common::http::Body> {
-        let l = self.cluster_state();
+        let state = self.cluster_state();
         let why: Vec<&str> = [
             (self.configuration.load().is_none(), "no configuration"),
             (self.draining.load(Ordering::Acquire), "draining"),
             (self.cut_off(), "cut off"),
             (self.member.lags(), "lags behind the core"),
             (self.refuses_work() == Some("document not readable"), "document not readable"),
-            (l.evacuated.contains(self.zone()), "area evacuated"),
+            (state.evacuated.contains(self.zone()), "area evacuated"),
         ]
         .into_iter()
-        .filter_map(|(no, why)| no.then_some(why))
+        .filter_map(|(applies, reason)| applies.then_some(reason))
         .collect();
         let code = if why.is_empty() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         let revision = self.member.revision_in_force.load(Ordering::Acquire);
         common::http::json(
             code,
-            &serde_json::json!({"ready": why.is_empty(), "why": why, "revision": revision, "idx": l.index}),
+            &serde_json::json!({"ready": why.is_empty(), "why": why, "revision": revision, "idx": state.index}),
         )
     }
 
+    /// All metrics in the text format of Prometheus.
     pub fn metrics(&self) -> String {
-        let l = self.cluster_state();
-        let vals: HashMap<&str, i64> = HashMap::from([
+        let state = self.cluster_state();
+        let values: HashMap<&str, i64> = HashMap::from([
             ("tenured", i64::from(self.member.has_lease())),
             ("cut_off", i64::from(self.cut_off())),
             ("lags", i64::from(self.member.lags())),
             ("unreadable", i64::from(self.refuses_work() == Some("document not readable"))),
-            ("index", l.index.0 as i64),
+            ("index", state.index.0 as i64),
             ("revision", self.member.revision_in_force.load(Ordering::Acquire) as i64),
             ("open_jobs", self.open_count.open() as i64),
             ("waitlist", lock(&self.request_queue).len() as i64),
             ("table_rows", lock(&self.placements).len() as i64),
         ]);
-        for (k, v) in vals {
-            self.counters.state.with_label_values(&[k]).set(v);
+        for (name, value) in values {
+            self.counters.state.with_label_values(&[name]).set(value);
         }
         self.counters.metrics.text()
     }
--- a/crates/data-plane/src/grant_exchange.rs
+++ b/crates/data-plane/src/grant_exchange.rs
@@ -1,4 +1,5 @@
-//! Lending at work (design 5.5): the grant issuer's singleton role, and the held grants that is kept filled.
+//! Exchange of capacity grants between regions (design 5.5): the singleton role of a region's grant issuer, and the
+//! renewal of the grants that this node holds.
 
 use crate::{
     capacity_grant::{CapacityGrant, GrantUse},
@@ -11,125 +12,132 @@
 use std::{sync::Arc, time::Duration};
 
 impl Router {
-    /// The one router that lends for a region.
-    pub fn issuer_for(&self, t: &RoutingTable, region: &Region) -> Option<Member> {
-        let l = self.cluster_state();
-        singleton::ranked_holders(&l, &format!("lender/{region}"), None)
+    /// The one router that issues grants for a region.
+    pub fn issuer_for(&self, table: &RoutingTable, region: &Region) -> Option<Member> {
+        let state = self.cluster_state();
+        singleton::ranked_holders(&state, &format!("lender/{region}"), None)
             .into_iter()
-            .find(|m| is_active_in(&l, t, m, region))
+            .find(|m| is_active_in(&state, table, m, region))
     }
 
-    fn region_issued_here(&self, t: &RoutingTable) -> Option<Region> {
-        let own = self.own_region(t)?;
-        self.issuer_for(t, &own).filter(|m| m.info.node == *self.node()).map(|_| own)
+    /// The region that this node issues grants for, if any.
+    fn region_issued_here(&self, table: &RoutingTable) -> Option<Region> {
+        let own = self.own_region(table)?;
+        self.issuer_for(table, &own).filter(|m| m.info.node == *self.node()).map(|_| own)
     }
 
-    /// Watches the own region while this node lends for it.
+    /// Observes the health of this node's region while it is the region's grant issuer.
     pub async fn run_grant_issuer(self: Arc<Self>) {
-        let mut wakeup =
+        let mut ticks =
             tokio::time::interval(Duration::from_millis(self.settings.timing.report_interval_ms()));
         loop {
-            wakeup.tick().await;
-            let Some(g) = self.configuration.load_full() else { continue };
+            ticks.tick().await;
+            let Some(configuration) = self.configuration.load_full() else { continue };
+            let table = &configuration.table;
             let fencing_token = self.fencing_token();
-            let holds = self.region_issued_here(&g.table).is_some();
-            let well = holds
+            let holds = self.region_issued_here(table).is_some();
+            let healthy = holds
                 && self.member.has_lease()
-                && g.table.services.keys().any(|s| !self.own_replicas(&g.table, s).is_empty());
-            let mut l = lock(&self.grant_issuer);
+                && table.services.keys().any(|service| !self.own_replicas(table, service).is_empty());
+            let mut issuer = lock(&self.grant_issuer);
             if holds {
-                l.set_fencing_token(fencing_token);
+                issuer.set_fencing_token(fencing_token);
             }
-            l.observe(well, self.now());
+            issuer.observe(healthy, self.now());
         }
     }
 
-    /// Grants from measured headroom; nothing until the region was well for a full set of checks.
+    /// Grants a router a share of the region's measured free capacity; nothing before the region was healthy for as
+    /// long as a load report is valid.
     pub fn grant(
         &self,
         region: &Region,
-        svc: &Service,
+        service: &Service,
         node: &NodeId,
     ) -> Result<Option<CapacityGrant>, &'static str> {
-        let g = self.configuration.load_full().ok_or("no configuration")?;
-        if self.region_issued_here(&g.table).as_ref() != Some(region) {
+        let configuration = self.configuration.load_full().ok_or("no configuration")?;
+        let table = &configuration.table;
+        if self.region_issued_here(table).as_ref() != Some(region) {
             return Err("not the lender");
         }
         let now = self.now();
-        let full_set = self.settings.timing.report_max_age_ms();
-        let over = g.table.policies.iter().map(|p| p.overload).fold(1.0, f64::min);
-        // A cold replica lends nothing.
-        let room: f64 = self
-            .own_replicas(&g.table, svc)
+        let min_healthy_ms = self.settings.timing.report_max_age_ms();
+        let overload = table.policies.iter().map(|p| p.overload).fold(1.0, f64::min);
+        // Replicas in slow start have no capacity to grant.
+        let free_capacity: f64 = self
+            .own_replicas(table, service)
             .iter()
             .filter(|c| c.load.allowance.is_none())
-            .map(|c| c.load.capacity * over - c.consumption())
+            .map(|c| c.load.capacity * overload - c.consumption())
             .sum();
-        let l = self.cluster_state();
-        let askers =
-            l.routers().into_iter().filter(|m| g.table.region_of(&m.info.zone) != Some(region)).count();
-        let tun = &g.table.tuning;
-        let mut grant_issuer = lock(&self.grant_issuer);
-        if !grant_issuer.is_healthy(now, full_set) {
+        let state = self.cluster_state();
+        let requesters =
+            state.routers().into_iter().filter(|m| table.region_of(&m.info.zone) != Some(region)).count();
+        let tuning = &table.tuning;
+        let mut issuer = lock(&self.grant_issuer);
+        if !issuer.is_healthy(now, min_healthy_ms) {
             return Ok(None);
         }
-        let pass = grant_issuer.grant(region, svc, node, room * tun.lend_share, askers, tun.grant_ms, now);
-        self.counters.grants.inc_by(&["granted"], pass.as_ref().map_or(0, |p| u64::from(p.count)));
-        Ok(pass)
+        let share = free_capacity * tuning.lend_share;
+        let granted = issuer.grant(region, service, node, share, requesters, tuning.grant_ms, now);
+        self.counters.grants.inc_by(&["granted"], granted.as_ref().map_or(0, |p| u64::from(p.count)));
+        Ok(granted)
     }
 
-    pub async fn redeem(&self, s: &GrantUse) -> Result<(), &'static str> {
-        let g = self.configuration.load_full().ok_or("no configuration")?;
-        let grant_issuer = self.issuer_for(&g.table, &s.region).ok_or("no lender")?;
-        let res = if grant_issuer.info.node == *self.node() {
-            self.redeem_locally(s)
+    /// Has the region's grant issuer check one use of a grant.
+    pub async fn redeem(&self, used: &GrantUse) -> Result<(), &'static str> {
+        let configuration = self.configuration.load_full().ok_or("no configuration")?;
+        let issuer = self.issuer_for(&configuration.table, &used.region).ok_or("no lender")?;
+        let result = if issuer.info.node == *self.node() {
+            self.redeem_locally(used)
         } else {
-            let ask = RouterRequest::RedeemGrant { spent: s.clone() };
-            match self.rpc_client.call("redeem grant", grant_issuer.info.rpc_addr, ask).await {
+            let request = RouterRequest::RedeemGrant { spent: used.clone() };
+            match self.rpc_client.call("redeem grant", issuer.info.rpc_addr, request).await {
                 Ok(RouterResponse::Done) => Ok(()),
                 Ok(RouterResponse::Rejected(_)) => Err("pass not good"),
                 _ => Err("lender unreachable"),
             }
         };
-        self.counters.grants.inc(&[res.err().unwrap_or("redeemed")]);
-        res
+        self.counters.grants.inc(&[result.err().unwrap_or("redeemed")]);
+        result
     }
 
-    pub fn redeem_locally(&self, s: &GrantUse) -> Result<(), &'static str> {
-        let g = self.configuration.load_full().ok_or("no configuration")?;
-        self.region_issued_here(&g.table).ok_or("not the lender")?;
-        lock(&self.grant_issuer).redeem(s, self.now())
+    /// Checks one use of a grant as the region's grant issuer.
+    pub fn redeem_locally(&self, used: &GrantUse) -> Result<(), &'static str> {
+        let configuration = self.configuration.load_full().ok_or("no configuration")?;
+        self.region_issued_here(&configuration.table).ok_or("not the lender")?;
+        lock(&self.grant_issuer).redeem(used, self.now())
     }
 
-    /// Asks each other region for grants, three times within the life of one.
+    /// Requests grants from each other region, three times within the lifetime of one.
     pub async fn renew_held_grants(self: Arc<Self>) {
         loop {
-            let Some(g) = self.configuration.load_full() else {
+            let Some(configuration) = self.configuration.load_full() else {
                 tokio::time::sleep(Duration::from_millis(self.settings.timing.heartbeat_ms())).await;
                 continue;
             };
-            let own = self.own_region(&g.table);
-            for region in g.table.regions().into_iter().filter(|r| Some(r) != own.as_ref()) {
-                let Some(grant_issuer) = self.issuer_for(&g.table, &region) else { continue };
-                for svc in g.table.services.keys() {
-                    let (me, region, svc) = (self.clone(), region.clone(), svc.clone());
-                    let to = grant_issuer.info.rpc_addr;
+            let table = &configuration.table;
+            let own = self.own_region(table);
+            for region in table.regions().into_iter().filter(|r| Some(r) != own.as_ref()) {
+                let Some(issuer) = self.issuer_for(table, &region) else { continue };
+                for service in table.services.keys() {
+                    let (me, region, service) = (self.clone(), region.clone(), service.clone());
+                    let address = issuer.info.rpc_addr;
                     common::runtime::spawn(async move {
                         let asked = me.now();
-                        let ask = RouterRequest::RequestGrant {
+                        let request = RouterRequest::RequestGrant {
                             region: region.clone(),
-                            service: svc.clone(),
+                            service: service.clone(),
                             node: me.node().clone(),
                         };
-                        if let Ok(RouterResponse::Grant(p)) =
-                            me.rpc_client.call("request grant", to, ask).await
-                        {
-                            lock(&me.held_grants).put(&region, &svc, p, asked);
+                        let response = me.rpc_client.call("request grant", address, request).await;
+                        if let Ok(RouterResponse::Grant(grant)) = response {
+                            lock(&me.held_grants).put(&region, &service, grant, asked);
                         }
                     });
                 }
             }
-            tokio::time::sleep(Duration::from_millis(g.table.tuning.grant_ms / 3)).await;
+            tokio::time::sleep(Duration::from_millis(table.tuning.grant_ms / 3)).await;
         }
     }
 }
--- a/crates/data-plane/src/plan.rs
+++ b/crates/data-plane/src/plan.rs
@@ -1,4 +1,4 @@
-//! A request's plan, made as data before anything is done (design 6.1).
+//! What is decided on a request before anything is sent (design 6.1).
 
 use crate::{
     attempt::OutgoingRequest,
@@ -11,70 +11,82 @@
 use hyper::{StatusCode, http::request::Parts};
 use std::{collections::BTreeSet, sync::Arc};
 
-/// All that is decided from the head alone.
+/// How a request is to be handled. All but the user key follows from its head alone.
 #[derive(Clone)]
 pub struct Plan {
+    /// Id of the request.
     pub request_id: RequestId,
+    /// The configuration by which it is handled, from start to end.
     pub configuration: Arc<ActiveConfiguration>,
+    /// The configuration's entry that matches it.
     pub entry: Entry,
+    /// The tenant that sent it.
     pub tenant: Option<Tenant>,
+    /// Regions in which it may be processed.
     pub homes: BTreeSet<Region>,
+    /// The user that sent it, where that is known.
     pub key: Option<UserKey>,
+    /// When its final response is due.
     pub deadline: Tick,
-    /// Arrived from a router of another region: attempts are its to repeat, not ours.
+    /// Whether a router of another region forwarded it; further attempts are up to that router.
     pub forwarded: bool,
 }
 
 /// Why a request gets no plan.
 pub struct PlanError {
+    /// Status of the response.
     pub code: StatusCode,
+    /// The reason, for the response and for metrics.
     pub reason: &'static str,
 }
 
-pub fn rejected<T>(code: StatusCode, reason: &'static str) -> Result<T, PlanError> {
+fn rejected<T>(code: StatusCode, reason: &'static str) -> Result<T, PlanError> {
     Err(PlanError { code, reason })
 }
 
+/// Looks up headers of a request by name; one that is not text counts as absent.
 pub fn header_of(head: &Parts) -> impl Fn(&str) -> Option<String> + '_ {
-    |k| head.headers.get(k).and_then(|v| v.to_str().ok()).map(str::to_string)
+    |name| head.headers.get(name).and_then(|v| v.to_str().ok()).map(str::to_string)
 }
 
 impl Plan {
-    /// Entry, tenant and homes, from path and headers alone: known before any body is read.
+    /// Plans a request by its path and headers, before its body is read.
     pub fn make(
-        r: &Router,
-        g: Arc<ActiveConfiguration>,
+        router: &Router,
+        configuration: Arc<ActiveConfiguration>,
         request_id: RequestId,
         head: &Parts,
     ) -> Result<Plan, PlanError> {
         let header = header_of(head);
-        let Some(entry) = g.table.find(head.method.as_str(), head.uri.path(), &header).cloned() else {
+        let table = &configuration.table;
+        let Some(entry) = table.find(head.method.as_str(), head.uri.path(), &header).cloned() else {
             return rejected(StatusCode::NOT_FOUND, "no entry");
         };
-        let Ok(tenant) = g.table.tenant(&header) else {
+        let Ok(tenant) = table.tenant(&header) else {
             return rejected(StatusCode::FORBIDDEN, "unknown tenant");
         };
-        let homes = g.table.homes(&entry, tenant.as_ref());
+        let homes = table.homes(&entry, tenant.as_ref());
         if homes.is_empty() {
             return rejected(StatusCode::FORBIDDEN, "no common home of entry and tenant");
         }
-        let deadline = r.now() + entry.deadline_ms;
+        let deadline = router.now() + entry.deadline_ms;
         drop(header);
-        Ok(Plan { request_id, configuration: g, entry, tenant, homes, key: None, deadline, forwarded: false })
+        Ok(Plan { request_id, configuration, entry, tenant, homes, key: None, deadline, forwarded: false })
     }
 
-    /// The user key, once the body is there.
+    /// Adds the user key, which may depend on the body.
     pub fn with_key(mut self, head: &Parts, body: &[u8]) -> Plan {
         let tenant = self.tenant.as_ref().map(|t| t.as_str()).unwrap_or("");
-        let pol = self.configuration.table.policy(&self.entry);
-        self.key = user_key(&pol.key, tenant, &header_of(head), body);
+        let policy = self.configuration.table.policy(&self.entry);
+        self.key = user_key(&policy.key, tenant, &header_of(head), body);
         self
     }
 
+    /// The request as each attempt sends it.
     pub fn outgoing_request(head: &Parts, body: bytes::Bytes) -> OutgoingRequest {
         let mut headers = head.headers.clone();
         crate::attempt::strip_internal_headers(&mut headers);
-        // The body was read whole: its length is known, whatever the caller's framing was.
+        // The body was read whole, so its length is set anew, whatever framing the client used.
         headers.remove("content-length");
         OutgoingRequest { method: head.method.clone(), uri: head.uri.clone(), headers, body }
     }
--- a/crates/data-plane/src/region_choice.rs
+++ b/crates/data-plane/src/region_choice.rs
@@ -1,47 +1,56 @@
-//! The source's rule (design 5.1): tests for reuse, and the weighted draw.
+//! Choice of a user's region (design 5.1): the conditions under which a region is eligible, and the weighted draw among
+//! eligible regions.
 
 use crate::load::RegionLoad;
 use common::{Region, rendezvous};
 use configuration::Policy;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Region healthy, model healthy there, and not overloaded.
-pub fn is_eligible(p: Option<&RegionLoad>, pol: &Policy) -> bool {
-    p.is_some_and(|p| p.healthy && p.capacity > 0.0 && p.ratio() <= pol.overload)
+/// Whether a region is healthy for the service and not overloaded by the policy.
+pub fn is_eligible(load: Option<&RegionLoad>, policy: &Policy) -> bool {
+    load.is_some_and(|p| p.healthy && p.capacity > 0.0 && p.ratio() <= policy.overload)
 }
 
-pub fn weight(p: &RegionLoad, smooth: f64) -> f64 {
-    let s = p.capacity * smooth;
-    if p.capacity > 0.0 { (p.capacity + s) / (p.consumption.max(0.0) + s) } else { 0.0 }
+/// Weight of a region in the draw: its capacity by its consumption, both raised by `smooth` times the capacity.
+pub fn weight(load: &RegionLoad, smooth: f64) -> f64 {
+    let offset = load.capacity * smooth;
+    if load.capacity > 0.0 { (load.capacity + offset) / (load.consumption.max(0.0) + offset) } else { 0.0 }
 }
 
-/// Regions that a draw may take: inside the homes, passing the tests, and either the own one
-/// or one whose lending pass is in hand.
+/// Regions that may be drawn, with their weights: eligible homes that `open_to` admits. It admits the router's own
+/// region, and those for which the router holds a grant.
 pub fn candidates(
-    seen: &BTreeMap<Region, RegionLoad>,
+    loads: &BTreeMap<Region, RegionLoad>,
     homes: &BTreeSet<Region>,
-    pol: &Policy,
+    policy: &Policy,
     open_to: &dyn Fn(&Region) -> bool,
 ) -> Vec<(Region, f64)> {
     homes
         .iter()
-        .filter(|r| open_to(r))
-        .filter_map(|r| {
-            seen.get(r).filter(|p| is_eligible(Some(p), pol)).map(|p| (r.clone(), weight(p, pol.smooth)))
+        .filter(|region| open_to(region))
+        .filter_map(|region| {
+            loads
+                .get(region)
+                .filter(|load| is_eligible(Some(load), policy))
+                .map(|load| (region.clone(), weight(load, policy.smooth)))
         })
         .collect()
 }
 
-pub fn draw(cands: &[(Region, f64)], unit: f64) -> Option<Region> {
-    rendezvous::pick_weighted(cands, unit)
+/// Draws a region by weight; `unit` is a random number from 0 to 1.
+pub fn draw(candidates: &[(Region, f64)], unit: f64) -> Option<Region> {
+    rendezvous::pick_weighted(candidates, unit)
 }
 
-/// The same weights, but drawn by the user key: routers that cannot reach the table agree
-/// without talking, and a change of weights moves few users (weighted rendezvous).
-pub fn draw_by_key(cands: &[(Region, f64)], key: u64) -> Option<Region> {
-    let score = |r: &Region, w: f64| {
-        let u = rendezvous::seeded_unit(&[&key.to_le_bytes(), r.as_str().as_bytes()]).max(f64::MIN_POSITIVE);
-        -w / u.ln()
+/// Draws by the same weights, with the user key in place of a random number (weighted rendezvous hashing). Routers that
+/// can't reach the placement table agree without communication, and a change of weights moves few users.
+pub fn draw_by_key(candidates: &[(Region, f64)], key: u64) -> Option<Region> {
+    let score = |region: &Region, weight: f64| {
+        let unit = rendezvous::seeded_unit(&[&key.to_le_bytes(), region.as_str().as_bytes()]);
+        -weight / unit.max(f64::MIN_POSITIVE).ln()
     };
-    cands.iter().max_by(|a, b| score(&a.0, a.1).total_cmp(&score(&b.0, b.1))).map(|(r, _)| r.clone())
+    candidates
+        .iter()
+        .max_by(|a, b| score(&a.0, a.1).total_cmp(&score(&b.0, b.1)))
+        .map(|(region, _)| region.clone())
 }
