--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a replica or at a router of another region (design 6.1, 6.2): what is certain
+//! One attempt to send a request to a replica or to a router of another region (design 6.1, 6.2). What is certain
 //! afterwards decides whether another attempt is allowed.
 
 use crate::response_body::{ForwardedBody, has_detectable_end};
@@ -16,24 +16,28 @@
 
 /// What is known after an attempt.
 pub enum Outcome {
-    /// The upstream answered; from here on its bytes pass through.
+    /// The upstream responded; the body of the response is forwarded as it arrives.
     Done(Response<Body>),
-    /// Not one byte of the request was sent, or the other side said that it did not run it.
+    /// No byte of the request was sent, or the upstream said that it did not run it.
     NotRun(PeerError),
     /// It may have run.
     Unknown(PeerError),
 }
 
-/// What is sent, the same for each attempt.
+/// The request as each attempt sends it.
 #[derive(Clone)]
 pub struct OutgoingRequest {
+    /// Method.
     pub method: Method,
+    /// Path and query.
     pub uri: Uri,
+    /// Headers, without those of the client's connection.
     pub headers: HeaderMap,
+    /// The whole body.
     pub body: Bytes,
 }
 
-/// Headers that speak of one connection only.
+/// Headers that apply to one connection only (RFC 9110, 7.6.1), and `expect`, which the router answers itself.
 const HOP_BY_HOP: &[&str] = &[
     "connection",
     "keep-alive",
@@ -47,81 +51,94 @@
     "expect",
 ];
 
-/// Takes out what speaks of one connection only.
-pub fn strip_hop_by_hop(h: &mut HeaderMap) {
-    let named: Vec<HeaderName> = h
+/// Removes headers that apply to one connection only, with those that `connection` names.
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
+    let named: Vec<HeaderName> = headers
         .get_all("connection")
         .iter()
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','))
         .filter_map(|n| n.trim().parse().ok())
         .collect();
-    named.iter().for_each(|n| drop(h.remove(n)));
-    HOP_BY_HOP.iter().for_each(|n| drop(h.remove(*n)));
+    named.iter().for_each(|n| drop(headers.remove(n)));
+    HOP_BY_HOP.iter().for_each(|n| drop(headers.remove(*n)));
 }
 
-/// The same, and what routers set for each other.
-pub fn strip_internal_headers(h: &mut HeaderMap) {
-    strip_hop_by_hop(h);
-    let own: Vec<HeaderName> = h.keys().filter(|k| k.as_str().starts_with("foldshunt-")).cloned().collect();
-    own.iter().for_each(|n| drop(h.remove(n)));
+/// Removes headers that apply to one connection only, and those that routers send each other.
+pub fn strip_internal_headers(headers: &mut HeaderMap) {
+    strip_hop_by_hop(headers);
+    let internal: Vec<HeaderName> =
+        headers.keys().filter(|k| k.as_str().starts_with("foldshunt-")).cloned().collect();
+    internal.iter().for_each(|n| drop(headers.remove(n)));
 }
 
-/// Where an attempt leads, and for how long it may take.
+/// Where an attempt is sent, and how long it may take.
 pub struct AttemptTarget<'a> {
-    pub ip: IpAddr,
-    pub to: SocketAddr,
+    /// Local address to connect from.
+    pub local_ip: IpAddr,
+    /// Address to connect to.
+    pub address: SocketAddr,
+    /// Time-out of the connection, in milliseconds.
     pub connect_ms: u64,
+    /// Time until the request's deadline, in milliseconds.
     pub left_ms: u64,
-    /// Looked at last, before the first byte is sent: why the attempt may not be made any more.
-    pub forbidden: &'a (dyn Fn() -> Option<&'static str> + Send + Sync),
+    /// Called right before the first byte is sent: why the attempt may no longer be made, if so.
+    pub blocked_reason: &'a (dyn Fn() -> Option<&'static str> + Send + Sync),
 }
 
-/// One attempt over a fresh connection. `kept` lives until the last byte has passed through.
+/// Makes one attempt over a new connection. `kept` is dropped once the response body has ended.
 pub async fn attempt<K: Send + Sync + Unpin + 'static>(
-    way: AttemptTarget<'_>,
+    target: AttemptTarget<'_>,
     sent: &OutgoingRequest,
     extra: &[(&'static str, String)],
     kept: K,
 ) -> Outcome {
     let step = "go";
-    let AttemptTarget { ip, to, connect_ms, left_ms, forbidden } = way;
-    let mut tx = match open(ip, to, connect_ms.min(left_ms.max(1))).await {
+    let AttemptTarget { local_ip, address, connect_ms, left_ms, blocked_reason } = target;
+    let mut tx = match open(local_ip, address, connect_ms.min(left_ms.max(1))).await {
         Ok(tx) => tx,
         Err(e) => return Outcome::NotRun(e),
     };
-    let built = || {
+    let build = || {
         let mut req = Request::builder()
             .method(sent.method.clone())
             .uri(sent.uri.path_and_query().map(|p| p.as_str()).unwrap_or("/"));
         if let Some(h) = req.headers_mut() {
             h.extend(sent.headers.clone());
-            h.insert("host", to.to_string().parse().at_peer(step, to)?);
+            h.insert("host", address.to_string().parse().at_peer(step, address)?);
             for (k, v) in extra {
-                h.insert(*k, v.parse().at_peer(step, to)?);
+                h.insert(*k, v.parse().at_peer(step, address)?);
             }
         }
-        req.body(full(sent.body.clone())).at_peer(step, to)
+        req.body(full(sent.body.clone())).at_peer(step, address)
     };
-    let req = match built() {
+    let req = match build() {
         Ok(r) => r,
         Err(e) => return Outcome::NotRun(e),
     };
-    // Much may have passed since the plan: this process was frozen, or the world went on.
-    if let Some(why) = forbidden() {
-        return Outcome::NotRun(PeerError::new("last look", to, why));
+    // Checked again here: this process may have been suspended, or the cluster state may have changed.
+    if let Some(why) = blocked_reason() {
+        return Outcome::NotRun(PeerError::new("last look", address, why));
     }
-    // From here on bytes may have left: every failure is "unknown".
+    // From here on bytes may have been sent, so the outcome of every failure is unknown.
     let res = match tokio::time::timeout(Duration::from_millis(left_ms), tx.send_request(req)).await {
         Ok(Ok(r)) => r,
-        Ok(Err(e)) => return Outcome::Unknown(PeerError::new("await answer", to, e)),
+        Ok(Err(e)) => return Outcome::Unknown(PeerError::new("await answer", address, e)),
         Err(_) => {
-            return Outcome::Unknown(PeerError::new("await answer", to, format!("none in {left_ms} ms")));
+            return Outcome::Unknown(PeerError::new(
+                "await answer",
+                address,
+                format!("none in {left_ms} ms"),
+            ));
         }
     };
     let (mut head, body) = res.into_parts();
     if !has_detectable_end(&sent.method, &head, &body) {
-        return Outcome::Unknown(PeerError::new("read answer", to, "its end could not be told from a cut"));
+        return Outcome::Unknown(PeerError::new(
+            "read answer",
+            address,
+            "neither length nor chunks would show a truncated body",
+        ));
     }
     let outcome = head.headers.get("foldshunt-outcome").cloned();
     let reason = head.headers.get("foldshunt-reason").cloned();
--- a/crates/data-plane/src/attempt_history.rs
+++ b/crates/data-plane/src/attempt_history.rs
@@ -1,12 +1,13 @@
-//! What one request's attempts have left behind, and what follows the latest one (design 6.2).
+//! What the attempts of one request have left behind, and what follows from the latest one (design 6.2).
 
 use common::{PeerError, Region, ReplicaId, Tick, http::Body};
 use hyper::Response;
 use std::collections::BTreeSet;
 
-/// What went before, as far as the next attempt must know it.
+/// Earlier attempts of a request, as far as they bear on the next one.
 #[derive(Default)]
 pub(crate) struct AttemptHistory {
+    /// Number of attempts so far.
     pub attempts: u32,
     /// Regions that are not to be tried again.
     pub avoid: BTreeSet<Region>,
@@ -14,22 +15,22 @@
     pub tried: Vec<ReplicaId>,
     /// Routers of other regions that were tried.
     pub routers: Vec<String>,
-    /// An earlier attempt that may have run: from then on the request is never called rejected.
+    /// An earlier attempt that may have run: from then on the request is never reported as rejected.
     pub may_have_run: Option<PeerError>,
-    /// Until when it may wait in the queue, once it has begun to.
+    /// How long it may wait in the request queue, once it has begun to.
     pub wait_until: Option<Tick>,
 }
 
-/// What follows an attempt.
+/// What follows from an attempt.
 pub(crate) enum AttemptStep {
-    /// The final answer.
+    /// The final response is there.
     Answer(Response<Body>),
-    /// It is certain not to have run.
+    /// The attempt certainly did not run.
     NotRun(PeerError),
-    /// It may have run.
+    /// The attempt may have run.
     MayHaveRun(PeerError),
-    /// Nothing was tried; the next look leaves out what is to be avoided.
+    /// Nothing was sent; try again with what the history now says to avoid.
     Again,
-    /// There is nowhere to send it now; whether there may be later.
+    /// There is nowhere to send the request now; `true` if that may change soon.
     NoRoom(bool),
 }
--- a/crates/data-plane/src/counters.rs
+++ b/crates/data-plane/src/counters.rs
@@ -1,9 +1,9 @@
-//! Metrics of a router (design 1.7). Counters with a new name are also shown under that of earlier releases.
+//! Metrics of a router (design 1.7). A renamed counter is also exported under its former name.
 
 use common::metrics::Metrics;
 use prometheus::{IntCounterVec, IntGaugeVec};
 
-/// A counter under its name, and under the one that it had in earlier releases.
+/// A counter that is exported under its name and its former name.
 pub struct RenamedCounter {
     current: IntCounterVec,
     deprecated: IntCounterVec,
@@ -18,12 +18,12 @@
         }
     }
 
-    /// Counts one.
+    /// Adds one.
     pub fn inc(&self, labels: &[&str]) {
         self.inc_by(labels, 1);
     }
 
-    /// Counts several.
+    /// Adds `count`.
     pub fn inc_by(&self, labels: &[&str], count: u64) {
         self.current.with_label_values(labels).inc_by(count);
         self.deprecated.with_label_values(labels).inc_by(count);
@@ -35,7 +35,7 @@
     }
 }
 
-/// What a router counts.
+/// The metrics of a router.
 pub struct Counters {
     /// All metrics of the process.
     pub metrics: Metrics,
@@ -45,17 +45,17 @@
     pub attempts: RenamedCounter,
     /// Rejections by reason.
     pub rejections: RenamedCounter,
-    /// Placements by how they were found.
+    /// Placements by how the region was found.
     pub placements: IntCounterVec,
-    /// Capacity grants by what became of them.
+    /// Capacity grants by their use.
     pub grants: RenamedCounter,
-    /// Age of what is known of a zone's list of replicas, in milliseconds.
+    /// Age of the list of a zone's replicas that this router uses, in milliseconds.
     pub replica_list_age: IntGaugeVec,
-    /// Calls that report usage, by what became of them.
+    /// Calls that report usage, by outcome.
     pub usage_reports: IntCounterVec,
-    /// Windows that this node reported no usage of while it held the duty, by reason.
+    /// Time windows whose usage this node did not report while it held the duty to, by reason.
     pub usage_windows_skipped: IntCounterVec,
-    /// Named states of the router.
+    /// State of the router by name: 0 or 1, or a count.
     pub state: IntGaugeVec,
 }
 
--- a/crates/data-plane/src/daemon.rs
+++ b/crates/data-plane/src/daemon.rs
@@ -1,5 +1,5 @@
-//! A router from its start to the end of its drain (design 1.1, 6.5): the same in the program and
-//! under virtual time.
+//! A router process from its start to the end of its drain (design 1.1, 6.5). The simulator runs the same code under
+//! virtual time.
 
 use crate::router::Router;
 use common::{
@@ -14,33 +14,34 @@
 };
 use tokio::sync::watch;
 
-/// Time between two looks at what is still open.
+/// How often a draining router checks what is still open.
 const DRAIN_POLL_MS: u64 = 20;
 
-pub async fn run(set: Settings, listeners: Listeners, stop: impl Future<Output = ()>) {
-    let info = NodeInfo::of(&set, Role::Router, Incarnation(random::<u64>() >> 1));
+/// Runs a router until `stop` completes and the drain has ended.
+pub async fn run(settings: Settings, listeners: Listeners, stop: impl Future<Output = ()>) {
+    let info = NodeInfo::of(&settings, Role::Router, Incarnation(random::<u64>() >> 1));
     let clock = Clock::default();
-    let member = Member::new(set.clone(), info, clock.clone());
-    let router = Router::new(set.clone(), member.clone(), clock.clone());
-    router.start(&set, listeners.rpc);
+    let member = Member::new(settings.clone(), info, clock.clone());
+    let router = Router::new(settings.clone(), member.clone(), clock.clone());
+    router.start(&settings, listeners.rpc);
     let (stop_listening, stopped) = watch::channel(false);
-    let (conns, r) = (Arc::new(http::OpenCount::default()), router.clone());
-    let serving = spawn(http::serve(listeners.http, conns.clone(), stopped, move |peer, req| {
-        r.clone().handle(peer, req)
+    let (connections, handler) = (Arc::new(http::OpenCount::default()), router.clone());
+    let serving = spawn(http::serve(listeners.http, connections.clone(), stopped, move |peer, req| {
+        handler.clone().handle(peer, req)
     }));
-    log_event!(Info, "started", "rail" => set.rpc_addr, "http" => set.http);
+    log_event!(Info, "started", "rail" => settings.rpc_addr, "http" => settings.http);
     stop.await;
-    // Not ready first, and singleton roles given back, so that callers and the other routers go
-    // elsewhere; then no more is accepted; what was read is finished (design 6.5).
+    // The order of a drain (design 6.5): first this node is not ready and gives up its singleton roles, so that clients
+    // and other routers use other nodes. Then it accepts no more connections, and finishes the open requests.
     log_event!(Info, "draining", "open" => router.open_count.open());
     router.draining.store(true, Ordering::Release);
     member.leave().await;
-    tokio::time::sleep(Duration::from_millis(set.timing.renew_interval_ms())).await;
+    tokio::time::sleep(Duration::from_millis(settings.timing.renew_interval_ms())).await;
     let _ = stop_listening.send(true);
     let _ = serving.await;
-    let drain_ms = if common::mutation::enabled("no-drain") { 0 } else { set.timing.drain_ms };
+    let drain_ms = if common::mutation::enabled("no-drain") { 0 } else { settings.timing.drain_ms };
     let end = clock.now() + drain_ms;
-    wait_until_drained(&router, &conns, end).await;
+    wait_until_drained(&router, &connections, end).await;
     log_event!(Info, "stopped", "open" => router.open_count.open());
 }
 
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Carrying out a plan (design 6.2): attempts in turn, each only where the one before allows it.
+//! Executes a plan (design 6.2): attempts in turn, each only where the outcome of the one before allows it.
 
 use crate::{
     attempt::{AttemptTarget, Outcome, OutgoingRequest, attempt},
@@ -22,57 +22,58 @@
     time::Duration,
 };
 
-/// The part of its deadline that a request may spend on the request queue.
-const WAIT_RATIO: u64 = 8;
+/// A request may wait in the request queue for the time to its deadline divided by this.
+const QUEUE_WAIT_DIVISOR: u64 = 8;
 
 impl Router {
+    /// Attempts a request until there is a final response.
     pub async fn execute(
         self: &Arc<Self>,
-        p: &Plan,
-        sent: &OutgoingRequest,
+        plan: &Plan,
+        request: &OutgoingRequest,
         open: OpenGuard,
     ) -> Response<Body> {
-        let share = p.configuration.table.tuning.retry_ratio;
-        if !p.forwarded {
-            self.retry_budget.earn(share);
+        let retry_ratio = plan.configuration.table.tuning.retry_ratio;
+        if !plan.forwarded {
+            self.retry_budget.earn(retry_ratio);
         }
         let mut history = AttemptHistory::default();
-        // Each attempt keeps a part of it, so that the request counts as open once, to its last byte.
+        // Each attempt holds a reference, so that the request counts as open once, until its last byte is sent.
         let open = Arc::new(open);
         loop {
             let first = history.attempts == 0;
-            // A process that was frozen must not act on what it knew before.
-            if let Some(why) = self.blocked_reason(p) {
-                return self.final_response(p, &history, why, 2);
+            // Checked anew each time: a process that was suspended must not act on outdated state.
+            if let Some(reason) = self.blocked_reason(plan) {
+                return self.give_up(plan, &history, reason, 2);
             }
-            match self.attempt_once(p, sent, &mut history, &open).await {
-                AttemptStep::Answer(r) => return r,
+            match self.attempt_once(plan, request, &mut history, &open).await {
+                AttemptStep::Answer(response) => return response,
                 AttemptStep::Again => {}
                 AttemptStep::NoRoom(false) => {
-                    return self.final_response(p, &history, "no replica in reach", 2);
+                    return self.give_up(plan, &history, "no replica in reach", 2);
                 }
                 AttemptStep::NoRoom(true) if first => {
-                    if let Err(why) = self.wait_for_room(p, &mut history).await {
-                        let secs = lock(&self.request_queue).retry_after();
-                        return self.final_response(p, &history, why, secs);
+                    if let Err(reason) = self.wait_for_room(plan, &mut history).await {
+                        let retry_s = lock(&self.request_queue).retry_after();
+                        return self.give_up(plan, &history, reason, retry_s);
                     }
                 }
-                AttemptStep::NoRoom(true) => return self.final_response(p, &history, "no room", 1),
+                AttemptStep::NoRoom(true) => return self.give_up(plan, &history, "no room", 1),
                 AttemptStep::NotRun(e) => {
-                    let again = self.may_try_again(p, &history, FailedAttempt::NotRun);
-                    log_event!(Info, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.request_id, "again" => again);
+                    let again = self.may_try_again(plan, &history, FailedAttempt::NotRun);
+                    log_event!(Info, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => plan.request_id, "again" => again);
                     if !again {
-                        return self.final_response(p, &history, "go failed before it was sent", 1);
+                        return self.give_up(plan, &history, "go failed before it was sent", 1);
                     }
                 }
                 AttemptStep::MayHaveRun(e) => {
-                    let again = self.may_try_again(p, &history, FailedAttempt::MayHaveRun);
-                    log_event!(Warn, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => p.request_id, "again" => again);
+                    let again = self.may_try_again(plan, &history, FailedAttempt::MayHaveRun);
+                    log_event!(Warn, e.step, "peer" => e.peer, "cause" => e.cause(), "job" => plan.request_id, "again" => again);
                     if !again && common::mutation::enabled("unknown-called-bounced") {
-                        return rejected(self, p, "go failed", 1);
+                        return rejected(self, plan, "go failed", 1);
                     }
                     if !again {
-                        return unknown(self, p, &e, self.now() >= p.deadline);
+                        return unknown(self, plan, &e, self.now() >= plan.deadline);
                     }
                     history.may_have_run = Some(e);
                 }
@@ -80,117 +81,131 @@
         }
     }
 
-    /// Why nothing new may be done for a request: looked at before each attempt, and once more when its
-    /// connection is open.
-    pub(crate) fn blocked_reason(&self, p: &Plan) -> Option<&'static str> {
-        (self.now() >= p.deadline).then_some("past its deadline").or_else(|| self.refuses_work())
+    /// Why no new attempt may be made for a request, if so. Checked before each attempt, and again when its connection
+    /// is open.
+    pub(crate) fn blocked_reason(&self, plan: &Plan) -> Option<&'static str> {
+        (self.now() >= plan.deadline).then_some("past its deadline").or_else(|| self.refuses_work())
     }
 
-    /// No more listed there, draining, or in a zone that was evacuated since it was picked.
+    /// Whether a replica is not listed at this address any more, is draining, or is in an evacuated zone.
     fn departed(&self, id: &ReplicaId, addr: SocketAddr) -> bool {
-        let l = self.cluster_state();
+        let state = self.cluster_state();
         if common::mutation::enabled("departed-still-used") {
             return false;
         }
-        l.replicas.get(id).is_none_or(|r| r.draining || r.addr != addr || l.evacuated.contains(&r.zone))
+        let listed = state.replicas.get(id);
+        listed.is_none_or(|r| r.draining || r.addr != addr || state.evacuated.contains(&r.zone))
     }
 
+    /// Target of an attempt that may take until the request's deadline.
     pub(crate) fn attempt_target<'a>(
         &self,
-        p: &Plan,
-        to: SocketAddr,
-        forbidden: &'a (dyn Fn() -> Option<&'static str> + Send + Sync),
+        plan: &Plan,
+        address: SocketAddr,
+        blocked_reason: &'a (dyn Fn() -> Option<&'static str> + Send + Sync),
     ) -> AttemptTarget<'a> {
-        let (ip, connect_ms) = (self.settings.rpc_addr.ip(), self.settings.timing.rpc_timeout_ms);
-        AttemptTarget { ip, to, connect_ms, left_ms: p.deadline.since(self.now()), forbidden }
+        let (local_ip, connect_ms) = (self.settings.rpc_addr.ip(), self.settings.timing.rpc_timeout_ms);
+        let left_ms = plan.deadline.since(self.now());
+        AttemptTarget { local_ip, address, connect_ms, left_ms, blocked_reason }
     }
 
-    fn may_try_again(&self, p: &Plan, history: &AttemptHistory, after: FailedAttempt) -> bool {
-        may_retry(after, p.entry.idempotent, p.forwarded, history.attempts)
-            && self.now() < p.deadline
+    /// Whether a request may be attempted again; takes a token of the retry budget if so.
+    fn may_try_again(&self, plan: &Plan, history: &AttemptHistory, failed: FailedAttempt) -> bool {
+        may_retry(failed, plan.entry.idempotent, plan.forwarded, history.attempts)
+            && self.now() < plan.deadline
             && self.retry_budget.spend()
     }
 
+    /// Makes one attempt in the region that is chosen for the request.
     async fn attempt_once(
         self: &Arc<Self>,
-        p: &Plan,
-        sent: &OutgoingRequest,
+        plan: &Plan,
+        request: &OutgoingRequest,
         history: &mut AttemptHistory,
         open: &Arc<OpenGuard>,
     ) -> AttemptStep {
-        let own = self.own_region(&p.configuration.table);
-        let target = if p.forwarded {
+        let own = self.own_region(&plan.configuration.table);
+        let target = if plan.forwarded {
             own.clone().map(|region| (region, true))
         } else {
-            self.target(p, &history.avoid).await
+            self.target_region(plan, &history.avoid).await
         };
         let Some((region, stored)) = target else {
-            let seen = self.region_loads(&p.configuration.table, &p.entry.to);
-            let any = own.is_some_and(|o| p.homes.contains(&o) && seen.contains_key(&o));
-            return AttemptStep::NoRoom(any || self.is_starting());
+            let loads = self.region_loads(&plan.configuration.table, &plan.entry.to);
+            let served_here = own.is_some_and(|o| plan.homes.contains(&o) && loads.contains_key(&o));
+            return AttemptStep::NoRoom(served_here || self.is_starting());
         };
         if own.as_ref() == Some(&region) {
-            self.local(p, sent, history, open).await
+            self.attempt_locally(plan, request, history, open).await
         } else {
-            self.remote(p, sent, history, open, region, stored).await
+            self.attempt_remotely(plan, request, history, open, region, stored).await
         }
     }
 
-    /// Models go by placement; lookups stay in the own region while it has anyone to ask.
-    async fn target(self: &Arc<Self>, p: &Plan, avoid: &BTreeSet<Region>) -> Option<(Region, bool)> {
-        let t = &p.configuration.table;
-        match p.entry.kind {
-            Kind::Model => self.choose_region(p, avoid).await.map(|x| (x.region, x.stored)),
+    /// The region for the next attempt, and whether it is the user's stored placement. Requests to models go by
+    /// placement; those to applications stay in this node's region while it has a usable replica.
+    async fn target_region(
+        self: &Arc<Self>,
+        plan: &Plan,
+        avoid: &BTreeSet<Region>,
+    ) -> Option<(Region, bool)> {
+        let table = &plan.configuration.table;
+        match plan.entry.kind {
+            Kind::Model => self.choose_region(plan, avoid).await.map(|x| (x.region, x.stored)),
             Kind::Application => {
-                let seen = self.region_loads(t, &p.entry.to);
-                let own = self.own_region(t).filter(|o| p.homes.contains(o) && seen.contains_key(o));
+                let loads = self.region_loads(table, &plan.entry.to);
+                let own = self.own_region(table).filter(|o| plan.homes.contains(o) && loads.contains_key(o));
                 let own = own.filter(|o| !avoid.contains(o));
                 own.or_else(|| {
-                    let open = |r: &Region| {
-                        !avoid.contains(r) && lock(&self.held_grants).has(r, &p.entry.to, self.now())
+                    let open_to = |r: &Region| {
+                        !avoid.contains(r) && lock(&self.held_grants).has(r, &plan.entry.to, self.now())
                     };
-                    let c = crate::region_choice::candidates(&seen, &p.homes, t.policy(&p.entry), &open);
-                    crate::region_choice::draw(&c, common::runtime::random())
+                    let policy = table.policy(&plan.entry);
+                    let candidates = crate::region_choice::candidates(&loads, &plan.homes, policy, &open_to);
+                    crate::region_choice::draw(&candidates, common::runtime::random())
                 })
                 .map(|r| (r, false))
             }
         }
     }
 
-    async fn local(
+    /// Attempts a request at a replica of this node's region.
+    async fn attempt_locally(
         self: &Arc<Self>,
-        p: &Plan,
-        sent: &OutgoingRequest,
+        plan: &Plan,
+        request: &OutgoingRequest,
         history: &mut AttemptHistory,
         open: &Arc<OpenGuard>,
     ) -> AttemptStep {
-        let t = &p.configuration.table;
-        let picked = match self.select_replica(t, &p.entry.to, p.entry.kind, p.key, &history.tried) {
-            Ok(x) => x,
+        let (table, entry) = (&plan.configuration.table, &plan.entry);
+        let replica = match self.select_replica(table, &entry.to, entry.kind, plan.key, &history.tried) {
+            Ok(replica) => replica,
             Err(any) => return AttemptStep::NoRoom(any || self.is_starting()),
         };
         self.count_attempt(history, "first");
-        history.tried.push(picked.id.clone());
-        let (addr, own, id) = (picked.addr, picked.local.clone(), picked.id.clone());
-        let extra = [("foldshunt-job", p.request_id.to_string())];
-        let kept = (picked, open.clone());
-        let forbidden =
-            || self.blocked_reason(p).or_else(|| self.departed(&id, addr).then_some("replica departed"));
-        match attempt(self.attempt_target(p, addr, &forbidden), sent, &extra, kept).await {
-            Outcome::Done(r) => {
-                self.note_load(&own, r.headers());
-                // Another may do better; this one says itself that it did not serve the request.
-                if r.status().as_u16() == 503 && self.may_try_again(p, history, FailedAttempt::MayHaveRun) {
+        history.tried.push(replica.id.clone());
+        let (addr, local, id) = (replica.addr, replica.local.clone(), replica.id.clone());
+        let extra = [("foldshunt-job", plan.request_id.to_string())];
+        let kept = (replica, open.clone());
+        let blocked_reason =
+            || self.blocked_reason(plan).or_else(|| self.departed(&id, addr).then_some("replica departed"));
+        match attempt(self.attempt_target(plan, addr, &blocked_reason), request, &extra, kept).await {
+            Outcome::Done(response) => {
+                self.note_load(&local, response.headers());
+                // The replica says that it did not serve the request; another one may.
+                if response.status().as_u16() == 503
+                    && self.may_try_again(plan, history, FailedAttempt::MayHaveRun)
+                {
                     history.may_have_run = Some(PeerError::new("replica", id, "answered 503"));
                     return AttemptStep::Again;
                 }
-                AttemptStep::Answer(self.done(p, r))
+                AttemptStep::Answer(self.done(plan, response))
             }
             Outcome::NotRun(e) => {
                 let until = self.now() + self.settings.timing.probe_interval_ms;
-                own.avoid_until.store(until.0, Ordering::Relaxed);
+                local.avoid_until.store(until.0, Ordering::Relaxed);
                 if e.is_refused() {
-                    own.refused_at.store(self.now().0, Ordering::Relaxed);
+                    local.refused_at.store(self.now().0, Ordering::Relaxed);
                 }
                 AttemptStep::NotRun(e)
             }
@@ -198,41 +213,36 @@
         }
     }
 
-    /// The final answer, at once: rejected only where no attempt of the request can have run.
-    fn final_response(
-        &self,
-        p: &Plan,
-        history: &AttemptHistory,
-        why: &'static str,
-        secs: u64,
-    ) -> Response<Body> {
+    /// Response to a request that is not attempted again: rejected only where no attempt can have run.
+    fn give_up(&self, plan: &Plan, history: &AttemptHistory, why: &'static str, secs: u64) -> Response<Body> {
         match history.may_have_run.as_ref().filter(|_| !common::mutation::enabled("unknown-called-bounced")) {
-            None => rejected(self, p, why, secs),
-            Some(e) => unknown(self, p, e, false),
+            None => rejected(self, plan, why, secs),
+            Some(e) => unknown(self, plan, e, false),
         }
     }
 
+    /// Counts an attempt; any after the first counts as "extra".
     pub(crate) fn count_attempt(&self, history: &mut AttemptHistory, kind: &str) {
         let kind = if history.attempts == 0 { kind } else { "extra" };
         self.counters.attempts.inc(&[kind]);
         history.attempts += 1;
     }
 
-    /// A place on the request queue, for a part of the deadline at most; an answer at once where it
-    /// would not help.
-    async fn wait_for_room(&self, p: &Plan, history: &mut AttemptHistory) -> Result<(), &'static str> {
+    /// Waits in the request queue, for a part of the time to the deadline. Fails at once where waiting would not help.
+    async fn wait_for_room(&self, plan: &Plan, history: &mut AttemptHistory) -> Result<(), &'static str> {
         let now = self.now();
         let until = *history.wait_until.get_or_insert(
-            now + (p.deadline.since(now) / WAIT_RATIO).min(2 * self.settings.timing.probe_interval_ms),
+            now + (plan.deadline.since(now) / QUEUE_WAIT_DIVISOR)
+                .min(2 * self.settings.timing.probe_interval_ms),
         );
-        let bound = p.configuration.table.tuning.queue;
+        let bound = plan.configuration.table.tuning.queue;
         let joined = lock(&self.request_queue).join(until, bound, now);
-        let (at, rx) = joined.map_err(|b| match b {
+        let (place, woken) = joined.map_err(|rejection| match rejection {
             crate::request_queue::Rejection::Full => "waitlist full",
             crate::request_queue::Rejection::Late => "waitlist too long",
         })?;
-        let got = tokio::time::timeout(Duration::from_millis(until.since(now)), rx).await;
-        lock(&self.request_queue).leave(&at);
-        got.map(|_| ()).map_err(|_| "no room in time")
+        let result = tokio::time::timeout(Duration::from_millis(until.since(now)), woken).await;
+        lock(&self.request_queue).leave(&place);
+        result.map(|_| ()).map_err(|_| "no room in time")
     }
 }
--- a/crates/data-plane/src/forwarding.rs
+++ b/crates/data-plane/src/forwarding.rs
@@ -1,5 +1,5 @@
-//! The forwarded request between regions (design 5.6): signed by a member, checked by the region that is
-//! asked, which has the last word.
+//! Requests that are forwarded between regions (design 5.6): signed by the member that sends them, and checked by the
+//! router that receives them.
 
 use crate::{
     capacity_grant::GrantUse,
@@ -11,106 +11,126 @@
 use siphasher::sip128::{Hasher128, SipHasher24};
 use std::hash::Hasher;
 
+/// Header that carries the signed [`ForwardedRequest`].
 pub const HEADER: &str = "foldshunt-hop";
 
+/// What the sender says of a request that it forwards.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedRequest {
+    /// Id of the request.
     #[serde(rename = "job")]
     pub request_id: RequestId,
-    /// The sender, its membership, and the number of the forwarded request within that.
+    /// The sender.
     pub from: NodeId,
+    /// Epoch of the sender's membership.
     pub epoch: Epoch,
+    /// Number of the forwarded request within that membership.
     pub number: u64,
-    /// Who is asked, and its membership: no other router takes it, nor this one after a restart.
+    /// The receiver; no other router accepts the request.
     pub to: NodeId,
+    /// Epoch of the receiver's membership: after a restart the receiver doesn't accept the request either.
     pub to_epoch: Epoch,
+    /// Revision of the sender's configuration.
     pub revision: Revision,
+    /// The configuration's entry that matches the request.
     pub entry: String,
+    /// The tenant that sent it.
     pub tenant: Option<Tenant>,
+    /// The service that it is for.
     pub service: Service,
+    /// The region in which it is to run.
     pub region: Region,
+    /// The user that sent it, where that is known.
     pub key: Option<UserKey>,
-    /// A stored placement needs no pass.
+    /// The capacity grant that it uses; none where the user is placed in that region.
     pub spent: Option<GrantUse>,
+    /// Time until its deadline, in milliseconds.
     pub left_ms: u64,
 }
 
-fn mac(secret: u128, b: &[u8]) -> u128 {
-    let mut h = SipHasher24::new_with_keys(secret as u64, (secret >> 64) as u64);
-    h.write(b);
-    h.finish128().as_u128()
+fn mac(secret: u128, bytes: &[u8]) -> u128 {
+    let mut hasher = SipHasher24::new_with_keys(secret as u64, (secret >> 64) as u64);
+    hasher.write(bytes);
+    hasher.finish128().as_u128()
 }
 
-fn hex(b: &[u8]) -> String {
-    b.iter().map(|x| format!("{x:02x}")).collect()
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(s: &str) -> Option<Vec<u8>> {
-    let pair = |n: usize| s.get(n..n + 2).and_then(|p| u8::from_str_radix(p, 16).ok());
-    (s.len().is_multiple_of(2) && s.is_ascii()).then(|| (0..s.len()).step_by(2).map(pair).collect()).flatten()
+fn unhex(text: &str) -> Option<Vec<u8>> {
+    let byte_at = |n: usize| text.get(n..n + 2).and_then(|digits| u8::from_str_radix(digits, 16).ok());
+    (text.len().is_multiple_of(2) && text.is_ascii())
+        .then(|| (0..text.len()).step_by(2).map(byte_at).collect())
+        .flatten()
 }
 
-pub fn sign(secret: u128, h: &ForwardedRequest) -> std::io::Result<String> {
-    let b = wire::encode(h)?;
-    Ok(format!("{}.{:032x}", hex(&b), mac(secret, &b)))
+/// Signs a forwarded request with the secret that all members share.
+pub fn sign(secret: u128, request: &ForwardedRequest) -> std::io::Result<String> {
+    let bytes = wire::encode(request)?;
+    Ok(format!("{}.{:032x}", hex(&bytes), mac(secret, &bytes)))
 }
 
-pub fn verify(secret: u128, s: &str) -> Option<ForwardedRequest> {
-    let (body, sig) = s.split_once('.')?;
-    let b = unhex(body)?;
-    let told = u128::from_str_radix(sig, 16).ok()?;
-    (told == mac(secret, &b)).then(|| wire::decode(&b).ok()).flatten()
+/// Reads a signed request; `None` unless the signature is valid.
+pub fn verify(secret: u128, signed: &str) -> Option<ForwardedRequest> {
+    let (body, signature) = signed.split_once('.')?;
+    let bytes = unhex(body)?;
+    let signature = u128::from_str_radix(signature, 16).ok()?;
+    (signature == mac(secret, &bytes)).then(|| wire::decode(&bytes).ok()).flatten()
 }
 
-/// Why a forwarded request is rejected; the names stand in metrics and in `foldshunt-reason`.
-pub async fn check(r: &Router, h: &ForwardedRequest) -> Result<(), &'static str> {
-    let g = r.configuration.load_full().ok_or("no configuration")?;
-    let own = r.own_region(&g.table).ok_or("area unknown")?;
-    if h.region != own {
+/// Checks a forwarded request before it is accepted. The reasons for a rejection appear in metrics and in
+/// `foldshunt-reason`.
+pub async fn check(router: &Router, request: &ForwardedRequest) -> Result<(), &'static str> {
+    let configuration = router.configuration.load_full().ok_or("no configuration")?;
+    let table = &configuration.table;
+    let own = router.own_region(table).ok_or("area unknown")?;
+    if request.region != own {
         return Err("wrong region");
     }
-    if h.revision < g.revision {
+    if request.revision < configuration.revision {
         return Err("outdated revision");
     }
-    if h.revision > g.revision {
+    if request.revision > configuration.revision {
         return Err("revision not here yet");
     }
-    if r.cluster_state().evacuated.contains(r.zone()) {
+    if router.cluster_state().evacuated.contains(router.zone()) {
         return Err("evacuated");
     }
-    let e = g.table.entries.iter().find(|e| e.name == h.entry).ok_or("no such entry")?;
-    if !g.table.homes(e, h.tenant.as_ref()).contains(&own) {
+    let entry = table.entries.iter().find(|e| e.name == request.entry).ok_or("no such entry")?;
+    if !table.homes(entry, request.tenant.as_ref()).contains(&own) {
         return Err("outside homes");
     }
-    check_replay(r, h)?;
-    match &h.spent {
-        Some(s) if s.region == own => r.redeem(s).await,
+    check_replay(router, request)?;
+    match &request.spent {
+        Some(spent) if spent.region == own => router.redeem(spent).await,
         Some(_) => Err("pass of another region"),
         None => Ok(()),
     }
 }
 
-/// A forwarded request that was captured and is sent again must not run again: it counts as used from here on,
-/// whatever comes of it.
-fn check_replay(r: &Router, h: &ForwardedRequest) -> Result<(), &'static str> {
-    if h.to != *r.node() || h.to_epoch != r.member.lease().epoch {
+/// Rejects a forwarded request that was captured and sent again. The number counts as used from here on, whatever
+/// becomes of the request.
+fn check_replay(router: &Router, request: &ForwardedRequest) -> Result<(), &'static str> {
+    if request.to != *router.node() || request.to_epoch != router.member.lease().epoch {
         return Err("hop for another router");
     }
-    let l = r.cluster_state();
-    let member = |n: &NodeId| l.members.get(n).map(|m| m.epoch);
-    lock(&r.replay_guard).take(&h.from, h.epoch, h.number, &member)
+    let state = router.cluster_state();
+    let epoch_of = |node: &NodeId| state.members.get(node).map(|m| m.epoch);
+    lock(&router.replay_guard).take(&request.from, request.epoch, request.number, &epoch_of)
 }
 
-/// Bounced over a change that has reached one side only: no reason to avoid the region.
-pub fn is_transient(why: &str) -> bool {
+/// Whether a rejection is due to a change that has not reached both sides yet, and so no reason to avoid the region.
+pub fn is_transient(reason: &str) -> bool {
     matches!(
-        why,
+        reason,
         "outdated revision" | "revision not here yet" | "sender not a member here" | "hop for another router"
     )
 }
 
-/// A request's name: unique over nodes, restarts and time.
-pub fn new_request_id(r: &Router, n: u64) -> RequestId {
-    let incarnation = r.member.info.incarnation.0;
-    RequestId::new(format!("{}-{:x}-{n:x}", r.node(), stable_hash(&[&incarnation.to_le_bytes()]) >> 32))
+/// A request id that is unique over nodes, restarts and time.
+pub fn new_request_id(router: &Router, serial: u64) -> RequestId {
+    let incarnation = router.member.info.incarnation.0;
+    let start = stable_hash(&[&incarnation.to_le_bytes()]) >> 32;
+    RequestId::new(format!("{}-{start:x}-{serial:x}", router.node()))
 }
--- a/crates/data-plane/src/gateway.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The callers' side (design 6.4): from the head to the answer, rejected at once where it must be.
+//! Clients' requests (design 6.4): from the head to the response, rejected as early as possible.
 
 use crate::{
     forwarding,
@@ -22,31 +22,32 @@
 
 type Res = Response<Body>;
 
-pub fn with_outcome(mut r: Res, request_id: &RequestId, outcome: &'static str, reason: &str) -> Res {
-    let h = r.headers_mut();
-    for (k, v) in
+/// Adds the headers that tell a client its request's id and outcome.
+pub fn with_outcome(mut response: Res, request_id: &RequestId, outcome: &'static str, reason: &str) -> Res {
+    let headers = response.headers_mut();
+    for (name, value) in
         [("foldshunt-job", request_id.as_str()), ("foldshunt-outcome", outcome), ("foldshunt-reason", reason)]
     {
-        if let Ok(v) = v.parse()
-            && !(k == "foldshunt-reason" && reason.is_empty())
+        if let Ok(value) = value.parse()
+            && !(name == "foldshunt-reason" && reason.is_empty())
         {
-            h.insert(k, v);
+            headers.insert(name, value);
         }
     }
-    r
+    response
 }
 
-/// Not run, and never will be: said at once, with when to come back.
+/// Response to a request that did not run and won't; `retry_s` says when to try again, 0 leaves that out.
 pub fn rejection_response(
-    r: &Router,
+    router: &Router,
     request_id: &RequestId,
     code: StatusCode,
     reason: &str,
     retry_s: u64,
 ) -> Res {
-    r.counters.reject(reason);
-    r.record_event(EventKind::Rejected(reason.into()));
-    let mut res = json(
+    router.counters.reject(reason);
+    router.record_event(EventKind::Rejected(reason.into()));
+    let mut response = json(
         code,
         &j!({"outcome": "bounced", "reason": reason, "job": request_id, "retry_after_s": retry_s}),
     );
@@ -54,116 +55,116 @@
         && !common::mutation::enabled("no-retry-after")
         && let Ok(v) = retry_s.to_string().parse()
     {
-        res.headers_mut().insert("retry-after", v);
+        response.headers_mut().insert("retry-after", v);
     }
-    with_outcome(res, request_id, "bounced", reason)
+    with_outcome(response, request_id, "bounced", reason)
 }
 
-pub fn rejected(r: &Router, p: &Plan, reason: &str, retry_s: u64) -> Res {
-    r.counters.requests.inc(&[&p.entry.name, "bounced"]);
-    rejection_response(r, &p.request_id, StatusCode::SERVICE_UNAVAILABLE, reason, retry_s)
+/// Response to a planned request that did not run and won't.
+pub fn rejected(router: &Router, plan: &Plan, reason: &str, retry_s: u64) -> Res {
+    router.counters.requests.inc(&[&plan.entry.name, "bounced"]);
+    rejection_response(router, &plan.request_id, StatusCode::SERVICE_UNAVAILABLE, reason, retry_s)
 }
 
-/// It may have run: never called rejected.
-pub fn unknown(r: &Router, p: &Plan, e: &PeerError, late: bool) -> Res {
-    r.counters.requests.inc(&[&p.entry.name, "unknown"]);
-    r.record_event(EventKind::Unknown(e.step.into()));
+/// Response to a request that may have run, and so is never reported as rejected. `late` says that its deadline passed.
+pub fn unknown(router: &Router, plan: &Plan, e: &PeerError, late: bool) -> Res {
+    router.counters.requests.inc(&[&plan.entry.name, "unknown"]);
+    router.record_event(EventKind::Unknown(e.step.into()));
     let code = if late { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-    let res = json(code, &j!({"outcome": "unknown", "reason": e.step, "job": p.request_id}));
-    with_outcome(res, &p.request_id, "unknown", e.step)
+    let response = json(code, &j!({"outcome": "unknown", "reason": e.step, "job": plan.request_id}));
+    with_outcome(response, &plan.request_id, "unknown", e.step)
 }
 
 impl Router {
-    pub fn done(&self, p: &Plan, r: Res) -> Res {
-        self.counters.requests.inc(&[&p.entry.name, "done"]);
-        with_outcome(r, &p.request_id, "done", "")
+    /// Response to a request that ran.
+    pub fn done(&self, plan: &Plan, response: Res) -> Res {
+        self.counters.requests.inc(&[&plan.entry.name, "done"]);
+        with_outcome(response, &plan.request_id, "done", "")
     }
 
+    /// Handles one HTTP request, from a client or from a router of another region.
     pub async fn handle(self: Arc<Self>, _peer: SocketAddr, req: Request<Incoming>) -> Result<Res, BoxErr> {
         let (head, body) = req.into_parts();
         match head.uri.path() {
             "/healthz" => return Ok(text(StatusCode::OK, "ok\n")),
             "/readyz" => return Ok(self.ready()),
             "/foldshunt/journal" => {
-                let (digest, tail) = (self.event_log.view(), self.event_log.tail());
-                return Ok(json(StatusCode::OK, &j!({"digest": digest, "tail": tail})));
+                let (summary, tail) = (self.event_log.view(), self.event_log.tail());
+                return Ok(json(StatusCode::OK, &j!({"digest": summary, "tail": tail})));
             }
             "/metrics" => return Ok(text(StatusCode::OK, self.metrics())),
             _ => {}
         }
         let open = self.open_count.enter();
-        let n = self.request_serial.fetch_add(1, Ordering::Relaxed);
-        let request_id = forwarding::new_request_id(&self, n);
+        let serial = self.request_serial.fetch_add(1, Ordering::Relaxed);
+        let request_id = forwarding::new_request_id(&self, serial);
         self.await_joining().await;
-        let Some(g) = self.configuration.load_full() else {
-            let why = "no configuration";
-            return Ok(close(rejection_response(
-                &self,
-                &request_id,
-                StatusCode::SERVICE_UNAVAILABLE,
-                why,
-                2,
-            )));
+        let Some(configuration) = self.configuration.load_full() else {
+            let reason = "no configuration";
+            let code = StatusCode::SERVICE_UNAVAILABLE;
+            return Ok(close(rejection_response(&self, &request_id, code, reason, 2)));
         };
-        let revision = g.revision;
-        let mut res = self.handle_request(g, request_id, head, body, open).await;
+        let revision = configuration.revision;
+        let mut response = self.handle_request(configuration, request_id, head, body, open).await;
         if let Ok(v) = revision.to_string().parse() {
-            res.headers_mut().insert("foldshunt-revision", v);
+            response.headers_mut().insert("foldshunt-revision", v);
         }
-        Ok(res)
+        Ok(response)
     }
 
-    /// One request, by one document from its head to its end.
+    /// Handles a request by one configuration from start to end.
     async fn handle_request(
         self: &Arc<Self>,
-        g: Arc<ActiveConfiguration>,
+        configuration: Arc<ActiveConfiguration>,
         request_id: RequestId,
         head: Parts,
         body: Incoming,
         open: OpenGuard,
     ) -> Res {
-        let no = |code, why, s| close(rejection_response(self, &request_id, code, why, s));
-        if let Some(why) = self.refuses_work() {
-            return no(StatusCode::SERVICE_UNAVAILABLE, why, if why == "joining" { 1 } else { 3 });
+        let reject =
+            |code, reason, retry_s| close(rejection_response(self, &request_id, code, reason, retry_s));
+        if let Some(reason) = self.refuses_work() {
+            let retry_s = if reason == "joining" { 1 } else { 3 };
+            return reject(StatusCode::SERVICE_UNAVAILABLE, reason, retry_s);
         }
-        let inner = header_of(&head)(forwarding::HEADER);
-        let plan = match &inner {
-            None => match Plan::make(self, g, request_id.clone(), &head) {
-                Ok(p) => p,
-                Err(d) => return no(d.code, d.reason, 0),
+        let forwarded = header_of(&head)(forwarding::HEADER);
+        let plan = match &forwarded {
+            None => match Plan::make(self, configuration, request_id.clone(), &head) {
+                Ok(plan) => plan,
+                Err(e) => return reject(e.code, e.reason, 0),
             },
-            Some(raw) => match self.inner_plan(g, &head, raw).await {
-                Ok(p) => p,
-                Err(why) => return no(StatusCode::SERVICE_UNAVAILABLE, why, 1),
+            Some(signed) => match self.plan_forwarded(configuration, &head, signed).await {
+                Ok(plan) => plan,
+                Err(reason) => return reject(StatusCode::SERVICE_UNAVAILABLE, reason, 1),
             },
         };
-        if inner.is_none()
-            && let Some(r) = self.redirect_home(&plan, &head)
+        if forwarded.is_none()
+            && let Some(response) = self.redirect_home(&plan, &head)
         {
-            return close(r);
+            return close(response);
         }
-        let long = header_of(&head)("content-length").and_then(|v| v.parse::<usize>().ok());
-        if long.is_some_and(|n| n > plan.entry.limit) {
-            return no(StatusCode::PAYLOAD_TOO_LARGE, "body over the entry's limit", 0);
+        let length = header_of(&head)("content-length").and_then(|v| v.parse::<usize>().ok());
+        if length.is_some_and(|n| n > plan.entry.limit) {
+            return reject(StatusCode::PAYLOAD_TOO_LARGE, "body over the entry's limit", 0);
         }
         let left = Duration::from_millis(plan.deadline.since(self.now()));
         let bytes = match tokio::time::timeout(left, read_body(body, plan.entry.limit)).await {
             Ok(Ok(b)) => b,
             Ok(Err(BodyError::TooLarge)) => {
-                return no(StatusCode::PAYLOAD_TOO_LARGE, "body over the entry's limit", 0);
+                return reject(StatusCode::PAYLOAD_TOO_LARGE, "body over the entry's limit", 0);
             }
-            Ok(Err(BodyError::Broken)) => return no(StatusCode::BAD_REQUEST, "body broke off", 0),
-            Err(_) => return no(StatusCode::REQUEST_TIMEOUT, "body not here in time", 0),
+            Ok(Err(BodyError::Broken)) => return reject(StatusCode::BAD_REQUEST, "body broke off", 0),
+            Err(_) => return reject(StatusCode::REQUEST_TIMEOUT, "body not here in time", 0),
         };
-        let plan = if inner.is_none() { plan.with_key(&head, &bytes) } else { plan };
-        let sent = Plan::outgoing_request(&head, bytes);
-        // While it drains, a router finishes what still reaches it, and takes no more from there.
-        let res = self.execute(&plan, &sent, open).await;
-        if self.draining.load(Ordering::Acquire) { close(res) } else { res }
+        let plan = if forwarded.is_none() { plan.with_key(&head, &bytes) } else { plan };
+        let request = Plan::outgoing_request(&head, bytes);
+        // A draining router still serves a request that reaches it, and closes the connection.
+        let response = self.execute(&plan, &request, open).await;
+        if self.draining.load(Ordering::Acquire) { close(response) } else { response }
     }
 
-    /// A node that has just started joins within a few heartbeats: its first requests wait for that, for
-    /// as long as a voter's election time-out at most.
+    /// Holds a request while this node joins, for an election time-out at most. A node joins within a few heartbeats of
+    /// its start.
     async fn await_joining(&self) {
         let until = self.now() + self.settings.timing.election_timeout_ms();
         let ready = || self.member.caught_up() && self.configuration.load().is_some();
@@ -172,63 +173,67 @@
         }
     }
 
-    async fn inner_plan(
+    /// Plans a request that a router of another region forwarded and signed.
+    async fn plan_forwarded(
         &self,
-        g: Arc<ActiveConfiguration>,
+        configuration: Arc<ActiveConfiguration>,
         head: &Parts,
-        raw: &str,
+        signed: &str,
     ) -> Result<Plan, &'static str> {
-        let h = forwarding::verify(self.cluster_state().secret, raw).ok_or("unsigned hop")?;
-        forwarding::check(self, &h).await.inspect_err(|why| {
-            log_event!(Info, "hop", "peer" => h.from, "cause" => *why, "job" => h.request_id);
+        let sent = forwarding::verify(self.cluster_state().secret, signed).ok_or("unsigned hop")?;
+        forwarding::check(self, &sent).await.inspect_err(|reason| {
+            log_event!(Info, "hop", "peer" => sent.from, "cause" => *reason, "job" => sent.request_id);
         })?;
-        let mut p = Plan::make(self, g, h.request_id.clone(), head).map_err(|d| d.reason)?;
-        if p.entry.name != h.entry {
+        let mut plan =
+            Plan::make(self, configuration, sent.request_id.clone(), head).map_err(|e| e.reason)?;
+        if plan.entry.name != sent.entry {
             return Err("another entry");
         }
-        p.key = h.key;
-        p.forwarded = true;
-        p.deadline = self.now() + h.left_ms.min(p.entry.deadline_ms);
-        Ok(p)
+        plan.key = sent.key;
+        plan.forwarded = true;
+        plan.deadline = self.now() + sent.left_ms.min(plan.entry.deadline_ms);
+        Ok(plan)
     }
 
-    /// Work that may not be read here: sent on, unread, to a router in a home (design 5.2).
-    fn redirect_home(&self, p: &Plan, head: &Parts) -> Option<Res> {
-        let own = self.own_region(&p.configuration.table);
-        let away = self.cluster_state().evacuated.contains(self.zone());
-        let at_home = own.as_ref().is_some_and(|o| p.homes.contains(o));
-        if at_home && !away {
+    /// Redirects a client whose request may not be processed here to a router in a home region. The body is not read
+    /// (design 5.2).
+    fn redirect_home(&self, plan: &Plan, head: &Parts) -> Option<Res> {
+        let own = self.own_region(&plan.configuration.table);
+        let evacuated = self.cluster_state().evacuated.contains(self.zone());
+        let at_home = own.as_ref().is_some_and(|o| plan.homes.contains(o));
+        if at_home && !evacuated {
             return None;
         }
-        let near = own.filter(|_| at_home);
-        let peer = near
-            .and_then(|r| self.router_in(p, &r, &[]))
-            .or_else(|| p.homes.iter().find_map(|r| self.router_in(p, r, &[])));
+        let own_home = own.filter(|_| at_home);
+        let peer = own_home
+            .and_then(|r| self.router_in(plan, &r, &[]))
+            .or_else(|| plan.homes.iter().find_map(|r| self.router_in(plan, r, &[])));
         let reason = if at_home { "evacuated" } else { "outside homes" };
         Some(match peer {
-            Some(m) => {
+            Some(peer) => {
                 let path = head.uri.path_and_query().map(|x| x.as_str()).unwrap_or("/");
-                let mut r =
-                    rejection_response(self, &p.request_id, StatusCode::TEMPORARY_REDIRECT, reason, 0);
-                if let Ok(v) = format!("http://{}{path}", m.info.http).parse() {
-                    r.headers_mut().insert("location", v);
+                let code = StatusCode::TEMPORARY_REDIRECT;
+                let mut response = rejection_response(self, &plan.request_id, code, reason, 0);
+                if let Ok(v) = format!("http://{}{path}", peer.info.http).parse() {
+                    response.headers_mut().insert("location", v);
                 }
-                r
+                response
             }
-            None => rejection_response(self, &p.request_id, StatusCode::SERVICE_UNAVAILABLE, reason, 5),
+            None => rejection_response(self, &plan.request_id, StatusCode::SERVICE_UNAVAILABLE, reason, 5),
         })
     }
 
-    /// A router of a region that is heard, not evacuated and not tried yet; drawn, so that
-    /// no one of them gets it all.
-    pub fn router_in(&self, p: &Plan, region: &common::Region, tried: &[String]) -> Option<Member> {
-        let l = self.cluster_state();
-        let all: Vec<Member> = l
+    /// A random router of a region that is live, not evacuated and not tried yet.
+    pub fn router_in(&self, plan: &Plan, region: &common::Region, tried: &[String]) -> Option<Member> {
+        let state = self.cluster_state();
+        let all: Vec<Member> = state
             .routers()
             .into_iter()
-            .filter(|m| is_active_in(&l, &p.configuration.table, m, region) && m.info.node != *self.node())
-            // One that has just started has heard nobody yet: it takes the members at their word.
+            .filter(|m| {
+                is_active_in(&state, &plan.configuration.table, m, region) && m.info.node != *self.node()
+            })
             .filter(|m| !tried.contains(&m.info.node.to_string()))
+            // A node that has just started has no contacts yet, and takes every member for live.
             .filter(|m| self.is_starting() || self.is_live(m))
             .cloned()
             .collect();
@@ -236,8 +241,8 @@
     }
 }
 
-/// The connection cannot, or shall not, carry another request.
-fn close(mut r: Res) -> Res {
-    r.headers_mut().insert("connection", "close".parse().expect("a fixed header"));
-    r
+/// Closes the connection after a response: it can't or shall not carry another request.
+fn close(mut response: Res) -> Res {
+    response.headers_mut().insert("connection", "close".parse().expect("a valid header value"));
+    response
 }
--- a/crates/data-plane/src/health_prober.rs
+++ b/crates/data-plane/src/health_prober.rs
@@ -1,5 +1,5 @@
-//! The home of a service in a zone (design 5.4): probes its replicas and publishes load reports;
-//! the others subscribe.
+//! Health checks of replicas (design 5.4). For each service and zone one router, the home, probes the replicas and
+//! publishes load reports, to which the others subscribe.
 
 use crate::{
     load::{LoadReport, LocalLoad, ReplicaLoad},
@@ -25,48 +25,49 @@
 }
 
 impl Router {
-    /// The home: a router of the zone; where it has none, one of its region.
-    pub fn home_of(&self, t: &RoutingTable, svc: &Service, zone: &Zone) -> Option<Member> {
-        let l = self.cluster_state();
-        let key = format!("home/{svc}/{zone}");
-        singleton::ranked_holders(&l, &key, Some(zone)).into_iter().next().or_else(|| {
-            let region = t.region_of(zone);
-            singleton::ranked_holders(&l, &key, None)
+    /// The home of a service in a zone: a router of the zone, or of its region if the zone has none.
+    pub fn home_of(&self, table: &RoutingTable, service: &Service, zone: &Zone) -> Option<Member> {
+        let state = self.cluster_state();
+        let key = format!("home/{service}/{zone}");
+        singleton::ranked_holders(&state, &key, Some(zone)).into_iter().next().or_else(|| {
+            let region = table.region_of(zone);
+            singleton::ranked_holders(&state, &key, None)
                 .into_iter()
-                .find(|m| t.region_of(&m.info.zone) == region)
+                .find(|m| table.region_of(&m.info.zone) == region)
         })
     }
 
-    /// Keeps one task for each service and zone: the home probes, the others subscribe.
+    /// Runs one task for each service and zone, which probes or subscribes. It is restarted when the home changes.
     pub async fn watch_load_reports(self: Arc<Self>) {
         let mut tasks: BTreeMap<Key, (String, JoinHandle<()>)> = BTreeMap::new();
-        let mut wakeup = tokio::time::interval(Duration::from_millis(self.settings.timing.heartbeat_ms()));
+        let mut ticks = tokio::time::interval(Duration::from_millis(self.settings.timing.heartbeat_ms()));
         loop {
-            wakeup.tick().await;
-            let Some(g) = self.configuration.load_full() else { continue };
+            ticks.tick().await;
+            let Some(configuration) = self.configuration.load_full() else { continue };
+            let table = &configuration.table;
             let mut wanted: Vec<(Key, Member)> = Vec::new();
-            for zone in g.table.zones.keys() {
-                for svc in g.table.services.keys() {
-                    if let Some(m) = self.home_of(&g.table, svc, zone) {
-                        wanted.push(((svc.clone(), zone.clone()), m));
+            for zone in table.zones.keys() {
+                for service in table.services.keys() {
+                    if let Some(home) = self.home_of(table, service, zone) {
+                        wanted.push(((service.clone(), zone.clone()), home));
                     }
                 }
             }
-            tasks.retain(|k, (holder, task)| {
-                let same = wanted.iter().any(|(w, m)| w == k && m.info.node.as_str() == holder);
+            tasks.retain(|key, (holder, task)| {
+                let same = wanted.iter().any(|(k, home)| k == key && home.info.node.as_str() == holder);
                 if !same || task.is_finished() {
                     task.abort();
-                    lock(&self.published_load).remove(k);
+                    lock(&self.published_load).remove(key);
                 }
                 same && !task.is_finished()
             });
-            for (k, m) in wanted {
-                tasks.entry(k.clone()).or_insert_with(|| {
-                    let (me, holder) = (self.clone(), m.info.node.to_string());
-                    let task = if m.info.node == *self.node() {
-                        common::runtime::spawn(me.probe(k))
+            for (key, home) in wanted {
+                tasks.entry(key.clone()).or_insert_with(|| {
+                    let (me, holder) = (self.clone(), home.info.node.to_string());
+                    let task = if home.info.node == *self.node() {
+                        common::runtime::spawn(me.probe(key))
                     } else {
-                        common::runtime::spawn(me.subscribe(k, m))
+                        common::runtime::spawn(me.subscribe(key, home))
                     };
                     (holder, task)
                 });
@@ -74,31 +75,32 @@
         }
     }
 
+    /// Installs the load reports that the home publishes.
     async fn subscribe(self: Arc<Self>, (service, zone): Key, home: Member) {
         self.fetch_last_load_report(&service, &zone).await;
         let (mut seq, mut fencing_token) = (0, FencingToken(0));
         let wait_ms = self.settings.timing.probe_interval_ms * 2;
         loop {
-            let ask = RouterRequest::WatchLoad {
+            let request = RouterRequest::WatchLoad {
                 service: service.clone(),
                 zone: zone.clone(),
                 seq,
                 fencing_token,
                 wait_ms,
             };
-            let ms = wait_ms + self.settings.timing.rpc_timeout_ms;
+            let timeout_ms = wait_ms + self.settings.timing.rpc_timeout_ms;
             let asked = self.now();
-            match self.rpc_client.call_within(ms, "watch load", home.info.rpc_addr, ask).await {
-                Ok(RouterResponse::LoadReport(f)) => {
-                    (seq, fencing_token) = (f.seq, f.fencing_token);
-                    self.install_load_report(f, asked);
+            match self.rpc_client.call_within(timeout_ms, "watch load", home.info.rpc_addr, request).await {
+                Ok(RouterResponse::LoadReport(report)) => {
+                    (seq, fencing_token) = (report.seq, report.fencing_token);
+                    self.install_load_report(report, asked);
                 }
                 _ => tokio::time::sleep(Duration::from_millis(self.settings.timing.heartbeat_ms())).await,
             }
         }
     }
 
-    /// Probes the replicas of a service in a zone, and publishes their load.
+    /// Probes the replicas of a service in a zone, and publishes load reports.
     async fn probe(self: Arc<Self>, (service, zone): Key) {
         let (publisher, _) = watch::channel(None);
         lock(&self.published_load).insert((service.clone(), zone.clone()), publisher.clone());
@@ -111,7 +113,7 @@
         let (mut seq, mut full_at) = (0, Tick(0));
         loop {
             ticks.tick().await;
-            // Between two full checks only under load: load reports age fast there.
+            // Under load a report is soon out of date, so the replicas are probed between two full checks too.
             let since_full_ms = self.now().since(full_at) + timing.report_interval_ms() / 2;
             let full = since_full_ms >= timing.probe_interval_ms;
             if !full && !health.values().any(ReplicaHealth::is_loaded) {
@@ -125,7 +127,7 @@
             let listed = listed_replicas(&state, &service, &zone);
             health.retain(|id, _| listed.iter().any(|(known, _)| known == id));
             let asked = self.now();
-            let probes = listed.iter().map(|(_, replica)| self.check(replica));
+            let probes = listed.iter().map(|(_, replica)| self.probe_replica(replica));
             let results = futures::future::join_all(probes).await;
             let table = &configuration.table;
             let mut replicas = Vec::new();
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Takes the result of one probe into what is known of a replica, and returns its load.
+    /// Records the result of one probe, and returns the replica's load.
     fn record_probe(
         &self,
         known: &mut ReplicaHealth,
@@ -180,28 +182,29 @@
         }
     }
 
-    async fn check(&self, r: &Replica) -> ProbeResult {
-        let (ip, ms) =
+    /// Probes one replica: by its report, or by its health check if it has no report.
+    async fn probe_replica(&self, replica: &Replica) -> ProbeResult {
+        let (ip, timeout_ms) =
             (self.settings.rpc_addr.ip(), (self.settings.timing.probe_interval_ms * 3 / 4).max(50));
-        let res = ask(ip, r.addr, Method::GET, "/foldshunt/report", &[], "", ms).await;
-        let res = match res {
-            Ok(r) => r,
+        let response = ask(ip, replica.addr, Method::GET, "/foldshunt/report", &[], "", timeout_ms).await;
+        let (status, _, body) = match response {
+            Ok(response) => response,
             Err(e) if e.is_refused() => return ProbeResult::Refused,
             Err(_) => return ProbeResult::NoAnswer,
         };
-        if res.0.is_success() {
-            return ProbeResult::Reported(Report::read(&res.2, r.service.as_str()).unwrap_or_default());
+        if status.is_success() {
+            return ProbeResult::Reported(Report::read(&body, replica.service.as_str()).unwrap_or_default());
         }
-        if res.0.as_u16() != 404 {
+        if status.as_u16() != 404 {
             return ProbeResult::Reported(Report { healthy: Some(false), ..Report::default() });
         }
-        let res = ask(ip, r.addr, Method::GET, "/healthz", &[], "", ms).await;
-        let well =
-            |r: (hyper::StatusCode, _, _)| Report { healthy: Some(r.0.is_success()), ..Report::default() };
-        res.map_or(ProbeResult::NoAnswer, |r| ProbeResult::Reported(well(r)))
+        let response = ask(ip, replica.addr, Method::GET, "/healthz", &[], "", timeout_ms).await;
+        response.map_or(ProbeResult::NoAnswer, |(status, _, _)| {
+            ProbeResult::Reported(Report { healthy: Some(status.is_success()), ..Report::default() })
+        })
     }
 
-    /// `Server-Load` on an answer: a share of the capacity, or per cent of it.
+    /// Records the `Server-Load` of a response: a share of the capacity up to 1, or else a percentage.
     pub fn note_load(&self, local: &LocalLoad, headers: &hyper::HeaderMap) {
         let reported = headers
             .get("server-load")
--- a/crates/data-plane/src/placement.rs
+++ b/crates/data-plane/src/placement.rs
@@ -1,5 +1,5 @@
-//! Placing a user (design 5.1, 5.3): the stored region where it grants the tests, else a draw
-//! that is settled at the owner of the shard.
+//! Placement of users in regions (design 5.1, 5.3): a user stays in the stored region while that is eligible. Otherwise
+//! a region is drawn, and the owner of the user's shard decides between concurrent draws.
 
 use crate::{
     placement_table::{PlacementOutcome, PlacementRow, UserKey},
@@ -12,118 +12,125 @@
 use control_plane::{Member, state_machine::singleton};
 use std::{collections::BTreeSet, sync::Arc};
 
-/// Where a request is to go, and whether it needs a pass to be there.
+/// The region that a request is sent to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementChoice {
+    /// The region.
     pub region: Region,
+    /// Whether the user was already placed there. Otherwise a request to another region needs a capacity grant.
     pub stored: bool,
 }
 
 impl Router {
+    /// Routers in the order in which they own a shard: the first is its owner, the next are its followers.
     fn owners(&self, shard: u16) -> Vec<Member> {
         singleton::ranked_holders(&self.cluster_state(), &format!("shard/{shard}"), None)
     }
 
+    /// Chooses the region for a request, other than those in `avoid`.
     pub async fn choose_region(
         self: &Arc<Self>,
-        p: &Plan,
+        plan: &Plan,
         avoid: &BTreeSet<Region>,
     ) -> Option<PlacementChoice> {
-        let g = &p.configuration;
-        let pol = g.table.policy(&p.entry);
-        let seen = self.region_loads(&g.table, &p.entry.to);
-        let own = self.own_region(&g.table);
+        let (table, service) = (&plan.configuration.table, &plan.entry.to);
+        let policy = table.policy(&plan.entry);
+        let loads = self.region_loads(table, service);
+        let own = self.own_region(table);
         let open_to = |r: &Region| {
             !avoid.contains(r)
-                && (Some(r) == own.as_ref() || lock(&self.held_grants).has(r, &p.entry.to, self.now()))
+                && (Some(r) == own.as_ref() || lock(&self.held_grants).has(r, service, self.now()))
         };
-        let cands = candidates(&seen, &p.homes, pol, &open_to);
+        let candidates = candidates(&loads, &plan.homes, policy, &open_to);
         let count = |how: &str| self.counters.placements.with_label_values(&[how]).inc();
-        let Some(key) = p.key else {
+        let Some(key) = plan.key else {
             count("no key");
-            return draw(&cands, common::runtime::random())
+            return draw(&candidates, common::runtime::random())
                 .map(|region| PlacementChoice { region, stored: false });
         };
-        let good = |r: &Region| p.homes.contains(r) && !avoid.contains(r) && is_eligible(seen.get(r), pol);
+        let usable =
+            |r: &Region| plan.homes.contains(r) && !avoid.contains(r) && is_eligible(loads.get(r), policy);
         let mut stale = None;
-        if let Some(c) = self.cached(key, &p.entry.to) {
-            if good(&c.region) {
+        if let Some(cached) = self.cached(key, service) {
+            if usable(&cached.region) {
                 count("cached");
-                return Some(PlacementChoice { region: c.region, stored: true });
+                return Some(PlacementChoice { region: cached.region, stored: true });
             }
-            stale = Some(c.version);
+            stale = Some(cached.version);
         }
-        let pick = draw(&cands, common::runtime::random());
+        let pick = draw(&candidates, common::runtime::random());
         for _ in 0..2 {
             let asked = self.now();
             match self
                 .resolve(
                     key,
-                    &p.entry.to,
+                    service,
                     stale,
                     pick.clone(),
-                    pol.ttl_ms,
+                    policy.ttl_ms,
                     self.settings.timing.placement_timeout_ms(),
                 )
                 .await
             {
                 Some(PlacementOutcome::Held { region, version, won }) => {
-                    self.remember(key, &p.entry.to, &region, version, pol.ttl_ms, asked);
+                    self.cache_placement(key, service, &region, version, policy.ttl_ms, asked);
                     if won {
                         count(if stale.is_some() { "moved" } else { "drawn" });
                         return Some(PlacementChoice { region, stored: false });
                     }
-                    if good(&region) {
+                    if usable(&region) {
                         count("stored");
                         return Some(PlacementChoice { region, stored: true });
                     }
                     stale = Some(version);
                 }
                 Some(PlacementOutcome::Empty) => return None,
-                // The table is out of reach: what was heard last, else the draw that all
-                // routers make alike.
+                // The owner is unreachable: the placement that was cached last, else the draw by user key, on
+                // which all routers agree.
                 None => {
                     count("unreachable");
-                    let last = lock(&self.placement_cache).get(&(key, p.entry.to.clone())).cloned();
-                    let known = last.filter(|c| c.until > self.now() && good(&c.region));
-                    return known.map(|c| PlacementChoice { region: c.region, stored: true }).or_else(|| {
-                        draw_by_key(&cands, key.0).map(|region| PlacementChoice { region, stored: false })
+                    let cached = lock(&self.placement_cache).get(&(key, service.clone())).cloned();
+                    let valid = cached.filter(|c| c.until > self.now() && usable(&c.region));
+                    return valid.map(|c| PlacementChoice { region: c.region, stored: true }).or_else(|| {
+                        draw_by_key(&candidates, key.0)
+                            .map(|region| PlacementChoice { region, stored: false })
                     });
                 }
             }
         }
-        // Others settled on regions that fail the tests here: go by the own draw, store nothing.
+        // The stored regions are not usable here, though others chose them: use the region drawn here, without
+        // storing it.
         pick.map(|region| PlacementChoice { region, stored: false })
     }
 
-    /// A cached placement serves for a small part of its life without asking the owner, so
-    /// that refreshes are coalesced and moves are heard of soon.
-    fn cached(&self, key: UserKey, svc: &Service) -> Option<CachedPlacement> {
+    /// A cached placement that needs no confirmation by the owner yet. That holds for 1/180 of its time to live, and
+    /// 5 s at most, so that refreshes are coalesced, and moves of the user become known soon.
+    fn cached(&self, key: UserKey, service: &Service) -> Option<CachedPlacement> {
         let now = self.now();
-        let c = lock(&self.placement_cache).get(&(key, svc.clone())).cloned()?;
-        let fresh = (c.until.since(c.confirmed_at) / 180).min(5_000);
-        (now.since(c.confirmed_at) < fresh).then_some(c)
+        let cached = lock(&self.placement_cache).get(&(key, service.clone())).cloned()?;
+        let fresh_ms = (cached.until.since(cached.confirmed_at) / 180).min(5_000);
+        (now.since(cached.confirmed_at) < fresh_ms).then_some(cached)
     }
 
-    fn remember(
+    fn cache_placement(
         &self,
         key: UserKey,
-        svc: &Service,
+        service: &Service,
         region: &Region,
         version: u64,
         ttl_ms: u64,
         confirmed_at: Tick,
     ) {
-        let c =
-            CachedPlacement { region: region.clone(), version, confirmed_at, until: confirmed_at + ttl_ms };
-        let mut g = lock(&self.placement_cache);
-        if g.len() >= crate::placement_table::MAX_ROWS / 4 {
-            g.retain(|_, c| c.until > confirmed_at);
+        let until = confirmed_at + ttl_ms;
+        let placement = CachedPlacement { region: region.clone(), version, confirmed_at, until };
+        let mut cache = lock(&self.placement_cache);
+        if cache.len() >= crate::placement_table::MAX_ROWS / 4 {
+            cache.retain(|_, cached| cached.until > confirmed_at);
         }
-        g.insert((key, svc.clone()), c);
+        cache.insert((key, service.clone()), placement);
     }
 
-    /// Asks the owner of the shard; `None` where it can't be reached within the small bound.
+    /// Asks the owner of the shard where a user is placed; `None` if it gives no answer within `wait_ms`.
     pub(crate) async fn resolve(
         self: &Arc<Self>,
         key: UserKey,
@@ -139,7 +146,7 @@
         if owner.info.node == *self.node() {
             return self.resolve_locally(fencing_token, key, service, stale, pick, ttl_ms).ok();
         }
-        let ask = RouterRequest::ResolvePlacement {
+        let request = RouterRequest::ResolvePlacement {
             fencing_token,
             key,
             service: service.clone(),
@@ -147,13 +154,13 @@
             pick,
             ttl_ms,
         };
-        match self.rpc_client.call_within(wait_ms, "resolve placement", owner.info.rpc_addr, ask).await {
-            Ok(RouterResponse::Placement(s)) => Some(s),
+        match self.rpc_client.call_within(wait_ms, "resolve placement", owner.info.rpc_addr, request).await {
+            Ok(RouterResponse::Placement(outcome)) => Some(outcome),
             _ => None,
         }
     }
 
-    /// The owner's side: settles and tells the followers of what it won.
+    /// Answers as the owner of the shard, and replicates the row to the followers.
     pub fn resolve_locally(
         self: &Arc<Self>,
         fencing_token: common::FencingToken,
@@ -169,20 +176,21 @@
             return Err("not the owner".into());
         }
         let now = self.now();
-        let (res, row) = {
-            let mut t = lock(&self.placements);
-            t.admit(shard, self.fencing_token(), fencing_token)
+        let (outcome, row) = {
+            let mut table = lock(&self.placements);
+            table
+                .admit(shard, self.fencing_token(), fencing_token)
                 .map_err(|f| format!("stale fence: {f} is known"))?;
-            let res = t.resolve(key, service, stale, pick, ttl_ms, now);
-            (res, t.row(key, service, now))
+            let outcome = table.resolve(key, service, stale, pick, ttl_ms, now);
+            (outcome, table.row(key, service, now))
         };
         if let Some(row) = row {
             self.replicate_row(shard, fencing_token, owners, row);
         }
-        Ok(res)
+        Ok(outcome)
     }
 
-    /// Two followers, in other zones where that can be had.
+    /// Sends a row to two followers, in other zones where there are such.
     fn replicate_row(
         self: &Arc<Self>,
         shard: u16,
@@ -190,49 +198,52 @@
         owners: Vec<Member>,
         row: PlacementRow,
     ) {
-        let (far, near): (Vec<_>, Vec<_>) =
+        let (other_zones, own_zone): (Vec<_>, Vec<_>) =
             owners.into_iter().skip(1).partition(|m| m.info.zone != *self.zone());
-        for m in far.into_iter().chain(near).take(2) {
+        for follower in other_zones.into_iter().chain(own_zone).take(2) {
             let (me, rows) = (self.clone(), vec![row.clone()]);
             common::runtime::spawn(async move {
-                let ask = RouterRequest::ReplicatePlacements { fencing_token, shard, rows };
-                let _ = me.rpc_client.call("replicate placement", m.info.rpc_addr, ask).await;
+                let request = RouterRequest::ReplicatePlacements { fencing_token, shard, rows };
+                let _ = me.rpc_client.call("replicate placement", follower.info.rpc_addr, request).await;
             });
         }
     }
 
-    /// A new owner gathers what the others hold of the shards that came to it.
+    /// Fetches the rows of each shard that this node becomes the owner of from the routers next in line.
     pub async fn fetch_shards(self: Arc<Self>) {
-        let mut known: Vec<Option<String>> = vec![None; crate::placement_table::SHARDS as usize];
-        let mut moved = self.member.applied.subscribe();
+        let mut last_owners: Vec<Option<String>> = vec![None; crate::placement_table::SHARDS as usize];
+        let mut applied = self.member.applied.subscribe();
         loop {
             for shard in 0..crate::placement_table::SHARDS {
                 let owners = self.owners(shard);
-                let first = owners.first().map(|m| m.info.node.to_string());
-                let was = std::mem::replace(&mut known[shard as usize], first.clone());
-                if first == was || first.as_deref() != Some(self.node().as_str()) {
+                let owner = owners.first().map(|m| m.info.node.to_string());
+                let last = std::mem::replace(&mut last_owners[shard as usize], owner.clone());
+                if owner == last || owner.as_deref() != Some(self.node().as_str()) {
                     continue;
                 }
-                for m in owners.into_iter().skip(1).take(3) {
-                    let (me, to) = (self.clone(), m.info.rpc_addr);
+                for follower in owners.into_iter().skip(1).take(3) {
+                    let (me, address) = (self.clone(), follower.info.rpc_addr);
                     common::runtime::spawn(async move {
-                        if let Ok(RouterResponse::Placements(rows)) =
-                            me.rpc_client.call("fetch shard", to, RouterRequest::FetchShard { shard }).await
+                        if let Ok(RouterResponse::Placements(rows)) = me
+                            .rpc_client
+                            .call("fetch shard", address, RouterRequest::FetchShard { shard })
+                            .await
                         {
                             me.install_rows(rows);
                         }
                     });
                 }
             }
-            if moved.changed().await.is_err() {
+            if applied.changed().await.is_err() {
                 return;
             }
         }
     }
 
+    /// Stores copies of rows from another router.
     pub fn install_rows(&self, rows: Vec<PlacementRow>) {
         let now: Tick = self.now();
-        let mut t = lock(&self.placements);
-        rows.into_iter().for_each(|c| t.install_row(c, now));
+        let mut table = lock(&self.placements);
+        rows.into_iter().for_each(|row| table.install_row(row, now));
     }
 }
--- a/crates/data-plane/src/plan.rs
+++ b/crates/data-plane/src/plan.rs
@@ -40,7 +40,8 @@
     pub reason: &'static str,
 }
 
-fn rejected<T>(code: StatusCode, reason: &'static str) -> Result<T, PlanError> {
+/// Rejects a request before it is planned.
+pub fn rejected<T>(code: StatusCode, reason: &'static str) -> Result<T, PlanError> {
     Err(PlanError { code, reason })
 }
 
--- a/crates/data-plane/src/replica_choice.rs
+++ b/crates/data-plane/src/replica_choice.rs
@@ -1,4 +1,4 @@
-//! Choice of a replica within the own region (design 5.4).
+//! Choice of a replica within this node's region (design 5.4).
 
 use crate::{
     load::{Candidate, LocalLoad},
@@ -13,13 +13,16 @@
     sync::{Arc, atomic::Ordering},
 };
 
-/// Share of a region's capacity in use from which users keep to their first replicas.
-const PRESSED: f64 = 0.75;
+/// Share of the capacity in use above which each user is confined to its first-ranked replicas.
+const CONFINE_USERS_ABOVE: f64 = 0.75;
 
-/// A replica that was picked; while this lives the request counts as open there.
+/// The replica that a request goes to. The request counts as open there until this is dropped.
 pub struct SelectedReplica {
+    /// Address of the replica.
     pub addr: SocketAddr,
+    /// Its id.
     pub id: common::ReplicaId,
+    /// What this router itself knows of it.
     pub local: Arc<LocalLoad>,
     router: Arc<Router>,
 }
@@ -31,91 +34,103 @@
     }
 }
 
-/// This router's part of `whole` places at a replica, cut over the region's routers by rank.
-fn share(routers: &[NodeId], me: &str, key: &str, whole: u32) -> i64 {
+/// This router's share of a number of requests: an equal part, with the remainder given out by rank.
+fn router_share(routers: &[NodeId], me: &str, key: &str, total: u32) -> i64 {
     let ranked = common::rendezvous::ranked(key, routers, |n| n.as_str());
     let n = ranked.len().max(1) as u32;
-    let place = ranked.iter().position(|m| m.as_str() == me).unwrap_or(usize::MAX);
-    i64::from(whole / n) + i64::from((place as u64) < u64::from(whole % n))
+    let rank = ranked.iter().position(|m| m.as_str() == me).unwrap_or(usize::MAX);
+    i64::from(total / n) + i64::from((rank as u64) < u64::from(total % n))
 }
 
-pub fn routers_in_region(l: &ClusterState, t: &RoutingTable, region: &Region) -> Vec<NodeId> {
-    l.routers().into_iter().filter(|m| is_active_in(l, t, m, region)).map(|m| m.info.node.clone()).collect()
+/// The routers of a region whose zones are not evacuated.
+pub fn routers_in_region(state: &ClusterState, table: &RoutingTable, region: &Region) -> Vec<NodeId> {
+    state
+        .routers()
+        .into_iter()
+        .filter(|m| is_active_in(state, table, m, region))
+        .map(|m| m.info.node.clone())
+        .collect()
 }
 
-/// Whether one more request may go to this replica from here (design 5.4). What a report shows as
-/// free is split over the routers, so that they do not all take the same room; a replica that is
-/// less than half full takes one more from each of them, so that users stay where they are warm.
-pub fn has_room(c: &Candidate, routers: &[NodeId], me: &str) -> bool {
-    let (id, open) = (c.load.id.as_str(), c.local.open.load(Ordering::Relaxed));
-    if let Some(a) = c.load.allowance {
-        // Who holds the places changes with the load reports: what is open there already counts too.
-        return open < share(&c.routers, me, id, a) && c.consumption() + 1.0 <= f64::from(a);
+/// Whether this router may send a replica one more request (design 5.4). The free capacity by the last report is split
+/// over the routers, so that they don't all use the same. A replica that is less than half full takes one more from
+/// each of them, so that users stay at the replicas that hold their prefixes.
+pub fn has_room(replica: &Candidate, routers: &[NodeId], me: &str) -> bool {
+    let (id, open) = (replica.load.id.as_str(), replica.local.open.load(Ordering::Relaxed));
+    if let Some(allowance) = replica.load.allowance {
+        // The split of an allowance changes with each report, so requests that are already open count too.
+        return open < router_share(&replica.routers, me, id, allowance)
+            && replica.consumption() + 1.0 <= f64::from(allowance);
     }
-    let cap = c.load.capacity.max(1.0);
-    let added = open - c.local.counted.load(Ordering::Relaxed);
-    let free = (cap - c.load.consumption).max(0.0) as u32;
-    let part = share(routers, me, &format!("{id}/{}", c.seq), free);
-    let half_empty = c.load.consumption * 2.0 <= cap;
-    c.consumption() + 1.0 <= cap && (added < part || (half_empty && added < 1))
+    let capacity = replica.load.capacity.max(1.0);
+    let added = open - replica.local.counted.load(Ordering::Relaxed);
+    let free = (capacity - replica.load.consumption).max(0.0) as u32;
+    let share = router_share(routers, me, &format!("{id}/{}", replica.seq), free);
+    let half_empty = replica.load.consumption * 2.0 <= capacity;
+    replica.consumption() + 1.0 <= capacity && (added < share || (half_empty && added < 1))
 }
 
-/// Refused a connection here since its load reports were taken: nothing goes there before newer ones.
-fn gone(c: &Candidate) -> bool {
-    c.local.refused_at.load(Ordering::Relaxed) > c.fresh_at.0
+/// Whether a replica refused a connection after its load report was measured: it gets nothing before a newer report.
+fn refused_since_report(replica: &Candidate) -> bool {
+    replica.local.refused_at.load(Ordering::Relaxed) > replica.fresh_at.0
 }
 
 impl Router {
-    /// Picks a replica with room and counts the request there at once. `Err(true)`: there are
-    /// replicas, but none has room; `Err(false)`: there are none.
+    /// Selects a replica with room and counts the request there at once. `Err(true)`: there are replicas, but none
+    /// has room. `Err(false)`: there are none.
     pub fn select_replica(
         self: &Arc<Self>,
-        t: &RoutingTable,
-        svc: &Service,
+        table: &RoutingTable,
+        service: &Service,
         kind: Kind,
         key: Option<UserKey>,
         tried: &[common::ReplicaId],
     ) -> Result<SelectedReplica, bool> {
-        let region = self.own_region(t).ok_or(false)?;
-        let l = self.cluster_state();
+        let region = self.own_region(table).ok_or(false)?;
+        let state = self.cluster_state();
         let now = self.now();
-        let mut all: Vec<Candidate> = self
-            .own_replicas(t, svc)
+        let mut replicas: Vec<Candidate> = self
+            .own_replicas(table, service)
             .into_iter()
-            .filter(|c| !tried.contains(&c.load.id) && !gone(c))
+            .filter(|c| !tried.contains(&c.load.id) && !refused_since_report(c))
             .collect();
-        if all.is_empty() {
+        if replicas.is_empty() {
             return Err(false);
         }
-        // Those that failed here lately come last, and only where there is nothing else.
+        // A replica that failed here lately is used only where there is no other.
         let avoided = |c: &Candidate| c.local.avoid_until.load(Ordering::Relaxed) > now.0;
-        if all.iter().any(|c| !avoided(c)) {
-            all.retain(|c| !avoided(c));
+        if replicas.iter().any(|c| !avoided(c)) {
+            replicas.retain(|c| !avoided(c));
         }
-        let routers = routers_in_region(&l, t, &region);
+        let routers = routers_in_region(&state, table, &region);
         let ratio = |c: &Candidate| c.consumption() / c.load.capacity.max(1.0);
         match (kind, key) {
-            // The same user's prefixes stay on the same replicas, best the same one.
-            (Kind::Model, Some(k)) => {
-                let weight =
-                    |c: &Candidate| stable_hash(&[&k.0.to_le_bytes(), c.load.id.as_str().as_bytes()]);
-                all.sort_by_key(|c| std::cmp::Reverse(weight(c)));
-                let whole: f64 = all.iter().map(|c| c.load.capacity).sum();
-                let used: f64 = all.iter().map(|c| c.consumption()).sum();
-                // Under load a cold run elsewhere costs more than a short wait.
-                if used > whole * PRESSED {
-                    all.truncate((all.len() / 8).max(2));
+            // Requests of one user go to the same few replicas, which hold the user's prefixes.
+            (Kind::Model, Some(key)) => {
+                let rank =
+                    |c: &Candidate| stable_hash(&[&key.0.to_le_bytes(), c.load.id.as_str().as_bytes()]);
+                replicas.sort_by_key(|c| std::cmp::Reverse(rank(c)));
+                let capacity: f64 = replicas.iter().map(|c| c.load.capacity).sum();
+                let used: f64 = replicas.iter().map(|c| c.consumption()).sum();
+                // Under high load, a run without cached prefixes elsewhere costs more than a short wait.
+                if used > capacity * CONFINE_USERS_ABOVE {
+                    replicas.truncate((replicas.len() / 8).max(2));
                 }
             }
-            (Kind::Model, None) => all.sort_by(|a, b| ratio(a).total_cmp(&ratio(b))),
-            (Kind::Application, _) => all.sort_by(|a, b| {
-                let far = |c: &Candidate| c.zone != *self.zone();
-                far(a).cmp(&far(b)).then(ratio(a).total_cmp(&ratio(b)))
+            (Kind::Model, None) => replicas.sort_by(|a, b| ratio(a).total_cmp(&ratio(b))),
+            (Kind::Application, _) => replicas.sort_by(|a, b| {
+                let other_zone = |c: &Candidate| c.zone != *self.zone();
+                other_zone(a).cmp(&other_zone(b)).then(ratio(a).total_cmp(&ratio(b)))
             }),
         }
-        let best = all.into_iter().find(|c| has_room(c, &routers, self.node().as_str()));
-        let c = best.ok_or(true)?;
-        c.local.open.fetch_add(1, Ordering::AcqRel);
-        Ok(SelectedReplica { addr: c.load.addr, id: c.load.id, local: c.local, router: self.clone() })
+        let best = replicas.into_iter().find(|c| has_room(c, &routers, self.node().as_str()));
+        let best = best.ok_or(true)?;
+        best.local.open.fetch_add(1, Ordering::AcqRel);
+        Ok(SelectedReplica {
+            addr: best.load.addr,
+            id: best.load.id,
+            local: best.local,
+            router: self.clone(),
+        })
     }
 }
--- a/crates/data-plane/src/replica_health.rs
+++ b/crates/data-plane/src/replica_health.rs
@@ -1,62 +1,74 @@
-//! What a home makes of one replica's checks (design 5.4): no input or output.
+//! Health of a replica by its probes (design 5.4), without input or output.
 
 use common::Tick;
 
-/// What a home remembers of one replica between checks.
+/// What the router that probes a replica knows of it.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaHealth {
+    /// Number of probes that failed in a row.
     pub fails: u32,
+    /// Whether it may be used.
     pub healthy: bool,
+    /// How many requests it can serve at once.
     pub capacity: f64,
+    /// How much of the capacity is in use.
     pub consumption: f64,
-    /// Nothing listened there at the last check: whatever comes back comes back cold.
+    /// Whether it refused the last connection: its process is gone, and the next one starts with a cold cache.
     pub absent: bool,
-    /// When it last came up; its concurrency ramps from there.
+    /// When it last came up, which begins its slow start.
     pub warm_since: Option<Tick>,
 }
 
-/// What came of one check.
+/// Result of one probe.
 #[derive(Debug, PartialEq)]
 pub enum ProbeResult {
+    /// It answered.
     Reported(Report),
+    /// It did not answer in time.
     NoAnswer,
-    /// The connection was refused: the process is not there, and its cache is gone.
+    /// It refused the connection: the process is not running, and its cache is lost.
     Refused,
 }
 
-/// A report, read tolerantly: what is absent or unknown is left alone.
+/// What a replica reports of itself. Unknown fields are ignored, and absent or invalid ones are `None`.
 #[derive(Debug, Default, PartialEq)]
 pub struct Report {
+    /// Whether it is healthy.
     pub healthy: Option<bool>,
+    /// How many requests it can serve at once.
     pub capacity: Option<f64>,
+    /// How much of the capacity is in use.
     pub consumption: Option<f64>,
 }
 
 impl Report {
-    pub fn read(b: &[u8], model: &str) -> Option<Report> {
-        let v: serde_json::Value = serde_json::from_slice(b).ok()?;
-        let of_model = v.get("models").and_then(|m| m.as_array()).and_then(|m| {
-            let mine = m.iter().find(|x| x.get("name").and_then(|n| n.as_str()) == Some(model));
-            mine.and_then(|x| x.get("payload").or(Some(x)).cloned())
+    /// Reads a report in JSON: of one replica, or of several models of which `model` is meant.
+    pub fn read(body: &[u8], model: &str) -> Option<Report> {
+        let document: serde_json::Value = serde_json::from_slice(body).ok()?;
+        let of_model = document.get("models").and_then(|m| m.as_array()).and_then(|m| {
+            let found = m.iter().find(|x| x.get("name").and_then(|n| n.as_str()) == Some(model));
+            found.and_then(|x| x.get("payload").or(Some(x)).cloned())
         });
-        let at = of_model.unwrap_or(v);
-        let num = |k: &str| at.get(k).and_then(|x| x.as_f64()).filter(|x| x.is_finite() && *x >= 0.0);
+        let report = of_model.unwrap_or(document);
+        let number =
+            |name: &str| report.get(name).and_then(|x| x.as_f64()).filter(|x| x.is_finite() && *x >= 0.0);
         Some(Report {
-            healthy: at.get("healthy").and_then(|x| x.as_bool()),
-            capacity: num("capacity"),
-            consumption: num("consumption"),
+            healthy: report.get("healthy").and_then(|x| x.as_bool()),
+            capacity: number("capacity"),
+            consumption: number("consumption"),
         })
     }
 }
 
 impl ReplicaHealth {
-    /// More than half of its capacity is in use.
+    /// Whether more than half of its capacity is in use.
     pub fn is_loaded(&self) -> bool {
         self.healthy && self.consumption * 2.0 > self.capacity
     }
 
-    /// Folds one check in.
-    pub fn record(&mut self, found: ProbeResult, fails: u32, slots: f64, now: Tick) {
+    /// Records a probe. The replica becomes unhealthy after `max_fails` failures in a row; `slots` is its capacity
+    /// where it reports none.
+    pub fn record(&mut self, found: ProbeResult, max_fails: u32, slots: f64, now: Tick) {
         match found {
             ProbeResult::Reported(r) if r.healthy != Some(false) => {
                 self.fails = 0;
@@ -67,28 +79,29 @@
                 self.capacity = r.capacity.unwrap_or(slots);
                 self.consumption = r.consumption.unwrap_or(0.0);
             }
-            // What says itself that it is unwell is believed at once.
-            ProbeResult::Reported(_) => (self.healthy, self.fails) = (false, fails),
+            // A replica that calls itself unhealthy is unhealthy at once.
+            ProbeResult::Reported(_) => (self.healthy, self.fails) = (false, max_fails),
             ProbeResult::NoAnswer | ProbeResult::Refused => {
                 self.absent |= found == ProbeResult::Refused;
-                self.fails = (self.fails + 1).min(fails);
-                if self.fails >= fails {
+                self.fails = (self.fails + 1).min(max_fails);
+                if self.fails >= max_fails {
                     self.healthy = false;
                 }
             }
         }
     }
 
-    /// The ramp: a tenth of the capacity at first, all of it after `slow_start_ms`. It does not begin before
-    /// something is there; until then its first step tells who takes over that this one is cold.
+    /// The most requests that it may have open during slow start: a tenth of the capacity at first, and all of it after
+    /// `slow_start_ms`. An absent replica stays at the first step, so that a router that takes over the probing knows
+    /// that it is cold.
     pub fn allowance(&self, slow_start_ms: u64, now: Tick) -> Option<u32> {
         if common::mutation::enabled("cold-is-warm") {
             return None;
         }
-        let up = if self.absent { 0 } else { now.since(self.warm_since?) };
-        (up < slow_start_ms).then(|| {
-            let part = (up as f64 / slow_start_ms as f64).max(0.1);
-            (self.capacity * part).max(1.0) as u32
+        let up_ms = if self.absent { 0 } else { now.since(self.warm_since?) };
+        (up_ms < slow_start_ms).then(|| {
+            let share = (up_ms as f64 / slow_start_ms as f64).max(0.1);
+            (self.capacity * share).max(1.0) as u32
         })
     }
 }
--- a/crates/data-plane/src/request_queue.rs
+++ b/crates/data-plane/src/request_queue.rs
@@ -1,59 +1,64 @@
-//! The request queue (design 5.9): bounded, in order of deadline, and honest at once with those
-//! whose deadline can't be met.
+//! Queue of requests that wait for a replica with room (design 5.9). It is bounded and ordered by deadline, and it rejects
+//! a request at once if its deadline can't be met.
 
 use common::Tick;
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
+/// The waiting requests, and how fast room becomes free.
 #[derive(Debug, Default)]
 pub struct RequestQueue {
-    rows: BTreeMap<(Tick, u64), oneshot::Sender<()>>,
+    waiting: BTreeMap<(Tick, u64), oneshot::Sender<()>>,
     serial: u64,
-    /// Smoothed time between two places that came free, in milliseconds.
+    /// Smoothed time between two requests that end, in milliseconds.
     gap_ms: f64,
     last_free: Option<Tick>,
 }
 
+/// Why a request may not wait.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Rejection {
+    /// The queue is full.
     Full,
-    /// Too many stand before it for its deadline.
+    /// Too many requests with earlier deadlines are waiting for its own deadline to be met.
     Late,
 }
 
 impl RequestQueue {
-    /// Takes a place by deadline, or says at once that it would not help.
+    /// Queues a request by its deadline, or rejects it at once. Returns its place, and a receiver that is notified when
+    /// it should try again.
     pub fn join(
         &mut self,
         deadline: Tick,
         bound: usize,
         now: Tick,
     ) -> Result<((Tick, u64), oneshot::Receiver<()>), Rejection> {
-        if self.rows.len() >= bound {
+        if self.waiting.len() >= bound {
             return Err(Rejection::Full);
         }
-        let before = self.rows.range(..(deadline, u64::MAX)).count() as f64;
+        let before = self.waiting.range(..(deadline, u64::MAX)).count() as f64;
         if (before + 1.0) * self.gap_ms > deadline.since(now) as f64 {
             return Err(Rejection::Late);
         }
         let (tx, rx) = oneshot::channel();
         self.serial += 1;
-        let at = (deadline, self.serial);
-        self.rows.insert(at, tx);
-        Ok((at, rx))
+        let place = (deadline, self.serial);
+        self.waiting.insert(place, tx);
+        Ok((place, rx))
     }
 
-    pub fn leave(&mut self, at: &(Tick, u64)) {
-        self.rows.remove(at);
+    /// Takes a request out of the queue.
+    pub fn leave(&mut self, place: &(Tick, u64)) {
+        self.waiting.remove(place);
     }
 
-    /// A place came free: the earliest deadline is woken.
+    /// Wakes the request with the earliest deadline after another request has ended.
     pub fn wake_next(&mut self, now: Tick) {
-        if let Some(last) = self.last_free.replace(now).filter(|_| !self.rows.is_empty()) {
+        if let Some(last) = self.last_free.replace(now).filter(|_| !self.waiting.is_empty()) {
             let gap = now.since(last).min(10_000) as f64;
             self.gap_ms = if self.gap_ms == 0.0 { gap } else { self.gap_ms * 0.8 + gap * 0.2 };
         }
-        while let Some((_, tx)) = self.rows.pop_first() {
+        while let Some((_, tx)) = self.waiting.pop_first() {
             if tx.send(()).is_ok() {
                 return;
             }
@@ -61,23 +66,25 @@
         self.gap_ms = 0.0;
     }
 
-    /// New load reports may show room for many: all look again, in their order.
+    /// Wakes all requests in their order, since a new load report may show room for many.
     pub fn wake_all(&mut self) {
-        while let Some((_, tx)) = self.rows.pop_first() {
+        while let Some((_, tx)) = self.waiting.pop_first() {
             let _ = tx.send(());
         }
     }
 
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.waiting.len()
     }
 
+    /// Whether no request is waiting.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.waiting.is_empty()
     }
 
-    /// When to come back, in whole seconds.
+    /// When a rejected client should try again, in whole seconds.
     pub fn retry_after(&self) -> u64 {
-        ((self.rows.len() as f64 * self.gap_ms / 1000.0).ceil() as u64).clamp(1, 30)
+        ((self.waiting.len() as f64 * self.gap_ms / 1000.0).ceil() as u64).clamp(1, 30)
     }
 }
--- a/crates/data-plane/src/response_body.rs
+++ b/crates/data-plane/src/response_body.rs
@@ -1,5 +1,5 @@
-//! Bodies on their way downstream (design 6.3): unbuffered, never cleanly ended where the
-//! upstream broke, and holding what must live until the last byte.
+//! Response bodies that are forwarded to the client (design 6.3): unbuffered, and never ended cleanly where the upstream
+//! body broke off.
 
 use bytes::Bytes;
 use common::http::{Body, BoxErr};
@@ -13,7 +13,7 @@
 };
 use tokio::time::Sleep;
 
-/// An upstream body with a bound on silence, and with things kept until it ends.
+/// An upstream body that fails when nothing arrives for too long, and owns what must live until its end.
 pub struct ForwardedBody<K> {
     inner: Incoming,
     idle: Duration,
@@ -22,6 +22,7 @@
 }
 
 impl<K: Send + Sync + Unpin + 'static> ForwardedBody<K> {
+    /// Forwards a body; it fails if nothing arrives for `idle`. `kept` is dropped with the body.
     pub fn wrap(inner: Incoming, idle: Duration, kept: K) -> Body {
         let timer = Box::pin(tokio::time::sleep(idle));
         ForwardedBody { inner, idle, timer, _kept: kept }.boxed()
@@ -38,13 +39,15 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BoxErr>>> {
         match Pin::new(&mut self.inner).poll_frame(cx) {
             Poll::Ready(Some(Err(_))) if common::mutation::enabled("cut-looks-whole") => Poll::Ready(None),
-            Poll::Ready(r) => {
-                let next = tokio::time::Instant::now() + self.idle;
-                self.timer.as_mut().reset(next);
-                Poll::Ready(r.map(|f| f.map_err(Into::into)))
+            Poll::Ready(frame) => {
+                let deadline = tokio::time::Instant::now() + self.idle;
+                self.timer.as_mut().reset(deadline);
+                Poll::Ready(frame.map(|f| f.map_err(Into::into)))
             }
             Poll::Pending => match self.timer.poll_unpin(cx) {
-                Poll::Ready(()) => Poll::Ready(Some(Err("upstream fell silent".into()))),
+                Poll::Ready(()) => {
+                    Poll::Ready(Some(Err("upstream sent nothing within the idle time-out".into())))
+                }
                 Poll::Pending => Poll::Pending,
             },
         }
@@ -59,17 +62,17 @@
     }
 }
 
-/// Whether the end of this body can be told from a cut: by length, or by chunks.
+/// Whether the regular end of a body can be told from a broken connection: by its length, or by chunks.
 pub fn has_detectable_end(
     method: &hyper::Method,
     head: &hyper::http::response::Parts,
     body: &Incoming,
 ) -> bool {
-    let none = method == hyper::Method::HEAD || matches!(head.status.as_u16(), 204 | 304);
+    let no_body = method == hyper::Method::HEAD || matches!(head.status.as_u16(), 204 | 304);
     let chunked = head
         .headers
         .get("transfer-encoding")
         .and_then(|v| v.to_str().ok())
         .is_some_and(|v| v.to_ascii_lowercase().ends_with("chunked"));
-    none || chunked || body.size_hint().exact().is_some()
+    no_body || chunked || body.size_hint().exact().is_some()
 }
--- a/crates/data-plane/src/retry_policy.rs
+++ b/crates/data-plane/src/retry_policy.rs
@@ -1,8 +1,9 @@
-//! The retry decision of the entry path (design 6.2).
+//! Decides whether a request may be attempted again (design 6.2).
 
-/// Most attempts that one request may have.
+/// Most attempts of one request.
 const MAX_ATTEMPTS: u32 = 3;
-/// What an attempt left behind, for the decision on the next one.
+
+/// What is known of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailedAttempt {
     /// It certainly did not run.
@@ -11,8 +12,9 @@
     MayHaveRun,
 }
 
-/// Whether a request may have another attempt, the retry budget apart (design 6.2).
-pub fn may_retry(after: FailedAttempt, idempotent: bool, inner: bool, attempts: u32) -> bool {
-    let again = after == FailedAttempt::NotRun || idempotent || common::mutation::enabled("once-goes-again");
-    !inner && attempts < MAX_ATTEMPTS && again
+/// Whether a request may be attempted again, apart from the retry budget (design 6.2). One that another region forwarded
+/// never is: that region decides.
+pub fn may_retry(failed: FailedAttempt, idempotent: bool, forwarded: bool, attempts: u32) -> bool {
+    let safe = failed == FailedAttempt::NotRun || idempotent || common::mutation::enabled("once-goes-again");
+    !forwarded && attempts < MAX_ATTEMPTS && safe
 }
--- a/crates/data-plane/src/rpc.rs
+++ b/crates/data-plane/src/rpc.rs
@@ -1,4 +1,4 @@
-//! What a router is asked by other processes (design 5.7).
+//! Requests between routers, and their responses (design 5.7).
 
 use crate::{
     capacity_grant::{CapacityGrant, GrantUse},
@@ -14,43 +14,44 @@
 use control_plane::state_machine::state_update::StateUpdate;
 use serde::{Deserialize, Serialize};
 
-/// Name of the service in a connection's handshake.
+/// Name of this protocol in a connection's handshake.
 pub const SERVICE: &str = "points";
 
 /// A request to a router.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RouterRequest {
-    /// A sign of life.
+    /// Checks that a router is alive.
     #[serde(rename = "Hail")]
     Heartbeat {
-        /// Up to where the sender holds the cluster state.
+        /// Index of the sender's cluster state.
         #[serde(rename = "idx")]
         index: Index,
     },
-    /// Asks for changes after an index.
+    /// Requests the changes of the cluster state after an index.
     #[serde(rename = "News")]
     FetchState {
-        /// The last index that the asker has.
+        /// Index of the requester's cluster state.
         have: Index,
     },
-    /// Decides a miss or a failed placement at the owner of its shard: the first writer wins.
+    /// Asks the owner of a shard where a user is placed, when the requester knows no usable placement. The first writer
+    /// wins.
     #[serde(rename = "Settle")]
     ResolvePlacement {
-        /// By which the asker knows the owner.
+        /// By which the requester determined the owner.
         #[serde(rename = "fence")]
         fencing_token: FencingToken,
         /// The user.
         key: UserKey,
         /// The service.
         service: Service,
-        /// The version that the asker found wanting: only that one may be replaced.
+        /// The version that the requester found ineligible: only that one may be replaced.
         stale: Option<u64>,
-        /// The region that the asker would choose.
+        /// The region that the requester proposes.
         pick: Option<Region>,
         /// Time to live of the placement, in milliseconds.
         ttl_ms: u64,
     },
-    /// From the owner of a shard to its followers.
+    /// Copies placements from the owner of a shard to its followers.
     #[serde(rename = "Copy")]
     ReplicatePlacements {
         /// Under which the owner acts.
@@ -61,13 +62,13 @@
         /// Its new placements.
         rows: Vec<PlacementRow>,
     },
-    /// A new owner asks for what others hold of its shard.
+    /// Requests the placements of a shard that another router holds, for the shard's new owner.
     #[serde(rename = "Fetch")]
     FetchShard {
         /// The shard.
         shard: u16,
     },
-    /// Asks the home of a service in a zone for its next load report.
+    /// Waits for the next load report of a service in a zone, at the router that probes its replicas.
     #[serde(rename = "Watch")]
     WatchLoad {
         /// The service.
@@ -75,15 +76,15 @@
         /// The zone.
         #[serde(rename = "area")]
         zone: Zone,
-        /// The last report that the asker has.
+        /// Number of the last report that the requester has.
         seq: u64,
-        /// Under which that was published.
+        /// Under which that report was published.
         #[serde(rename = "fence")]
         fencing_token: FencingToken,
         /// Longest wait in milliseconds.
         wait_ms: u64,
     },
-    /// The newest load report that this node has, for a home that has just begun.
+    /// Requests the newest load report that the receiver has, for a router that begins to probe the replicas.
     #[serde(rename = "Last")]
     LastLoad {
         /// The service.
@@ -92,59 +93,59 @@
         #[serde(rename = "area")]
         zone: Zone,
     },
-    /// Asks for a capacity grant.
+    /// Requests a capacity grant.
     #[serde(rename = "Passes")]
     RequestGrant {
-        /// The region that is asked.
+        /// The region that is to grant it.
         region: Region,
         /// The service.
         service: Service,
-        /// The asker.
+        /// The requester.
         node: NodeId,
     },
-    /// A grant is used.
+    /// Uses up one of a grant's requests.
     #[serde(rename = "Redeem")]
     RedeemGrant {
-        /// Its use.
+        /// Which grant is used, and by whom.
         spent: GrantUse,
     },
-    /// A long prompt was sent to a replica.
+    /// Announces that a long prompt was sent to a replica.
     #[serde(rename = "Note")]
     AnnouncePrompt {
         /// The prompt.
         note: PromptSent,
     },
-    /// Asks for the next report of a zone's replicas; being asked makes a router publish it.
+    /// Waits for the next report of a zone's replicas. A router publishes it as long as it gets such requests.
     #[serde(rename = "Board")]
     WatchReplicas {
         /// The zone.
         #[serde(rename = "area")]
         zone: Zone,
-        /// The last report that the asker has.
+        /// Number of the last report that the requester has.
         seq: u64,
         /// Longest wait in milliseconds.
         wait_ms: u64,
     },
-    /// Asks a router of the same zone for the next report of another zone's replicas, as it was told it.
+    /// Waits for the next report of another zone's replicas, at a router of the requester's zone that receives it.
     RelayReplicas {
         /// The zone.
         zone: Zone,
-        /// Publisher and number of the last report that the asker has.
+        /// Publisher and number of the last report that the requester has.
         last: Option<(NodeId, u64)>,
         /// Longest wait in milliseconds.
         wait_ms: u64,
     },
-    /// From the holder of the duty to report usage.
+    /// A question by the router that holds the duty to report usage.
     Usage(UsageQuestion),
 }
 
-/// A router's answer.
+/// A response of a router.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum RouterResponse {
-    /// Alive, as this incarnation: another one at the same address is no sign of life of the first.
+    /// The router is alive, as this incarnation. Another incarnation at the same address is a different process.
     #[serde(rename = "Hailed")]
     HeartbeatAck {
-        /// Up to where it holds the cluster state.
+        /// Index of its cluster state.
         #[serde(rename = "idx")]
         index: Index,
         /// Its incarnation.
@@ -153,10 +154,10 @@
         /// Whether it takes new work now.
         fit: bool,
     },
-    /// What the asker lacks.
+    /// Brings the requester's cluster state up to date.
     #[serde(rename = "News")]
     StateUpdate(StateUpdate),
-    /// The placement that is in force.
+    /// Where the user is placed.
     #[serde(rename = "Settled")]
     Placement(PlacementOutcome),
     /// Placements of a shard.
@@ -165,7 +166,7 @@
     /// The load of a service's replicas.
     #[serde(rename = "Figures")]
     LoadReport(LoadReport),
-    /// A capacity grant, if there is one to be had.
+    /// A capacity grant, if there is free capacity.
     #[serde(rename = "Pass")]
     Grant(Option<CapacityGrant>),
     /// The replicas of a zone, if there is a newer report.
@@ -173,10 +174,10 @@
     ReplicaReport(Option<Box<ReplicaReport>>),
     /// Done.
     Done,
-    /// Not done, for a named reason.
+    /// The request was rejected, for this reason.
     #[serde(rename = "Bounced")]
     Rejected(String),
-    /// To the holder of the duty to report usage.
+    /// The answer to a question of the router that holds the duty to report usage.
     Usage(UsageAnswer),
 }
 
--- a/crates/data-plane/src/rpc_service.rs
+++ b/crates/data-plane/src/rpc_service.rs
@@ -1,4 +1,4 @@
-//! What a router answers to other processes (design 5.7).
+//! Handles requests from other processes (design 5.7), and starts the background tasks of a router.
 
 use crate::{
     load::LoadReport,
@@ -14,20 +14,21 @@
 };
 
 impl Router {
-    pub async fn answer(self: Arc<Self>, node: String, ask: RouterRequest) -> RouterResponse {
-        match ask {
-            // No sign of life by itself: it may have waited here while this node was frozen.
+    /// Answers a request of another node.
+    pub async fn answer(self: Arc<Self>, node: String, request: RouterRequest) -> RouterResponse {
+        match request {
+            // Receiving a heartbeat is no contact: it may have waited here while this process was suspended.
             RouterRequest::Heartbeat { .. } => RouterResponse::HeartbeatAck {
                 index: self.cluster_state().index,
                 incarnation: self.member.info.incarnation,
                 fit: self.refuses_work().is_none() && !self.draining.load(Ordering::Acquire),
             },
             RouterRequest::FetchState { have } => {
-                let l = self.cluster_state();
-                let base = l.index;
+                let state = self.cluster_state();
+                let base = state.index;
                 RouterResponse::StateUpdate(state_update::update_since(
                     have,
-                    &l,
+                    &state,
                     &VecDeque::new(),
                     base,
                     SizeLimits::default(),
@@ -35,18 +36,20 @@
             }
             RouterRequest::ResolvePlacement { fencing_token, key, service, stale, pick, ttl_ms } => {
                 match self.resolve_locally(fencing_token, key, &service, stale, pick, ttl_ms) {
-                    Ok(s) => RouterResponse::Placement(s),
-                    Err(why) => self.no("resolve placement", &node, why),
+                    Ok(outcome) => RouterResponse::Placement(outcome),
+                    Err(reason) => self.reject("resolve placement", &node, reason),
                 }
             }
             RouterRequest::ReplicatePlacements { fencing_token, shard, rows } => {
-                let known = lock(&self.placements).check_fencing_token(shard, fencing_token);
-                match known {
+                let checked = lock(&self.placements).check_fencing_token(shard, fencing_token);
+                match checked {
                     Ok(()) => {
                         self.install_rows(rows);
                         RouterResponse::Done
                     }
-                    Err(f) => self.no("replicate placement", &node, format!("stale fence: {f} is known")),
+                    Err(known) => {
+                        self.reject("replicate placement", &node, format!("stale fence: {known} is known"))
+                    }
                 }
             }
             RouterRequest::FetchShard { shard } => {
@@ -54,18 +57,18 @@
             }
             RouterRequest::WatchLoad { service, zone, seq, fencing_token, wait_ms } => {
                 match self.wait_for_load_report(service, zone, seq, fencing_token, wait_ms).await {
-                    Some(f) => RouterResponse::LoadReport(f),
+                    Some(report) => RouterResponse::LoadReport(report),
                     None => RouterResponse::Rejected("not the home".into()),
                 }
             }
             RouterRequest::LastLoad { service, zone } => match self.last_load_report(&service, &zone) {
-                Some(f) => RouterResponse::LoadReport(f),
+                Some(report) => RouterResponse::LoadReport(report),
                 None => RouterResponse::Rejected("nothing heard".into()),
             },
             RouterRequest::RequestGrant { region, service, node } => {
                 match self.grant(&region, &service, &node) {
-                    Ok(p) => RouterResponse::Grant(p),
-                    Err(why) => RouterResponse::Rejected(why.into()),
+                    Ok(grant) => RouterResponse::Grant(grant),
+                    Err(reason) => RouterResponse::Rejected(reason.into()),
                 }
             }
             RouterRequest::AnnouncePrompt { note } => {
@@ -82,21 +85,22 @@
             RouterRequest::Usage(question) => RouterResponse::Usage(self.usage.answer(question, self.now())),
             RouterRequest::RedeemGrant { spent } => match self.redeem_locally(&spent) {
                 Ok(()) => RouterResponse::Done,
-                Err(why) => self.no("redeem grant", &node, why.into()),
+                Err(reason) => self.reject("redeem grant", &node, reason.into()),
             },
         }
     }
 
-    fn no(&self, step: &'static str, peer: &str, why: String) -> RouterResponse {
-        self.counters.reject(why.split(':').next().unwrap_or("bounced"));
-        log_event!(Info, step, "peer" => peer, "cause" => why);
-        RouterResponse::Rejected(why)
+    /// Rejects a request; the reason counts up to its first colon.
+    fn reject(&self, step: &'static str, peer: &str, reason: String) -> RouterResponse {
+        self.counters.reject(reason.split(':').next().unwrap_or("bounced"));
+        log_event!(Info, step, "peer" => peer, "cause" => reason);
+        RouterResponse::Rejected(reason)
     }
 
-    /// Figures with their age, as long as they still count.
-    pub fn last_load_report(&self, svc: &Service, zone: &Zone) -> Option<LoadReport> {
+    /// The newest load report with its age, as long as it is valid.
+    pub fn last_load_report(&self, service: &Service, zone: &Zone) -> Option<LoadReport> {
         let known = self.load_view.known();
-        let last = known.reports.get(&(svc.clone(), zone.clone()))?;
+        let last = known.reports.get(&(service.clone(), zone.clone()))?;
         let age_ms = self.now().since(last.fresh_at);
         (age_ms <= self.settings.timing.report_max_age_ms()).then(|| LoadReport {
             age_ms,
@@ -105,55 +109,57 @@
         })
     }
 
+    /// Waits until the load report that this node publishes is newer than the one that is named; then, or after
+    /// `wait_ms`, returns the newest.
     async fn wait_for_load_report(
         &self,
-        svc: Service,
+        service: Service,
         zone: Zone,
         seq: u64,
         fencing_token: FencingToken,
         wait_ms: u64,
     ) -> Option<LoadReport> {
-        let mut rx = lock(&self.published_load).get(&(svc.clone(), zone.clone()))?.subscribe();
-        let newer = |f: &Option<LoadReport>| {
-            f.as_ref().is_some_and(|f| f.fencing_token != fencing_token || f.seq > seq)
+        let mut published = lock(&self.published_load).get(&(service.clone(), zone.clone()))?.subscribe();
+        let newer = |report: &Option<LoadReport>| {
+            report.as_ref().is_some_and(|r| r.fencing_token != fencing_token || r.seq > seq)
         };
         let wait = Duration::from_millis(wait_ms.min(10_000));
-        let came = self.now();
-        let _ = tokio::time::timeout(wait, rx.wait_for(newer)).await;
-        let mut fig = rx.borrow().clone()?;
-        let at = self.load_view.known().reports.get(&(svc, zone)).map(|s| s.fresh_at);
+        let requested_at = self.now();
+        let _ = tokio::time::timeout(wait, published.wait_for(newer)).await;
+        let mut report = published.borrow().clone()?;
+        let fresh_at = self.load_view.known().reports.get(&(service, zone)).map(|s| s.fresh_at);
         let now = self.now();
-        fig.age_ms = at.map(|t| now.since(t)).unwrap_or(0);
-        fig.waited_ms = now.since(came);
-        Some(fig)
+        report.age_ms = fresh_at.map(|t| now.since(t)).unwrap_or(0);
+        report.waited_ms = now.since(requested_at);
+        Some(report)
     }
 
-    /// Starts all standing work of a router.
-    pub fn start(self: &Arc<Self>, set: &Settings, rpc_addr: common::runtime::Listener) {
+    /// Starts all background tasks of a router.
+    pub fn start(self: &Arc<Self>, settings: &Settings, rpc_addr: common::runtime::Listener) {
         self.member.start();
         common::runtime::spawn(self.clone().keep_configuration());
         common::runtime::spawn(self.clone().send_heartbeats());
         common::runtime::spawn(self.clone().watch_load_reports());
         common::runtime::spawn(self.clone().run_grant_issuer());
         common::runtime::spawn(self.clone().renew_held_grants());
-        self.start_listening(set, rpc_addr);
+        self.start_listening(settings, rpc_addr);
     }
 
-    /// Starts the standing work of a router that serves by routes.
-    pub fn start_serving(self: &Arc<Self>, set: &Settings, rpc_addr: common::runtime::Listener) {
+    /// Starts the background tasks of a router whose requests [`crate::serving`] handles.
+    pub fn start_serving(self: &Arc<Self>, settings: &Settings, rpc_addr: common::runtime::Listener) {
         self.member.start();
         common::runtime::spawn(self.clone().send_heartbeats());
-        self.start_listening(set, rpc_addr);
+        self.start_listening(settings, rpc_addr);
     }
 
-    fn start_listening(self: &Arc<Self>, set: &Settings, rpc_addr: common::runtime::Listener) {
+    fn start_listening(self: &Arc<Self>, settings: &Settings, rpc_addr: common::runtime::Listener) {
         common::runtime::spawn(self.clone().fetch_shards());
         let me = self.clone();
         common::runtime::spawn(common::rpc::listen(
             rpc_addr,
-            set.me(),
+            settings.me(),
             crate::rpc::SERVICE,
-            move |node, ask| me.clone().answer(node, ask),
+            move |node, request| me.clone().answer(node, request),
         ));
     }
 }
--- a/crates/data-plane/tests/goes.rs
+++ b/crates/data-plane/tests/goes.rs
@@ -59,8 +59,11 @@
     at
 }
 
-fn way(to: SocketAddr, forbidden: &(dyn Fn() -> Option<&'static str> + Send + Sync)) -> AttemptTarget<'_> {
-    AttemptTarget { ip: IP, to, connect_ms: 5_000, left_ms: 5_000, forbidden }
+fn target(
+    address: SocketAddr,
+    blocked_reason: &(dyn Fn() -> Option<&'static str> + Send + Sync),
+) -> AttemptTarget<'_> {
+    AttemptTarget { local_ip: IP, address, connect_ms: 5_000, left_ms: 5_000, blocked_reason }
 }
 
 fn sent() -> OutgoingRequest {
@@ -75,7 +78,7 @@
 /// What became of it, in words: the outcome, and for answers how the body ended.
 async fn outcome(u: Upstream) -> String {
     let at = upstream(u).await;
-    match attempt(way(at, &|| None), &sent(), &[], ()).await {
+    match attempt(target(at, &|| None), &sent(), &[], ()).await {
         Outcome::NotRun(_) => "not run".into(),
         Outcome::Unknown(_) => "unknown".into(),
         Outcome::Done(r) => match r.into_body().collect().await {
@@ -138,7 +141,7 @@
         let _ = s.read_to_end(&mut got).await;
         got.len()
     });
-    let res = attempt(way(at, &|| Some("cut off")), &sent(), &[], ()).await;
+    let res = attempt(target(at, &|| Some("cut off")), &sent(), &[], ()).await;
     assert!(matches!(res, Outcome::NotRun(e) if e.cause() == "cut off" && e.step == "last look"));
     assert_eq!(received.await.unwrap(), 0);
 }
