--- a/crates/data-plane/tests/kit/mod.rs
+++ b/crates/data-plane/tests/kit/mod.rs
@@ -1,4 +1,4 @@
-//! One router with a document, load reports and back ends made by the test (design 7.6).
+//! One router whose configuration, load reports and backends the test supplies (design 7.6).
 #![allow(dead_code)]
 
 use common::{
@@ -26,30 +26,36 @@
     sync::watch,
 };
 
+/// Address that everything here listens on.
 pub const IP: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
-pub const DOC: &str = include_str!("../../../../examples/bitacora.toml");
+/// The configuration.
+pub const DOCUMENT: &str = include_str!("../../../../examples/bitacora.toml");
 
-/// A back end that says the same to each request, and counts how often it was asked.
-pub struct Back {
-    pub at: SocketAddr,
+/// A backend that sends the same response to each request.
+pub struct Backend {
+    /// Its address.
+    pub address: SocketAddr,
+    /// Number of requests that it received.
     pub runs: Arc<AtomicUsize>,
 }
 
-pub async fn back(says: &'static str) -> Back {
+/// Starts a backend that sends these bytes in response to each request.
+pub async fn backend(response: &'static str) -> Backend {
     let listener = TcpListener::bind((IP, 0)).await.unwrap();
-    let (at, runs) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
+    let (address, runs) = (listener.local_addr().unwrap(), Arc::new(AtomicUsize::new(0)));
     let count = runs.clone();
     tokio::spawn(async move {
-        while let Ok((mut s, _)) = listener.accept().await {
+        while let Ok((mut connection, _)) = listener.accept().await {
             let mut buf = vec![0u8; 65536];
-            let _ = s.read(&mut buf).await;
+            let _ = connection.read(&mut buf).await;
             count.fetch_add(1, Ordering::AcqRel);
-            let _ = s.write_all(says.as_bytes()).await;
+            let _ = connection.write_all(response.as_bytes()).await;
         }
     });
-    Back { at, runs }
+    Backend { address, runs }
 }
 
+/// Settings of the router.
 pub fn settings() -> Settings {
     Settings {
         cluster: "bitacora".into(),
@@ -67,6 +73,7 @@
     }
 }
 
+/// What the cluster knows of a router.
 pub fn info(node: &str, zone: &str) -> NodeInfo {
     let addr = ([127, 0, 0, 9], 8080).into();
     NodeInfo {
@@ -80,72 +87,85 @@
     }
 }
 
-/// A router in the centre, with these back ends for a service, and a peer in the north.
-pub async fn router(service: &str, backs: &[Back]) -> (Arc<Router>, SocketAddr) {
-    router_at(Clock::default(), service, backs).await
+/// Starts router p1 in zone centro-1, with these backends for a service. Router p9 in norte-1 is a member too. Returns the
+/// router and the address of its HTTP listener.
+pub async fn router(service: &str, backends: &[Backend]) -> (Arc<Router>, SocketAddr) {
+    router_with_clock(Clock::default(), service, backends).await
 }
 
-pub async fn router_at(clock: Clock, service: &str, backs: &[Back]) -> (Arc<Router>, SocketAddr) {
+/// The same with a clock that the test controls.
+pub async fn router_with_clock(
+    clock: Clock,
+    service: &str,
+    backends: &[Backend],
+) -> (Arc<Router>, SocketAddr) {
     let member = Member::new(settings(), info("p1", "centro-1"), clock.clone());
-    let mut l = ClusterState::bootstrapped("bitacora", vec![]);
-    let mut add = |change: Change| drop(l.apply(l.index.next(), &change));
-    add(Change::Apply { op: "a".into(), base: Default::default(), text: DOC.into() });
-    for (n, b) in backs.iter().enumerate() {
-        let what = ReplicaChange::List { service: service.into(), zone: "centro-1".into(), addr: b.at };
+    let mut state = ClusterState::bootstrapped("bitacora", vec![]);
+    let mut apply = |change: Change| drop(state.apply(state.index.next(), &change));
+    apply(Change::Apply { op: "a".into(), base: Default::default(), text: DOCUMENT.into() });
+    for (n, backend) in backends.iter().enumerate() {
+        let what =
+            ReplicaChange::List { service: service.into(), zone: "centro-1".into(), addr: backend.address };
         let id = format!("r{n}");
-        add(Change::Replica { op: id.as_str().into(), id: id.as_str().into(), what });
+        apply(Change::Replica { op: id.as_str().into(), id: id.as_str().into(), what });
     }
-    add(Change::Join(info("p9", "norte-1")));
-    add(Change::Join(info("p1", "centro-1")));
-    let fencing_token = FencingToken(l.epoch.0);
-    member.extend_lease(Epoch(l.index.0), clock.now());
-    let _ = member.install(StateUpdate::Snapshot(Box::new(l)), "test");
-    let r = Router::new(settings(), member, clock);
-    tokio::spawn(r.clone().keep_configuration());
-    while r.configuration.load().is_none() {
+    apply(Change::Join(info("p9", "norte-1")));
+    apply(Change::Join(info("p1", "centro-1")));
+    let fencing_token = FencingToken(state.epoch.0);
+    member.extend_lease(Epoch(state.index.0), clock.now());
+    let _ = member.install(StateUpdate::Snapshot(Box::new(state)), "test");
+    let router = Router::new(settings(), member, clock);
+    tokio::spawn(router.clone().keep_configuration());
+    while router.configuration.load().is_none() {
         tokio::task::yield_now().await;
     }
-    r.install_load_report(figures(service, backs, fencing_token, 1, 0.0), r.now());
-    r.configured_at.store(Tick(1).0, Ordering::Release);
+    router.install_load_report(load_report(service, backends, fencing_token, 1, 0.0), router.now());
+    router.configured_at.store(Tick(1).0, Ordering::Release);
     let listener = TcpListener::bind((IP, 0)).await.unwrap();
-    let at = listener.local_addr().unwrap();
-    // Never told to stop: the sender is left alone.
-    let (h, (tx, rx)) = (r.clone(), watch::channel(false));
-    std::mem::forget(tx);
-    tokio::spawn(http::serve(listener, Arc::default(), rx, move |p, q| h.clone().handle(p, q)));
-    (r, at)
+    let address = listener.local_addr().unwrap();
+    let (handler, (stop, stopped)) = (router.clone(), watch::channel(false));
+    // The listener would stop if the sender were dropped.
+    std::mem::forget(stop);
+    tokio::spawn(http::serve(listener, Arc::default(), stopped, move |peer, request| {
+        handler.clone().handle(peer, request)
+    }));
+    (router, address)
 }
 
 /// Sends these bytes and reads to the end of the connection.
-pub async fn say(at: SocketAddr, what: &str) -> String {
-    let mut s = TcpStream::connect(at).await.unwrap();
-    s.write_all(what.as_bytes()).await.unwrap();
-    let mut got = Vec::new();
-    let _ = s.read_to_end(&mut got).await;
-    String::from_utf8_lossy(&got).into_owned()
+pub async fn exchange(address: SocketAddr, request: &str) -> String {
+    let mut connection = TcpStream::connect(address).await.unwrap();
+    connection.write_all(request.as_bytes()).await.unwrap();
+    let mut received = Vec::new();
+    let _ = connection.read_to_end(&mut received).await;
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-pub fn post(path: &str, more: &str, body: &str) -> String {
-    let n = body.len();
-    format!("POST {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{more}content-length: {n}\r\n\r\n{body}")
+/// A POST request with these further header lines.
+pub fn post(path: &str, headers: &str, body: &str) -> String {
+    let length = body.len();
+    format!(
+        "POST {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n{headers}content-length: {length}\r\n\r\n{body}"
+    )
 }
 
-pub fn figures(
+/// A load report that calls all backends healthy.
+pub fn load_report(
     service: &str,
-    backs: &[Back],
+    backends: &[Backend],
     fencing_token: FencingToken,
     seq: u64,
     consumption: f64,
 ) -> LoadReport {
-    let load = |(n, b): (usize, &Back)| ReplicaLoad {
+    let load = |(n, backend): (usize, &Backend)| ReplicaLoad {
         id: format!("r{n}").as_str().into(),
-        addr: b.at,
+        addr: backend.address,
         healthy: true,
         capacity: 8.0,
         consumption,
         allowance: None,
     };
-    let replicas = backs.iter().enumerate().map(load).collect();
+    let replicas = backends.iter().enumerate().map(load).collect();
     let (service, zone) = (service.into(), "centro-1".into());
     LoadReport {
         service,
@@ -159,6 +179,7 @@
     }
 }
 
-pub fn hears_p9(r: &Router) {
-    data_plane::router::lock(&r.last_contacts).insert("p9".into(), r.now());
+/// Makes p9 reachable, as if it had just answered a heartbeat.
+pub fn record_contact_with_p9(router: &Router) {
+    data_plane::router::lock(&router.last_contacts).insert("p9".into(), router.now());
 }
--- a/crates/data-plane/tests/replay.rs
+++ b/crates/data-plane/tests/replay.rs
@@ -1,5 +1,5 @@
-//! A signed forwarded request runs once (design 5.6): what is captured on the inner network and sent again, here or
-//! at another router, is rejected.
+//! A signed forwarded request runs once (design 5.6). One that is captured on the internal network and sent again, to the
+//! same router or to another, is rejected.
 
 mod kit;
 
@@ -8,91 +8,95 @@
     forwarding::{self, ForwardedRequest},
     router::Router,
 };
-use kit::{back, post, router, say};
+use kit::{backend, exchange, post, router};
 use rstest::rstest;
 use std::{sync::Arc, sync::atomic::Ordering};
 
-const WHOLE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone";
+const COMPLETE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone";
 
-/// A forwarded request as the northern router signs it for the one in the centre.
-fn from_north(r: &Router, number: u64) -> ForwardedRequest {
-    let l = r.cluster_state();
-    let g = r.configuration.load_full().unwrap();
-    let entry = g.table.entries.iter().find(|e| e.name == "match-verdicts").unwrap();
+/// A request that router p9 in the region norte forwards to this router.
+fn forwarded_by_p9(router: &Router, number: u64) -> ForwardedRequest {
+    let state = router.cluster_state();
+    let configuration = router.configuration.load_full().unwrap();
+    let entry = configuration.table.entries.iter().find(|e| e.name == "match-verdicts").unwrap();
     ForwardedRequest {
         request_id: format!("job-{number}").as_str().into(),
         from: "p9".into(),
-        epoch: l.members[&"p9".into()].epoch,
+        epoch: state.members[&"p9".into()].epoch,
         number,
-        to: r.node().clone(),
-        to_epoch: l.members[r.node()].epoch,
-        revision: g.revision,
+        to: router.node().clone(),
+        to_epoch: state.members[router.node()].epoch,
+        revision: configuration.revision,
         entry: entry.name.clone(),
         tenant: None,
         service: entry.to.clone(),
-        region: r.own_region(&g.table).unwrap(),
+        region: router.own_region(&configuration.table).unwrap(),
         key: None,
         spent: None,
         left_ms: 5_000,
     }
 }
 
-fn sent(r: &Router, h: &ForwardedRequest) -> String {
-    let signed = forwarding::sign(r.cluster_state().secret, h).unwrap();
+/// The HTTP request that carries it.
+fn signed_request(router: &Router, forwarded: &ForwardedRequest) -> String {
+    let signed = forwarding::sign(router.cluster_state().secret, forwarded).unwrap();
     post("/v1/verdicts", &format!("{}: {signed}\r\n", forwarding::HEADER), "{\"station\":\"x\"}")
 }
 
 #[tokio::test]
-async fn a_captured_hop_does_not_run_again() {
-    let b = back(WHOLE).await;
-    let (r, at) = router("verdict", std::slice::from_ref(&b)).await;
-    let captured = sent(&r, &from_north(&r, 1));
-    let got = say(at, &captured).await;
-    assert!(got.contains("outcome: done"), "{got}");
+async fn captured_request_does_not_run_again() {
+    let backend = backend(COMPLETE).await;
+    let (router, address) = router("verdict", std::slice::from_ref(&backend)).await;
+    let captured = signed_request(&router, &forwarded_by_p9(&router, 1));
+    let response = exchange(address, &captured).await;
+    assert!(response.contains("outcome: done"), "{response}");
     for _ in 0..3 {
-        let got = say(at, &captured).await;
-        assert!(got.contains("outcome: bounced") && got.contains("hop used before"), "{got}");
+        let response = exchange(address, &captured).await;
+        assert!(response.contains("outcome: bounced") && response.contains("hop used before"), "{response}");
     }
-    assert_eq!(b.runs.load(Ordering::Acquire), 1);
+    assert_eq!(backend.runs.load(Ordering::Acquire), 1);
 }
 
 #[tokio::test]
-async fn of_copies_at_once_one_runs() {
-    let b = back(WHOLE).await;
-    let (r, at) = router("verdict", std::slice::from_ref(&b)).await;
-    let captured = Arc::new(sent(&r, &from_north(&r, 1)));
-    let copies = (0..8).map(|_| captured.clone()).map(|c| async move { say(at, &c).await });
-    let got = futures::future::join_all(copies).await;
-    assert_eq!(got.iter().filter(|g| g.contains("outcome: done")).count(), 1, "{got:?}");
-    assert_eq!(b.runs.load(Ordering::Acquire), 1);
+async fn one_of_concurrent_copies_runs() {
+    let backend = backend(COMPLETE).await;
+    let (router, address) = router("verdict", std::slice::from_ref(&backend)).await;
+    let captured = Arc::new(signed_request(&router, &forwarded_by_p9(&router, 1)));
+    let copies = (0..8).map(|_| captured.clone()).map(|c| async move { exchange(address, &c).await });
+    let responses = futures::future::join_all(copies).await;
+    assert_eq!(responses.iter().filter(|r| r.contains("outcome: done")).count(), 1, "{responses:?}");
+    assert_eq!(backend.runs.load(Ordering::Acquire), 1);
 }
 
-/// Sent to another router than the one it was signed for, to a later life of it, or after its sender
-/// left: no memory of used forwarded requests can know these, so the forwarded request itself says whose it is.
+/// A request that is sent to a router other than its receiver, to the receiver after a restart, or after its sender left.
+/// The numbers that a router keeps can't show this, so the signed part names sender and receiver with their memberships.
 #[rstest]
-#[case::another_router(|h: &mut ForwardedRequest| h.to = "p2".into(), "hop for another router")]
-#[case::an_earlier_life(|h: &mut ForwardedRequest| h.to_epoch = Epoch(1), "hop for another router")]
-#[case::a_past_membership(|h: &mut ForwardedRequest| h.epoch = Epoch(1), "sender not a member here")]
-#[case::no_member(|h: &mut ForwardedRequest| h.from = "p7".into(), "sender not a member here")]
+#[case::another_router(|sent: &mut ForwardedRequest| sent.to = "p2".into(), "hop for another router")]
+#[case::earlier_incarnation(|sent: &mut ForwardedRequest| sent.to_epoch = Epoch(1), "hop for another router")]
+#[case::past_membership(|sent: &mut ForwardedRequest| sent.epoch = Epoch(1), "sender not a member here")]
+#[case::not_a_member(|sent: &mut ForwardedRequest| sent.from = "p7".into(), "sender not a member here")]
 #[tokio::test]
-async fn nor_where_it_was_not_meant_for(#[case] change: fn(&mut ForwardedRequest), #[case] reason: &str) {
-    let b = back(WHOLE).await;
-    let (r, at) = router("verdict", std::slice::from_ref(&b)).await;
-    let mut h = from_north(&r, 1);
-    change(&mut h);
-    let got = say(at, &sent(&r, &h)).await;
-    assert!(got.contains("outcome: bounced") && got.contains(reason), "{got}");
-    assert_eq!(b.runs.load(Ordering::Acquire), 0);
+async fn wrong_receiver_or_sender_is_rejected(
+    #[case] change: fn(&mut ForwardedRequest),
+    #[case] reason: &str,
+) {
+    let backend = backend(COMPLETE).await;
+    let (router, address) = router("verdict", std::slice::from_ref(&backend)).await;
+    let mut forwarded = forwarded_by_p9(&router, 1);
+    change(&mut forwarded);
+    let response = exchange(address, &signed_request(&router, &forwarded)).await;
+    assert!(response.contains("outcome: bounced") && response.contains(reason), "{response}");
+    assert_eq!(backend.runs.load(Ordering::Acquire), 0);
 }
 
-/// The innocent twin: forwarded requests of their own, in any order.
+/// Different requests all run, in whatever order they arrive.
 #[tokio::test]
-async fn hops_that_overtake_each_other_all_run() {
-    let b = back(WHOLE).await;
-    let (r, at) = router("verdict", std::slice::from_ref(&b)).await;
+async fn reordered_requests_all_run() {
+    let backend = backend(COMPLETE).await;
+    let (router, address) = router("verdict", std::slice::from_ref(&backend)).await;
     for n in [5, 2, 9, 1, 700] {
-        let got = say(at, &sent(&r, &from_north(&r, n))).await;
-        assert!(got.contains("outcome: done"), "{n}: {got}");
+        let response = exchange(address, &signed_request(&router, &forwarded_by_p9(&router, n))).await;
+        assert!(response.contains("outcome: done"), "{n}: {response}");
     }
-    assert_eq!(b.runs.load(Ordering::Acquire), 5);
+    assert_eq!(backend.runs.load(Ordering::Acquire), 5);
 }
