--- a/crates/data-plane/tests/compatibility.rs
+++ b/crates/data-plane/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Messages between routers keep the form in which an earlier version sent them.
+//! Messages between routers keep the format in which earlier versions sent them.
 
 use common::{
     Epoch, FencingToken, Incarnation, Index, NodeId, ReplicaId, RequestId, Revision, Service, Tenant, Tick,
@@ -35,7 +35,7 @@
     "verdict".into()
 }
 
-fn spent() -> GrantUse {
+fn grant_use() -> GrantUse {
     GrantUse {
         region: "norte".into(),
         service: service(),
@@ -45,7 +45,7 @@
     }
 }
 
-fn note() -> PromptSent {
+fn prompt_sent() -> PromptSent {
     PromptSent {
         replica: ReplicaId::new("r-1"),
         prefixes: vec![(7, 13_300), (8, 17_020)],
@@ -64,7 +64,7 @@
     }]
 }
 
-fn board() -> ReplicaReport {
+fn replica_report() -> ReplicaReport {
     let row = ReplicaRow {
         id: ReplicaId::new("r-1"),
         service: service(),
@@ -90,11 +90,11 @@
     }
 }
 
-fn usage() -> UsageReport {
+fn usage_report() -> UsageReport {
     UsageReport { window: 353_445_120, counts: BTreeMap::from([(Tenant::new("club"), 412)]) }
 }
 
-fn figures() -> LoadReport {
+fn load_report() -> LoadReport {
     let replica = ReplicaLoad {
         id: ReplicaId::new("r-1"),
         addr: address(),
@@ -129,7 +129,7 @@
         service: service(),
         region: "norte".into(),
         key: Some(UserKey(99)),
-        spent: Some(spent()),
+        spent: Some(grant_use()),
         left_ms: 2_500,
     }
 }
@@ -171,8 +171,8 @@
             "lend",
             RouterRequest::RequestGrant { region: "norte".into(), service: service(), node: "p1".into() },
         ),
-        ("redeem", RouterRequest::RedeemGrant { spent: spent() }),
-        ("prompt", RouterRequest::AnnouncePrompt { note: note() }),
+        ("redeem", RouterRequest::RedeemGrant { spent: grant_use() }),
+        ("prompt", RouterRequest::AnnouncePrompt { note: prompt_sent() }),
         ("load-report", RouterRequest::WatchReplicas { zone: zone(), seq: 3, wait_ms: 500 }),
         (
             "usage-starts",
@@ -180,7 +180,10 @@
         ),
         (
             "usage-keep",
-            RouterRequest::Usage(UsageQuestion::Keep { fencing_token: FencingToken(4), report: usage() }),
+            RouterRequest::Usage(UsageQuestion::Keep {
+                fencing_token: FencingToken(4),
+                report: usage_report(),
+            }),
         ),
         ("usage-collect", RouterRequest::Usage(UsageQuestion::Collect { fencing_token: FencingToken(4) })),
     ];
@@ -191,7 +194,7 @@
 
 #[test]
 fn compatibility_of_replies() {
-    let pass = CapacityGrant {
+    let grant = CapacityGrant {
         region: "norte".into(),
         service: service(),
         fencing_token: FencingToken(4),
@@ -215,21 +218,24 @@
             }),
         ),
         ("rows", RouterResponse::Placements(rows())),
-        ("figures", RouterResponse::LoadReport(figures())),
-        ("pass", RouterResponse::Grant(Some(pass))),
-        ("load-report", RouterResponse::ReplicaReport(Some(Box::new(board())))),
+        ("figures", RouterResponse::LoadReport(load_report())),
+        ("pass", RouterResponse::Grant(Some(grant))),
+        ("load-report", RouterResponse::ReplicaReport(Some(Box::new(replica_report())))),
         ("done", RouterResponse::Done),
         ("rejected", RouterResponse::Rejected("stale fence".into())),
         (
             "usage-starts",
-            RouterResponse::Usage(UsageAnswer::Starts { time_of_day_ms: 17, counts: usage().counts }),
+            RouterResponse::Usage(UsageAnswer::Starts { time_of_day_ms: 17, counts: usage_report().counts }),
         ),
         ("usage-kept", RouterResponse::Usage(UsageAnswer::Kept)),
         ("usage-differs", RouterResponse::Usage(UsageAnswer::Differs)),
         ("usage-superseded", RouterResponse::Usage(UsageAnswer::Superseded(FencingToken(5)))),
         (
             "usage-collected",
-            RouterResponse::Usage(UsageAnswer::Collected { time_of_day_ms: 17, reports: vec![usage()] }),
+            RouterResponse::Usage(UsageAnswer::Collected {
+                time_of_day_ms: 17,
+                reports: vec![usage_report()],
+            }),
         ),
     ];
     for (name, reply) in replies {
@@ -245,10 +251,10 @@
     assert_eq!(forwarding::verify(0x0011_2233, &signed), Some(forwarded()));
 }
 
-/// What `/foldshunt/event_log` shows.
+/// What `/foldshunt/journal` shows.
 #[test]
 fn compatibility_of_json() {
-    let record_event = [
+    let kinds = [
         EventKind::Governs(Revision(3)),
         EventKind::Member(Epoch(4)),
         EventKind::CutOff(true),
@@ -256,9 +262,9 @@
         EventKind::Rejected("late".into()),
         EventKind::Unknown("answer".into()),
     ];
-    let events: Vec<Event> = record_event.into_iter().map(|what| Event { at: Tick(5), what }).collect();
+    let events: Vec<Event> = kinds.into_iter().map(|what| Event { at: Tick(5), what }).collect();
     fixtures().assert_json("journal-events", &serde_json::to_string(&events).unwrap());
-    let digest = Summary {
+    let summary = Summary {
         revision: Revision(3),
         epoch: Epoch(4),
         cut_off: true,
@@ -267,5 +273,5 @@
         unknown: BTreeMap::from([("answer".into(), 1)]),
         last: Tick(5),
     };
-    fixtures().assert_json("journal-digest", &serde_json::to_string(&digest).unwrap());
+    fixtures().assert_json("journal-digest", &serde_json::to_string(&summary).unwrap());
 }
--- a/crates/data-plane/tests/modules/forwarding.rs
+++ b/crates/data-plane/tests/modules/forwarding.rs
@@ -6,9 +6,10 @@
     placement_table::UserKey,
 };
 
+/// Only a request that was signed with the members' secret, and not altered since, is accepted.
 #[test]
-fn only_what_a_member_signed_passes() {
-    let h = ForwardedRequest {
+fn only_valid_signatures_are_accepted() {
+    let request = ForwardedRequest {
         request_id: "j".into(),
         from: "n".into(),
         epoch: Epoch(1),
@@ -24,11 +25,11 @@
         spent: None,
         left_ms: 5,
     };
-    let s = sign(77, &h).unwrap();
-    assert_eq!(verify(77, &s), Some(h));
-    assert_eq!(verify(78, &s), None);
-    let mut other = s.clone().into_bytes();
-    other[3] = if other[3] == b'0' { b'1' } else { b'0' };
-    assert_eq!(verify(77, std::str::from_utf8(&other).unwrap()), None);
+    let signed = sign(77, &request).unwrap();
+    assert_eq!(verify(77, &signed), Some(request));
+    assert_eq!(verify(78, &signed), None);
+    let mut altered = signed.clone().into_bytes();
+    altered[3] = if altered[3] == b'0' { b'1' } else { b'0' };
+    assert_eq!(verify(77, std::str::from_utf8(&altered).unwrap()), None);
     assert_eq!(verify(77, "zz.é"), None);
 }
--- a/crates/data-plane/tests/modules/replica_health.rs
+++ b/crates/data-plane/tests/modules/replica_health.rs
@@ -4,73 +4,73 @@
 use data_plane::replica_health::{ProbeResult, ReplicaHealth, Report};
 use rstest::rstest;
 
-fn rep(healthy: Option<bool>, capacity: Option<f64>, consumption: Option<f64>) -> Option<Report> {
+fn report(healthy: Option<bool>, capacity: Option<f64>, consumption: Option<f64>) -> Option<Report> {
     Some(Report { healthy, capacity, consumption })
 }
 
-/// Conformance, design 5.4: absent and unknown fields are left alone, and the source's own
-/// shape of a report is read too.
+/// Absent, unknown and invalid fields are ignored, and a report of several models is read too (design 5.4).
 #[rstest]
-#[case::plain(r#"{"healthy":true,"capacity":8,"consumption":2.5}"#, rep(Some(true), Some(8.0), Some(2.5)))]
-#[case::unknown_fields(r#"{"capacity":8,"colour":"red"}"#, rep(None, Some(8.0), None))]
-#[case::wrong_types(r#"{"capacity":"much","consumption":-1}"#, rep(None, None, None))]
-#[case::of_models(
+#[case::plain(r#"{"healthy":true,"capacity":8,"consumption":2.5}"#, report(Some(true), Some(8.0), Some(2.5)))]
+#[case::unknown_fields(r#"{"capacity":8,"colour":"red"}"#, report(None, Some(8.0), None))]
+#[case::wrong_types(r#"{"capacity":"much","consumption":-1}"#, report(None, None, None))]
+#[case::several_models(
     r#"{"models":[{"name":"x","payload":{"capacity":1}},{"name":"m","payload":{"healthy":false,"capacity":9}}]}"#,
-    rep(Some(false), Some(9.0), None)
+    report(Some(false), Some(9.0), None)
 )]
 #[case::not_json("fine", None)]
-fn reports_are_read_tolerantly(#[case] body: &str, #[case] want: Option<Report>) {
-    assert_eq!(Report::read(body.as_bytes(), "m"), want);
+fn reports_are_read_tolerantly(#[case] body: &str, #[case] expected: Option<Report>) {
+    assert_eq!(Report::read(body.as_bytes(), "m"), expected);
 }
 
+/// A replica is unhealthy after three failed probes, and cold when it comes back.
 #[test]
-fn down_after_three_and_cold_when_back() {
-    let mut w = ReplicaHealth::default();
-    let well = || ProbeResult::Reported(rep(None, Some(10.0), Some(1.0)).unwrap());
-    w.record(well(), 3, 4.0, Tick(1_000));
-    assert!(w.healthy);
+fn unhealthy_after_three_failures_and_cold_after_that() {
+    let mut health = ReplicaHealth::default();
+    let healthy = || ProbeResult::Reported(report(None, Some(10.0), Some(1.0)).unwrap());
+    health.record(healthy(), 3, 4.0, Tick(1_000));
+    assert!(health.healthy);
     let ramp: Vec<_> =
-        [0, 500, 2_500, 5_000, 9_999, 10_000].map(|t| w.allowance(10_000, Tick(1_000 + t))).into();
+        [0, 500, 2_500, 5_000, 9_999, 10_000].map(|t| health.allowance(10_000, Tick(1_000 + t))).into();
     assert_eq!(ramp, [Some(1), Some(1), Some(2), Some(5), Some(9), None]);
-    (0..2).for_each(|n| w.record(ProbeResult::NoAnswer, 3, 4.0, Tick(20_000 + n)));
-    assert!(w.healthy, "two failed checks are not three");
-    w.record(ProbeResult::NoAnswer, 3, 4.0, Tick(20_003));
-    assert!(!w.healthy);
-    w.record(well(), 3, 4.0, Tick(30_000));
-    assert_eq!(w.allowance(10_000, Tick(30_001)), Some(1));
-    w.record(ProbeResult::Reported(rep(Some(false), None, None).unwrap()), 3, 4.0, Tick(31_000));
-    assert!(!w.healthy, "what says itself that it is unwell is believed at once");
+    (0..2).for_each(|n| health.record(ProbeResult::NoAnswer, 3, 4.0, Tick(20_000 + n)));
+    assert!(health.healthy, "two failed probes are not three");
+    health.record(ProbeResult::NoAnswer, 3, 4.0, Tick(20_003));
+    assert!(!health.healthy);
+    health.record(healthy(), 3, 4.0, Tick(30_000));
+    assert_eq!(health.allowance(10_000, Tick(30_001)), Some(1));
+    health.record(ProbeResult::Reported(report(Some(false), None, None).unwrap()), 3, 4.0, Tick(31_000));
+    assert!(!health.healthy, "a replica that calls itself unhealthy is unhealthy at once");
 }
 
-/// Found by the world (seed 4): a replica that was away for less than three checks came back
-/// cold and got its full share at once. What refuses a connection is not there any more.
+/// A replica that refused one connection is cold when it comes back. In a simulation (seed 4), one that was absent for less
+/// than three probes came back cold, and got its full share of requests at once.
 #[test]
-fn what_was_absent_is_cold_when_back_however_soon() {
-    let mut w = ReplicaHealth::default();
-    let well = || ProbeResult::Reported(rep(None, Some(10.0), Some(1.0)).unwrap());
-    w.record(well(), 3, 4.0, Tick(1_000));
-    w.record(ProbeResult::NoAnswer, 3, 4.0, Tick(21_000));
-    w.record(well(), 3, 4.0, Tick(22_000));
-    assert_eq!(w.allowance(10_000, Tick(22_001)), None, "one check without an answer is no restart");
-    w.record(ProbeResult::Refused, 3, 4.0, Tick(23_000));
-    assert!(w.healthy);
-    w.record(well(), 3, 4.0, Tick(24_000));
-    assert_eq!(w.allowance(10_000, Tick(24_001)), Some(1));
+fn cold_after_a_refused_connection() {
+    let mut health = ReplicaHealth::default();
+    let healthy = || ProbeResult::Reported(report(None, Some(10.0), Some(1.0)).unwrap());
+    health.record(healthy(), 3, 4.0, Tick(1_000));
+    health.record(ProbeResult::NoAnswer, 3, 4.0, Tick(21_000));
+    health.record(healthy(), 3, 4.0, Tick(22_000));
+    assert_eq!(health.allowance(10_000, Tick(22_001)), None, "one unanswered probe is no restart");
+    health.record(ProbeResult::Refused, 3, 4.0, Tick(23_000));
+    assert!(health.healthy);
+    health.record(healthy(), 3, 4.0, Tick(24_000));
+    assert_eq!(health.allowance(10_000, Tick(24_001)), Some(1));
 }
 
-/// Found by the world (seed 6): what refuses a connection was told as warm until it had failed three
-/// checks, so a home that took over in between knew nothing of its absence.
+/// An absent replica is reported with the first step of its slow start. In a simulation (seed 6), it was reported as warm
+/// until three probes had failed, so a router that took over the probing before that did not know that it was absent.
 #[test]
-fn what_is_absent_has_the_first_step_of_the_ramp() {
-    let mut w = ReplicaHealth::default();
-    let well = || ProbeResult::Reported(rep(None, Some(20.0), Some(1.0)).unwrap());
-    w.record(well(), 3, 4.0, Tick(1_000));
-    w.record(ProbeResult::NoAnswer, 3, 4.0, Tick(21_000));
-    assert_eq!(w.allowance(10_000, Tick(21_001)), None, "one check without an answer is no restart");
-    w.record(ProbeResult::Refused, 3, 4.0, Tick(22_000));
-    assert!(w.healthy);
-    assert_eq!(w.allowance(10_000, Tick(22_001)), Some(2));
-    assert_eq!(w.allowance(10_000, Tick(99_000)), Some(2), "it does not warm up while it is away");
-    w.record(well(), 3, 4.0, Tick(100_000));
-    assert_eq!(w.allowance(10_000, Tick(105_000)), Some(10));
+fn absent_replica_stays_at_the_first_step() {
+    let mut health = ReplicaHealth::default();
+    let healthy = || ProbeResult::Reported(report(None, Some(20.0), Some(1.0)).unwrap());
+    health.record(healthy(), 3, 4.0, Tick(1_000));
+    health.record(ProbeResult::NoAnswer, 3, 4.0, Tick(21_000));
+    assert_eq!(health.allowance(10_000, Tick(21_001)), None, "one unanswered probe is no restart");
+    health.record(ProbeResult::Refused, 3, 4.0, Tick(22_000));
+    assert!(health.healthy);
+    assert_eq!(health.allowance(10_000, Tick(22_001)), Some(2));
+    assert_eq!(health.allowance(10_000, Tick(99_000)), Some(2), "it does not warm up while it is absent");
+    health.record(healthy(), 3, 4.0, Tick(100_000));
+    assert_eq!(health.allowance(10_000, Tick(105_000)), Some(10));
 }
--- a/crates/data-plane/tests/modules/retry_budget.rs
+++ b/crates/data-plane/tests/modules/retry_budget.rs
@@ -2,14 +2,15 @@
 
 use data_plane::retry_budget::RetryBudget;
 
+/// With a ratio of 0.2, retries stay at a fifth of the requests, beside the two tokens of the start; at most ten are saved up.
 #[test]
-fn extra_goes_stay_a_fifth() {
-    let b = RetryBudget::default();
-    let extra = (0..1000).filter(|_| {
-        b.earn(0.2);
-        b.spend()
+fn retries_stay_within_their_share() {
+    let budget = RetryBudget::default();
+    let retries = (0..1000).filter(|_| {
+        budget.earn(0.2);
+        budget.spend()
     });
-    assert_eq!(extra.count(), 202);
-    (0..1000).for_each(|_| b.earn(0.2));
-    assert_eq!((0..100).filter(|_| b.spend()).count(), 10);
+    assert_eq!(retries.count(), 202);
+    (0..1000).for_each(|_| budget.earn(0.2));
+    assert_eq!((0..100).filter(|_| budget.spend()).count(), 10);
 }
--- a/crates/data-plane/tests/modules/user_key.rs
+++ b/crates/data-plane/tests/modules/user_key.rs
@@ -4,7 +4,7 @@
 use data_plane::{placement_table::UserKey, user_key::user_key};
 use rstest::rstest;
 
-/// Conformance, design 5.2: the first part that yields something is used.
+/// The key comes from the first part of the policy that the request has (design 5.2).
 #[rstest]
 #[case::header_first(Some("u1"), r#"{"user":"u2"}"#, Some(("x-user", "u1")))]
 #[case::then_json(None, r#"{"user":"u2"}"#, Some(("user", "\"u2\"")))]
@@ -12,8 +12,12 @@
 #[case::too_short(None, r#"{"prompt":"abc"}"#, None)]
 #[case::not_json(None, "abcdefghijklmnopqrst", Some(("opening", "abcdefghijklmnop")))]
 #[case::nothing(None, "", None)]
-fn first_that_yields(#[case] head: Option<&str>, #[case] body: &str, #[case] want: Option<(&str, &str)>) {
+fn first_part_found(
+    #[case] header: Option<&str>,
+    #[case] body: &str,
+    #[case] expected: Option<(&str, &str)>,
+) {
     let parts = [KeyPart::Header("x-user".into()), KeyPart::Json("user".into()), KeyPart::Opening(16)];
-    let got = user_key(&parts, "t", &|_| head.map(str::to_string), body.as_bytes());
-    assert_eq!(got, want.map(|(k, v)| UserKey::of("t", k, v.as_bytes())));
+    let key = user_key(&parts, "t", &|_| header.map(str::to_string), body.as_bytes());
+    assert_eq!(key, expected.map(|(kind, value)| UserKey::of("t", kind, value.as_bytes())));
 }
