--- a/crates/data-plane/src/contact.rs
+++ b/crates/data-plane/src/contact.rs
@@ -36,8 +36,8 @@
     }
 
     /// Whether this node sends a member heartbeats now. Members of its own zone always get them, since clients are
-    /// referred to them. The others get them only while the lease is in doubt, so that the traffic does not grow with the
-    /// square of the number of members.
+    /// referred to them. The others get them only while the lease is in doubt, so that the traffic does not grow with
+    /// the square of the number of members.
     fn monitors(&self, member: &Member) -> bool {
         member.info.zone == *self.zone() || self.lease_in_doubt()
     }
--- a/crates/data-plane/src/replay_guard.rs
+++ b/crates/data-plane/src/replay_guard.rs
@@ -1,6 +1,6 @@
-//! Replay protection for signed forwarded requests (design 5.6), without input, output or a clock. Each router numbers the
-//! requests that it forwards within its membership. The receiver keeps a sliding window of the numbers that it accepted
-//! from each member, as IPsec does (RFC 4303, 3.4.3).
+//! Replay protection for signed forwarded requests (design 5.6), without input, output or a clock. Each router numbers
+//! the requests that it forwards within its membership. The receiver keeps a sliding window of the numbers that it
+//! accepted from each member, as IPsec does (RFC 4303, 3.4.3).
 
 use common::{Epoch, NodeId};
 use std::collections::HashMap;
--- a/crates/data-plane/src/request_queue.rs
+++ b/crates/data-plane/src/request_queue.rs
@@ -1,5 +1,5 @@
-//! Queue of requests that wait for a replica with room (design 5.9). It is bounded and ordered by deadline, and it rejects
-//! a request at once if its deadline can't be met.
+//! Queue of requests that wait for a replica with room (design 5.9). It is bounded and ordered by deadline, and it
+//! rejects a request at once if its deadline can't be met.
 
 use common::Tick;
 use std::collections::BTreeMap;
--- a/crates/data-plane/src/response_body.rs
+++ b/crates/data-plane/src/response_body.rs
@@ -1,5 +1,5 @@
-//! Response bodies that are forwarded to the client (design 6.3): unbuffered, and never ended cleanly where the upstream
-//! body broke off.
+//! Response bodies that are forwarded to the client (design 6.3): unbuffered, and never ended cleanly where the
+//! upstream body broke off.
 
 use bytes::Bytes;
 use common::http::{Body, BoxErr};
--- a/crates/data-plane/src/retry_policy.rs
+++ b/crates/data-plane/src/retry_policy.rs
@@ -12,8 +12,8 @@
     MayHaveRun,
 }
 
-/// Whether a request may be attempted again, apart from the retry budget (design 6.2). One that another region forwarded
-/// never is: that region decides.
+/// Whether a request may be attempted again, apart from the retry budget (design 6.2). One that another region
+/// forwarded never is: that region decides.
 pub fn may_retry(failed: FailedAttempt, idempotent: bool, forwarded: bool, attempts: u32) -> bool {
     let safe = failed == FailedAttempt::NotRun || idempotent || common::mutation::enabled("once-goes-again");
     !forwarded && attempts < MAX_ATTEMPTS && safe
--- a/crates/data-plane/tests/attempt.rs
+++ b/crates/data-plane/tests/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at an upstream that fails at some stage (design 6.2, 6.3): what is certain afterwards, and that a truncated
-//! body never ends cleanly.
+//! One attempt at an upstream that fails at some stage (design 6.2, 6.3): what is certain afterwards, and that a
+//! truncated body never ends cleanly.
 
 use data_plane::attempt::{AttemptTarget, Outcome, OutgoingRequest, attempt, strip_internal_headers};
 use http_body_util::BodyExt;
@@ -89,8 +89,8 @@
     }
 }
 
-/// An attempt is certain not to have run only if the connection failed, and only a complete body ends cleanly (design 6.2,
-/// 6.3).
+/// An attempt is certain not to have run only if the connection failed, and only a complete body ends cleanly (design
+/// 6.2, 6.3).
 #[rstest]
 #[case::before_connect(Upstream::NotListening, "not run")]
 #[case::after_connect(Upstream::ClosesAtOnce, "unknown")]
--- a/crates/data-plane/tests/gateway.rs
+++ b/crates/data-plane/tests/gateway.rs
@@ -79,7 +79,8 @@
     assert_eq!(backends.iter().map(|backend| backend.runs.load(Ordering::Acquire)).sum::<usize>(), runs);
 }
 
-/// Nothing was sent to a backend that refuses the connection, so even a request that may run only once is sent to the next.
+/// Nothing was sent to a backend that refuses the connection, so even a request that may run only once is sent to the
+/// next.
 #[tokio::test]
 async fn once_is_retried_where_nothing_was_sent() {
     let closed = TcpListener::bind((IP, 0)).await.unwrap().local_addr().unwrap();
@@ -104,8 +105,8 @@
     assert!(response.contains("content-length: 9") && response.ends_with("\r\n\r\ndo"), "{response}");
 }
 
-/// A router without a lease and without contact with a majority is cut off (design 3.5). A draining one is not ready, but
-/// serves what still reaches it.
+/// A router without a lease and without contact with a majority is cut off (design 3.5). A draining one is not ready,
+/// but serves what still reaches it.
 #[tokio::test]
 async fn cut_off_and_draining() {
     let backend = backend(COMPLETE).await;
--- a/crates/data-plane/tests/home_takeover.rs
+++ b/crates/data-plane/tests/home_takeover.rs
@@ -1,5 +1,5 @@
-//! A router that takes over as home, the router that probes a zone's replicas (design 5.4): it goes on from the last load
-//! report.
+//! A router that takes over as home, the router that probes a zone's replicas (design 5.4): it goes on from the last
+//! load report.
 
 mod kit;
 
@@ -28,9 +28,9 @@
     panic!("no load report was published");
 }
 
-/// A replica that refused its last probe is cold when a new home first reaches it. In a simulation (seed 6), a zone was lost, a router
-/// of another zone became home, and its probes were refused twice. Then the zone came back with a home of its own, which
-/// took the replicas for warm.
+/// A replica that refused its last probe is cold when a new home first reaches it. In a simulation (seed 6), a zone was
+/// lost, a router of another zone became home, and its probes were refused twice. Then the zone came back with a home
+/// of its own, which took the replicas for warm.
 #[tokio::test]
 async fn replica_absent_at_the_last_home_is_cold() {
     let address = TcpListener::bind((IP, 0)).await.unwrap().local_addr().unwrap();
--- a/crates/data-plane/tests/kit/mod.rs
+++ b/crates/data-plane/tests/kit/mod.rs
@@ -87,8 +87,8 @@
     }
 }
 
-/// Starts router p1 in zone centro-1, with these backends for a service. Router p9 in norte-1 is a member too. Returns the
-/// router and the address of its HTTP listener.
+/// Starts router p1 in zone centro-1, with these backends for a service. Router p9 in norte-1 is a member too. Returns
+/// the router and the address of its HTTP listener.
 pub async fn router(service: &str, backends: &[Backend]) -> (Arc<Router>, SocketAddr) {
     router_with_clock(Clock::default(), service, backends).await
 }
--- a/crates/data-plane/tests/lagging_state.rs
+++ b/crates/data-plane/tests/lagging_state.rs
@@ -1,4 +1,5 @@
-//! A router that holds its lease but can't follow the cluster state (design 3.6): it is not ready, and rejects new work.
+//! A router that holds its lease but can't follow the cluster state (design 3.6): it is not ready, and rejects new
+//! work.
 
 mod kit;
 
@@ -64,7 +65,8 @@
     assert_eq!(metrics.contains("{what=\"lags\"} 1"), !serves);
 }
 
-/// Without a lease it may be the core that has failed. Then the router doesn't wait for a state that was announced earlier.
+/// Without a lease it may be the core that has failed. Then the router doesn't wait for a state that was announced
+/// earlier.
 #[tokio::test]
 async fn core_outage_is_no_lag() {
     let backend = backend(COMPLETE).await;
--- a/crates/data-plane/tests/modules/capacity_grant.rs
+++ b/crates/data-plane/tests/modules/capacity_grant.rs
@@ -13,8 +13,9 @@
     }
 }
 
-/// Grants never exceed the free capacity in total. A use beyond the count, after the expiry, or under an old fencing token is
-/// rejected with its reason. A region that was unhealthy grants nothing until it was healthy for long enough (design 5.5).
+/// Grants never exceed the free capacity in total. A use beyond the count, after the expiry, or under an old fencing
+/// token is rejected with its reason. A region that was unhealthy grants nothing until it was healthy for long enough
+/// (design 5.5).
 #[test]
 fn grants_are_bounded_and_rejected_by_reason() {
     let (region, service) = (Region::new("r"), Service::new("s"));
--- a/crates/data-plane/tests/modules/placement_table.rs
+++ b/crates/data-plane/tests/modules/placement_table.rs
@@ -11,8 +11,8 @@
     }
 }
 
-/// Concurrent requests for a user without a placement all get the first writer's region. A placement that became ineligible is
-/// replaced once, by the first that names its version (design 5.3).
+/// Concurrent requests for a user without a placement all get the first writer's region. A placement that became
+/// ineligible is replaced once, by the first that names its version (design 5.3).
 #[test]
 fn first_writer_wins() {
     let (key, service) = (UserKey(7), Service::new("m"));
@@ -40,8 +40,8 @@
     assert_eq!(resolve(None, "", 3002).0, "-");
 }
 
-/// A row that an owner inherited outranks a late copy from the previous owner. In a simulation (seed 653 of the data plane),
-/// such a copy arrived at a follower after the change of owner, and permanently outranked the new owner's row.
+/// A row that an owner inherited outranks a late copy from the previous owner. In a simulation (seed 653 of the data
+/// plane), such a copy arrived at a follower after the change of owner, and permanently outranked the new owner's row.
 #[test]
 fn inherited_row_outranks_late_copies() {
     let (key, service) = (UserKey(7), Service::new("m"));
--- a/crates/data-plane/tests/modules/replay_guard.rs
+++ b/crates/data-plane/tests/modules/replay_guard.rs
@@ -15,8 +15,8 @@
     result.err().unwrap_or("taken")
 }
 
-/// Within the window each number is accepted once, in any order. Older numbers are rejected, since the guard no longer knows
-/// which of them were used.
+/// Within the window each number is accepted once, in any order. Older numbers are rejected, since the guard no longer
+/// knows which of them were used.
 #[test]
 fn each_number_is_taken_once() {
     let mut guard = ReplayGuard::default();
--- a/crates/data-plane/tests/modules/replica_choice.rs
+++ b/crates/data-plane/tests/modules/replica_choice.rs
@@ -36,8 +36,8 @@
     routers.iter().map(added_by).sum::<usize>() as i64
 }
 
-/// Routers split the free capacity of a report. In a load test with 4 slots and 6 routers, 24 requests were open at one replica,
-/// since each router used all of it.
+/// Routers split the free capacity of a report. In a load test with 4 slots and 6 routers, 24 requests were open at one
+/// replica, since each router used all of it.
 #[test]
 fn routers_split_the_free_capacity() {
     for seq in 0..20 {
--- a/crates/data-plane/tests/modules/replica_health.rs
+++ b/crates/data-plane/tests/modules/replica_health.rs
@@ -42,8 +42,8 @@
     assert!(!health.healthy, "a replica that calls itself unhealthy is unhealthy at once");
 }
 
-/// A replica that refused one connection is cold when it comes back. In a simulation (seed 4), one that was absent for less
-/// than three probes came back cold, and got its full share of requests at once.
+/// A replica that refused one connection is cold when it comes back. In a simulation (seed 4), one that was absent for
+/// less than three probes came back cold, and got its full share of requests at once.
 #[test]
 fn cold_after_a_refused_connection() {
     let mut health = ReplicaHealth::default();
@@ -58,8 +58,9 @@
     assert_eq!(health.allowance(10_000, Tick(24_001)), Some(1));
 }
 
-/// An absent replica is reported with the first step of its slow start. In a simulation (seed 6), it was reported as warm
-/// until three probes had failed, so a router that took over the probing before that did not know that it was absent.
+/// An absent replica is reported with the first step of its slow start. In a simulation (seed 6), it was reported as
+/// warm until three probes had failed, so a router that took over the probing before that did not know that it was
+/// absent.
 #[test]
 fn absent_replica_stays_at_the_first_step() {
     let mut health = ReplicaHealth::default();
--- a/crates/data-plane/tests/modules/retry_budget.rs
+++ b/crates/data-plane/tests/modules/retry_budget.rs
@@ -2,7 +2,8 @@
 
 use data_plane::retry_budget::RetryBudget;
 
-/// With a ratio of 0.2, retries stay at a fifth of the requests, beside the two tokens of the start; at most ten are saved up.
+/// With a ratio of 0.2, retries stay at a fifth of the requests, beside the two tokens of the start; at most ten are
+/// saved up.
 #[test]
 fn retries_stay_within_their_share() {
     let budget = RetryBudget::default();
--- a/crates/data-plane/tests/replay.rs
+++ b/crates/data-plane/tests/replay.rs
@@ -1,5 +1,5 @@
-//! A signed forwarded request runs once (design 5.6). One that is captured on the internal network and sent again, to the
-//! same router or to another, is rejected.
+//! A signed forwarded request runs once (design 5.6). One that is captured on the internal network and sent again, to
+//! the same router or to another, is rejected.
 
 mod kit;
 
@@ -68,8 +68,9 @@
     assert_eq!(backend.runs.load(Ordering::Acquire), 1);
 }
 
-/// A request that is sent to a router other than its receiver, to the receiver after a restart, or after its sender left.
-/// The numbers that a router keeps can't show this, so the signed part names sender and receiver with their memberships.
+/// A request that is sent to a router other than its receiver, to the receiver after a restart, or after its sender
+/// left. The numbers that a router keeps can't show this, so the signed part names sender and receiver with their
+/// memberships.
 #[rstest]
 #[case::another_router(|sent: &mut ForwardedRequest| sent.to = "p2".into(), "hop for another router")]
 #[case::earlier_incarnation(|sent: &mut ForwardedRequest| sent.to_epoch = Epoch(1), "hop for another router")]
--- a/crates/data-plane/tests/suspended_process.rs
+++ b/crates/data-plane/tests/suspended_process.rs
@@ -1,4 +1,5 @@
-//! A process that is suspended between two of its steps (design 1.3): after that it must not act on what it knew before.
+//! A process that is suspended between two of its steps (design 1.3): after that it must not act on what it knew
+//! before.
 
 mod kit;
 
@@ -21,8 +22,8 @@
 
 const COMPLETE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone";
 
-/// A request waits in the queue while the machine sleeps. Afterwards a replica has room, but the request's deadline or the
-/// router's lease may have passed.
+/// A request waits in the queue while the machine sleeps. Afterwards a replica has room, but the request's deadline or
+/// the router's lease may have passed.
 #[rstest]
 #[case::no_sleep(0, "outcome: done", 1)]
 #[case::past_its_deadline(40_000, "past its deadline", 0)]
@@ -59,8 +60,8 @@
     assert!(clock.now().since(start) >= 19);
 }
 
-/// A heartbeat from another node is no contact: it may have lain in a socket for an hour. Only a response to a heartbeat from
-/// here counts, as of the time before that heartbeat was sent.
+/// A heartbeat from another node is no contact: it may have lain in a socket for an hour. Only a response to a
+/// heartbeat from here counts, as of the time before that heartbeat was sent.
 #[tokio::test]
 async fn received_heartbeat_is_no_contact() {
     let backend = backend(COMPLETE).await;
@@ -75,8 +76,8 @@
     assert!(!router.cut_off());
 }
 
-/// When a load report was measured, on the requester's clock (design 5.4). The request was sent at 1000, and the response is
-/// read at 9000.
+/// When a load report was measured, on the requester's clock (design 5.4). The request was sent at 1000, and the
+/// response is read at 9000.
 #[rstest]
 #[case::at_once(0, 0, 1_000)]
 #[case::measured_earlier(0, 400, 600)]
