--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -9,7 +9,7 @@
     request_queue::RequestQueue,
     retry_budget::RetryBudget,
     rpc::{RouterRequest, RouterResponse},
-    serving::{prefill::Reading, report_publication::HeldReport, usage::UsageRecord},
+    serving::{prefill::PrefillTracker, report_publication::HeldReport, usage::UsageRecord},
     summary::{Event, EventKind, RETAINED_EVENTS, Summary},
 };
 use arc_swap::ArcSwapOption;
@@ -67,7 +67,7 @@
     /// The clock that all times here are read from.
     pub clock: Clock,
     /// Membership in the cluster, with the lease and the cluster state.
-    pub member: Arc<membership::Member>,
+    pub member: Arc<membership::LocalMember>,
     /// Connections to other routers.
     pub rpc_client: RpcClient<RouterRequest, RouterResponse>,
     /// The configuration in force; none until the first document is compiled.
@@ -97,7 +97,7 @@
     /// Reports of other zones' replicas as this node received them, for routers of its own zone.
     pub relayed: Mutex<BTreeMap<Zone, watch::Sender<HeldReport>>>,
     /// Prompts that replicas are reading now.
-    pub reading: Mutex<Reading>,
+    pub reading: Mutex<PrefillTracker>,
     /// What this node knows of tenants' usage.
     pub usage: UsageRecord,
     /// Metrics.
@@ -124,7 +124,7 @@
 
 impl Router {
     /// The state of a router that has just started.
-    pub fn new(settings: Settings, member: Arc<membership::Member>, clock: Clock) -> Arc<Self> {
+    pub fn new(settings: Settings, member: Arc<membership::LocalMember>, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
             rpc_client: RpcClient::new(settings.me(), crate::rpc::SERVICE),
             settings,
@@ -199,7 +199,7 @@
                             Ordering::AcqRel,
                             Ordering::Acquire,
                         );
-                        self.member.revision_in_force.store(revision.0, Ordering::Release);
+                        self.member.active_revision.store(revision.0, Ordering::Release);
                         log_event!(Info, "governs", "revision" => revision.0);
                         self.record_event(EventKind::Governs(revision));
                     }
--- a/crates/data-plane/src/rpc.rs
+++ b/crates/data-plane/src/rpc.rs
@@ -7,7 +7,7 @@
     serving::{
         prefill::PromptSent,
         replica_report::ReplicaReport,
-        usage::{UsageAnswer, UsageQuestion},
+        usage::{UsageRequest, UsageResponse},
     },
 };
 use common::{FencingToken, Incarnation, Index, NodeId, Region, Service, Zone};
@@ -136,7 +136,7 @@
         wait_ms: u64,
     },
     /// A question by the router that holds the duty to report usage.
-    Usage(UsageQuestion),
+    Usage(UsageRequest),
 }
 
 /// A response of a router.
@@ -178,7 +178,7 @@
     #[serde(rename = "Bounced")]
     Rejected(String),
     /// The answer to a question of the router that holds the duty to report usage.
-    Usage(UsageAnswer),
+    Usage(UsageResponse),
 }
 
 impl tarpc::RequestName for RouterRequest {
--- a/crates/data-plane/src/serving/replica_selection.rs
+++ b/crates/data-plane/src/serving/replica_selection.rs
@@ -4,8 +4,8 @@
 use super::{
     dispatch::AttemptHistory,
     plan::Plan,
-    prefill::Reading,
-    replica_choice::{self, ChoiceContext, READS_PER_MS},
+    prefill::PrefillTracker,
+    replica_choice::{self, ChoiceContext, PREFILL_TOKENS_PER_MS},
     replica_view::{Candidate, ReplicaView},
     slow_start,
     state::Serving,
@@ -45,7 +45,7 @@
             plan,
             history,
             now: serving.now(),
-            replicas: serving.fleet.load_full(),
+            replicas: serving.replica_view.load_full(),
             max_open: (connections / routers.len().max(1)).max(MIN_CONNECTIONS),
             warm_up_rate: plan.backend.slow_start_per_s * bounds.cold_overrun + bounds.cold_slack,
             routers,
@@ -54,29 +54,29 @@
 
     /// This router's part of the rate at which a replica that warms up may be sent requests.
     fn own_warm_up_rate(&self, replica: &Candidate) -> Option<f64> {
-        slow_start::rate(self.warm_up_rate, &replica.id, self.serving.router.node(), &self.routers)
+        slow_start::send_rate(self.warm_up_rate, &replica.id, self.serving.router.node(), &self.routers)
     }
 
     fn is_warming_up(&self, replica: &Candidate) -> bool {
-        self.serving.cold(replica, &self.plan.backend, self.now)
+        self.serving.is_cold(replica, &self.plan.backend, self.now)
     }
 
     fn allowed_by_slow_start(&self, replica: &Candidate) -> bool {
-        let has_token = || lock(&replica.own.bucket).ready(self.now);
+        let has_token = || lock(&replica.local.bucket).ready(self.now);
         !self.is_warming_up(replica) || self.own_warm_up_rate(replica).is_some_and(|_| has_token())
     }
 
     fn is_available(&self, replica: &Candidate) -> bool {
-        self.serving.usable(replica) && !self.history.tried.contains(&replica.id)
+        self.serving.is_usable(replica) && !self.history.tried_replicas.contains(&replica.id)
     }
 
     fn is_healthy(&self, replica: &Candidate) -> bool {
-        replica.well && !replica.own.avoided(self.now)
+        replica.healthy && !replica.local.is_avoided(self.now)
     }
 
     fn has_room(&self, replica: &Candidate) -> bool {
-        let open = replica.own.open.load(Ordering::Relaxed).max(0) as usize;
-        replica_choice::fits(replica, &self.plan.prompt)
+        let open = replica.local.open.load(Ordering::Relaxed).max(0) as usize;
+        replica_choice::fits_memory(replica, &self.plan.prompt)
             && self.allowed_by_slow_start(replica)
             && open < self.max_open
     }
@@ -85,28 +85,28 @@
         self.plan.is_home(&replica.region)
     }
 
-    fn context<'c>(&'c self, reading: &'c Reading) -> ChoiceContext<'c> {
+    fn context<'c>(&'c self, reading: &'c PrefillTracker) -> ChoiceContext<'c> {
         let (serving, plan) = (self.serving, self.plan);
         ChoiceContext {
             prompt: &plan.prompt,
             zone: serving.router.zone(),
             region: &serving.site.region,
             affinity: plan.route.affinity,
-            long: plan.long,
-            pause_ms: plan.route.max_event_gap_ms.unwrap_or(plan.route.latency_target_ms) as f64,
+            long_prompt: plan.long_prompt,
+            max_pause_ms: plan.route.max_event_gap_ms.unwrap_or(plan.route.latency_target_ms) as f64,
             reading,
             prefixes: &plan.prefixes,
-            reads_per_ms: READS_PER_MS,
+            prefill_tokens_per_ms: PREFILL_TOKENS_PER_MS,
             now: self.now,
-            hold_ms: serving.hold_ms(&plan.service),
-            unit: common::runtime::random(),
+            service_time_ms: serving.service_time_ms(&plan.service),
+            random_unit: common::runtime::random(),
         }
     }
 }
 
 impl Serving {
     /// Selects a replica among those that may take the request now, and counts it as tried.
-    pub fn pick(
+    pub fn select_replica(
         self: &Arc<Self>,
         plan: &Plan,
         history: &mut AttemptHistory,
@@ -119,11 +119,11 @@
         let replica = best.ok_or("no room at any replica")?;
         if selection.is_warming_up(&replica) {
             let rate = selection.own_warm_up_rate(&replica).unwrap_or(1.0);
-            lock(&replica.own.bucket).take(rate, selection.now);
+            lock(&replica.local.bucket).take(rate, selection.now);
         }
         drop(reading);
         self.announce_prompt(plan, &replica);
-        history.tried.push(replica.id.clone());
+        history.tried_replicas.push(replica.id.clone());
         Ok(replica)
     }
 
@@ -135,14 +135,18 @@
     ) -> Option<Candidate> {
         let plan = selection.plan;
         let usable = |replica: &Candidate| selection.is_available(replica) && selection.is_healthy(replica);
-        for region in self.regions(plan, &usable) {
-            let here = selection.replicas.of(&plan.service).iter().filter(|replica| replica.region == region);
+        for region in self.ranked_regions(plan, &usable) {
+            let here = selection
+                .replicas
+                .replicas_of(&plan.service)
+                .iter()
+                .filter(|replica| replica.region == region);
             let candidates: Vec<&Candidate> =
                 here.filter(|replica| usable(replica) && selection.has_room(replica)).collect();
             if replica_choice::all_overdue(&candidates, context, plan.route.latency_target_ms as f64) {
                 continue;
             }
-            if let Some(best) = replica_choice::best(&candidates, context) {
+            if let Some(best) = replica_choice::choose_replica(&candidates, context) {
                 return Some(best.clone());
             }
         }
@@ -158,7 +162,7 @@
                 && !selection.is_healthy(replica)
         };
         let candidates: Vec<&Candidate> =
-            selection.replicas.of(&selection.plan.service).iter().filter(doubtful).collect();
-        replica_choice::best(&candidates, context).cloned()
+            selection.replicas.replicas_of(&selection.plan.service).iter().filter(doubtful).collect();
+        replica_choice::choose_replica(&candidates, context).cloned()
     }
 }
--- a/crates/data-plane/src/serving/usage/call.rs
+++ b/crates/data-plane/src/serving/usage/call.rs
@@ -2,7 +2,7 @@
 
 use super::{
     holder::UsageHolder,
-    pacing::{Call, CallEnd},
+    pacing::{Call, CallOutcome},
 };
 use crate::router::lock;
 use common::{
@@ -18,27 +18,27 @@
 const MAX_ANSWER_BYTES: usize = 1 << 16;
 
 /// What a status says of a report.
-pub fn call_end(status: StatusCode) -> CallEnd {
+pub fn call_outcome(status: StatusCode) -> CallOutcome {
     match status {
-        StatusCode::CONFLICT => CallEnd::Superseded,
-        StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => CallEnd::Unknown,
-        status if status.is_success() => CallEnd::Accepted,
-        status if status.is_client_error() => CallEnd::Refused,
-        _ => CallEnd::Unknown,
+        StatusCode::CONFLICT => CallOutcome::Superseded,
+        StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => CallOutcome::Unknown,
+        status if status.is_success() => CallOutcome::Accepted,
+        status if status.is_client_error() => CallOutcome::Refused,
+        _ => CallOutcome::Unknown,
     }
 }
 
 impl UsageHolder {
     /// Makes the call; `None` where nothing was sent since the duty has passed to another node.
     pub(super) async fn report(&self, call: &Call) -> Option<Result<StatusCode, PeerError>> {
-        let ms = lock(&self.plan).spans.call;
+        let ms = lock(&self.plan).spans.call_timeout_ms;
         let sent = self.send(call);
         within(ms, STEP, self.duty.address, async { Ok(sent.await) }).await.unwrap_or_else(|e| Some(Err(e)))
     }
 
     async fn send(&self, call: &Call) -> Option<Result<StatusCode, PeerError>> {
         let (to, router) = (self.duty.address, &self.serving.router);
-        let made = self.serving.dialect.usage_report(&self.duty.holder, call.fencing_token, &call.report);
+        let made = self.serving.protocol.usage_report(&self.duty.holder, call.fencing_token, &call.report);
         let request = Request::builder().method(Method::POST).uri(made.path).header("host", to.to_string());
         let request =
             made.headers.iter().fold(request, |request, (name, value)| request.header(*name, value));
@@ -46,7 +46,7 @@
             Ok(request) => request,
             Err(error) => return Some(Err(error)),
         };
-        let ms = lock(&self.plan).spans.call;
+        let ms = lock(&self.plan).spans.call_timeout_ms;
         let mut connection = match open(router.settings.rpc_addr.ip(), to, ms).await {
             Ok(connection) => connection,
             Err(error) => return Some(Err(error)),
--- a/crates/data-plane/tests/gateway.rs
+++ b/crates/data-plane/tests/gateway.rs
@@ -4,7 +4,7 @@
 mod kit;
 
 use common::{Clock, Epoch, Index, Tick};
-use control_plane::{ClusterState, membership::Member, state_machine::state_update::StateUpdate};
+use control_plane::{ClusterState, membership::LocalMember, state_machine::state_update::StateUpdate};
 use data_plane::router::Router;
 use kit::{Backend, IP, backend, exchange, info, post, record_contact_with_p9, router, settings};
 use rstest::rstest;
@@ -115,7 +115,7 @@
         index: Index(router.cluster_state().index.0 + 1),
         ..(*router.cluster_state()).clone()
     };
-    let expired = Member::new(settings(), info("p1", "centro-1"), Clock::default());
+    let expired = LocalMember::new(settings(), info("p1", "centro-1"), Clock::default());
     let _ = expired.install(StateUpdate::Snapshot(Box::new(stale)), "test");
     expired.extend_lease(Epoch(1), Tick(0));
     let alone = Router::new(settings(), expired, Clock::default());
--- a/crates/data-plane/tests/kit/mod.rs
+++ b/crates/data-plane/tests/kit/mod.rs
@@ -6,8 +6,8 @@
     settings::{Settings, Timing},
 };
 use control_plane::{
-    Change, ClusterState, ReplicaChange, Role, membership::Member, state_machine::state_update::StateUpdate,
-    types::NodeInfo,
+    Change, ClusterState, ReplicaChange, Role, membership::LocalMember,
+    state_machine::state_update::StateUpdate, types::NodeInfo,
 };
 use data_plane::{
     load::{LoadReport, ReplicaLoad},
@@ -99,7 +99,7 @@
     service: &str,
     backends: &[Backend],
 ) -> (Arc<Router>, SocketAddr) {
-    let member = Member::new(settings(), info("p1", "centro-1"), clock.clone());
+    let member = LocalMember::new(settings(), info("p1", "centro-1"), clock.clone());
     let mut state = ClusterState::bootstrapped("bitacora", vec![]);
     let mut apply = |change: Change| drop(state.apply(state.index.next(), &change));
     apply(Change::Apply { op: "a".into(), base: Default::default(), text: DOCUMENT.into() });
--- a/crates/data-plane/tests/lagging_state.rs
+++ b/crates/data-plane/tests/lagging_state.rs
@@ -48,7 +48,7 @@
 async fn announced_state_must_arrive(#[case] ms: u64, #[case] arrives: bool, #[case] serves: bool) {
     let backend = backend(COMPLETE).await;
     let (router, address, clock_ms) = router_with_manual_clock(&backend).await;
-    router.member.note_announced(router.cluster_state().index.next(), router.now());
+    router.member.note_announced_index(router.cluster_state().index.next(), router.now());
     clock_ms.fetch_add(ms, Ordering::AcqRel);
     router.member.extend_lease(router.member.lease().epoch, router.now());
     if arrives {
@@ -57,7 +57,7 @@
             .install(StateUpdate::Snapshot(Box::new(evacuated(&router.cluster_state()))), "test");
     }
     // A later announcement of the same state does not restart the period.
-    router.member.note_announced(router.cluster_state().index.next(), router.now());
+    router.member.note_announced_index(router.cluster_state().index.next(), router.now());
     let (response, ready, metrics) = responses(address).await;
     assert_eq!(response.contains("outcome: done"), serves, "{response}");
     assert_eq!(response.contains("lags behind the core"), !serves, "{response}");
@@ -71,7 +71,7 @@
 async fn core_outage_is_no_lag() {
     let backend = backend(COMPLETE).await;
     let (router, _, clock_ms) = router_with_manual_clock(&backend).await;
-    router.member.note_announced(router.cluster_state().index.next(), router.now());
+    router.member.note_announced_index(router.cluster_state().index.next(), router.now());
     clock_ms.fetch_add(61_000, Ordering::AcqRel);
     kit::record_contact_with_p9(&router);
     assert_eq!(router.refuses_work(), None);
--- a/crates/data-plane/tests/serving/usage_world.rs
+++ b/crates/data-plane/tests/serving/usage_world.rs
@@ -2,8 +2,8 @@
 //! leases as their leader does, and one for the platform that judges what it is told.
 
 use crate::{
-    kit::{bounds, names, zones},
-    stage::{Unread, Wire},
+    router_fixture::{TestProtocol, UnreadableDocuments},
+    test_data::{bounds, header_names, zones},
     usage_platform::{PLATFORM, Platform},
 };
 use common::{
@@ -14,7 +14,7 @@
 };
 use control_plane::{
     Change, ClusterState, Role,
-    membership::{Leases, Member, Renewal},
+    membership::{Leases, LocalMember, Renewal},
     state_machine::{singleton::holder_of, state_update::StateUpdate},
     types::NodeInfo,
 };
@@ -56,9 +56,9 @@
         holder: format!("m{n}"),
         window_ms: WINDOW_MS,
         delay_ms: 10_000,
-        return_ms: 3_000,
+        reacquire_pause_ms: 3_000,
         calls_per_s: 50.0,
-        losses: 2,
+        max_lost_machines: 2,
     }
 }
 
@@ -83,13 +83,13 @@
     Site {
         region: Region::new("north"),
         zones: zones(),
-        readiness: None,
-        directory: None,
-        list: PLATFORM.into(),
-        list_per_s: 100.0,
+        readiness_addr: None,
+        directory_addr: None,
+        list_addr: PLATFORM.into(),
+        list_calls_per_s: 100.0,
         list_lag_ms: 0,
         bounds: bounds(),
-        usage: Some(duty(n)),
+        usage_duty: Some(duty(n)),
     }
 }
 
@@ -215,21 +215,21 @@
     sleep(Duration::from_millis(random::<u64>() % most_ms)).await;
 }
 
-async fn keep_lease(n: usize, member: Arc<Member>, simulation: Arc<Simulation>, core: Arc<Mutex<Core>>) {
+async fn keep_lease(n: usize, member: Arc<LocalMember>, simulation: Arc<Simulation>, core: Arc<Mutex<Core>>) {
     loop {
         let sent = member.clock.now();
         way(WAY_MS).await;
         let renewed = renewal(&core, n, &member.info, Tick(simulation.ms()));
         way(WAY_MS).await;
         if let Some((epoch, index)) = renewed.filter(|_| !lock(&core).cut.contains(&n)) {
-            member.note_announced(index, sent);
+            member.note_announced_index(index, sent);
             member.extend_lease(epoch, sent);
         }
         sleep(Duration::from_millis(timing().renew_interval_ms())).await;
     }
 }
 
-async fn keep_state(n: usize, member: Arc<Member>, core: Arc<Mutex<Core>>) {
+async fn keep_state(n: usize, member: Arc<LocalMember>, core: Arc<Mutex<Core>>) {
     loop {
         let state = lock(&core).state.clone();
         way(STATE_WAY_MS).await;
@@ -249,9 +249,14 @@
 ) {
     let (set, clock) = (settings(n), Clock::default());
     let info = NodeInfo::of(&set, Role::Router, incarnation);
-    let member = Member::new(set.clone(), info, clock.clone());
+    let member = LocalMember::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock);
-    let serving = Serving::new(router.clone(), Arc::new(Wire(names())), Arc::new(Unread), site(n));
+    let serving = Serving::new(
+        router.clone(),
+        Arc::new(TestProtocol(header_names())),
+        Arc::new(UnreadableDocuments),
+        site(n),
+    );
     spawn(keep_lease(n, member.clone(), simulation.clone(), core.clone()));
     spawn(keep_state(n, member, core));
     let listener = loop {
@@ -264,11 +269,11 @@
     spawn(common::rpc::listen(listener, set.me(), data_plane::rpc::SERVICE, {
         move |node, request| router.clone().answer(node, request)
     }));
-    serving.keep_usage_reported();
+    serving.spawn_usage_tasks();
     loop {
         way(START_PAUSE_MS).await;
         let tenant = Tenant::new(["club", "guild", "league"][random::<u64>() as usize % 3]);
-        lock(&serving.router.usage.starts).note(&tenant, serving.now(), serving.now());
+        lock(&serving.router.usage.starts).record(&tenant, serving.now(), serving.now());
         let window = simulation.time_of_day_ms() / WINDOW_MS;
         *lock(&truth).entry(window).or_default().entry(tenant).or_default() += 1;
     }
