--- a/crates/data-plane/src/contact.rs
+++ b/crates/data-plane/src/contact.rs
@@ -63,7 +63,7 @@
     }
 
     /// Why this node rejects new work now, if it does (design 3.5, 3.6).
-    pub fn refuses_work(&self) -> Option<&'static str> {
+    pub fn refusal_reason(&self) -> Option<&'static str> {
         let state = self.cluster_state();
         let newer = self.configuration.load().as_ref().is_none_or(|c| c.revision < state.revision);
         [
@@ -87,7 +87,7 @@
         loop {
             ticks.tick().await;
             let state = self.cluster_state();
-            self.record_contact();
+            self.record_contact_events();
             let others = state.members.values().filter(|member| member.info.node != *self.node());
             for member in others.filter(|member| self.monitors(member)) {
                 common::runtime::spawn(self.clone().send_heartbeat(member.clone(), state.index));
@@ -108,7 +108,7 @@
                 Role::Control => self.control_heartbeat(&member, index).await,
             };
             let Some(answered) = answered else { return };
-            self.note_contact(member.info.node.clone(), sent);
+            self.set_last_contact(member.info.node.clone(), sent);
             if member.info.role == Role::Router {
                 self.fetch_state_from(member.info.rpc_addr, answered).await;
             }
@@ -117,12 +117,12 @@
 
     /// The index that a router answers with; `None` without a response from the incarnation that is a member.
     async fn router_heartbeat(&self, member: &Member, index: Index) -> Option<Index> {
-        let (to, node) = (member.info.rpc_addr, &member.info.node);
-        match self.rpc_client.call("heartbeat", to, RouterRequest::Heartbeat { index }).await {
+        let (address, node) = (member.info.rpc_addr, &member.info.node);
+        match self.rpc_client.call("heartbeat", address, RouterRequest::Heartbeat { index }).await {
             Ok(RouterResponse::HeartbeatAck { index, incarnation, fit })
                 if incarnation == member.info.incarnation =>
             {
-                let mut refusing = lock(&self.refusing);
+                let mut refusing = lock(&self.refusing_nodes);
                 if fit {
                     refusing.remove(node);
                 } else {
@@ -148,12 +148,12 @@
         }
     }
 
-    fn note_contact(&self, node: NodeId, asked: common::Tick) {
+    fn set_last_contact(&self, node: NodeId, asked: common::Tick) {
         lock(&self.last_contacts).insert(node, asked);
     }
 
     /// Records in the event log that this node was cut off or reconnected, or got a new membership.
-    fn record_contact(&self) {
+    fn record_contact_events(&self) {
         let (cut_off, epoch) = (self.cut_off(), self.member.lease().epoch);
         let (was_cut_off, last_epoch) = self.event_log.with(|summary| (summary.cut_off, summary.epoch));
         if was_cut_off != cut_off {
@@ -185,7 +185,7 @@
             (self.draining.load(Ordering::Acquire), "draining"),
             (self.cut_off(), "cut off"),
             (self.member.lags(), "lags behind the core"),
-            (self.refuses_work() == Some("document not readable"), "document not readable"),
+            (self.refusal_reason() == Some("document not readable"), "document not readable"),
             (state.evacuated.contains(self.zone()), "area evacuated"),
         ]
         .into_iter()
@@ -206,7 +206,7 @@
             ("tenured", i64::from(self.member.has_lease())),
             ("cut_off", i64::from(self.cut_off())),
             ("lags", i64::from(self.member.lags())),
-            ("unreadable", i64::from(self.refuses_work() == Some("document not readable"))),
+            ("unreadable", i64::from(self.refusal_reason() == Some("document not readable"))),
             ("index", state.index.0 as i64),
             ("revision", self.member.active_revision.load(Ordering::Acquire) as i64),
             ("open_jobs", self.open_count.open() as i64),
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -84,7 +84,7 @@
     /// Why no new attempt may be made for a request, if so. Checked before each attempt, and again when its connection
     /// is open.
     pub(crate) fn blocked_reason(&self, plan: &Plan) -> Option<&'static str> {
-        (self.now() >= plan.deadline).then_some("past its deadline").or_else(|| self.refuses_work())
+        (self.now() >= plan.deadline).then_some("past its deadline").or_else(|| self.refusal_reason())
     }
 
     /// Whether a replica is not listed at this address any more, is draining, or is in an evacuated zone.
@@ -180,7 +180,7 @@
         let (table, entry) = (&plan.configuration.table, &plan.entry);
         let replica = match self.select_replica(table, &entry.to, entry.kind, plan.key, &history.tried) {
             Ok(replica) => replica,
-            Err(any) => return AttemptStep::NoRoom(any || self.is_starting()),
+            Err(replicas_exist) => return AttemptStep::NoRoom(replicas_exist || self.is_starting()),
         };
         self.count_attempt(history, "first");
         history.tried.push(replica.id.clone());
@@ -191,7 +191,7 @@
             || self.blocked_reason(plan).or_else(|| self.departed(&id, addr).then_some("replica departed"));
         match attempt(self.attempt_target(plan, addr, &blocked_reason), request, &extra, kept).await {
             Outcome::Done(response) => {
-                self.note_load(&local, response.headers());
+                self.record_server_load(&local, response.headers());
                 // The replica says that it did not serve the request; another one may.
                 if response.status().as_u16() == 503
                     && self.may_try_again(plan, history, FailedAttempt::MayHaveRun)
--- a/crates/data-plane/src/gateway.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -123,7 +123,7 @@
     ) -> Res {
         let reject =
             |code, reason, retry_s| close(rejection_response(self, &request_id, code, reason, retry_s));
-        if let Some(reason) = self.refuses_work() {
+        if let Some(reason) = self.refusal_reason() {
             let retry_s = if reason == "joining" { 1 } else { 3 };
             return reject(StatusCode::SERVICE_UNAVAILABLE, reason, retry_s);
         }
--- a/crates/data-plane/src/health_prober.rs
+++ b/crates/data-plane/src/health_prober.rs
@@ -205,7 +205,7 @@
     }
 
     /// Records the `Server-Load` of a response: a share of the capacity up to 1, or else a percentage.
-    pub fn note_load(&self, local: &LocalLoad, headers: &hyper::HeaderMap) {
+    pub fn record_server_load(&self, local: &LocalLoad, headers: &hyper::HeaderMap) {
         let reported = headers
             .get("server-load")
             .and_then(|v| v.to_str().ok())
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -50,7 +50,7 @@
 }
 
 /// Newest load report for each service and zone whose replicas this node probes.
-pub type Published = BTreeMap<(Service, Zone), watch::Sender<Option<LoadReport>>>;
+pub type PublishedLoad = BTreeMap<(Service, Zone), watch::Sender<Option<LoadReport>>>;
 
 /// The report of a zone's replicas that this node publishes.
 pub struct Publication {
@@ -89,15 +89,15 @@
     /// When the last heartbeat that a node answered was sent.
     pub last_contacts: Mutex<HashMap<NodeId, Tick>>,
     /// Nodes that answered their last heartbeat by saying that they take no new work.
-    pub refusing: Mutex<HashSet<NodeId>>,
+    pub refusing_nodes: Mutex<HashSet<NodeId>>,
     /// Load reports that this node publishes.
-    pub published_load: Mutex<Published>,
+    pub published_load: Mutex<PublishedLoad>,
     /// Reports of zones' replicas that this node publishes.
     pub publications: Mutex<BTreeMap<Zone, Publication>>,
     /// Reports of other zones' replicas as this node received them, for routers of its own zone.
-    pub relayed: Mutex<BTreeMap<Zone, watch::Sender<HeldReport>>>,
+    pub relayed_reports: Mutex<BTreeMap<Zone, watch::Sender<HeldReport>>>,
     /// Prompts that replicas are reading now.
-    pub reading: Mutex<PrefillTracker>,
+    pub prefill_tracker: Mutex<PrefillTracker>,
     /// What this node knows of tenants' usage.
     pub usage: UsageRecord,
     /// Metrics.
@@ -139,11 +139,11 @@
             retry_budget: RetryBudget::default(),
             request_queue: Mutex::default(),
             last_contacts: Mutex::default(),
-            refusing: Mutex::default(),
+            refusing_nodes: Mutex::default(),
             published_load: Mutex::default(),
             publications: Mutex::default(),
-            relayed: Mutex::default(),
-            reading: Mutex::default(),
+            relayed_reports: Mutex::default(),
+            prefill_tracker: Mutex::default(),
             usage: UsageRecord::default(),
             counters: Counters::default(),
             event_log: EventLog::new(Summary::default(), RETAINED_EVENTS),
--- a/crates/data-plane/src/rpc_service.rs
+++ b/crates/data-plane/src/rpc_service.rs
@@ -21,7 +21,7 @@
             RouterRequest::Heartbeat { .. } => RouterResponse::HeartbeatAck {
                 index: self.cluster_state().index,
                 incarnation: self.member.info.incarnation,
-                fit: self.refuses_work().is_none() && !self.draining.load(Ordering::Acquire),
+                fit: self.refusal_reason().is_none() && !self.draining.load(Ordering::Acquire),
             },
             RouterRequest::FetchState { have } => {
                 let state = self.cluster_state();
--- a/crates/data-plane/src/serving/attempt.rs
+++ b/crates/data-plane/src/serving/attempt.rs
@@ -167,7 +167,7 @@
         let listed = fleet.replicas_of(&c.service).iter().find(|x| x.id == c.id && self.is_usable(x));
         let forbidden = [(now >= p.deadline, "past its deadline"), (listed.is_none(), "replica left")];
         let forbidden = forbidden.into_iter().find_map(|(no, why)| no.then_some(why));
-        if let Some(why) = forbidden.or_else(|| self.router.refuses_work()) {
+        if let Some(why) = forbidden.or_else(|| self.router.refusal_reason()) {
             return Err(why);
         }
         let listed_at = listed.map_or(now, |listed| listed.listed_at);
--- a/crates/data-plane/src/serving/directory.rs
+++ b/crates/data-plane/src/serving/directory.rs
@@ -46,7 +46,7 @@
         let mine = self.not_ready_reason().is_none();
         let fit = |m: &&Member| {
             let node = &m.info.node;
-            if node == r.node() { mine } else { r.is_live(m) && !lock(&r.refusing).contains(node) }
+            if node == r.node() { mine } else { r.is_live(m) && !lock(&r.refusing_nodes).contains(node) }
         };
         let all = l.routers().into_iter().filter(fit);
         all.map(|m| RouterAddr {
--- a/crates/data-plane/src/serving/prefill_announce.rs
+++ b/crates/data-plane/src/serving/prefill_announce.rs
@@ -16,7 +16,7 @@
 
 impl Router {
     pub fn note_prompt(&self, n: &PromptSent) {
-        lock(&self.reading).record_sent(n, PREFILL_TOKENS_PER_MS, self.now());
+        lock(&self.prefill_tracker).record_sent(n, PREFILL_TOKENS_PER_MS, self.now());
     }
 }
 
--- a/crates/data-plane/src/serving/replica_selection.rs
+++ b/crates/data-plane/src/serving/replica_selection.rs
@@ -112,7 +112,7 @@
         history: &mut AttemptHistory,
     ) -> Result<Candidate, &'static str> {
         let selection = Selection::new(self, plan, history);
-        let reading = lock(&self.router.reading);
+        let reading = lock(&self.router.prefill_tracker);
         let context = selection.context(&reading);
         let healthy = self.best_healthy(&selection, &context);
         let best = healthy.or_else(|| self.best_doubtful(&selection, &context));
--- a/crates/data-plane/src/serving/report_publication.rs
+++ b/crates/data-plane/src/serving/report_publication.rs
@@ -55,7 +55,8 @@
         wait_ms: u64,
     ) -> Option<ReplicaReport> {
         let asked = self.now();
-        let held = lock(&self.relayed).entry(zone).or_insert_with(|| watch::channel(None).0).subscribe();
+        let held =
+            lock(&self.relayed_reports).entry(zone).or_insert_with(|| watch::channel(None).0).subscribe();
         let newer = |report: &ReplicaReport| {
             last.as_ref().is_none_or(|(publisher, seq)| report.publisher != *publisher || report.seq > *seq)
         };
@@ -64,7 +65,7 @@
 
     /// Keeps a report for those that ask this node for it.
     pub fn relay_report(&self, report: ReceivedReport) {
-        let mut relayed = lock(&self.relayed);
+        let mut relayed = lock(&self.relayed_reports);
         let held = relayed.entry(report.report.zone.clone()).or_insert_with(|| watch::channel(None).0);
         held.send_replace(Some(Arc::new(report)));
     }
--- a/crates/data-plane/src/serving/report_subscription.rs
+++ b/crates/data-plane/src/serving/report_subscription.rs
@@ -185,7 +185,7 @@
         let valid = self.router.settings.timing.report_max_age_ms();
         let fleet = reports.build_view(&self.site.zones, valid, self.list_max_age_ms());
         let listed = |id: &ReplicaId| fleet.by_service.values().flatten().any(|c| c.id == *id);
-        lock(&self.router.reading).retain(&listed);
+        lock(&self.router.prefill_tracker).retain(&listed);
         self.replica_view.store(Arc::new(fleet));
         listed_at
     }
--- a/crates/data-plane/src/serving/state.rs
+++ b/crates/data-plane/src/serving/state.rs
@@ -236,6 +236,6 @@
         ]
         .into_iter()
         .find_map(|(no, why)| no.then_some(why))
-        .or_else(|| router.refuses_work())
+        .or_else(|| router.refusal_reason())
     }
 }
--- a/crates/data-plane/tests/lagging_state.rs
+++ b/crates/data-plane/tests/lagging_state.rs
@@ -74,7 +74,7 @@
     router.member.note_announced_index(router.cluster_state().index.next(), router.now());
     clock_ms.fetch_add(61_000, Ordering::AcqRel);
     kit::record_contact_with_p9(&router);
-    assert_eq!(router.refuses_work(), None);
+    assert_eq!(router.refusal_reason(), None);
 }
 
 /// A document that the cluster accepted and this router can't compile stops new work.
