--- a/crates/data-plane/src/capacity_grant.rs
+++ b/crates/data-plane/src/capacity_grant.rs
@@ -137,13 +137,19 @@
 pub struct HeldGrants(BTreeMap<(Region, Service), (CapacityGrant, Tick)>);
 
 impl HeldGrants {
-    /// Replaces the grant that is held. It was requested at `asked`, and its lifetime counts from then: the issuer
-    /// granted it no earlier.
-    pub fn put(&mut self, region: &Region, service: &Service, grant: Option<CapacityGrant>, asked: Tick) {
+    /// Replaces the grant that is held. Its lifetime counts from `requested_at`: the issuer granted it no earlier than
+    /// that.
+    pub fn put(
+        &mut self,
+        region: &Region,
+        service: &Service,
+        grant: Option<CapacityGrant>,
+        requested_at: Tick,
+    ) {
         let key = (region.clone(), service.clone());
         match grant {
             Some(grant) => {
-                let until = asked + grant.ttl_ms;
+                let until = requested_at + grant.ttl_ms;
                 self.0.insert(key, (grant, until));
             }
             None => {
--- a/crates/data-plane/src/contact.rs
+++ b/crates/data-plane/src/contact.rs
@@ -148,8 +148,8 @@
         }
     }
 
-    fn set_last_contact(&self, node: NodeId, asked: common::Tick) {
-        lock(&self.last_contacts).insert(node, asked);
+    fn set_last_contact(&self, node: NodeId, sent: common::Tick) {
+        lock(&self.last_contacts).insert(node, sent);
     }
 
     /// Records in the event log that this node was cut off or reconnected, or got a new membership.
--- a/crates/data-plane/src/grant_exchange.rs
+++ b/crates/data-plane/src/grant_exchange.rs
@@ -124,7 +124,7 @@
                     let (me, region, service) = (self.clone(), region.clone(), service.clone());
                     let address = issuer.info.rpc_addr;
                     common::runtime::spawn(async move {
-                        let asked = me.now();
+                        let requested_at = me.now();
                         let request = RouterRequest::RequestGrant {
                             region: region.clone(),
                             service: service.clone(),
@@ -132,7 +132,7 @@
                         };
                         let response = me.rpc_client.call("request grant", address, request).await;
                         if let Ok(RouterResponse::Grant(grant)) = response {
-                            lock(&me.held_grants).put(&region, &service, grant, asked);
+                            lock(&me.held_grants).put(&region, &service, grant, requested_at);
                         }
                     });
                 }
--- a/crates/data-plane/src/health_prober.rs
+++ b/crates/data-plane/src/health_prober.rs
@@ -89,11 +89,11 @@
                 wait_ms,
             };
             let timeout_ms = wait_ms + self.settings.timing.rpc_timeout_ms;
-            let asked = self.now();
+            let requested_at = self.now();
             match self.rpc_client.call_within(timeout_ms, "watch load", home.info.rpc_addr, request).await {
                 Ok(RouterResponse::LoadReport(report)) => {
                     (seq, fencing_token) = (report.seq, report.fencing_token);
-                    self.install_load_report(report, asked);
+                    self.install_load_report(report, requested_at);
                 }
                 _ => tokio::time::sleep(Duration::from_millis(self.settings.timing.heartbeat_ms())).await,
             }
@@ -126,7 +126,7 @@
             let state = self.cluster_state();
             let listed = listed_replicas(&state, &service, &zone);
             health.retain(|id, _| listed.iter().any(|(known, _)| known == id));
-            let asked = self.now();
+            let requested_at = self.now();
             let probes = listed.iter().map(|(_, replica)| self.probe_replica(replica));
             let results = futures::future::join_all(probes).await;
             let table = &configuration.table;
@@ -147,7 +147,7 @@
                 routers: region.map(|region| routers_in_region(&state, table, region)).unwrap_or_default(),
                 replicas,
             };
-            self.install_load_report(report.clone(), asked);
+            self.install_load_report(report.clone(), requested_at);
             publisher.send_replace(Some(report));
         }
     }
--- a/crates/data-plane/src/home_takeover.rs
+++ b/crates/data-plane/src/home_takeover.rs
@@ -39,7 +39,7 @@
         if self.last_load_report(service, zone).is_some() {
             return;
         }
-        let (state, asked) = (self.cluster_state(), self.now());
+        let (state, requested_at) = (self.cluster_state(), self.now());
         let requests = state.routers().into_iter().filter(|m| m.info.node != *self.node()).map(|m| {
             let request = RouterRequest::LastLoad { service: service.clone(), zone: zone.clone() };
             Box::pin(async move {
@@ -54,7 +54,7 @@
         if !requests.is_empty()
             && let Ok((report, _)) = futures::future::select_ok(requests).await
         {
-            self.install_load_report(report, asked);
+            self.install_load_report(report, requested_at);
         }
     }
 
--- a/crates/data-plane/src/load.rs
+++ b/crates/data-plane/src/load.rs
@@ -55,10 +55,10 @@
 }
 
 impl LoadReport {
-    /// When the report was measured, on the clock of the router that requested it at `asked`. Never later than it can
+    /// When the report was measured, on the clock of the router that requested it. Never later than it can
     /// have been, however long the response was in transit or lay unread.
-    pub fn fresh_at(&self, asked: Tick, now: Tick) -> Tick {
-        (asked + self.waited_ms).min(now) - self.age_ms
+    pub fn fresh_at(&self, requested_at: Tick, now: Tick) -> Tick {
+        (requested_at + self.waited_ms).min(now) - self.age_ms
     }
 }
 
@@ -174,7 +174,7 @@
 
     /// Installs a load report unless it is from a past publisher, or older than the one that is known. Returns whether
     /// it is at least as new as that one.
-    pub fn install(&self, report: LoadReport, asked: Tick, now: Tick) -> bool {
+    pub fn install(&self, report: LoadReport, requested_at: Tick, now: Tick) -> bool {
         let _write = lock(&self.write);
         let key = (report.service.clone(), report.zone.clone());
         let mut known = KnownReports::clone(&self.known.load());
@@ -191,7 +191,7 @@
                     let local = self.local(&replica.id);
                     local.counted.store(local.open.load(Ordering::Relaxed), Ordering::Relaxed);
                 }
-                let fresh_at = report.fresh_at(asked, now);
+                let fresh_at = report.fresh_at(requested_at, now);
                 let routers = report.routers.clone().into();
                 known.reports.insert(key, ReceivedReport { report, routers, fresh_at });
                 self.known.store(Arc::new(known));
--- a/crates/data-plane/src/placement.rs
+++ b/crates/data-plane/src/placement.rs
@@ -60,7 +60,7 @@
         }
         let pick = draw(&candidates, common::runtime::random());
         for _ in 0..2 {
-            let asked = self.now();
+            let requested_at = self.now();
             match self
                 .resolve(
                     key,
@@ -73,7 +73,7 @@
                 .await
             {
                 Some(PlacementOutcome::Held { region, version, won }) => {
-                    self.cache_placement(key, service, &region, version, policy.ttl_ms, asked);
+                    self.cache_placement(key, service, &region, version, policy.ttl_ms, requested_at);
                     if won {
                         count(if stale.is_some() { "moved" } else { "drawn" });
                         return Some(PlacementChoice { region, stored: false });
--- a/crates/data-plane/src/replica_choice.rs
+++ b/crates/data-plane/src/replica_choice.rs
@@ -35,10 +35,10 @@
 }
 
 /// This router's share of a number of requests: an equal part, with the remainder given out by rank.
-fn router_share(routers: &[NodeId], me: &str, key: &str, total: u32) -> i64 {
+fn router_share(routers: &[NodeId], node: &str, key: &str, total: u32) -> i64 {
     let ranked = common::rendezvous::ranked(key, routers, |n| n.as_str());
     let n = ranked.len().max(1) as u32;
-    let rank = ranked.iter().position(|m| m.as_str() == me).unwrap_or(usize::MAX);
+    let rank = ranked.iter().position(|m| m.as_str() == node).unwrap_or(usize::MAX);
     i64::from(total / n) + i64::from((rank as u64) < u64::from(total % n))
 }
 
@@ -55,17 +55,17 @@
 /// Whether this router may send a replica one more request (design 5.4). The free capacity by the last report is split
 /// over the routers, so that they don't all use the same. A replica that is less than half full takes one more from
 /// each of them, so that users stay at the replicas that hold their prefixes.
-pub fn has_room(replica: &Candidate, routers: &[NodeId], me: &str) -> bool {
+pub fn has_room(replica: &Candidate, routers: &[NodeId], node: &str) -> bool {
     let (id, open) = (replica.load.id.as_str(), replica.local.open.load(Ordering::Relaxed));
     if let Some(allowance) = replica.load.allowance {
         // The split of an allowance changes with each report, so requests that are already open count too.
-        return open < router_share(&replica.routers, me, id, allowance)
+        return open < router_share(&replica.routers, node, id, allowance)
             && replica.consumption() + 1.0 <= f64::from(allowance);
     }
     let capacity = replica.load.capacity.max(1.0);
     let added = open - replica.local.counted.load(Ordering::Relaxed);
     let free = (capacity - replica.load.consumption).max(0.0) as u32;
-    let share = router_share(routers, me, &format!("{id}/{}", replica.seq), free);
+    let share = router_share(routers, node, &format!("{id}/{}", replica.seq), free);
     let half_empty = replica.load.consumption * 2.0 <= capacity;
     replica.consumption() + 1.0 <= capacity && (added < share || (half_empty && added < 1))
 }
--- a/crates/data-plane/src/usable_replicas.rs
+++ b/crates/data-plane/src/usable_replicas.rs
@@ -48,10 +48,10 @@
         loads
     }
 
-    /// Installs a load report that was requested at `asked`; its age counts from then.
-    pub fn install_load_report(&self, report: LoadReport, asked: Tick) {
+    /// Installs a load report; its age counts from `requested_at`, when it was requested.
+    pub fn install_load_report(&self, report: LoadReport, requested_at: Tick) {
         let (service, zone) = (report.service.clone(), report.zone.clone());
-        if self.load_view.install(report, asked, self.now())
+        if self.load_view.install(report, requested_at, self.now())
             && let Some(configuration) = self.configuration.load().as_ref()
             && let Some(region) = configuration.table.region_of(&zone)
         {
