--- a/crates/data-plane/src/grant_exchange.rs
+++ b/crates/data-plane/src/grant_exchange.rs
@@ -21,7 +21,7 @@
     }
 
     /// The region that this node issues grants for, if any.
-    fn region_issued_here(&self, table: &RoutingTable) -> Option<Region> {
+    fn region_as_issuer(&self, table: &RoutingTable) -> Option<Region> {
         let own = self.own_region(table)?;
         self.issuer_for(table, &own).filter(|m| m.info.node == *self.node()).map(|_| own)
     }
@@ -35,7 +35,7 @@
             let Some(configuration) = self.configuration.load_full() else { continue };
             let table = &configuration.table;
             let fencing_token = self.fencing_token();
-            let holds = self.region_issued_here(table).is_some();
+            let holds = self.region_as_issuer(table).is_some();
             let healthy = holds
                 && self.member.has_lease()
                 && table.services.keys().any(|service| !self.own_replicas(table, service).is_empty());
@@ -57,7 +57,7 @@
     ) -> Result<Option<CapacityGrant>, &'static str> {
         let configuration = self.configuration.load_full().ok_or("no configuration")?;
         let table = &configuration.table;
-        if self.region_issued_here(table).as_ref() != Some(region) {
+        if self.region_as_issuer(table).as_ref() != Some(region) {
             return Err("not the lender");
         }
         let now = self.now();
@@ -105,7 +105,7 @@
     /// Checks one use of a grant as the region's grant issuer.
     pub fn redeem_locally(&self, used: &GrantUse) -> Result<(), &'static str> {
         let configuration = self.configuration.load_full().ok_or("no configuration")?;
-        self.region_issued_here(&configuration.table).ok_or("not the lender")?;
+        self.region_as_issuer(&configuration.table).ok_or("not the lender")?;
         lock(&self.grant_issuer).redeem(used, self.now())
     }
 
--- a/crates/data-plane/src/replica_choice.rs
+++ b/crates/data-plane/src/replica_choice.rs
@@ -58,7 +58,7 @@
 pub fn has_room(replica: &Candidate, routers: &[NodeId], node: &str) -> bool {
     let (id, open) = (replica.load.id.as_str(), replica.local.open.load(Ordering::Relaxed));
     if let Some(allowance) = replica.load.allowance {
-        // The split of an allowance changes with each report, so requests that are already open count too.
+        // The split of an allowance can change with the next report, so requests that are already open count too.
         return open < router_share(&replica.routers, node, id, allowance)
             && replica.consumption() + 1.0 <= f64::from(allowance);
     }
