--- a/crates/data-plane/src/serving/directory.rs
+++ b/crates/data-plane/src/serving/directory.rs
@@ -52,7 +52,7 @@
             if node == router.node() {
                 is_self_fit
             } else {
-                router.is_live(member) && !lock(&router.refusing).contains(node)
+                router.is_live(member) && !lock(&router.refusing_nodes).contains(node)
             }
         };
         let fit = state.routers().into_iter().filter(is_fit);
--- a/crates/data-plane/src/serving/prefill_announce.rs
+++ b/crates/data-plane/src/serving/prefill_announce.rs
@@ -17,7 +17,7 @@
 impl Router {
     /// Records a long prompt that this or another router sent.
     pub fn note_prompt(&self, sent: &PromptSent) {
-        lock(&self.reading).record_sent(sent, PREFILL_TOKENS_PER_MS, self.now());
+        lock(&self.prefill_tracker).record_sent(sent, PREFILL_TOKENS_PER_MS, self.now());
     }
 }
 
--- a/crates/data-plane/src/serving/report_subscription.rs
+++ b/crates/data-plane/src/serving/report_subscription.rs
@@ -191,7 +191,7 @@
         let valid_ms = self.router.settings.timing.report_max_age_ms();
         let view = reports.build_view(&self.site.zones, valid_ms, self.list_max_age_ms());
         let listed = |id: &ReplicaId| view.by_service.values().flatten().any(|replica| replica.id == *id);
-        lock(&self.router.reading).retain(&listed);
+        lock(&self.router.prefill_tracker).retain(&listed);
         self.replica_view.store(Arc::new(view));
         listed_at
     }
