--- a/crates/data-plane/tests/serving/placement.rs
+++ b/crates/data-plane/tests/serving/placement.rs
@@ -78,7 +78,7 @@
         };
         USERS.map(first).collect()
     };
-    fleet.on(n, choose).await
+    fleet.run_on(n, choose).await
 }
 
 /// The first regions at both routers.
@@ -92,7 +92,7 @@
 #[test]
 fn racing_routers_agree_on_a_first_region() {
     Simulation::run(21, None, |world| async move {
-        let fleet = Fleet::start_still(world).await;
+        let fleet = Fleet::start_without_reports(world).await;
         let [a, b] = RACERS;
         report_load(&fleet.routers[a], 2, 18);
         report_load(&fleet.routers[b], 18, 2);
@@ -114,7 +114,7 @@
 #[test]
 fn without_the_table_routers_agree_by_key() {
     Simulation::run(22, None, |world| async move {
-        let fleet = Fleet::start_still(world).await;
+        let fleet = Fleet::start_without_reports(world).await;
         let [a, b] = RACERS;
         let others = || (0..REPORTED + SUBSCRIBED).filter(|n| !RACERS.contains(n));
         let links: std::collections::BTreeSet<_> = others()
@@ -149,7 +149,7 @@
 #[test]
 fn a_cached_region_outside_the_home_regions_is_not_used() {
     Simulation::run(23, None, |world| async move {
-        let fleet = Fleet::start_still(world).await;
+        let fleet = Fleet::start_without_reports(world).await;
         let n = RACERS[0];
         report_load(&fleet.routers[n], 2, 2);
         let check = |serving: &Arc<Serving>| {
@@ -171,6 +171,6 @@
                 assert_eq!(regions(&["north"]), ["north".into()], "user {user}");
             }
         };
-        fleet.on(n, check).await;
+        fleet.run_on(n, check).await;
     });
 }
