--- a/crates/common/src/connection/mod.rs
+++ b/crates/common/src/connection/mod.rs
@@ -6,7 +6,7 @@
 mod timing;
 
 use crate::{
-    http::{Body, BoxErr, OpenCount, OpenGuard, text},
+    http::{Body, BoxError, OpenCount, OpenGuard, text},
     runtime::{Listener, Stream, spawn},
 };
 use futures::FutureExt;
@@ -37,21 +37,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
     /// Largest request line and headers together.
-    pub max_head_bytes: usize,
+    pub max_header_bytes: usize,
     /// Longest time from a head's first byte to its last.
-    pub head_ms: u64,
+    pub header_timeout_ms: u64,
     /// Longest rest without a request.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
 }
 
 impl Default for ConnectionLimits {
     fn default() -> Self {
-        Self { max_head_bytes: 64 << 10, head_ms: 30_000, idle_ms: 30_000 }
+        Self { max_header_bytes: 64 << 10, header_timeout_ms: 30_000, idle_timeout_ms: 30_000 }
     }
 }
 
 /// Tells the limits in force at the moment; they may change while connections are open.
-pub type LimitsInForce = Arc<dyn Fn() -> ConnectionLimits + Send + Sync>;
+pub type CurrentLimits = Arc<dyn Fn() -> ConnectionLimits + Send + Sync>;
 
 /// Serves under the default limits until `stop` turns true.
 pub async fn serve<F, Fut>(
@@ -61,27 +61,27 @@
     handler: F,
 ) where
     F: Fn(SocketAddr, Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
-    Fut: Future<Output = Result<Response<Body>, BoxErr>> + Send + 'static,
+    Fut: Future<Output = Result<Response<Body>, BoxError>> + Send + 'static,
 {
-    serve_within(listener, connections, stop, Arc::new(ConnectionLimits::default), handler).await;
+    serve_with_limits(listener, connections, stop, Arc::new(ConnectionLimits::default), handler).await;
 }
 
 /// Serves until `stop` turns true. Then what already waits to be accepted is still taken, and
 /// each open connection may bring what is on its way, before it is closed in good order.
-pub async fn serve_within<F, Fut>(
+pub async fn serve_with_limits<F, Fut>(
     listener: impl Into<Listener>,
     connections: Arc<OpenCount>,
     stop: watch::Receiver<bool>,
-    limits: LimitsInForce,
+    limits: CurrentLimits,
     handler: F,
 ) where
     F: Fn(SocketAddr, Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
-    Fut: Future<Output = Result<Response<Body>, BoxErr>> + Send + 'static,
+    Fut: Future<Output = Result<Response<Body>, BoxError>> + Send + 'static,
 {
     let in_force = limits.clone();
     let timed_handler = move |peer, request, progress: Arc<Progress>| {
         progress.request_begins();
-        let too_large = head_bytes(&request) > in_force().max_head_bytes;
+        let too_large = head_bytes(&request) > in_force().max_header_bytes;
         let answer = (!too_large).then(|| handler(peer, request));
         let limits = in_force.clone();
         async move {
@@ -89,7 +89,7 @@
                 Some(answer) => answer.await?,
                 None => head_too_large(),
             };
-            Ok(timed(answer, progress, limits().idle_ms))
+            Ok(timed(answer, progress, limits().idle_timeout_ms))
         }
     };
     accept_all(listener.into(), connections, stop, limits, timed_handler).await;
@@ -99,11 +99,11 @@
     listener: Listener,
     connections: Arc<OpenCount>,
     mut stop: watch::Receiver<bool>,
-    limits: LimitsInForce,
+    limits: CurrentLimits,
     handler: F,
 ) where
     F: Fn(SocketAddr, Request<Incoming>, Arc<Progress>) -> Fut + Clone + Send + Sync + 'static,
-    Fut: Future<Output = Result<Response<TimedBody>, BoxErr>> + Send + 'static,
+    Fut: Future<Output = Result<Response<TimedBody>, BoxError>> + Send + 'static,
 {
     let start = |io, peer, stop| {
         spawn(serve_one(io, peer, connections.enter(), stop, limits.clone(), handler.clone()));
@@ -129,17 +129,17 @@
     peer: SocketAddr,
     _guard: OpenGuard,
     mut stop: watch::Receiver<bool>,
-    limits: LimitsInForce,
+    limits: CurrentLimits,
     handler: F,
 ) where
     F: Fn(SocketAddr, Request<Incoming>, Arc<Progress>) -> Fut,
-    Fut: Future<Output = Result<Response<TimedBody>, BoxErr>>,
+    Fut: Future<Output = Result<Response<TimedBody>, BoxError>>,
 {
     let progress = Arc::new(Progress::new());
     let io = TimedStream { io, progress: progress.clone() };
     let timing = progress.clone();
     let service = service_fn(move |request| handler(peer, request, timing.clone()));
-    let buffer = (limits().max_head_bytes.saturating_mul(BUFFER_PER_LIMIT)).max(LEAST_BUFFER_BYTES);
+    let buffer = (limits().max_header_bytes.saturating_mul(BUFFER_PER_LIMIT)).max(LEAST_BUFFER_BYTES);
     let connection = hyper::server::conn::http1::Builder::new()
         .max_buf_size(buffer)
         .half_close(false)
@@ -166,7 +166,7 @@
 
 /// Ends when a client takes longer than it may. It is polled behind its connection: what has already
 /// arrived is read before the time is looked at, so that a process that was held up cuts nobody off.
-async fn overdue(progress: &Progress, limits: &LimitsInForce) {
+async fn overdue(progress: &Progress, limits: &CurrentLimits) {
     let mut timer = pin!(sleep_until(Instant::now()));
     poll_fn(|context| {
         loop {
@@ -188,9 +188,9 @@
 }
 
 /// Tells the client how long its connection may rest, and the connection when the answer has ended.
-fn timed(mut answer: Response<Body>, progress: Arc<Progress>, idle_ms: u64) -> Response<TimedBody> {
-    progress.answer_begins(idle_ms);
-    tell_idle_time(&mut answer, idle_ms);
+fn timed(mut answer: Response<Body>, progress: Arc<Progress>, idle_timeout_ms: u64) -> Response<TimedBody> {
+    progress.answer_begins(idle_timeout_ms);
+    tell_idle_time(&mut answer, idle_timeout_ms);
     answer.map(|body| TimedBody { body, progress })
 }
 
@@ -211,8 +211,8 @@
     answer
 }
 
-fn tell_idle_time(answer: &mut Response<Body>, idle_ms: u64) {
-    let seconds = idle_ms / 1_000;
+fn tell_idle_time(answer: &mut Response<Body>, idle_timeout_ms: u64) {
+    let seconds = idle_timeout_ms / 1_000;
     if seconds == 0 || answer.headers().contains_key(CONNECTION) {
         return;
     }
--- a/crates/common/src/connection/timing.rs
+++ b/crates/common/src/connection/timing.rs
@@ -2,7 +2,7 @@
 
 use super::ConnectionLimits;
 use crate::{
-    http::{Body, BoxErr},
+    http::{Body, BoxError},
     runtime::Stream,
     sync::lock,
 };
@@ -69,8 +69,8 @@
         self.state().phase = Phase::OpenCount;
     }
 
-    pub(super) fn answer_begins(&self, idle_ms: u64) {
-        self.state().announced_idle_ms = idle_ms;
+    pub(super) fn answer_begins(&self, idle_timeout_ms: u64) {
+        self.state().announced_idle_ms = idle_timeout_ms;
     }
 
     fn answer_ended(&self) {
@@ -83,8 +83,8 @@
     pub(super) fn due(&self, limits: &ConnectionLimits) -> Option<Instant> {
         let state = self.state();
         let most_ms = match state.phase {
-            Phase::Idle => limits.idle_ms.max(state.announced_idle_ms),
-            Phase::Head => limits.head_ms,
+            Phase::Idle => limits.idle_timeout_ms.max(state.announced_idle_ms),
+            Phase::Head => limits.header_timeout_ms,
             Phase::OpenCount => return None,
         };
         Some(state.since + Duration::from_millis(most_ms))
@@ -154,12 +154,12 @@
 
 impl hyper::body::Body for TimedBody {
     type Data = Bytes;
-    type Error = BoxErr;
+    type Error = BoxError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BoxErr>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
 
--- a/crates/common/src/error.rs
+++ b/crates/common/src/error.rs
@@ -69,7 +69,7 @@
     }
 
     /// A connection that could not be opened.
-    pub fn connecting(peer: impl fmt::Display, error: io::Error) -> Self {
+    pub fn connect_failed(peer: impl fmt::Display, error: io::Error) -> Self {
         let refused = error.kind() == io::ErrorKind::ConnectionRefused;
         let kind = if refused { ErrorKind::Refused } else { ErrorKind::Other };
         Self { kind, ..Self::new(CONNECT, peer, error) }
@@ -91,7 +91,7 @@
     }
 
     /// Whether it arose before anything of a request was sent.
-    pub fn before_sending(&self) -> bool {
+    pub fn is_before_sending(&self) -> bool {
         self.step == CONNECT || self.step == HANDSHAKE
     }
 }
@@ -116,7 +116,7 @@
 ///
 /// # Errors
 /// The future's, or the time-out.
-pub async fn within<T>(
+pub async fn with_timeout<T>(
     timeout_ms: u64,
     step: Step,
     peer: impl fmt::Display,
--- a/crates/common/src/http.rs
+++ b/crates/common/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 by hyper on both sides (design 1.9).
 
 use crate::{
-    error::{AtPeer, CONNECT, HANDSHAKE, PeerError, within},
+    error::{AtPeer, CONNECT, HANDSHAKE, PeerError, with_timeout},
     runtime::{Stream, dial, spawn},
 };
 use bytes::Bytes;
@@ -20,12 +20,12 @@
 };
 use tokio::io::{AsyncRead, AsyncWrite};
 
-pub use crate::connection::{ConnectionLimits, LimitsInForce, serve, serve_within};
+pub use crate::connection::{ConnectionLimits, CurrentLimits, serve, serve_with_limits};
 
 /// Any error of a body or handler.
-pub type BoxErr = Box<dyn std::error::Error + Send + Sync>;
+pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 /// A response or request body.
-pub type Body = BoxBody<Bytes, BoxErr>;
+pub type Body = BoxBody<Bytes, BoxError>;
 
 /// A body that is all there.
 pub fn full(b: impl Into<Bytes>) -> Body {
@@ -85,7 +85,7 @@
 /// # Errors
 /// The connection could not be opened; the kind of the error tells whether it was refused.
 pub async fn connect(ip: IpAddr, to: SocketAddr) -> Result<Stream, PeerError> {
-    dial(ip, to).await.map_err(|error| PeerError::connecting(to, error))
+    dial(ip, to).await.map_err(|error| PeerError::connect_failed(to, error))
 }
 
 /// A new client connection to a replica or a peer, from the node's own address.
@@ -93,9 +93,9 @@
 /// # Errors
 /// The connection could not be opened within `ms`.
 pub async fn open(ip: IpAddr, to: SocketAddr, ms: u64) -> Result<Sender, PeerError> {
-    within(ms, CONNECT, to, async {
+    with_timeout(ms, CONNECT, to, async {
         let io = connect(ip, to).await?;
-        client_on(io, to).await
+        client_over(io, to).await
     })
     .await
 }
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 /// The HTTP handshake failed.
-pub async fn client_on<I>(io: I, to: SocketAddr) -> Result<Sender, PeerError>
+pub async fn client_over<I>(io: I, to: SocketAddr) -> Result<Sender, PeerError>
 where
     I: AsyncRead + AsyncWrite + Send + Unpin + 'static,
 {
@@ -122,7 +122,7 @@
 ///
 /// # Errors
 /// No whole answer came within `ms`.
-pub async fn ask(
+pub async fn send_request(
     ip: IpAddr,
     to: SocketAddr,
     method: Method,
@@ -132,7 +132,7 @@
     ms: u64,
 ) -> Result<(StatusCode, hyper::HeaderMap, Bytes), PeerError> {
     let step = "exchange";
-    within(ms, step, to, async {
+    with_timeout(ms, step, to, async {
         let mut tx = open(ip, to, ms).await?;
         let req = headers
             .iter()
@@ -184,7 +184,7 @@
 ///
 /// # Errors
 /// No node answered, or the outcome is undetermined.
-pub async fn ask_in_turn(
+pub async fn send_request_to_any(
     nodes: &[SocketAddr],
     method: Method,
     path: &str,
@@ -198,7 +198,7 @@
     );
     let (ip, mut last) = (IpAddr::V4(Ipv4Addr::UNSPECIFIED), String::new());
     for to in nodes {
-        match ask(ip, *to, method.clone(), path, headers, body.clone(), ms).await {
+        match send_request(ip, *to, method.clone(), path, headers, body.clone(), ms).await {
             Ok((code, _, b)) if code == StatusCode::SERVICE_UNAVAILABLE => {
                 last = format!("{to}: {}", String::from_utf8_lossy(&b));
             }
--- a/crates/common/src/rpc/mod.rs
+++ b/crates/common/src/rpc/mod.rs
@@ -5,7 +5,7 @@
 pub use server::listen;
 
 use crate::{
-    error::{AtPeer, CONNECT, HANDSHAKE, PeerError, Step, within},
+    error::{AtPeer, CONNECT, HANDSHAKE, PeerError, Step, with_timeout},
     runtime::{self, Stream, spawn},
     sync::lock,
     wire::{Codec, PROTOCOL_VERSION, encode},
@@ -57,7 +57,7 @@
     /// The address that its connections come from.
     pub ip: IpAddr,
     /// The usual time-out of a call, in milliseconds.
-    pub wait_ms: u64,
+    pub timeout_ms: u64,
 }
 
 /// By how much a call outlives its own time-out at the node that is called, at most.
@@ -91,7 +91,7 @@
     /// # Errors
     /// As for [`RpcClient::call_within`].
     pub async fn call(&self, step: Step, to: SocketAddr, request: Q) -> Result<R, PeerError> {
-        self.call_within(self.local.wait_ms, step, to, request).await
+        self.call_within(self.local.timeout_ms, step, to, request).await
     }
 
     /// One call within a time-out. A failed connection is dropped and opened anew next time.
@@ -109,7 +109,7 @@
         let request_bytes = counted.as_ref().map_or(0, |_| encoded_length(&request));
         let was_open = self.lock().contains_key(&to);
         let mut ended = false;
-        let result = within(timeout_ms, step, to, async {
+        let result = with_timeout(timeout_ms, step, to, async {
             let result = self.send(timeout_ms, step, to, request).await;
             ended = true;
             result
@@ -145,8 +145,8 @@
         let (local, service, cache) = (self.local.clone(), self.service, self.open.clone());
         let (sender, opened) = oneshot::channel();
         spawn(async move {
-            let timeout_ms = local.wait_ms * OPEN_TIMEOUTS;
-            let opened = within(timeout_ms, CONNECT, to, open(&local, service, to)).await;
+            let timeout_ms = local.timeout_ms * OPEN_TIMEOUTS;
+            let opened = with_timeout(timeout_ms, CONNECT, to, open(&local, service, to)).await;
             if let Ok(channel) = &opened {
                 lock(&cache).insert(to, channel.clone());
             }
--- a/crates/common/src/rpc/server.rs
+++ b/crates/common/src/rpc/server.rs
@@ -2,7 +2,7 @@
 
 use super::{Handshake, HandshakeReply, LocalNode, with_codec};
 use crate::{
-    error::{AtPeer, HANDSHAKE, PeerError, within},
+    error::{AtPeer, HANDSHAKE, PeerError, with_timeout},
     log_event,
     runtime::{Listener, Stream, spawn},
     wire::{Codec, PROTOCOL_VERSION},
@@ -101,8 +101,8 @@
     Fut: Future<Output = R> + Send + 'static,
 {
     let mut framed = Framed::new(stream, Codec::<Handshake, HandshakeReply>::handshake());
-    let timeout_ms = local.wait_ms * HANDSHAKE_TIMEOUTS;
-    let handshake = within(timeout_ms, HANDSHAKE, peer, async {
+    let timeout_ms = local.timeout_ms * HANDSHAKE_TIMEOUTS;
+    let handshake = with_timeout(timeout_ms, HANDSHAKE, peer, async {
         let first = framed.next().await;
         first.unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into())).at_peer(HANDSHAKE, peer)
     })
--- a/crates/common/src/runtime/mod.rs
+++ b/crates/common/src/runtime/mod.rs
@@ -32,7 +32,8 @@
 /// Milliseconds since the simulation began, on its virtual clock, shifted by host so that no two nodes' ticks can be
 /// compared by mistake.
 pub(crate) fn virtual_ms() -> Option<u64> {
-    simulation().map(|simulation| simulation.ms() + host::current().map_or(0, |host| host.offset_ms()))
+    simulation()
+        .map(|simulation| simulation.elapsed_ms() + host::current().map_or(0, |host| host.offset_ms()))
 }
 
 /// The time of day of a simulation, as the host that asks sees it.
--- a/crates/common/src/runtime/simulation.rs
+++ b/crates/common/src/runtime/simulation.rs
@@ -21,18 +21,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyModel {
     /// Shortest time.
-    pub least_us: u64,
+    pub min_us: u64,
     /// Longest time without a spike.
-    pub most_us: u64,
+    pub max_us: u64,
     /// Probability of a spike.
-    pub spike: f64,
+    pub spike_probability: f64,
     /// Longest time with a spike.
-    pub spike_us: u64,
+    pub max_spike_us: u64,
 }
 
 impl Default for LatencyModel {
     fn default() -> Self {
-        Self { least_us: 100, most_us: 2_000, spike: 0.01, spike_us: 60_000 }
+        Self { min_us: 100, max_us: 2_000, spike_probability: 0.01, max_spike_us: 60_000 }
     }
 }
 
@@ -97,13 +97,13 @@
     }
 
     /// Milliseconds since the simulation began.
-    pub fn ms(&self) -> u64 {
+    pub fn elapsed_ms(&self) -> u64 {
         self.began.elapsed().as_millis() as u64
     }
 
     /// The true time of day, in milliseconds since 1970.
     pub fn time_of_day_ms(&self) -> u64 {
-        TIME_OF_DAY_AT_START_MS + self.ms()
+        TIME_OF_DAY_AT_START_MS + self.elapsed_ms()
     }
 
     /// The random numbers of this seed.
@@ -119,10 +119,10 @@
     pub(super) fn draw_latency(&self) -> Duration {
         let latency = *lock(&self.latency);
         let mut rng = self.rng();
-        let us = if rng.random_bool(latency.spike) {
-            rng.random_range(latency.most_us..=latency.spike_us)
+        let us = if rng.random_bool(latency.spike_probability) {
+            rng.random_range(latency.max_us..=latency.max_spike_us)
         } else {
-            rng.random_range(latency.least_us..=latency.most_us)
+            rng.random_range(latency.min_us..=latency.max_us)
         };
         Duration::from_micros(us)
     }
--- a/crates/common/src/settings/mod.rs
+++ b/crates/common/src/settings/mod.rs
@@ -196,12 +196,12 @@
     }
 
     /// This node as an end of RPC connections.
-    pub fn me(&self) -> LocalNode {
+    pub fn local_node(&self) -> LocalNode {
         LocalNode {
             cluster: self.cluster.clone(),
             node: self.node.clone(),
             ip: self.rpc_addr.ip(),
-            wait_ms: self.timing.rpc_timeout_ms,
+            timeout_ms: self.timing.rpc_timeout_ms,
         }
     }
 }
--- a/crates/common/src/wire.rs
+++ b/crates/common/src/wire.rs
@@ -7,9 +7,9 @@
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
 /// Largest message between nodes, in bytes: a whole cluster state with a document fits well.
-pub const MAX_FRAME: usize = 8 << 20;
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
 /// Largest message of a connection that has not introduced itself yet, in bytes.
-pub const MAX_HANDSHAKE: usize = 4 << 10;
+pub const MAX_HANDSHAKE_BYTES: usize = 4 << 10;
 /// Version of the protocol between nodes; nodes of other versions are refused.
 pub const PROTOCOL_VERSION: u32 = 4;
 
@@ -57,9 +57,9 @@
 }
 
 impl<In, Out> Codec<In, Out> {
-    /// For handshakes, of at most [`MAX_HANDSHAKE`] bytes: a stranger makes no process reserve more.
+    /// For handshakes, of at most [`MAX_HANDSHAKE_BYTES`] bytes: a stranger makes no process reserve more.
     pub fn handshake() -> Self {
-        Self::with_most(MAX_HANDSHAKE)
+        Self::with_most(MAX_HANDSHAKE_BYTES)
     }
 
     fn with_most(bytes: usize) -> Self {
@@ -70,7 +70,7 @@
 
 impl<In, Out> Default for Codec<In, Out> {
     fn default() -> Self {
-        Self::with_most(MAX_FRAME)
+        Self::with_most(MAX_FRAME_BYTES)
     }
 }
 
--- a/crates/common/tests/far.rs
+++ b/crates/common/tests/far.rs
@@ -23,7 +23,7 @@
 }
 
 fn me(ip: IpAddr) -> LocalNode {
-    LocalNode { cluster: "c".into(), node: ip.to_string(), ip, wait_ms: WAIT_MS }
+    LocalNode { cluster: "c".into(), node: ip.to_string(), ip, timeout_ms: WAIT_MS }
 }
 
 /// Calls that are sent with each heartbeat are answered within a second of the first, however long the line.
@@ -31,14 +31,19 @@
 fn a_call_over_a_long_line_is_answered(#[values(1, 35, 80, 110, 150, 200)] one_way_ms: u64) {
     let answered_at = Simulation::run(3, None, |world| async move {
         let way = one_way_ms * 1_000;
-        world.set_latency(LatencyModel { least_us: way, most_us: way, spike: 0.0, spike_us: way });
+        world.set_latency(LatencyModel {
+            min_us: way,
+            max_us: way,
+            spike_probability: 0.0,
+            max_spike_us: way,
+        });
         let (near, far): (IpAddr, IpAddr) = ("127.1.0.1".parse().unwrap(), "127.1.0.2".parse().unwrap());
         let listener = bind((far, 7_000).into()).await.unwrap();
         spawn_at(far, listen(listener, me(far), SERVICE, |_, Number(n)| async move { Number(n + 1) }));
         let lines = RpcClient::<Number, Number>::new(me(near), SERVICE);
-        while world.ms() < 10_000 {
+        while world.elapsed_ms() < 10_000 {
             if lines.call("number", (far, 7_000).into(), Number(1)).await.is_ok() {
-                return Some(world.ms());
+                return Some(world.elapsed_ms());
             }
             tokio::time::sleep(Duration::from_millis(BEAT_MS)).await;
         }
--- a/crates/common/tests/junk.rs
+++ b/crates/common/tests/junk.rs
@@ -3,7 +3,7 @@
 
 use common::{
     rpc::{Handshake, LocalNode, RpcClient, listen},
-    wire::{MAX_FRAME, MAX_HANDSHAKE, PROTOCOL_VERSION, encode},
+    wire::{MAX_FRAME_BYTES, MAX_HANDSHAKE_BYTES, PROTOCOL_VERSION, encode},
 };
 use rstest::rstest;
 use serde::{Deserialize, Serialize};
@@ -32,7 +32,7 @@
 }
 
 fn me(cluster: &str) -> LocalNode {
-    LocalNode { cluster: cluster.into(), node: "n".into(), ip: IP, wait_ms: 60_000 }
+    LocalNode { cluster: cluster.into(), node: "n".into(), ip: IP, timeout_ms: 60_000 }
 }
 
 /// A service that answers with the next number, and how many it has answered.
@@ -72,7 +72,7 @@
 #[case::a_request_of_http(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n".to_vec())]
 #[case::zeros(vec![0; 5_000])]
 #[case::ones(vec![0xff; 5_000])]
-#[case::a_hello_too_long(((MAX_HANDSHAKE + 1) as u32).to_be_bytes().to_vec())]
+#[case::a_hello_too_long(((MAX_HANDSHAKE_BYTES + 1) as u32).to_be_bytes().to_vec())]
 #[case::a_hello_of_junk(framed(&[0x5a; 300]))]
 #[case::a_hello_cut_short(good_hello()[..good_hello().len() - 3].to_vec())]
 #[case::of_another_cluster(handshake(PROTOCOL_VERSION, "another", SERVICE))]
@@ -80,7 +80,7 @@
 #[case::of_another_service(handshake(PROTOCOL_VERSION, "c", "letters"))]
 #[case::junk_behind_the_hello(after_hello(&framed(&[0x5a; 300])))]
 #[case::an_empty_message(after_hello(&framed(&[])))]
-#[case::a_message_too_long(after_hello(&((MAX_FRAME + 1) as u32).to_be_bytes()))]
+#[case::a_message_too_long(after_hello(&((MAX_FRAME_BYTES + 1) as u32).to_be_bytes()))]
 #[case::the_longest_length_there_is(after_hello(&[0xff; 4]))]
 #[case::a_message_cut_short(after_hello(&framed(&[1; 64])[..40]))]
 #[tokio::test]
@@ -105,7 +105,7 @@
 /// The connection ends although the stranger keeps its own side open and says no more.
 #[rstest]
 #[case::a_hello_too_long((1_u32 << 20).to_be_bytes().to_vec())]
-#[case::a_message_too_long(after_hello(&((MAX_FRAME + 1) as u32).to_be_bytes()))]
+#[case::a_message_too_long(after_hello(&((MAX_FRAME_BYTES + 1) as u32).to_be_bytes()))]
 #[case::junk_behind_the_hello(after_hello(&framed(&[0x5a; 300])))]
 #[tokio::test]
 async fn what_is_junk_at_once_is_not_waited_for(#[case] bytes: Vec<u8>) {
--- a/crates/common/tests/modules/wire.rs
+++ b/crates/common/tests/modules/wire.rs
@@ -1,7 +1,7 @@
 //! Tests of `common::wire`.
 
 use bytes::BytesMut;
-use common::wire::{Codec, MAX_FRAME, MAX_HANDSHAKE, decode, encode};
+use common::wire::{Codec, MAX_FRAME_BYTES, MAX_HANDSHAKE_BYTES, decode, encode};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use tokio_util::codec::Decoder;
@@ -26,7 +26,7 @@
     let b = encode(&Kind::Pair(1, Some("long enough".into()))).unwrap();
     assert!(decode::<Kind>(&b[..b.len() - 3]).is_err());
     let mut c = Codec::<Kind, Kind>::default();
-    let mut src = BytesMut::from(&(MAX_FRAME as u32 + 1).to_be_bytes()[..]);
+    let mut src = BytesMut::from(&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()[..]);
     assert!(c.decode(&mut src).is_err());
 }
 
@@ -34,7 +34,7 @@
 #[test]
 fn a_hello_is_short() {
     let declared = |bytes: usize| BytesMut::from(&(bytes as u32).to_be_bytes()[..]);
-    assert!(Codec::<Kind, Kind>::handshake().decode(&mut declared(MAX_HANDSHAKE + 1)).is_err());
-    assert!(Codec::<Kind, Kind>::handshake().decode(&mut declared(MAX_HANDSHAKE)).unwrap().is_none());
-    assert!(Codec::<Kind, Kind>::default().decode(&mut declared(MAX_HANDSHAKE + 1)).unwrap().is_none());
+    assert!(Codec::<Kind, Kind>::handshake().decode(&mut declared(MAX_HANDSHAKE_BYTES + 1)).is_err());
+    assert!(Codec::<Kind, Kind>::handshake().decode(&mut declared(MAX_HANDSHAKE_BYTES)).unwrap().is_none());
+    assert!(Codec::<Kind, Kind>::default().decode(&mut declared(MAX_HANDSHAKE_BYTES + 1)).unwrap().is_none());
 }
--- a/crates/common/tests/steps.rs
+++ b/crates/common/tests/steps.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use common::{
-    http::{ask, ask_in_turn},
+    http::{send_request, send_request_to_any},
     rpc::{LocalNode, RpcClient},
 };
 use hyper::Method;
@@ -44,13 +44,13 @@
 
 #[tokio::test]
 async fn a_refused_connection_says_so() {
-    let e = ask(IP, gone().await, Method::GET, "/", &[], "", 5_000).await.unwrap_err();
+    let e = send_request(IP, gone().await, Method::GET, "/", &[], "", 5_000).await.unwrap_err();
     assert_eq!((e.step, e.is_refused()), ("connect", true));
-    let me = LocalNode { cluster: "c".into(), node: "n".into(), ip: IP, wait_ms: 5_000 };
+    let me = LocalNode { cluster: "c".into(), node: "n".into(), ip: IP, timeout_ms: 5_000 };
     let lines: RpcClient<Empty, Empty> = RpcClient::new(me, "s");
     let e = lines.call("propose", gone().await, Empty).await.unwrap_err();
     assert_eq!((e.step, e.is_refused()), ("connect", true));
-    let e = ask(IP, says("nonsense\r\n").await, Method::GET, "/", &[], "", 5_000).await.unwrap_err();
+    let e = send_request(IP, says("nonsense\r\n").await, Method::GET, "/", &[], "", 5_000).await.unwrap_err();
     assert_eq!((e.step, e.is_refused()), ("exchange", false));
 }
 
@@ -59,7 +59,7 @@
 async fn a_seat_that_is_gone_is_passed_over() {
     let fine = says("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok").await;
     let put = |seats: Vec<SocketAddr>| async move {
-        ask_in_turn(&seats, Method::PUT, "/", &[], Bytes::new(), 5_000).await
+        send_request_to_any(&seats, Method::PUT, "/", &[], Bytes::new(), 5_000).await
     };
     assert_eq!(put(vec![gone().await, fine]).await.unwrap().0.as_u16(), 200);
     let e = put(vec![says("nonsense\r\n").await, fine]).await.unwrap_err();
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -4,7 +4,7 @@
     diagnostic::{Diagnostic, diagnostic, locate},
     document::{self, ConfigDocument},
     parser::{Block, Operands, blocks},
-    routing_table::{Entry, KeyPart, Kind, Policy, RoutingTable},
+    routing_table::{Entry, KeyPart, Policy, RoutingTable, ServiceKind},
 };
 use common::{Region, Service, Tenant, Zone, is_valid_name};
 use std::collections::{BTreeMap, BTreeSet};
@@ -69,7 +69,7 @@
     let mut table = RoutingTable {
         cluster: doc.cluster.clone(),
         // All there is came with the first version; what comes later raises this where it is used.
-        lang: 1,
+        language_version: 1,
         zones,
         services,
         tenant_header: doc.tenancy.header.to_ascii_lowercase(),
@@ -126,7 +126,7 @@
     for b in parsed.iter().filter(|b| b.kind == "entry") {
         match entry(text, b, table) {
             Ok(e) => {
-                if let Some(by) = table.entries.iter().find(|o| o.covers(&e)) {
+                if let Some(by) = table.entries.iter().find(|o| o.shadows(&e)) {
                     let msg =
                         format!("entry '{}' can never match: '{}' takes all its requests", e.name, by.name);
                     diagnostics.push(diagnostic(text, b.off, msg));
@@ -149,13 +149,13 @@
 fn policy_line(a: &Operands, p: &mut Policy, key: &mut Vec<KeyPart>) -> Result<(), Diagnostic> {
     match a.line.verb.as_str() {
         "ttl" => a.span_ms(0, 1e3, 8.64e7).map(|v| p.ttl_ms = v),
-        "overload" => a.plain(0, 0.1, 1.0).map(|v| p.overload = v),
-        "smooth" => a.plain(0, 0.001, 1.0).map(|v| p.smooth = v),
+        "overload" => a.plain(0, 0.1, 1.0).map(|v| p.max_load_ratio = v),
+        "smooth" => a.plain(0, 0.001, 1.0).map(|v| p.smoothing = v),
         "key" => {
             let part = match a.name(0)?.as_str() {
                 "header" => KeyPart::Header(a.text(1)?.to_ascii_lowercase()),
                 "json" => KeyPart::Json(a.text(1)?),
-                "opening" => KeyPart::Opening(a.plain(1, 16.0, 65536.0)? as usize),
+                "opening" => KeyPart::PromptStart(a.plain(1, 16.0, 65536.0)? as usize),
                 other => return a.fail(format!("'{other}'; allowed: header, json, opening")),
             };
             key.push(part);
@@ -168,21 +168,21 @@
 fn entry(text: &str, b: &Block, table: &RoutingTable) -> Result<Entry, Vec<Diagnostic>> {
     let mut e = Entry {
         name: b.name.clone(),
-        off: b.off,
+        offset: b.off,
         method: String::new(),
         path: String::new(),
         prefix: false,
         headers: Vec::new(),
-        to: Service::new(""),
-        kind: Kind::Model,
+        service: Service::new(""),
+        kind: ServiceKind::Model,
         homes: None,
         idempotent: false,
-        limit: 1 << 20,
+        max_body_bytes: 1 << 20,
         deadline_ms: 30_000,
         policy: 0,
     };
     let mut diagnostics = each(text, b, |a| entry_line(a, &mut e, table));
-    for (missing, what) in [(e.path.is_empty(), "match"), (e.to.as_str().is_empty(), "to")] {
+    for (missing, what) in [(e.path.is_empty(), "match"), (e.service.as_str().is_empty(), "to")] {
         if missing && !b.lines.iter().any(|l| l.verb == what) {
             diagnostics.push(diagnostic(text, b.off, format!("entry '{}': '{what}' is missing", b.name)));
         }
@@ -212,7 +212,7 @@
                 Some(k) => e.kind = *k,
                 None => return a.fail(format!("no service '{to}'")),
             }
-            e.to = to;
+            e.service = to;
         }
         "homes" => {
             let names = a.names()?;
@@ -224,7 +224,7 @@
         }
         "once" => e.idempotent = false,
         "repeatable" => e.idempotent = true,
-        "limit" => e.limit = a.size(0, MAX_BODY)?,
+        "limit" => e.max_body_bytes = a.size(0, MAX_BODY)?,
         "deadline" => e.deadline_ms = a.span_ms(0, 100.0, MAX_DEADLINE)?,
         "policy" => {
             let n = a.name(0)?;
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -49,7 +49,7 @@
     /// Its name.
     pub name: String,
     /// What it serves.
-    pub kind: crate::routing_table::Kind,
+    pub kind: crate::routing_table::ServiceKind,
 }
 
 /// How a request names its tenant.
--- a/crates/configuration/src/fleet_check.rs
+++ b/crates/configuration/src/fleet_check.rs
@@ -17,16 +17,22 @@
     };
     let mut out = Vec::new();
     for e in &table.entries {
-        let at = base + e.off;
+        let at = base + e.offset;
         match &e.homes {
-            Some(h) => out.extend(homeless(&e.to, h).into_iter().map(|r| {
-                diagnostic(src, at, format!("entry '{}': home '{r}' has no replica of '{}'", e.name, e.to))
+            Some(h) => out.extend(homeless(&e.service, h).into_iter().map(|r| {
+                diagnostic(
+                    src,
+                    at,
+                    format!("entry '{}': home '{r}' has no replica of '{}'", e.name, e.service),
+                )
             })),
-            None if homeless(&e.to, &table.regions()).len() == table.regions().len() => out.push(diagnostic(
-                src,
-                at,
-                format!("entry '{}': no region has a replica of '{}'", e.name, e.to),
-            )),
+            None if homeless(&e.service, &table.regions()).len() == table.regions().len() => {
+                out.push(diagnostic(
+                    src,
+                    at,
+                    format!("entry '{}': no region has a replica of '{}'", e.name, e.service),
+                ));
+            }
             None => {}
         }
     }
@@ -39,8 +45,8 @@
         let Some(h) = homes else { continue };
         for e in &table.entries {
             let both: BTreeSet<Region> = table.homes(e, Some(t));
-            if !both.is_empty() && homeless(&e.to, &both).len() == both.len() {
-                let msg = format!("tenant '{t}': no replica of '{}' in its homes {h:?}", e.to);
+            if !both.is_empty() && homeless(&e.service, &both).len() == both.len() {
+                let msg = format!("tenant '{t}': no replica of '{}' in its homes {h:?}", e.service);
                 out.push(diagnostic(src, locate(src, &path), msg));
             }
         }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -20,5 +20,5 @@
 pub use diagnostic::Diagnostic;
 pub use fleet_check::check_fleet;
 pub use routes::{Backend, BatchEngine, DocumentFormat, RequestLimits, Route, RouteKind, RouteMap};
-pub use routing_table::{Entry, KeyPart, Kind, Policy, RoutingTable};
-pub use tenants::{ApiKey, SharedKey, TenantPolicy, Tenants, home_regions};
+pub use routing_table::{Entry, KeyPart, Policy, RoutingTable, ServiceKind};
+pub use tenants::{ApiKey, DuplicateKey, TenantPolicy, Tenants, home_regions};
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -31,15 +31,15 @@
     /// What may be repeated.
     pub kind: RouteKind,
     /// The longest that a request may be held.
-    pub hold_ms: u64,
+    pub request_timeout_ms: u64,
     /// The time within which an answer, or a stream's first event, earns its full worth.
     pub latency_target_ms: u64,
     /// 0 comes first, 9 last.
     pub urgency: u8,
     /// Services by weight; weights sum to more than 0.
-    pub shares: Vec<(Service, u64)>,
+    pub service_weights: Vec<(Service, u64)>,
     /// Most replicas that one request may be sent to.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// What shares a prefix is worth keeping together.
     pub affinity: bool,
     /// A cut stream may be taken up at another replica.
@@ -64,9 +64,9 @@
 
     /// Draws a service by weight; `unit` is in [0, 1).
     pub fn service(&self, unit: f64) -> Option<&Service> {
-        let total: u64 = self.shares.iter().map(|s| s.1).sum();
+        let total: u64 = self.service_weights.iter().map(|s| s.1).sum();
         let mut left = (unit * total as f64) as u64;
-        self.shares.iter().filter(|s| s.1 > 0).find_map(|(s, w)| {
+        self.service_weights.iter().filter(|s| s.1 > 0).find_map(|(s, w)| {
             let hit = left < *w;
             left = left.saturating_sub(*w);
             hit.then_some(s)
@@ -110,14 +110,19 @@
     /// Largest body.
     pub max_body_bytes: usize,
     /// Longest time from the first byte of a head to its last.
-    pub header_wait_ms: u64,
+    pub header_timeout_ms: u64,
     /// Longest time without a request.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
 }
 
 impl Default for RequestLimits {
     fn default() -> Self {
-        Self { max_header_bytes: 16 << 10, max_body_bytes: 4 << 20, header_wait_ms: 3_000, idle_ms: 15_000 }
+        Self {
+            max_header_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            header_timeout_ms: 3_000,
+            idle_timeout_ms: 15_000,
+        }
     }
 }
 
--- a/crates/configuration/src/routing_table.rs
+++ b/crates/configuration/src/routing_table.rs
@@ -8,7 +8,7 @@
 /// What a service serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum ServiceKind {
     /// Long prefixes, kept warm: requests are placed.
     Model,
     /// Lookups: the least-pressured replica near the caller.
@@ -23,7 +23,7 @@
     /// The value at a path in the JSON body.
     Json(String),
     /// Hash of the first bytes of the prompt.
-    Opening(usize),
+    PromptStart(usize),
 }
 
 /// How requests of an entry are placed (design 5.1).
@@ -34,9 +34,9 @@
     /// How long a placement lives without use.
     pub ttl_ms: u64,
     /// Share of a region's capacity in use above which it gets no placement.
-    pub overload: f64,
+    pub max_load_ratio: f64,
     /// Smoothing of the weights.
-    pub smooth: f64,
+    pub smoothing: f64,
     /// Where the user key is found; the first that yields something is used.
     pub key: Vec<KeyPart>,
 }
@@ -47,9 +47,13 @@
         Self {
             name: name.into(),
             ttl_ms: 15 * 60_000,
-            overload: 0.95,
-            smooth: 0.05,
-            key: vec![KeyPart::Header("x-user".into()), KeyPart::Json("user".into()), KeyPart::Opening(256)],
+            max_load_ratio: 0.95,
+            smoothing: 0.05,
+            key: vec![
+                KeyPart::Header("x-user".into()),
+                KeyPart::Json("user".into()),
+                KeyPart::PromptStart(256),
+            ],
         }
     }
 }
@@ -60,7 +64,7 @@
     /// Its name.
     pub name: String,
     /// Byte offset in the source.
-    pub off: usize,
+    pub offset: usize,
     /// HTTP method, or `ANY`.
     pub method: String,
     /// Exact path, or a prefix where it ended in `*`.
@@ -70,15 +74,15 @@
     /// Headers that must have these values.
     pub headers: Vec<(String, String)>,
     /// The service.
-    pub to: Service,
+    pub service: Service,
     /// Its kind.
-    pub kind: Kind,
+    pub kind: ServiceKind,
     /// Regions that may serve it; all where `None`.
     pub homes: Option<BTreeSet<Region>>,
     /// Whether a request that may have run may run again.
     pub idempotent: bool,
     /// Largest body, in bytes.
-    pub limit: usize,
+    pub max_body_bytes: usize,
     /// Time within which a request must be answered.
     pub deadline_ms: u64,
     /// Index of its policy.
@@ -87,14 +91,14 @@
 
 impl Entry {
     /// Whether a request belongs to this entry.
-    pub fn fits(&self, method: &str, path: &str, header: &dyn Fn(&str) -> Option<String>) -> bool {
+    pub fn matches(&self, method: &str, path: &str, header: &dyn Fn(&str) -> Option<String>) -> bool {
         (self.method == "ANY" || self.method == method)
             && if self.prefix { path.starts_with(&self.path) } else { path == self.path }
             && self.headers.iter().all(|(k, v)| header(k).as_deref() == Some(v))
     }
 
     /// Whether each request that `other` would take is taken by this entry first.
-    pub fn covers(&self, other: &Entry) -> bool {
+    pub fn shadows(&self, other: &Entry) -> bool {
         (self.method == "ANY" || self.method == other.method)
             && if self.prefix {
                 other.path.starts_with(&self.path)
@@ -111,11 +115,11 @@
     /// Name of the cluster that it is for.
     pub cluster: String,
     /// Version of the language that a node must read to compile this document.
-    pub lang: u32,
+    pub language_version: u32,
     /// Zones and their regions.
     pub zones: BTreeMap<Zone, Region>,
     /// Services and their kinds.
-    pub services: BTreeMap<Service, Kind>,
+    pub services: BTreeMap<Service, ServiceKind>,
     /// Header that names the tenant.
     pub tenant_header: String,
     /// Tenant of requests that name none.
@@ -133,7 +137,7 @@
 impl RoutingTable {
     /// The entry of a request.
     pub fn find(&self, method: &str, path: &str, header: &dyn Fn(&str) -> Option<String>) -> Option<&Entry> {
-        self.entries.iter().find(|e| e.fits(method, path, header))
+        self.entries.iter().find(|e| e.matches(method, path, header))
     }
 
     /// All regions.
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -45,7 +45,7 @@
 
 /// Another tenant holds the key already.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SharedKey {
+pub struct DuplicateKey {
     /// The one that holds it.
     pub holder: Tenant,
 }
@@ -65,13 +65,13 @@
         &mut self,
         tenant: TenantPolicy,
         keys: impl IntoIterator<Item = ApiKey>,
-    ) -> Result<(), SharedKey> {
+    ) -> Result<(), DuplicateKey> {
         let tenant = Arc::new(tenant);
         for key in keys {
             match self.by_key.entry(key) {
                 Entry::Vacant(free) => drop(free.insert(tenant.clone())),
                 Entry::Occupied(held) if Arc::ptr_eq(held.get(), &tenant) => {}
-                Entry::Occupied(held) => return Err(SharedKey { holder: held.get().name.clone() }),
+                Entry::Occupied(held) => return Err(DuplicateKey { holder: held.get().name.clone() }),
             }
         }
         Ok(())
--- a/crates/configuration/tests/compile.rs
+++ b/crates/configuration/tests/compile.rs
@@ -78,8 +78,8 @@
     assert_eq!(names(e("claimant-replies"), &clerk), ["buenos-aires"]);
     assert!(names(e("claimant-replies"), &cordoba).is_empty());
     let pol = t.policy(e("register-matches"));
-    assert_eq!(pol.key, [KeyPart::Json("register".into()), KeyPart::Opening(256)]);
-    assert_eq!((pol.ttl_ms, pol.overload, pol.smooth), (900_000, 0.95, 0.05));
+    assert_eq!(pol.key, [KeyPart::Json("register".into()), KeyPart::PromptStart(256)]);
+    assert_eq!((pol.ttl_ms, pol.max_load_ratio, pol.smoothing), (900_000, 0.95, 0.05));
 }
 
 #[rstest]
--- a/crates/configuration/tests/tenants.rs
+++ b/crates/configuration/tests/tenants.rs
@@ -1,7 +1,7 @@
 //! Tenants by key, and the regions that bind a request of a tenant on a route.
 
 use common::Region;
-use configuration::{ApiKey, Route, RouteKind, SharedKey, TenantPolicy, Tenants, home_regions};
+use configuration::{ApiKey, DuplicateKey, Route, RouteKind, TenantPolicy, Tenants, home_regions};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
@@ -19,11 +19,11 @@
         host: "example.org".into(),
         prefix: "/talk/".into(),
         kind: RouteKind::ReadOnly,
-        hold_ms: 1_000,
+        request_timeout_ms: 1_000,
         latency_target_ms: 1_000,
         urgency: 3,
-        shares: vec![("chat".into(), 1)],
-        tries: 1,
+        service_weights: vec![("chat".into(), 1)],
+        max_attempts: 1,
         affinity: false,
         resumable: false,
         max_event_gap_ms: None,
@@ -41,7 +41,7 @@
     let mut tenants = Tenants::default();
     assert_eq!(tenants.add(tenant("a", &[]), keys(&["k1", "k2", "k1"])), Ok(()));
     assert_eq!(tenants.add(tenant("b", &[]), keys(&["k3"])), Ok(()));
-    assert_eq!(tenants.add(tenant("c", &[]), keys(&["k2"])), Err(SharedKey { holder: "a".into() }));
+    assert_eq!(tenants.add(tenant("c", &[]), keys(&["k2"])), Err(DuplicateKey { holder: "a".into() }));
     let holder = |key| tenants.holder(key).map(|tenant| tenant.name.as_str());
     assert_eq!([holder("k1"), holder("k2"), holder("k3")], [Some("a"), Some("a"), Some("b")]);
     assert_eq!([holder("k"), holder("")], [None, None]);
--- a/crates/control-plane/src/control_node/leader_client.rs
+++ b/crates/control-plane/src/control_node/leader_client.rs
@@ -130,7 +130,7 @@
                     why = refused;
                 }
                 Ok(ControlResponse::Proposed(decided)) => return decided,
-                Err(error) if error.before_sending() => why = error.to_string(),
+                Err(error) if error.is_before_sending() => why = error.to_string(),
                 _ => return ProposalOutcome::Undetermined,
             }
         }
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -131,7 +131,7 @@
             leader_seen: None,
             announced_voters: Tick(0),
         };
-        let client = || ControlClient::new(settings.me(), SERVICE);
+        let client = || ControlClient::new(settings.local_node(), SERVICE);
         let (client, bulk_client) = (client(), client());
         let node = Arc::new_cyclic(|me| ControlNode {
             settings,
--- a/crates/control-plane/src/daemon.rs
+++ b/crates/control-plane/src/daemon.rs
@@ -36,7 +36,7 @@
     stop: impl Future<Output = ()>,
 ) where
     F: Fn(Arc<ControlNode>, SocketAddr, Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
-    Fut: Future<Output = Result<Response<http::Body>, http::BoxErr>> + Send + 'static,
+    Fut: Future<Output = Result<Response<http::Body>, http::BoxError>> + Send + 'static,
 {
     let node = ControlNode::start(settings.clone(), bootstrap, start, log_writer);
     let info = NodeInfo::of(&settings, Role::Control, node.status().me.incarnation);
@@ -46,7 +46,7 @@
         node.follow_as_learner(member.clone());
     }
     member.start();
-    spawn(control_node::listen(listeners.rpc, settings.me(), node.clone()));
+    spawn(control_node::listen(listeners.rpc, settings.local_node(), node.clone()));
     let (stop_serving, stopped) = watch::channel(false);
     let open = Arc::new(http::OpenCount::default());
     let handler_node = node.clone();
--- a/crates/control-plane/src/membership/local_member.rs
+++ b/crates/control-plane/src/membership/local_member.rs
@@ -62,7 +62,7 @@
 impl LocalMember {
     /// A node that holds no membership yet.
     pub fn new(settings: Settings, info: NodeInfo, clock: Clock) -> Arc<Self> {
-        let control = Arc::new(ControlClient::new(settings.me(), SERVICE));
+        let control = Arc::new(ControlClient::new(settings.local_node(), SERVICE));
         Arc::new(Self {
             settings,
             clock,
--- a/crates/control-plane/src/operator/api/document.rs
+++ b/crates/control-plane/src/operator/api/document.rs
@@ -113,13 +113,13 @@
 
 /// Members that can't compile the document.
 fn outdated_members(table: &RoutingTable, state: &ClusterState) -> impl Iterator<Item = Diagnostic> {
-    let outdated = state.members.values().filter(|member| member.info.lang < table.lang);
+    let outdated = state.members.values().filter(|member| member.info.lang < table.language_version);
     outdated.map(|member| Diagnostic {
         line: 1,
         column: 1,
         message: format!(
             "{} reads language version {}; this document needs {}",
-            member.info.node, member.info.lang, table.lang
+            member.info.node, member.info.lang, table.language_version
         ),
     })
 }
--- a/crates/control-plane/src/operator/api/mod.rs
+++ b/crates/control-plane/src/operator/api/mod.rs
@@ -16,7 +16,7 @@
 use bytes::Bytes;
 use common::{
     NAME_RULE, OpId,
-    http::{Body, BodyError, BoxErr, json, read_body, text},
+    http::{Body, BodyError, BoxError, json, read_body, text},
     is_valid_name, log_event,
 };
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri, body::Incoming};
@@ -79,7 +79,7 @@
     node: Arc<ControlNode>,
     _peer: SocketAddr,
     request: Request<Incoming>,
-) -> Result<ApiResponse, BoxErr> {
+) -> Result<ApiResponse, BoxError> {
     let (head, body) = request.into_parts();
     let call = Call::new(&node, &head.headers, &head.uri);
     if !is_valid_name(call.op.as_str()) {
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -124,7 +124,7 @@
     let control_node = ControlNode::start(settings.clone(), bootstrap, start, log_writer);
     let info = NodeInfo::of(&settings, Role::Control, control_node.status().me.incarnation);
     LocalMember::new(settings.clone(), info, Clock::default()).start();
-    spawn(control_plane::control_node::listen(rpc_listener, settings.me(), control_node.clone()));
+    spawn(control_plane::control_node::listen(rpc_listener, settings.local_node(), control_node.clone()));
     let operator_service = Arc::new(operator_service(control_node.clone()));
     ClusterNode { control_node, operator_service, host, ip }
 }
@@ -255,9 +255,9 @@
 
     /// Lets virtual time pass until a condition holds; fails after a minute, which no test needs.
     pub async fn wait_until(&self, what: &str, condition: impl Fn(&Self) -> bool) {
-        let end = self.simulation.ms() + 60_000;
+        let end = self.simulation.elapsed_ms() + 60_000;
         while !condition(self) {
-            assert!(self.simulation.ms() < end, "not within a minute: {what}");
+            assert!(self.simulation.elapsed_ms() < end, "not within a minute: {what}");
             sleep(Duration::from_millis(20)).await;
         }
     }
--- a/crates/control-plane/tests/file_cluster/mod.rs
+++ b/crates/control-plane/tests/file_cluster/mod.rs
@@ -104,7 +104,7 @@
                     if let Message::Append { to, body, .. } = &msg {
                         self.appends_sent.push((usize::from(*to), self.now, body.max_payload_len()));
                     }
-                    if len < wire::MAX_FRAME {
+                    if len < wire::MAX_FRAME_BYTES {
                         self.in_transit.push_back((n, usize::from(to.port()) - 7000, msg));
                     }
                 }
@@ -209,7 +209,7 @@
     /// committed as much as the leader.
     pub fn assert_consistent(&self) {
         assert!(self.disk_errors.is_empty(), "{:?}", self.disk_errors);
-        assert!(self.longest_message < wire::MAX_FRAME, "a message of {} bytes", self.longest_message);
+        assert!(self.longest_message < wire::MAX_FRAME_BYTES, "a message of {} bytes", self.longest_message);
         let leader = &self.voters[self.leader()].cluster_state;
         for voter in &self.voters {
             let state = &voter.cluster_state;
--- a/crates/control-plane/tests/learner.rs
+++ b/crates/control-plane/tests/learner.rs
@@ -116,13 +116,13 @@
     async fn node(&self, n: usize) -> Option<Arc<ControlNode>> {
         let to = SocketAddr::new(ip(n), 8080);
         let from = "10.9.9.9".parse().unwrap();
-        let _ = common::http::ask(from, to, hyper::Method::GET, "/", &[], "", 1_000).await;
+        let _ = common::http::send_request(from, to, hyper::Method::GET, "/", &[], "", 1_000).await;
         lock(&self.nodes[n]).clone()
     }
 
     /// The leader to which node `n` directs operators, if it knows one before `end`.
     async fn leader_known_at(&self, n: usize, end: u64) -> Option<SocketAddr> {
-        while self.simulation.ms() < end {
+        while self.simulation.elapsed_ms() < end {
             if let Some(leader) = self.node(n).await.and_then(|node| node.leader_http_addr()) {
                 return Some(leader);
             }
@@ -166,7 +166,7 @@
         let all_are_members = || learner.status().cluster_state.members.len() == MACHINES_WITH_DISK + 3;
         while !all_are_members() {
             assert!(
-                deployment.simulation.ms() < 20_000,
+                deployment.simulation.elapsed_ms() < 20_000,
                 "{:?}",
                 learner.status().cluster_state.members.keys()
             );
@@ -193,7 +193,7 @@
         for n in MACHINES_WITH_DISK..MACHINES_WITH_DISK + 3 {
             assert!(deployment.leader_known_at(n, 20_000).await.is_some());
         }
-        let before = deployment.simulation.ms();
+        let before = deployment.simulation.elapsed_ms();
         deployment.restart_learners();
         for n in MACHINES_WITH_DISK..MACHINES_WITH_DISK + 3 {
             assert!(deployment.leader_known_at(n, before + 4_000).await.is_some(), "n{n} knows no leader");
@@ -212,9 +212,9 @@
         let member = LocalMember::new(settings, info, Clock::default());
         let started = member.clone();
         simulation.host(ip(40)).spawn(async move { started.start() }).await.unwrap();
-        let end = simulation.ms() + 3_000;
+        let end = simulation.elapsed_ms() + 3_000;
         while !(member.has_lease() && member.caught_up()) {
-            assert!(simulation.ms() < end, "no lease");
+            assert!(simulation.elapsed_ms() < end, "no lease");
             sleep(Duration::from_millis(20)).await;
         }
     });
--- a/crates/control-plane/tests/operator/cut_off.rs
+++ b/crates/control-plane/tests/operator/cut_off.rs
@@ -91,23 +91,23 @@
         let n = if whom == Whom::Leader { lead } else { (lead + 1) % voters };
         let other = (lead + 2) % voters;
         begin(&c, n, how);
-        let began = w.ms();
+        let began = w.elapsed_ms();
         // Acknowledged last; and all that was sent and left open, which may have taken effect.
         let mut version = 1;
         let mut left_open = Vec::new();
         let mut acknowledged = 0;
-        while w.ms() < began + CUT_MS {
-            let asked = w.ms();
+        while w.elapsed_ms() < began + CUT_MS {
+            let asked = w.elapsed_ms();
             let read = c.nodes[n].read().await;
-            let took = w.ms() - asked;
+            let took = w.elapsed_ms() - asked;
             assert!(took <= SILENCE_MS, "a read took {took} ms, {} ms after the cut", asked - began);
             let held = read.as_ref().ok().and_then(|r| r.as_ref()).map(|r| r.0);
             let may_be = |v: u64| v == version || left_open.contains(&v);
             assert!(held.is_none_or(may_be), "read {held:?} where {version} is accepted");
-            let asked_order = w.ms();
+            let asked_order = w.elapsed_ms();
             let told = c.nodes[n].replace(version, &format!("{}\nx", version + 1_000)).await;
             left_open.push(version + 1_000);
-            let took_order = w.ms() - asked_order;
+            let took_order = w.elapsed_ms() - asked_order;
             assert!(took_order <= SILENCE_MS, "an order took {took_order} ms");
             assert!(
                 matches!(told, OperationOutcome::Unavailable(_) | OperationOutcome::Undetermined),
@@ -173,19 +173,19 @@
         taken(&c.nodes[0], 1).await;
         let lead = c.leader();
         c.isolate(lead);
-        let began = w.ms();
+        let began = w.elapsed_ms();
         let mut refused = 0;
         loop {
-            let asked = w.ms();
+            let asked = w.elapsed_ms();
             let read = c.nodes[(lead + 1) % 3].read().await;
-            assert!(w.ms() - asked <= SILENCE_MS, "a read took {} ms", w.ms() - asked);
+            assert!(w.elapsed_ms() - asked <= SILENCE_MS, "a read took {} ms", w.elapsed_ms() - asked);
             match read {
                 Ok(read) => break assert_eq!(read.unwrap().0, 1),
                 Err(_) => refused += 1,
             }
             sleep(Duration::from_millis(50)).await;
         }
-        assert!(w.ms() - began < 4_000, "a new leader serves");
+        assert!(w.elapsed_ms() - began < 4_000, "a new leader serves");
         assert!(refused <= 4, "{refused} refusals between two leaders");
     });
 }
--- a/crates/control-plane/tests/refusing.rs
+++ b/crates/control-plane/tests/refusing.rs
@@ -22,22 +22,22 @@
         assert!(!core.status().voting && core.status().leader.is_none());
         c.wait_until("another lead", |c| c.nodes.iter().any(|s| s.control_node.local_state().is_ok())).await;
         // The new leader takes it once it has heard the members.
-        let end = c.simulation.ms() + 10_000;
+        let end = c.simulation.elapsed_ms() + 10_000;
         let mut told = c.nodes[lead].replace(1, "2\nsecond").await;
-        while matches!(told, OperationOutcome::Unavailable(_)) && c.simulation.ms() < end {
+        while matches!(told, OperationOutcome::Unavailable(_)) && c.simulation.elapsed_ms() < end {
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             told = c.nodes[lead].replace(1, "2\nsecond").await;
         }
         assert_eq!(told, OperationOutcome::Accepted);
         assert_eq!(c.nodes[lead].read().await, Ok(Some((2, "2\nsecond".into()))));
         let wait_ms = 400;
-        let asked = c.simulation.ms();
+        let asked = c.simulation.elapsed_ms();
         let state_update = core
             .clone()
             .answer(ControlRequest::WatchState { have: core.status().cluster_state.index, wait_ms })
             .await;
         assert!(
-            matches!(state_update, ControlResponse::NotLeader { .. }) && c.simulation.ms() == asked,
+            matches!(state_update, ControlResponse::NotLeader { .. }) && c.simulation.elapsed_ms() == asked,
             "not after the wait"
         );
         // Its folder turns out damaged: it comes back blank and is readmitted.
@@ -62,10 +62,10 @@
         let stand = c.nodes[lead].clone();
         let order = tokio::spawn(async move { stand.replace(0, "1\nfirst").await });
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
-        let failed = w.ms();
+        let failed = w.elapsed_ms();
         c.nodes[lead].control_node.step(Event::SyncFailed);
         assert_eq!(order.await.unwrap(), OperationOutcome::Undetermined);
-        assert_eq!(w.ms(), failed);
+        assert_eq!(w.elapsed_ms(), failed);
     });
 }
 
--- a/crates/control-plane/tests/size.rs
+++ b/crates/control-plane/tests/size.rs
@@ -49,7 +49,7 @@
             s.size_limits,
         ))
         .unwrap();
-        assert!(told.len() < wire::MAX_FRAME, "news of {} bytes after {have}", told.len());
+        assert!(told.len() < wire::MAX_FRAME_BYTES, "news of {} bytes after {have}", told.len());
     }
     let kept: usize = s.log.iter().map(|e| wire::encode(e).unwrap().len()).sum();
     assert!(kept <= 3 * DOCUMENT_BYTES, "{kept} bytes of entries are kept in memory");
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -13,7 +13,7 @@
     http::{Body, OpenGuard},
     log_event,
 };
-use configuration::Kind;
+use configuration::ServiceKind;
 use hyper::Response;
 use std::{
     collections::BTreeSet,
@@ -131,7 +131,7 @@
             self.target_region(plan, &history.avoid).await
         };
         let Some((region, stored)) = target else {
-            let loads = self.region_loads(&plan.configuration.table, &plan.entry.to);
+            let loads = self.region_loads(&plan.configuration.table, &plan.entry.service);
             let served_here = own.is_some_and(|o| plan.homes.contains(&o) && loads.contains_key(&o));
             return AttemptStep::NoRoom(served_here || self.is_starting());
         };
@@ -151,14 +151,14 @@
     ) -> Option<(Region, bool)> {
         let table = &plan.configuration.table;
         match plan.entry.kind {
-            Kind::Model => self.choose_region(plan, avoid).await.map(|x| (x.region, x.stored)),
-            Kind::Application => {
-                let loads = self.region_loads(table, &plan.entry.to);
+            ServiceKind::Model => self.choose_region(plan, avoid).await.map(|x| (x.region, x.stored)),
+            ServiceKind::Application => {
+                let loads = self.region_loads(table, &plan.entry.service);
                 let own = self.own_region(table).filter(|o| plan.homes.contains(o) && loads.contains_key(o));
                 let own = own.filter(|o| !avoid.contains(o));
                 own.or_else(|| {
                     let open_to = |r: &Region| {
-                        !avoid.contains(r) && lock(&self.held_grants).has(r, &plan.entry.to, self.now())
+                        !avoid.contains(r) && lock(&self.held_grants).has(r, &plan.entry.service, self.now())
                     };
                     let policy = table.policy(&plan.entry);
                     let candidates = crate::region_choice::candidates(&loads, &plan.homes, policy, &open_to);
@@ -178,7 +178,7 @@
         open: &Arc<OpenGuard>,
     ) -> AttemptStep {
         let (table, entry) = (&plan.configuration.table, &plan.entry);
-        let replica = match self.select_replica(table, &entry.to, entry.kind, plan.key, &history.tried) {
+        let replica = match self.select_replica(table, &entry.service, entry.kind, plan.key, &history.tried) {
             Ok(replica) => replica,
             Err(replicas_exist) => return AttemptStep::NoRoom(replicas_exist || self.is_starting()),
         };
--- a/crates/data-plane/src/gateway.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -8,7 +8,7 @@
 };
 use common::{
     PeerError, RequestId,
-    http::{Body, BodyError, BoxErr, OpenGuard, json, read_body, text},
+    http::{Body, BodyError, BoxError, OpenGuard, json, read_body, text},
     log_event,
 };
 use control_plane::Member;
@@ -83,7 +83,7 @@
     }
 
     /// Handles one HTTP request, from a client or from a router of another region.
-    pub async fn handle(self: Arc<Self>, _peer: SocketAddr, req: Request<Incoming>) -> Result<Res, BoxErr> {
+    pub async fn handle(self: Arc<Self>, _peer: SocketAddr, req: Request<Incoming>) -> Result<Res, BoxError> {
         let (head, body) = req.into_parts();
         match head.uri.path() {
             "/healthz" => return Ok(text(StatusCode::OK, "ok\n")),
@@ -144,11 +144,11 @@
             return close(response);
         }
         let length = header_of(&head)("content-length").and_then(|v| v.parse::<usize>().ok());
-        if length.is_some_and(|n| n > plan.entry.limit) {
+        if length.is_some_and(|n| n > plan.entry.max_body_bytes) {
             return reject(StatusCode::PAYLOAD_TOO_LARGE, "body over the entry's limit", 0);
         }
         let left = Duration::from_millis(plan.deadline.since(self.now()));
-        let bytes = match tokio::time::timeout(left, read_body(body, plan.entry.limit)).await {
+        let bytes = match tokio::time::timeout(left, read_body(body, plan.entry.max_body_bytes)).await {
             Ok(Ok(b)) => b,
             Ok(Err(BodyError::TooLarge)) => {
                 return reject(StatusCode::PAYLOAD_TOO_LARGE, "body over the entry's limit", 0);
--- a/crates/data-plane/src/grant_exchange.rs
+++ b/crates/data-plane/src/grant_exchange.rs
@@ -62,7 +62,7 @@
         }
         let now = self.now();
         let min_healthy_ms = self.settings.timing.report_max_age_ms();
-        let overload = table.policies.iter().map(|p| p.overload).fold(1.0, f64::min);
+        let overload = table.policies.iter().map(|p| p.max_load_ratio).fold(1.0, f64::min);
         // Replicas in slow start have no capacity to grant.
         let free_capacity: f64 = self
             .own_replicas(table, service)
--- a/crates/data-plane/src/health_prober.rs
+++ b/crates/data-plane/src/health_prober.rs
@@ -9,7 +9,7 @@
     rpc::{RouterRequest, RouterResponse},
     summary::EventKind,
 };
-use common::{FencingToken, ReplicaId, Service, Tick, Zone, http::ask, log_event};
+use common::{FencingToken, ReplicaId, Service, Tick, Zone, http::send_request, log_event};
 use configuration::RoutingTable;
 use control_plane::{ClusterState, Member, Replica, state_machine::singleton};
 use hyper::Method;
@@ -186,7 +186,8 @@
     async fn probe_replica(&self, replica: &Replica) -> ProbeResult {
         let (ip, timeout_ms) =
             (self.settings.rpc_addr.ip(), (self.settings.timing.probe_interval_ms * 3 / 4).max(50));
-        let response = ask(ip, replica.addr, Method::GET, "/foldshunt/report", &[], "", timeout_ms).await;
+        let response =
+            send_request(ip, replica.addr, Method::GET, "/foldshunt/report", &[], "", timeout_ms).await;
         let (status, _, body) = match response {
             Ok(response) => response,
             Err(e) if e.is_refused() => return ProbeResult::Refused,
@@ -198,7 +199,7 @@
         if status.as_u16() != 404 {
             return ProbeResult::Reported(Report { healthy: Some(false), ..Report::default() });
         }
-        let response = ask(ip, replica.addr, Method::GET, "/healthz", &[], "", timeout_ms).await;
+        let response = send_request(ip, replica.addr, Method::GET, "/healthz", &[], "", timeout_ms).await;
         response.map_or(ProbeResult::NoAnswer, |(status, _, _)| {
             ProbeResult::Reported(Report { healthy: Some(status.is_success()), ..Report::default() })
         })
--- a/crates/data-plane/src/placement.rs
+++ b/crates/data-plane/src/placement.rs
@@ -33,7 +33,7 @@
         plan: &Plan,
         avoid: &BTreeSet<Region>,
     ) -> Option<PlacementChoice> {
-        let (table, service) = (&plan.configuration.table, &plan.entry.to);
+        let (table, service) = (&plan.configuration.table, &plan.entry.service);
         let policy = table.policy(&plan.entry);
         let loads = self.region_loads(table, service);
         let own = self.own_region(table);
--- a/crates/data-plane/src/region_choice.rs
+++ b/crates/data-plane/src/region_choice.rs
@@ -8,7 +8,7 @@
 
 /// Whether a region is healthy for the service and not overloaded by the policy.
 pub fn is_eligible(load: Option<&RegionLoad>, policy: &Policy) -> bool {
-    load.is_some_and(|p| p.healthy && p.capacity > 0.0 && p.ratio() <= policy.overload)
+    load.is_some_and(|p| p.healthy && p.capacity > 0.0 && p.ratio() <= policy.max_load_ratio)
 }
 
 /// Weight of a region in the draw: its capacity by its consumption, both raised by `smooth` times the capacity.
@@ -32,7 +32,7 @@
             loads
                 .get(region)
                 .filter(|load| is_eligible(Some(load), policy))
-                .map(|load| (region.clone(), weight(load, policy.smooth)))
+                .map(|load| (region.clone(), weight(load, policy.smoothing)))
         })
         .collect()
 }
--- a/crates/data-plane/src/remote_forwarding.rs
+++ b/crates/data-plane/src/remote_forwarding.rs
@@ -47,7 +47,7 @@
         let spent = if stored {
             None
         } else {
-            match lock(&self.held_grants).spend(&region, &plan.entry.to, self.node(), self.now()) {
+            match lock(&self.held_grants).spend(&region, &plan.entry.service, self.node(), self.now()) {
                 Some(spent) => Some(spent),
                 None => {
                     history.avoid.insert(region);
@@ -66,7 +66,7 @@
             revision: plan.configuration.revision,
             entry: plan.entry.name.clone(),
             tenant: plan.tenant.clone(),
-            service: plan.entry.to.clone(),
+            service: plan.entry.service.clone(),
             region: region.clone(),
             key: plan.key,
             spent,
@@ -78,7 +78,7 @@
         };
         self.count_attempt(history, "hop");
         history.routers.push(peer.info.node.to_string());
-        let local = self.load_view.local(&forward_load_id(&region, &plan.entry.to));
+        let local = self.load_view.local(&forward_load_id(&region, &plan.entry.service));
         local.open.fetch_add(1, Ordering::AcqRel);
         let kept = (OpenForward(local), open.clone());
         let extra = [(forwarding::HEADER, signed)];
--- a/crates/data-plane/src/replica_choice.rs
+++ b/crates/data-plane/src/replica_choice.rs
@@ -6,7 +6,7 @@
     router::{Router, is_active_in},
 };
 use common::{NodeId, Region, Service, rendezvous::stable_hash};
-use configuration::{Kind, RoutingTable};
+use configuration::{RoutingTable, ServiceKind};
 use control_plane::ClusterState;
 use std::{
     net::SocketAddr,
@@ -82,7 +82,7 @@
         self: &Arc<Self>,
         table: &RoutingTable,
         service: &Service,
-        kind: Kind,
+        kind: ServiceKind,
         key: Option<UserKey>,
         tried: &[common::ReplicaId],
     ) -> Result<SelectedReplica, bool> {
@@ -106,7 +106,7 @@
         let ratio = |c: &Candidate| c.consumption() / c.load.capacity.max(1.0);
         match (kind, key) {
             // Requests of one user go to the same few replicas, which hold the user's prefixes.
-            (Kind::Model, Some(key)) => {
+            (ServiceKind::Model, Some(key)) => {
                 let rank =
                     |c: &Candidate| stable_hash(&[&key.0.to_le_bytes(), c.load.id.as_str().as_bytes()]);
                 replicas.sort_by_key(|c| std::cmp::Reverse(rank(c)));
@@ -117,8 +117,8 @@
                     replicas.truncate((replicas.len() / 8).max(2));
                 }
             }
-            (Kind::Model, None) => replicas.sort_by(|a, b| ratio(a).total_cmp(&ratio(b))),
-            (Kind::Application, _) => replicas.sort_by(|a, b| {
+            (ServiceKind::Model, None) => replicas.sort_by(|a, b| ratio(a).total_cmp(&ratio(b))),
+            (ServiceKind::Application, _) => replicas.sort_by(|a, b| {
                 let other_zone = |c: &Candidate| c.zone != *self.zone();
                 other_zone(a).cmp(&other_zone(b)).then(ratio(a).total_cmp(&ratio(b)))
             }),
--- a/crates/data-plane/src/response_body.rs
+++ b/crates/data-plane/src/response_body.rs
@@ -2,7 +2,7 @@
 //! upstream body broke off.
 
 use bytes::Bytes;
-use common::http::{Body, BoxErr};
+use common::http::{Body, BoxError};
 use futures::FutureExt;
 use http_body_util::BodyExt;
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
@@ -31,12 +31,12 @@
 
 impl<K: Unpin> HttpBody for ForwardedBody<K> {
     type Data = Bytes;
-    type Error = BoxErr;
+    type Error = BoxError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BoxErr>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         match Pin::new(&mut self.inner).poll_frame(cx) {
             Poll::Ready(Some(Err(_))) if common::mutation::enabled("cut-looks-whole") => Poll::Ready(None),
             Poll::Ready(frame) => {
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -126,7 +126,7 @@
     /// The state of a router that has just started.
     pub fn new(settings: Settings, member: Arc<membership::LocalMember>, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
-            rpc_client: RpcClient::new(settings.me(), crate::rpc::SERVICE),
+            rpc_client: RpcClient::new(settings.local_node(), crate::rpc::SERVICE),
             settings,
             clock,
             member,
--- a/crates/data-plane/src/rpc_service.rs
+++ b/crates/data-plane/src/rpc_service.rs
@@ -157,7 +157,7 @@
         let me = self.clone();
         common::runtime::spawn(common::rpc::listen(
             rpc_addr,
-            settings.me(),
+            settings.local_node(),
             crate::rpc::SERVICE,
             move |node, request| me.clone().answer(node, request),
         ));
--- a/crates/data-plane/src/serving/connection.rs
+++ b/crates/data-plane/src/serving/connection.rs
@@ -9,8 +9,8 @@
 use bytes::{Bytes, BytesMut};
 use common::{
     PeerError, Tick,
-    error::within,
-    http::{Body, Sender, client_on, connect},
+    error::with_timeout,
+    http::{Body, Sender, client_over, connect},
 };
 use http_body_util::BodyExt;
 use hyper::{
@@ -45,10 +45,10 @@
 
 impl Fresh {
     pub async fn open(ip: IpAddr, to: SocketAddr, ms: u64) -> Result<Self, PeerError> {
-        within(ms, "connect", to, async {
+        with_timeout(ms, "connect", to, async {
             let outgoing = RequestFlush::default();
             let io = FlushTrackingStream::new(connect(ip, to).await?, outgoing.clone());
-            let sender = client_on(io, to).await?;
+            let sender = client_over(io, to).await?;
             Ok(Self(Connection { sender, outgoing }))
         })
         .await
--- a/crates/data-plane/src/serving/directory.rs
+++ b/crates/data-plane/src/serving/directory.rs
@@ -4,7 +4,7 @@
 use crate::router::lock;
 use common::{
     Region, Zone,
-    http::{Body, BoxErr, json, text},
+    http::{Body, BoxError, json, text},
 };
 use control_plane::Member;
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
@@ -72,7 +72,7 @@
         self: Arc<Self>,
         _peer: SocketAddr,
         request: Request<Incoming>,
-    ) -> Result<Response<Body>, BoxErr> {
+    ) -> Result<Response<Body>, BoxError> {
         let names = self.protocol.header_names();
         let path = request.uri().path();
         if request.method() != Method::GET {
--- a/crates/data-plane/src/serving/dispatch.rs
+++ b/crates/data-plane/src/serving/dispatch.rs
@@ -31,7 +31,7 @@
 
 impl AttemptHistory {
     pub fn of(p: &Plan) -> Self {
-        Self { tried_replicas: Vec::new(), tries: Attempts::new(p.idempotent(), p.route.tries) }
+        Self { tried_replicas: Vec::new(), tries: Attempts::new(p.idempotent(), p.route.max_attempts) }
     }
 
     /// The attempt under way has ended.
--- a/crates/data-plane/src/serving/gateway.rs
+++ b/crates/data-plane/src/serving/gateway.rs
@@ -11,7 +11,9 @@
 use bytes::Bytes;
 use common::{
     Tick,
-    http::{Body, BodyError, BoxErr, ConnectionLimits, LimitsInForce, OpenCount, read_body, serve_within},
+    http::{
+        Body, BodyError, BoxError, ConnectionLimits, CurrentLimits, OpenCount, read_body, serve_with_limits,
+    },
     log_event,
     runtime::Listener,
 };
@@ -46,7 +48,7 @@
 }
 
 impl Serving {
-    pub async fn serve(self: Arc<Self>, peer: SocketAddr, req: Request<Incoming>) -> Result<Res, BoxErr> {
+    pub async fn serve(self: Arc<Self>, peer: SocketAddr, req: Request<Incoming>) -> Result<Res, BoxError> {
         let open_count = Arc::new(self.router.open_count.enter());
         let draining = || self.router.draining.load(Ordering::Acquire);
         let names = self.protocol.header_names();
@@ -66,9 +68,9 @@
     pub fn connection_limits(&self) -> ConnectionLimits {
         let limits = self.route_map.load().as_ref().map(|map| map.limits).unwrap_or_default();
         ConnectionLimits {
-            max_head_bytes: limits.max_header_bytes,
-            head_ms: limits.header_wait_ms,
-            idle_ms: limits.idle_ms,
+            max_header_bytes: limits.max_header_bytes,
+            header_timeout_ms: limits.header_timeout_ms,
+            idle_timeout_ms: limits.idle_timeout_ms,
         }
     }
 
@@ -80,9 +82,9 @@
         stop: watch::Receiver<bool>,
     ) {
         let me = self.clone();
-        let limits: LimitsInForce = Arc::new(move || me.connection_limits());
+        let limits: CurrentLimits = Arc::new(move || me.connection_limits());
         let handler = move |peer, request| self.clone().serve(peer, request);
-        serve_within(clients, connections, stop, limits, handler).await;
+        serve_with_limits(clients, connections, stop, limits, handler).await;
     }
 
     /// A node that has just started learns within a few heartbeats what is in force. A first try waits a
@@ -97,7 +99,7 @@
                 .load()
                 .as_deref()
                 .and_then(|map| route_of(map, head))
-                .is_some_and(|r| left > 0 && left + SPENT_MS < r.hold_ms);
+                .is_some_and(|r| left > 0 && left + SPENT_MS < r.request_timeout_ms);
             let most = if later { t.lease_ms.min(left / 2) } else { t.election_timeout_ms() / 4 };
             if self.now().since(began) >= most {
                 return Some(why);
--- a/crates/data-plane/src/serving/health_prober.rs
+++ b/crates/data-plane/src/serving/health_prober.rs
@@ -11,7 +11,7 @@
     state::Serving,
 };
 use crate::router::lock;
-use common::{FencingToken, ReplicaId, Tick, Zone, http::ask, log_event};
+use common::{FencingToken, ReplicaId, Tick, Zone, http::send_request, log_event};
 use control_plane::Member;
 use hyper::Method;
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
@@ -150,8 +150,16 @@
             _ => self.protocol.header_names().report_path,
         };
         let timeout_ms = self.report_interval_ms().min(400);
-        match ask(self.router.settings.rpc_addr.ip(), replica.addr, Method::GET, path, &[], "", timeout_ms)
-            .await
+        match send_request(
+            self.router.settings.rpc_addr.ip(),
+            replica.addr,
+            Method::GET,
+            path,
+            &[],
+            "",
+            timeout_ms,
+        )
+        .await
         {
             Ok((code, head, body)) if code.is_success() => {
                 let names = self.protocol.header_names();
--- a/crates/data-plane/src/serving/plan.rs
+++ b/crates/data-plane/src/serving/plan.rs
@@ -75,11 +75,11 @@
     }
 }
 
-/// When to give up on a request: after the time that the client says it waits, but at most the route's `hold_ms`.
+/// When to give up on a request: after the time that the client says it waits, but at most the route's `request_timeout_ms`.
 pub fn deadline(names: &HeaderNames, head: &HeaderMap, route: &Route, received_at: Tick) -> Tick {
     let announced =
         head.get(&names.time_left).and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse().ok());
-    received_at + announced.unwrap_or(route.hold_ms).min(route.hold_ms)
+    received_at + announced.unwrap_or(route.request_timeout_ms).min(route.request_timeout_ms)
 }
 
 /// The key of a request's entry in the placement table: a hash of the service, the region that received the request, and
--- a/crates/data-plane/src/serving/replica_list.rs
+++ b/crates/data-plane/src/serving/replica_list.rs
@@ -7,7 +7,7 @@
     state::Serving,
 };
 use crate::router::lock;
-use common::{ReplicaId, Tick, Zone, error::PeerError, http::ask, log_event, runtime::spawn};
+use common::{ReplicaId, Tick, Zone, error::PeerError, http::send_request, log_event, runtime::spawn};
 use hyper::{Method, StatusCode};
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -233,7 +233,7 @@
         const STEP: &str = "list replicas";
         let (local_ip, to) = (self.router.settings.rpc_addr.ip(), self.site.list_addr);
         let path = self.protocol.list_page_path(zone, page);
-        let answer = ask(local_ip, to, Method::GET, &path, &[], "", PAGE_TIMEOUT_MS).await;
+        let answer = send_request(local_ip, to, Method::GET, &path, &[], "", PAGE_TIMEOUT_MS).await;
         let (code, _, body) = answer.map_err(ListError::Failed)?;
         match code {
             StatusCode::OK => {}
--- a/crates/data-plane/src/serving/request_flush.rs
+++ b/crates/data-plane/src/serving/request_flush.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use common::{
     Clock, Tick,
-    http::{Body, BoxErr},
+    http::{Body, BoxError},
     runtime::Stream,
 };
 use futures::FutureExt;
@@ -77,12 +77,12 @@
 
 impl HttpBody for TrackedBody {
     type Data = Bytes;
-    type Error = BoxErr;
+    type Error = BoxError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BoxErr>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BoxError>>> {
         let polled = Pin::new(&mut self.body).poll_frame(cx);
         if matches!(polled, Poll::Ready(None)) || self.body.is_end_stream() {
             self.outgoing.taken();
--- a/crates/data-plane/src/serving/stream_relay.rs
+++ b/crates/data-plane/src/serving/stream_relay.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use common::{
     PeerError, Tick,
-    http::{Body, BoxErr, OpenGuard},
+    http::{Body, BoxError, OpenGuard},
     log_event,
 };
 use http_body_util::{BodyExt, StreamBody};
@@ -26,7 +26,7 @@
 };
 use tokio::sync::mpsc;
 
-type Out = mpsc::Sender<Result<Frame<Bytes>, BoxErr>>;
+type Out = mpsc::Sender<Result<Frame<Bytes>, BoxError>>;
 
 /// How an upstream ended.
 enum StreamEnd {
--- a/crates/data-plane/src/serving/usage/call.rs
+++ b/crates/data-plane/src/serving/usage/call.rs
@@ -7,7 +7,7 @@
 use crate::router::lock;
 use common::{
     PeerError,
-    error::{AtPeer, within},
+    error::{AtPeer, with_timeout},
     http::{full, open},
 };
 use http_body_util::{BodyExt, Limited};
@@ -33,7 +33,7 @@
     pub(super) async fn report(&self, call: &Call) -> Option<Result<StatusCode, PeerError>> {
         let timeout_ms = lock(&self.plan).spans.call_timeout_ms;
         let sent = self.send(call);
-        within(timeout_ms, STEP, self.duty.address, async { Ok(sent.await) })
+        with_timeout(timeout_ms, STEP, self.duty.address, async { Ok(sent.await) })
             .await
             .unwrap_or_else(|error| Some(Err(error)))
     }
--- a/crates/data-plane/src/user_key.rs
+++ b/crates/data-plane/src/user_key.rs
@@ -25,7 +25,7 @@
             .and_then(|d| path.split('.').try_fold(d, |value, field| value.get(field)))
             .filter(|v| !v.is_null())
             .map(|v| UserKey::of(tenant, path, v.to_string().as_bytes())),
-        KeyPart::Opening(length) => {
+        KeyPart::PromptStart(length) => {
             let prompt = document().as_ref().and_then(|d| PROMPT_FIELDS.iter().find_map(|k| d.get(k)));
             let text = match prompt {
                 Some(serde_json::Value::String(s)) => s.as_bytes().to_vec(),
--- a/crates/data-plane/tests/modules/user_key.rs
+++ b/crates/data-plane/tests/modules/user_key.rs
@@ -17,7 +17,7 @@
     #[case] body: &str,
     #[case] expected: Option<(&str, &str)>,
 ) {
-    let parts = [KeyPart::Header("x-user".into()), KeyPart::Json("user".into()), KeyPart::Opening(16)];
+    let parts = [KeyPart::Header("x-user".into()), KeyPart::Json("user".into()), KeyPart::PromptStart(16)];
     let key = user_key(&parts, "t", &|_| header.map(str::to_string), body.as_bytes());
     assert_eq!(key, expected.map(|(kind, value)| UserKey::of("t", kind, value.as_bytes())));
 }
--- a/crates/data-plane/tests/replay.rs
+++ b/crates/data-plane/tests/replay.rs
@@ -29,7 +29,7 @@
         revision: configuration.revision,
         entry: entry.name.clone(),
         tenant: None,
-        service: entry.to.clone(),
+        service: entry.service.clone(),
         region: router.own_region(&configuration.table).unwrap(),
         key: None,
         spent: None,
--- a/crates/data-plane/tests/serving/carried.rs
+++ b/crates/data-plane/tests/serving/carried.rs
@@ -79,8 +79,8 @@
 #[case::declined_otherwise(write(), &[Declines(400, 0), Declines(408, 0)], 20.0, 200, 3)]
 #[case::another_life(write(), &[OtherIncarnation], 20.0, 200, 2)]
 #[case::declined_by_all(write(), &[Declines(503, 0); 3], 20.0, 503, 3)]
-#[case::tries_used_up(Route { tries: 2, ..write() }, &[Declines(503, 0); 3], 20.0, 503, 2)]
-#[case::one_try(Route { tries: 1, ..write() }, &[OtherIncarnation], 20.0, 503, 1)]
+#[case::tries_used_up(Route { max_attempts: 2, ..write() }, &[Declines(503, 0); 3], 20.0, 503, 2)]
+#[case::one_try(Route { max_attempts: 1, ..write() }, &[OtherIncarnation], 20.0, 503, 1)]
 #[case::none_in_hand(write(), &[Declines(503, 0); 3], 1.0, 503, 2)]
 #[case::declined_then_closed(write(), &[Declines(503, 0), ClosesConnection], 20.0, 502, 2)]
 #[case::read_again(read(), &[ClosesConnection], 20.0, 200, 2)]
@@ -118,7 +118,7 @@
 #[rstest]
 fn nobody_there_is_no_try(#[values(1, 2, 3)] seed: u64) {
     let cast = Setup { gone: vec![0, 1], tries: 1.0, ..Setup::default() };
-    run_scenario(seed, cast, vec![Route { tries: 1, ..write() }], &[], |fixture| async move {
+    run_scenario(seed, cast, vec![Route { max_attempts: 1, ..write() }], &[], |fixture| async move {
         for _ in 0..5 {
             let response = fixture.post("/write/1").await;
             assert_eq!((response.status.as_u16(), response.body.as_str()), (200, "from r3"));
@@ -157,7 +157,7 @@
 #[rstest]
 #[case::tries(talk(), 20.0, 3)]
 #[case::in_hand(talk(), 1.0, 2)]
-#[case::one_try(Route { tries: 1, ..talk() }, 20.0, 1)]
+#[case::one_try(Route { max_attempts: 1, ..talk() }, 20.0, 1)]
 fn cut_too_often_it_ends_as_cut(
     #[case] r: Route,
     #[case] in_hand: f64,
@@ -187,7 +187,7 @@
 #[rstest]
 #[case::no_other(alone(), talk(), &[PausesStreamAfter(3, 8_000)], 1)]
 #[case::beyond_the_hold(alone(), talk(), &[PausesStreamAfter(3, 30_000)], 1)]
-#[case::no_try_left(Setup::default(), Route { tries: 1, ..talk() }, &[PausesStreamAfter(3, 8_000)], 1)]
+#[case::no_try_left(Setup::default(), Route { max_attempts: 1, ..talk() }, &[PausesStreamAfter(3, 8_000)], 1)]
 #[case::not_resumable(Setup::default(), Route { resumable: false, ..talk() }, &[PausesStreamAfter(3, 8_000)], 1)]
 #[case::declined_elsewhere(Setup::default(), talk(), &[PausesStreamAfter(3, 8_000), Declines(503, 0), Declines(503, 0)], 3)]
 #[case::gone_elsewhere(Setup { gone: vec![1, 2], ..Setup::default() }, talk(), &[PausesStreamAfter(3, 8_000)], 1)]
--- a/crates/data-plane/tests/serving/fleet.rs
+++ b/crates/data-plane/tests/serving/fleet.rs
@@ -119,7 +119,7 @@
         site(n),
     );
     let listener = bind(settings.rpc_addr).await.expect("its own address");
-    spawn(common::rpc::listen(listener, settings.me(), data_plane::rpc::SERVICE, {
+    spawn(common::rpc::listen(listener, settings.local_node(), data_plane::rpc::SERVICE, {
         let router = router.clone();
         move |node, request| router.clone().answer(node, request)
     }));
--- a/crates/data-plane/tests/serving/limits.rs
+++ b/crates/data-plane/tests/serving/limits.rs
@@ -13,8 +13,12 @@
     time::{Instant, sleep, timeout},
 };
 
-const LIMITS: RequestLimits =
-    RequestLimits { max_header_bytes: 1_000, max_body_bytes: 64, header_wait_ms: 3_000, idle_ms: 15_000 };
+const LIMITS: RequestLimits = RequestLimits {
+    max_header_bytes: 1_000,
+    max_body_bytes: 64,
+    header_timeout_ms: 3_000,
+    idle_timeout_ms: 15_000,
+};
 /// How much of a span a client does not see, since the answer was on its way.
 const WAY_MS: u64 = 5;
 /// Beyond a bound by this much at most is still in time: a hundredth of the longest.
@@ -109,9 +113,9 @@
 #[rstest]
 #[case::a_first_request(false)]
 #[case::a_later_one(true)]
-fn a_head_may_take_so_long(#[case] later: bool, #[values(500, 3_000, 40_000)] header_wait_ms: u64) {
+fn a_head_may_take_so_long(#[case] later: bool, #[values(500, 3_000, 40_000)] header_timeout_ms: u64) {
     run_scenario(1, Setup::default(), vec![read()], &[], move |fixture| async move {
-        fixture.set_limits(RequestLimits { header_wait_ms, ..LIMITS });
+        fixture.set_limits(RequestLimits { header_timeout_ms, ..LIMITS });
         let open = || async {
             let mut s = fixture.raw_connection().await;
             if later {
@@ -123,7 +127,7 @@
         let mut s = open().await;
         let (first, rest) = ("POST /read/1 HTTP/1.1\r\nhost: exam", "ple.org\r\ncontent-length: 0\r\n\r\n");
         s.write_all(first.as_bytes()).await.expect("sent");
-        sleep(Duration::from_millis(header_wait_ms * 9 / 10)).await;
+        sleep(Duration::from_millis(header_timeout_ms * 9 / 10)).await;
         s.write_all(rest.as_bytes()).await.expect("sent");
         assert_eq!(answer(&mut s).await.expect("an answer").0, 200);
 
@@ -137,27 +141,27 @@
         });
         let began = Instant::now();
         while matches!(reader.read(&mut [0u8; 512]).await, Ok(n) if n > 0) {}
-        within(began.elapsed().as_millis() as u64, header_wait_ms);
+        within(began.elapsed().as_millis() as u64, header_timeout_ms);
     });
 }
 
 /// A connection that rests is there for the whole of its time and not for longer; that time is told
 /// with each answer.
 #[rstest]
-fn a_connection_may_rest_so_long(#[values(2_000, 15_000, 60_000, 240_000)] idle_ms: u64) {
+fn a_connection_may_rest_so_long(#[values(2_000, 15_000, 60_000, 240_000)] idle_timeout_ms: u64) {
     run_scenario(1, Setup::default(), vec![read()], &[], move |fixture| async move {
-        fixture.set_limits(RequestLimits { idle_ms, ..LIMITS });
+        fixture.set_limits(RequestLimits { idle_timeout_ms, ..LIMITS });
         let mut s = fixture.raw_connection().await;
         for _ in 0..3 {
             let (code, head) = ask(&mut s).await.expect("an answer");
             assert_eq!(code, 200);
-            assert!(head.contains(&format!("keep-alive: timeout={}\r\n", idle_ms / 1_000)), "{head}");
-            sleep(Duration::from_millis(idle_ms * 9 / 10)).await;
+            assert!(head.contains(&format!("keep-alive: timeout={}\r\n", idle_timeout_ms / 1_000)), "{head}");
+            sleep(Duration::from_millis(idle_timeout_ms * 9 / 10)).await;
         }
         ask(&mut s).await.expect("an answer");
-        within(closed_after(&mut s).await, idle_ms);
+        within(closed_after(&mut s).await, idle_timeout_ms);
         let mut fresh = fixture.raw_connection().await;
-        within(closed_after(&mut fresh).await, idle_ms);
+        within(closed_after(&mut fresh).await, idle_timeout_ms);
     });
 }
 
@@ -168,13 +172,13 @@
 #[case::longer(5_000, 60_000, 60_000)]
 fn a_rest_that_was_told_is_kept_to(#[case] told: u64, #[case] then: u64, #[case] kept: u64) {
     run_scenario(1, Setup::default(), vec![read()], &[], move |fixture| async move {
-        fixture.set_limits(RequestLimits { idle_ms: told, ..LIMITS });
+        fixture.set_limits(RequestLimits { idle_timeout_ms: told, ..LIMITS });
         let mut s = fixture.raw_connection().await;
         ask(&mut s).await.expect("an answer");
         let (mut again, began) = (fixture.raw_connection().await, Instant::now());
         ask(&mut again).await.expect("an answer");
         sleep(Duration::from_millis(1_000)).await;
-        fixture.set_limits(RequestLimits { idle_ms: then, ..LIMITS });
+        fixture.set_limits(RequestLimits { idle_timeout_ms: then, ..LIMITS });
         ask(&mut again).await.expect("an answer");
         within(closed_after(&mut again).await, then);
         let left = kept.saturating_sub(began.elapsed().as_millis() as u64);
@@ -187,9 +191,9 @@
 fn an_answer_may_take_longer_than_a_rest() {
     use crate::router_fixture::ReplicaBehavior::PausesStreamAfter;
     let talk = Route { max_event_gap_ms: Some(100_000), ..route("talk", RouteKind::Streaming) };
-    let talk = Route { hold_ms: 300_000, resumable: false, ..talk };
+    let talk = Route { request_timeout_ms: 300_000, resumable: false, ..talk };
     run_scenario(1, Setup::default(), vec![talk], &[PausesStreamAfter(3, 20_000)], |fixture| async move {
-        fixture.set_limits(RequestLimits { idle_ms: 2_000, header_wait_ms: 500, ..LIMITS });
+        fixture.set_limits(RequestLimits { idle_timeout_ms: 2_000, header_timeout_ms: 500, ..LIMITS });
         let response = fixture.post("/talk/1").await;
         assert!(response.complete && response.status == 200, "{response:?}");
     });
@@ -226,7 +230,7 @@
             fixture.set_limits(LIMITS);
             let response = fixture.post_withholding_body("/read/1", 10).await;
             assert_eq!(response.status, 408, "{response:?}");
-            within(response.elapsed_ms, read().hold_ms);
+            within(response.elapsed_ms, read().request_timeout_ms);
             assert!(fixture.received_requests().is_empty());
         },
     );
--- a/crates/data-plane/tests/serving/own_answers.rs
+++ b/crates/data-plane/tests/serving/own_answers.rs
@@ -190,7 +190,7 @@
 fn abandoned_attempts_count(#[case] tries: u32, #[case] arrivals: usize, #[values(1, 2, 3)] seed: u64) {
     let rows = (1..=5).map(|n| replica_row(n, 0)).collect();
     let cast = Setup { rows: [("n1", rows)].into(), ..Setup::default() };
-    let r = Route { tries, ..talk() };
+    let r = Route { max_attempts: tries, ..talk() };
     let acts = &[PausesStreamTwice(3, 6, 2_500), NeverAnswers, NeverAnswers, NeverAnswers, NeverAnswers];
     run_scenario(seed, cast, vec![r], acts, |fixture| async move {
         let response = fixture.post("/talk/1").await;
--- a/crates/data-plane/tests/serving/prompt_length.rs
+++ b/crates/data-plane/tests/serving/prompt_length.rs
@@ -10,7 +10,7 @@
 fn at(name: &str, homes: &[&str], service: &str) -> Arc<Route> {
     let r = Route {
         homes: homes.iter().map(|h| (*h).into()).collect(),
-        shares: vec![(service.into(), 1), ("idle".into(), 0)],
+        service_weights: vec![(service.into(), 1), ("idle".into(), 0)],
         max_event_gap_ms: Some(200),
         ..route(name, RouteKind::Streaming)
     };
--- a/crates/data-plane/tests/serving/replica_list.rs
+++ b/crates/data-plane/tests/serving/replica_list.rs
@@ -121,7 +121,7 @@
         let world: Arc<Simulation> = common::runtime::simulation().expect("a world");
         spawn_at(address.ip(), async move {
             let handler = move |_, request: hyper::Request<hyper::body::Incoming>| {
-                let (delay_ms, code, page) = server.answer(request.uri().path(), world.ms());
+                let (delay_ms, code, page) = server.answer(request.uri().path(), world.elapsed_ms());
                 async move {
                     sleep(Duration::from_millis(delay_ms)).await;
                     Ok(text(StatusCode::from_u16(code).expect("a status"), page))
--- a/crates/data-plane/tests/serving/report_subscription.rs
+++ b/crates/data-plane/tests/serving/report_subscription.rs
@@ -218,7 +218,7 @@
         fleet.advance(5_000, true).await;
         fleet.wait_for_list_read().await;
         // It drains, and moves to the first page while the second is read.
-        let began = fleet.world.ms();
+        let began = fleet.world.elapsed_ms();
         fleet.set_list_pages(&[("first", "r2 ready\nnext b"), ("b", "r3 ready")]);
         fleet.wait_for_list_read().await;
         match then {
@@ -226,7 +226,7 @@
             "out of service" => fleet.set_list_status(StatusCode::SERVICE_UNAVAILABLE),
             _ => fleet.set_list_pages(&[("first", "r1 draining\nr2 ready\nnext b"), ("b", "r3 ready")]),
         }
-        let (bound_ms, passed_ms) = (fleet.routers[0].list_max_age_ms(), fleet.world.ms() - began);
+        let (bound_ms, passed_ms) = (fleet.routers[0].list_max_age_ms(), fleet.world.elapsed_ms() - began);
         // The age bound is suspended while the platform is down.
         let left_ms = if then == "out of service" { 0 } else { bound_ms.saturating_sub(passed_ms) };
         if then == "out of service" {
--- a/crates/data-plane/tests/serving/router_fixture.rs
+++ b/crates/data-plane/tests/serving/router_fixture.rs
@@ -490,7 +490,7 @@
         more: &[(&str, &str)],
         body: Body,
     ) -> ClientResponse {
-        let began = self.world.ms();
+        let began = self.world.elapsed_ms();
         let asked = async {
             let mut tx = http::open(IpAddr::from(CLIENT), self.http, 1_000).await.expect("the router");
             let req = Request::post(path).header("host", host);
@@ -510,7 +510,7 @@
                 headers: head.headers,
                 body,
                 complete: whole,
-                elapsed_ms: self.world.ms() - began,
+                elapsed_ms: self.world.elapsed_ms() - began,
             }
         };
         timeout(Duration::from_secs(300), asked).await.expect("an end within five minutes")
@@ -549,7 +549,7 @@
         let look = async move {
             let fleet = s.replica_view.load();
             let known = fleet.by_service.values().flatten().find(|c| c.id.as_str() == id);
-            (world.ms(), known.expect("a known replica").cold_until.since(s.now()))
+            (world.elapsed_ms(), known.expect("a known replica").cold_until.since(s.now()))
         };
         spawn_at(IpAddr::from(ROUTER), look).await.expect("a look")
     }
--- a/crates/data-plane/tests/serving/usage_cluster.rs
+++ b/crates/data-plane/tests/serving/usage_cluster.rs
@@ -192,7 +192,7 @@
         sleep(Duration::from_millis(100)).await;
         let mut core = lock(&core);
         let Core { state, leases, .. } = &mut *core;
-        for change in leases.expired_members(state, &timing(), Tick(simulation.ms())) {
+        for change in leases.expired_members(state, &timing(), Tick(simulation.elapsed_ms())) {
             let _ = state.apply(state.index.next(), &change);
         }
     }
@@ -224,7 +224,7 @@
     loop {
         let sent = member.clock.now();
         travel(MAX_TRAVEL_MS).await;
-        let renewed = renewal(&core, n, &member.info, Tick(simulation.ms()));
+        let renewed = renewal(&core, n, &member.info, Tick(simulation.elapsed_ms()));
         travel(MAX_TRAVEL_MS).await;
         if let Some((epoch, index)) = renewed.filter(|_| !lock(&core).cut.contains(&n)) {
             member.note_announced_index(index, sent);
@@ -273,7 +273,7 @@
             Err(_) => sleep(Duration::from_millis(10)).await,
         }
     };
-    spawn(common::rpc::listen(listener, settings.me(), data_plane::rpc::SERVICE, {
+    spawn(common::rpc::listen(listener, settings.local_node(), data_plane::rpc::SERVICE, {
         move |node, request| router.clone().answer(node, request)
     }));
     serving.spawn_usage_tasks();
--- a/crates/data-plane/tests/serving/usage_platform.rs
+++ b/crates/data-plane/tests/serving/usage_platform.rs
@@ -111,7 +111,7 @@
     async fn answer(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Result<hyper::Response<http::Body>, http::BoxErr> {
+    ) -> Result<hyper::Response<http::Body>, http::BoxError> {
         let header = |name: &str| request.headers()[name].to_str().expect("text").to_string();
         let (holder, fencing_token) = (header("x-holder"), header("x-fence").parse().expect("a number"));
         let body = request.into_body().collect().await?.to_bytes();
--- a/crates/data-plane/tests/suspended_process.rs
+++ b/crates/data-plane/tests/suspended_process.rs
@@ -104,7 +104,7 @@
     let count = requests.clone();
     tokio::spawn(common::rpc::listen(
         listener,
-        kit::settings().me(),
+        kit::settings().local_node(),
         data_plane::rpc::SERVICE,
         move |_, request| {
             // This process is suspended for an hour while the response is in transit.
--- a/crates/foldshunt-admin/src/main.rs
+++ b/crates/foldshunt-admin/src/main.rs
@@ -2,7 +2,7 @@
 
 use bpaf::Bpaf;
 use bytes::Bytes;
-use common::http::ask_in_turn;
+use common::http::send_request_to_any;
 use eyre::{Result, WrapErr, bail};
 use hyper::{HeaderMap, Method};
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode};
@@ -122,7 +122,7 @@
 
 impl ControlNodes {
     async fn ask(&self, method: Method, path: &str, headers: &[(&str, &str)], body: Bytes) -> Result<Answer> {
-        let (code, h, b) = ask_in_turn(&self.0, method, path, headers, body, 70_000).await?;
+        let (code, h, b) = send_request_to_any(&self.0, method, path, headers, body, 70_000).await?;
         Ok((code.as_u16(), h, b))
     }
 
--- a/crates/foldshunt-check/src/lib.rs
+++ b/crates/foldshunt-check/src/lib.rs
@@ -145,7 +145,7 @@
         let homes = t.homes(e, None);
         let count = |without: Option<&Zone>| {
             live(st)
-                .filter(|r| r.service == e.to && Some(&r.zone) != without)
+                .filter(|r| r.service == e.service && Some(&r.zone) != without)
                 .filter(|r| t.region_of(&r.zone).is_some_and(|x: &Region| homes.contains(x)))
                 .count()
         };
--- a/crates/foldshunt-check/src/main.rs
+++ b/crates/foldshunt-check/src/main.rs
@@ -1,7 +1,7 @@
 //! `foldshunt-check`: taps a document against the live fleet and changes nothing (design 4.9).
 
 use bpaf::Bpaf;
-use common::{error::print, http::ask_in_turn};
+use common::{error::print, http::send_request_to_any};
 use eyre::{Result, WrapErr, bail};
 use foldshunt_check::{Finding, Status, exit_code, tap};
 use hyper::Method;
@@ -24,7 +24,7 @@
 }
 
 async fn get(core: &[SocketAddr], path: &str) -> Result<(u16, String)> {
-    let (code, _, b) = ask_in_turn(core, Method::GET, path, &[], Default::default(), 5_000).await?;
+    let (code, _, b) = send_request_to_any(core, Method::GET, path, &[], Default::default(), 5_000).await?;
     Ok((code.as_u16(), String::from_utf8_lossy(&b).into_owned()))
 }
 
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -10,7 +10,7 @@
     standin::{Shape, StandIn},
     timeline::Scene,
 };
-use common::{http::ask, runtime::Simulation};
+use common::{http::send_request, runtime::Simulation};
 use control_plane::types::SizeLimits;
 use eyre::{Result, eyre};
 use hyper::Method;
@@ -218,7 +218,7 @@
     pub async fn by_label(&self, metric: &str) -> std::collections::BTreeMap<String, f64> {
         let mut out = std::collections::BTreeMap::new();
         for n in self.nodes.iter().filter(|n| !n.core && n.runs()) {
-            let res = ask(self.caller_ip(), n.http(), Method::GET, "/metrics", &[], "", 2_000).await;
+            let res = send_request(self.caller_ip(), n.http(), Method::GET, "/metrics", &[], "", 2_000).await;
             for l in String::from_utf8_lossy(&res.map(|r| r.2).unwrap_or_default()).lines() {
                 let row = l.strip_prefix(metric).and_then(|r| r.split_once("=\"")).map(|r| r.1);
                 if let Some((label, v)) = row.and_then(|r| r.split_once("\"} ")) {
@@ -230,7 +230,7 @@
     }
 
     pub async fn ready(&self, n: &Node) -> bool {
-        let res = ask(self.caller_ip(), n.http(), Method::GET, "/readyz", &[], "", 1_000).await;
+        let res = send_request(self.caller_ip(), n.http(), Method::GET, "/readyz", &[], "", 1_000).await;
         res.is_ok_and(|r| r.0.is_success())
     }
 
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -1,7 +1,7 @@
 //! A stand-in operator: the calls of the operators' API, against any of the voters.
 
 use bytes::Bytes;
-use common::http::ask;
+use common::http::send_request;
 use hyper::Method;
 use std::net::{IpAddr, SocketAddr};
 
@@ -21,7 +21,7 @@
         body: &str,
     ) -> Option<(u16, Bytes)> {
         for s in &self.voters {
-            let res = ask(self.ip, *s, method.clone(), path, headers, body.to_string(), 8_000).await;
+            let res = send_request(self.ip, *s, method.clone(), path, headers, body.to_string(), 8_000).await;
             if let Ok((code, _, b)) = res
                 && code.as_u16() != 503
             {
@@ -51,7 +51,7 @@
     /// The document with its revision.
     pub async fn shown_at(&self) -> Option<(String, u64)> {
         for s in &self.voters {
-            let res = ask(self.ip, *s, Method::GET, "/v1/timetable", &[], "", 8_000).await;
+            let res = send_request(self.ip, *s, Method::GET, "/v1/timetable", &[], "", 8_000).await;
             if let Ok((code, head, b)) = res
                 && code.as_u16() == 200
             {
--- a/crates/simulator/src/standin.rs
+++ b/crates/simulator/src/standin.rs
@@ -4,7 +4,7 @@
 use crate::sync_body::sync_body;
 use bytes::Bytes;
 use common::{
-    http::{Body, BoxErr, json, text},
+    http::{Body, BoxError, json, text},
     runtime::{bind, spawn, spawn_at},
 };
 use futures::StreamExt;
@@ -167,7 +167,7 @@
         self.start().await
     }
 
-    async fn serve(self: Arc<Self>, req: Request<Incoming>) -> Result<Response<Body>, BoxErr> {
+    async fn serve(self: Arc<Self>, req: Request<Incoming>) -> Result<Response<Body>, BoxError> {
         let (head, body) = req.into_parts();
         match head.uri.path() {
             "/healthz" => return Ok(text(StatusCode::OK, "ok\n")),
@@ -224,7 +224,7 @@
                 }
                 tokio::time::sleep(if n == 0 { Duration::ZERO } else { step }).await;
                 let s = if n == tokens { last_line(&job, n) } else { line(&job, n) };
-                Some((Ok::<_, BoxErr>(Frame::data(Bytes::from(s))), (n + 1, c)))
+                Some((Ok::<_, BoxError>(Frame::data(Bytes::from(s))), (n + 1, c)))
             }
         });
         let mut r = Response::new(StreamBody::new(out.boxed()).boxed_unsync());
