--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -1,7 +1,7 @@
 //! From the document to the plan table; every diagnostic is reported, not just the first (design 4.2).
 
 use crate::{
-    diagnostic::{Diagnostic, diagnostic, locate},
+    diagnostic::{Diagnostic, diagnostic_at, locate},
     document::{self, ConfigDocument},
     parser::{Block, Operands, blocks},
     routing_table::{Entry, KeyPart, Policy, RoutingTable, ServiceKind},
@@ -30,7 +30,7 @@
 impl Compiler<'_> {
     fn add(&mut self, path: &[&str], msg: String) {
         let path: Vec<String> = path.iter().map(|s| s.to_string()).collect();
-        self.diagnostics.push(diagnostic(self.src, locate(self.src, &path), msg));
+        self.diagnostics.push(diagnostic_at(self.src, locate(self.src, &path), msg));
     }
 
     fn names(&mut self, list: &str, names: &[String]) {
@@ -111,7 +111,7 @@
     let mut seen = BTreeSet::new();
     for b in &parsed {
         if !seen.insert((&b.kind, &b.name)) {
-            diagnostics.push(diagnostic(text, b.off, format!("{} '{}' is there twice", b.kind, b.name)));
+            diagnostics.push(diagnostic_at(text, b.off, format!("{} '{}' is there twice", b.kind, b.name)));
         }
     }
     for b in parsed.iter().filter(|b| b.kind == "policy") {
@@ -129,7 +129,7 @@
                 if let Some(by) = table.entries.iter().find(|o| o.shadows(&e)) {
                     let msg =
                         format!("entry '{}' can never match: '{}' takes all its requests", e.name, by.name);
-                    diagnostics.push(diagnostic(text, b.off, msg));
+                    diagnostics.push(diagnostic_at(text, b.off, msg));
                 }
                 table.entries.push(e);
             }
@@ -137,7 +137,7 @@
         }
     }
     if table.entries.is_empty() && diagnostics.is_empty() {
-        diagnostics.push(diagnostic(text, 0, "no entry: nothing would ever be served"));
+        diagnostics.push(diagnostic_at(text, 0, "no entry: nothing would ever be served"));
     }
     diagnostics
 }
@@ -184,7 +184,7 @@
     let mut diagnostics = each(text, b, |a| entry_line(a, &mut e, table));
     for (missing, what) in [(e.path.is_empty(), "match"), (e.service.as_str().is_empty(), "to")] {
         if missing && !b.lines.iter().any(|l| l.verb == what) {
-            diagnostics.push(diagnostic(text, b.off, format!("entry '{}': '{what}' is missing", b.name)));
+            diagnostics.push(diagnostic_at(text, b.off, format!("entry '{}': '{what}' is missing", b.name)));
         }
     }
     if diagnostics.is_empty() { Ok(e) } else { Err(diagnostics) }
--- a/crates/configuration/src/diagnostic.rs
+++ b/crates/configuration/src/diagnostic.rs
@@ -29,7 +29,7 @@
 }
 
 /// A diagnostic at a byte offset of the source.
-pub fn diagnostic(src: &str, off: usize, message: impl Into<String>) -> Diagnostic {
+pub fn diagnostic_at(src: &str, off: usize, message: impl Into<String>) -> Diagnostic {
     let (line, column) = line_col(src, off);
     Diagnostic { line, column, message: message.into() }
 }
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,6 +1,6 @@
 //! The document as written: TOML, read and checked by figment (design 4.1).
 
-use crate::diagnostic::{Diagnostic, diagnostic, locate};
+use crate::diagnostic::{Diagnostic, diagnostic_at, locate};
 use figment::{
     Figment,
     providers::{Format, Toml},
@@ -117,7 +117,7 @@
 pub fn read(src: &str) -> Result<ConfigDocument, Vec<Diagnostic>> {
     if let Err(e) = toml::de::DeTable::parse(src) {
         let off = e.span().map(|s| s.start).unwrap_or(0);
-        return Err(vec![diagnostic(src, off, format!("syntax: {}", e.message()))]);
+        return Err(vec![diagnostic_at(src, off, format!("syntax: {}", e.message()))]);
     }
     Figment::new().merge(Toml::string(src)).extract::<ConfigDocument>().map_err(|e| {
         e.into_iter()
@@ -129,7 +129,7 @@
                     _ => None,
                 };
                 let full: Vec<String> = path.iter().cloned().chain(unknown).collect();
-                diagnostic(src, locate(src, &full), format!("{at}: {}", one.kind))
+                diagnostic_at(src, locate(src, &full), format!("{at}: {}", one.kind))
             })
             .collect()
     })
--- a/crates/configuration/src/fleet_check.rs
+++ b/crates/configuration/src/fleet_check.rs
@@ -1,7 +1,7 @@
 //! Checks of a document against the replicas that are listed (design 4.2).
 
 use crate::{
-    diagnostic::{Diagnostic, diagnostic, locate},
+    diagnostic::{Diagnostic, diagnostic_at, locate},
     routing_table::RoutingTable,
 };
 use common::{Region, Service, Zone};
@@ -20,14 +20,14 @@
         let at = base + e.offset;
         match &e.homes {
             Some(h) => out.extend(homeless(&e.service, h).into_iter().map(|r| {
-                diagnostic(
+                diagnostic_at(
                     src,
                     at,
                     format!("entry '{}': home '{r}' has no replica of '{}'", e.name, e.service),
                 )
             })),
             None if homeless(&e.service, &table.regions()).len() == table.regions().len() => {
-                out.push(diagnostic(
+                out.push(diagnostic_at(
                     src,
                     at,
                     format!("entry '{}': no region has a replica of '{}'", e.name, e.service),
@@ -47,7 +47,7 @@
             let both: BTreeSet<Region> = table.homes(e, Some(t));
             if !both.is_empty() && homeless(&e.service, &both).len() == both.len() {
                 let msg = format!("tenant '{t}': no replica of '{}' in its homes {h:?}", e.service);
-                out.push(diagnostic(src, locate(src, &path), msg));
+                out.push(diagnostic_at(src, locate(src, &path), msg));
             }
         }
     }
--- a/crates/configuration/src/parser.rs
+++ b/crates/configuration/src/parser.rs
@@ -7,7 +7,7 @@
 //! ```
 
 use crate::{
-    diagnostic::{Diagnostic, diagnostic},
+    diagnostic::{Diagnostic, diagnostic_at},
     lexer::{PLAIN, SIZES, SPANS, Token, scaled},
 };
 use logos::Logos;
@@ -56,7 +56,7 @@
     }
     fn wrong<T>(&self, want: &str) -> Result<T, Diagnostic> {
         let got = self.peek().map(Token::describe).unwrap_or("the end".into());
-        Err(diagnostic(self.src, self.off(), format!("expected {want}, found {got}")))
+        Err(diagnostic_at(self.src, self.off(), format!("expected {want}, found {got}")))
     }
     fn word(&mut self, want: &str) -> Result<String, Diagnostic> {
         match self.peek().cloned() {
@@ -72,7 +72,11 @@
         let off = self.off();
         let kind = self.word("'entry' or 'policy'")?;
         if kind != "entry" && kind != "policy" {
-            return Err(diagnostic(self.src, off, format!("unknown block '{kind}'; allowed: entry, policy")));
+            return Err(diagnostic_at(
+                self.src,
+                off,
+                format!("unknown block '{kind}'; allowed: entry, policy"),
+            ));
         }
         let name = self.word("a name")?;
         if self.peek() != Some(&Token::Open) {
@@ -116,7 +120,7 @@
             Ok(t) => Some((span.start, t)),
             Err(()) => {
                 let bad = &src[span.clone()];
-                diagnostics.push(diagnostic(src, span.start, format!("no such word: {bad:?}")));
+                diagnostics.push(diagnostic_at(src, span.start, format!("no such word: {bad:?}")));
                 None
             }
         })
@@ -153,7 +157,7 @@
     /// # Errors
     /// Always.
     pub fn fail<T>(&self, msg: impl Into<String>) -> Result<T, Diagnostic> {
-        Err(diagnostic(self.src, self.line.off, format!("{}: {}", self.line.verb, msg.into())))
+        Err(diagnostic_at(self.src, self.line.off, format!("{}: {}", self.line.verb, msg.into())))
     }
     /// Checks the number of operands.
     ///
