--- a/crates/common/src/http.rs
+++ b/crates/common/src/http.rs
@@ -78,7 +78,7 @@
 }
 
 /// An open client connection: the sender, and the task that drives it.
-pub type Sender = SendRequest<Body>;
+pub type RequestSender = SendRequest<Body>;
 
 /// Opens a connection from the node's own address.
 ///
@@ -92,7 +92,7 @@
 ///
 /// # Errors
 /// The connection could not be opened within `ms`.
-pub async fn open(ip: IpAddr, to: SocketAddr, ms: u64) -> Result<Sender, PeerError> {
+pub async fn open_client(ip: IpAddr, to: SocketAddr, ms: u64) -> Result<RequestSender, PeerError> {
     with_timeout(ms, CONNECT, to, async {
         let io = connect(ip, to).await?;
         client_over(io, to).await
@@ -104,7 +104,7 @@
 ///
 /// # Errors
 /// The HTTP handshake failed.
-pub async fn client_over<I>(io: I, to: SocketAddr) -> Result<Sender, PeerError>
+pub async fn client_over<I>(io: I, to: SocketAddr) -> Result<RequestSender, PeerError>
 where
     I: AsyncRead + AsyncWrite + Send + Unpin + 'static,
 {
@@ -133,7 +133,7 @@
 ) -> Result<(StatusCode, hyper::HeaderMap, Bytes), PeerError> {
     let step = "exchange";
     with_timeout(ms, step, to, async {
-        let mut tx = open(ip, to, ms).await?;
+        let mut tx = open_client(ip, to, ms).await?;
         let req = headers
             .iter()
             .fold(Request::builder().method(method).uri(path), |b, (k, v)| b.header(*k, *v))
--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -6,7 +6,7 @@
 use common::{
     PeerError,
     error::AtPeer,
-    http::{Body, full, open},
+    http::{Body, full, open_client},
 };
 use hyper::{HeaderMap, Method, Request, Response, Uri, header::HeaderName};
 use std::{
@@ -95,7 +95,7 @@
 ) -> Outcome {
     let step = "go";
     let AttemptTarget { local_ip, address, connect_ms, left_ms, blocked_reason } = target;
-    let mut tx = match open(local_ip, address, connect_ms.min(left_ms.max(1))).await {
+    let mut tx = match open_client(local_ip, address, connect_ms.min(left_ms.max(1))).await {
         Ok(tx) => tx,
         Err(e) => return Outcome::NotRun(e),
     };
--- a/crates/data-plane/src/serving/connection.rs
+++ b/crates/data-plane/src/serving/connection.rs
@@ -10,7 +10,7 @@
 use common::{
     PeerError, Tick,
     error::with_timeout,
-    http::{Body, Sender, client_over, connect},
+    http::{Body, RequestSender, client_over, connect},
 };
 use http_body_util::BodyExt;
 use hyper::{
@@ -21,7 +21,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 struct Connection {
-    sender: Sender,
+    sender: RequestSender,
     outgoing: RequestFlush,
 }
 
--- a/crates/data-plane/src/serving/usage/call.rs
+++ b/crates/data-plane/src/serving/usage/call.rs
@@ -8,7 +8,7 @@
 use common::{
     PeerError,
     error::{AtPeer, with_timeout},
-    http::{full, open},
+    http::{full, open_client},
 };
 use http_body_util::{BodyExt, Limited};
 use hyper::{Method, Request, StatusCode};
@@ -51,7 +51,7 @@
             Err(error) => return Some(Err(error)),
         };
         let timeout_ms = lock(&self.plan).spans.call_timeout_ms;
-        let mut connection = match open(router.settings.rpc_addr.ip(), to, timeout_ms).await {
+        let mut connection = match open_client(router.settings.rpc_addr.ip(), to, timeout_ms).await {
             Ok(connection) => connection,
             Err(error) => return Some(Err(error)),
         };
--- a/crates/data-plane/tests/serving/router_fixture.rs
+++ b/crates/data-plane/tests/serving/router_fixture.rs
@@ -478,7 +478,7 @@
 
     /// Whether a request ends with a closed connection, and with no answer at all.
     pub async fn gets_no_answer(&self, path: &str) -> bool {
-        let mut tx = http::open(IpAddr::from(CLIENT), self.http, 1_000).await.expect("the router");
+        let mut tx = http::open_client(IpAddr::from(CLIENT), self.http, 1_000).await.expect("the router");
         let req = Request::post(path).header("host", "example.org").header("x-request", "own");
         tx.send_request(req.body(full("ask")).expect("a request")).await.is_err()
     }
@@ -492,7 +492,7 @@
     ) -> ClientResponse {
         let began = self.world.elapsed_ms();
         let asked = async {
-            let mut tx = http::open(IpAddr::from(CLIENT), self.http, 1_000).await.expect("the router");
+            let mut tx = http::open_client(IpAddr::from(CLIENT), self.http, 1_000).await.expect("the router");
             let req = Request::post(path).header("host", host);
             let req = more.iter().fold(req, |r, (k, v)| r.header(*k, *v));
             let res = tx.send_request(req.body(body).expect("a request")).await.expect("an answer");
--- a/crates/simulator/src/caller.rs
+++ b/crates/simulator/src/caller.rs
@@ -2,7 +2,7 @@
 //! by line against it.
 
 use crate::standin::{last_line, line};
-use common::http::{Sender, full, open};
+use common::http::{RequestSender, full, open_client};
 use http_body_util::BodyExt;
 use hyper::{Method, Request, Response, body::Incoming};
 use std::{
@@ -59,7 +59,7 @@
 }
 
 async fn send(
-    tx: &mut Sender,
+    tx: &mut RequestSender,
     to: SocketAddr,
     c: &Call,
     path: &str,
@@ -91,7 +91,7 @@
     let (mut router, mut redirected) = (to, false);
     let told = tokio::time::timeout(give_up_after, async {
         loop {
-            let Ok(mut tx) = open(ip, router, 2_000).await else {
+            let Ok(mut tx) = open_client(ip, router, 2_000).await else {
                 // What was redirected was told that it did not run: no connection changes nothing.
                 return (Told::NotAsked, Head::default());
             };
