--- a/crates/data-plane/src/serving/connection.rs
+++ b/crates/data-plane/src/serving/connection.rs
@@ -10,8 +10,8 @@
 use bytes::{Bytes, BytesMut};
 use common::{
     PeerError, Tick,
-    error::within,
-    http::{Body, Sender, client_on, connect},
+    error::with_timeout,
+    http::{Body, RequestSender, client_over, connect},
 };
 use http_body_util::BodyExt;
 use hyper::{
@@ -22,7 +22,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 struct Connection {
-    sender: Sender,
+    sender: RequestSender,
     flush: RequestFlush,
 }
 
@@ -52,10 +52,10 @@
     /// # Errors
     /// The connection was refused, or was not open in time.
     pub async fn open(ip: IpAddr, to: SocketAddr, timeout_ms: u64) -> Result<Self, PeerError> {
-        within(timeout_ms, "connect", to, async {
+        with_timeout(timeout_ms, "connect", to, async {
             let flush = RequestFlush::default();
             let io = FlushTrackingStream::new(connect(ip, to).await?, flush.clone());
-            let sender = client_on(io, to).await?;
+            let sender = client_over(io, to).await?;
             Ok(Self(Connection { sender, flush }))
         })
         .await
--- a/crates/data-plane/src/serving/gateway.rs
+++ b/crates/data-plane/src/serving/gateway.rs
@@ -11,7 +11,9 @@
 use bytes::Bytes;
 use common::{
     Tick,
-    http::{Body, BodyError, BoxErr, ConnectionLimits, LimitsInForce, OpenCount, read_body, serve_within},
+    http::{
+        Body, BodyError, BoxError, ConnectionLimits, CurrentLimits, OpenCount, read_body, serve_with_limits,
+    },
     log_event,
     runtime::Listener,
 };
@@ -55,7 +57,7 @@
         self: Arc<Self>,
         peer: SocketAddr,
         req: Request<Incoming>,
-    ) -> Result<Response<Body>, BoxErr> {
+    ) -> Result<Response<Body>, BoxError> {
         let open_count = Arc::new(self.router.open_count.enter());
         let draining = || self.router.draining.load(Ordering::Acquire);
         let names = self.protocol.header_names();
@@ -75,9 +77,9 @@
     pub fn connection_limits(&self) -> ConnectionLimits {
         let limits = self.route_map.load().as_ref().map(|map| map.limits).unwrap_or_default();
         ConnectionLimits {
-            max_head_bytes: limits.max_header_bytes,
-            head_ms: limits.header_wait_ms,
-            idle_ms: limits.idle_ms,
+            max_header_bytes: limits.max_header_bytes,
+            header_timeout_ms: limits.header_timeout_ms,
+            idle_timeout_ms: limits.idle_timeout_ms,
         }
     }
 
@@ -89,9 +91,9 @@
         stop: watch::Receiver<bool>,
     ) {
         let me = self.clone();
-        let limits: LimitsInForce = Arc::new(move || me.connection_limits());
+        let limits: CurrentLimits = Arc::new(move || me.connection_limits());
         let handler = move |peer, request| self.clone().serve(peer, request);
-        serve_within(clients, connections, stop, limits, handler).await;
+        serve_with_limits(clients, connections, stop, limits, handler).await;
     }
 
     /// Waits until this router may take requests; returns the reason if it still may not.
@@ -108,7 +110,7 @@
                 .load()
                 .as_deref()
                 .and_then(|map| find_route(map, head))
-                .is_some_and(|route| left_ms > 0 && left_ms + CLIENT_RETRY_MIN_SPENT_MS < route.hold_ms);
+                .is_some_and(|route| left_ms > 0 && left_ms + CLIENT_RETRY_MIN_SPENT_MS < route.request_timeout_ms);
             let max_wait_ms =
                 if is_retry { timing.lease_ms.min(left_ms / 2) } else { timing.election_timeout_ms() / 4 };
             if self.now().since(began) >= max_wait_ms {
--- a/crates/data-plane/tests/serving/answer_attribution.rs
+++ b/crates/data-plane/tests/serving/answer_attribution.rs
@@ -191,7 +191,7 @@
 fn abandoned_attempts_count(#[case] tries: u32, #[case] arrivals: usize, #[values(1, 2, 3)] seed: u64) {
     let rows = (1..=5).map(|n| replica_row(n, 0)).collect();
     let setup = Setup { rows: [("n1", rows)].into(), ..Setup::default() };
-    let route = Route { tries, ..talk() };
+    let route = Route { max_attempts: tries, ..talk() };
     let behaviors = &[PausesStreamTwice(3, 6, 2_500), NeverAnswers, NeverAnswers, NeverAnswers, NeverAnswers];
     run_scenario(seed, setup, vec![route], behaviors, |fixture| async move {
         let response = fixture.post("/talk/1").await;
--- a/crates/data-plane/tests/serving/router_fixture.rs
+++ b/crates/data-plane/tests/serving/router_fixture.rs
@@ -521,7 +521,7 @@
 
     /// Sends a request; whether the connection closes without an answer.
     pub async fn gets_no_answer(&self, path: &str) -> bool {
-        let mut tx = http::open(IpAddr::from(CLIENT), self.http, 1_000).await.expect("the router");
+        let mut tx = http::open_client(IpAddr::from(CLIENT), self.http, 1_000).await.expect("the router");
         let req = Request::post(path).header("host", "example.org").header("x-request", "own");
         tx.send_request(req.body(full("ask")).expect("a request")).await.is_err()
     }
@@ -534,9 +534,9 @@
         headers: &[(&str, &str)],
         body: Body,
     ) -> ClientResponse {
-        let began = self.world.ms();
+        let began = self.world.elapsed_ms();
         let asked = async {
-            let mut tx = http::open(IpAddr::from(CLIENT), self.http, 1_000).await.expect("the router");
+            let mut tx = http::open_client(IpAddr::from(CLIENT), self.http, 1_000).await.expect("the router");
             let req = Request::post(path).header("host", host);
             let req = headers.iter().fold(req, |r, (k, v)| r.header(*k, *v));
             let res = tx.send_request(req.body(body).expect("a request")).await.expect("an answer");
@@ -554,7 +554,7 @@
                 headers: head.headers,
                 body,
                 complete: whole,
-                elapsed_ms: self.world.ms() - began,
+                elapsed_ms: self.world.elapsed_ms() - began,
             }
         };
         timeout(Duration::from_secs(300), asked).await.expect("an end within five minutes")
@@ -594,7 +594,7 @@
         let look = async move {
             let view = serving.replica_view.load();
             let known = view.by_service.values().flatten().find(|c| c.id.as_str() == id);
-            (world.ms(), known.expect("a known replica").cold_until.since(serving.now()))
+            (world.elapsed_ms(), known.expect("a known replica").cold_until.since(serving.now()))
         };
         spawn_at(IpAddr::from(ROUTER), look).await.expect("a look")
     }
