--- a/crates/data-plane/src/serving/dispatch.rs
+++ b/crates/data-plane/src/serving/dispatch.rs
@@ -33,7 +33,10 @@
 impl AttemptHistory {
     /// The history of a request before its first attempt.
     pub fn of(plan: &Plan) -> Self {
-        Self { tried_replicas: Vec::new(), attempts: Attempts::new(plan.idempotent(), plan.route.max_attempts) }
+        Self {
+            tried_replicas: Vec::new(),
+            attempts: Attempts::new(plan.idempotent(), plan.route.max_attempts),
+        }
     }
 
     /// Records how the current attempt ended, and refunds its retry token if it did not reach a replica.
--- a/crates/data-plane/src/serving/gateway.rs
+++ b/crates/data-plane/src/serving/gateway.rs
@@ -105,12 +105,10 @@
     async fn wait_until_ready(&self, head: &Parts, left_ms: u64) -> Option<&'static str> {
         let (began, timing) = (self.now(), &self.router.settings.timing);
         while let Some(why) = self.not_ready_reason().filter(|why| *why != "draining") {
-            let is_retry = self
-                .route_map
-                .load()
-                .as_deref()
-                .and_then(|map| find_route(map, head))
-                .is_some_and(|route| left_ms > 0 && left_ms + CLIENT_RETRY_MIN_SPENT_MS < route.request_timeout_ms);
+            let is_retry =
+                self.route_map.load().as_deref().and_then(|map| find_route(map, head)).is_some_and(|route| {
+                    left_ms > 0 && left_ms + CLIENT_RETRY_MIN_SPENT_MS < route.request_timeout_ms
+                });
             let max_wait_ms =
                 if is_retry { timing.lease_ms.min(left_ms / 2) } else { timing.election_timeout_ms() / 4 };
             if self.now().since(began) >= max_wait_ms {
