--- a/crates/control-plane/src/consensus/log.rs
+++ b/crates/control-plane/src/consensus/log.rs
@@ -97,7 +97,7 @@
             self.max_encoded_len_after(self.commit_index()) + LogEntry::max_encoded_len_with(change);
         let uncommitted = self.log.iter().filter(|entry| entry.index > self.commit_index());
         let growth: usize = uncommitted.map(|entry| entry.change.max_state_growth()).sum();
-        let state = self.cluster_state.weight() + pending + growth + change.max_state_growth();
+        let state = self.cluster_state.max_encoded_len() + pending + growth + change.max_state_growth();
         [
             (!change.names_within_limit(), NotLogged::NameTooLong),
             (document > self.size_limits.document(), NotLogged::DocumentTooLong),
--- a/crates/control-plane/src/consensus/message.rs
+++ b/crates/control-plane/src/consensus/message.rs
@@ -200,7 +200,7 @@
     /// Upper bound on the encoded length of the state and entries that it carries, in bytes.
     pub fn max_payload_len(&self) -> usize {
         match self {
-            Message::Bootstrap { cluster_state } => cluster_state.weight(),
+            Message::Bootstrap { cluster_state } => cluster_state.max_encoded_len(),
             Message::Vote { tail, .. } => max_len_of(tail.snapshot.as_ref(), &tail.entries),
             Message::Append { body, .. } => body.max_payload_len(),
             _ => 0,
@@ -210,5 +210,6 @@
 
 /// Upper bound on the encoded length of a snapshot and entries, in bytes.
 fn max_len_of(snapshot: Option<&ClusterState>, entries: &[LogEntry]) -> usize {
-    snapshot.map_or(0, ClusterState::weight) + entries.iter().map(LogEntry::max_encoded_len).sum::<usize>()
+    snapshot.map_or(0, ClusterState::max_encoded_len)
+        + entries.iter().map(LogEntry::max_encoded_len).sum::<usize>()
 }
--- a/crates/control-plane/src/control_node/log_writer.rs
+++ b/crates/control-plane/src/control_node/log_writer.rs
@@ -83,7 +83,7 @@
                     log_event!(Info, "disk recovered", "peer" => node, "failures" => backoff.failures());
                     return self.notify(Event::Recovered(Box::new(state)));
                 }
-                Err(error) if backoff.failed() => {
+                Err(error) if backoff.record_failure() => {
                     log_event!(Error, "recover", "peer" => node, "cause" => error.to_string(), "failures" => backoff.failures());
                 }
                 Err(_) => {}
@@ -111,7 +111,7 @@
     let mut recorder = Recorder::new(Box::new(DataFolder::new(settings)?));
     let start = match recorder.recover() {
         Ok(state) => Start::from(state),
-        Err(OpenError::NotOurs(why)) => eyre::bail!(why),
+        Err(OpenError::Foreign(why)) => eyre::bail!(why),
         Err(error) => {
             log_event!(Error, "data folder", "peer" => settings.node, "cause" => error.to_string());
             Start::AwaitingDisk(Box::new(blank_voter(settings)))
--- a/crates/control-plane/src/state_machine/cluster_state.rs
+++ b/crates/control-plane/src/state_machine/cluster_state.rs
@@ -10,7 +10,7 @@
 
 /// Outcomes retained of operations other than accepted documents, so that a repeated one is answered as it
 /// was at first.
-pub const RECENT_OPERATIONS_KEPT: usize = 512;
+pub const MAX_RECENT_OPERATIONS: usize = 512;
 
 /// Everything that the nodes of a cluster agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
             return self.accepted_operations.record(op);
         }
         self.recent_operations.push_back((op.clone(), outcome.clone()));
-        if self.recent_operations.len() > RECENT_OPERATIONS_KEPT {
+        if self.recent_operations.len() > MAX_RECENT_OPERATIONS {
             self.recent_operations.pop_front();
         }
     }
@@ -193,7 +193,7 @@
     }
 
     /// Upper bound on its encoded length, in bytes.
-    pub fn weight(&self) -> usize {
+    pub fn max_encoded_len(&self) -> usize {
         let length = |name: &str, overhead: usize| name.len() + overhead;
         let text = self.text.as_ref().map_or(0, Document::packed_len);
         let evacuated: usize = self.evacuated.iter().map(|zone| length(zone.as_str(), 16)).sum();
@@ -202,7 +202,8 @@
             id.as_str().len() + r.service.as_str().len() + r.zone.as_str().len() + 96
         };
         let member = |m: &Member| 2 * m.info.node.as_str().len() + m.info.zone.as_str().len() + 160;
-        let operation = |(op, outcome): &(OpId, ApplyOutcome)| length(op.as_str(), 16) + outcome.weight();
+        let operation =
+            |(op, outcome): &(OpId, ApplyOutcome)| length(op.as_str(), 16) + outcome.max_encoded_len();
         256 + self.cluster.len()
             + text
             + evacuated
@@ -212,12 +213,12 @@
             + self.members.values().map(member).sum::<usize>()
             + self.voters.iter().map(VoterInfo::max_encoded_len).sum::<usize>()
             + self.recent_operations.iter().map(operation).sum::<usize>()
-            + self.accepted_operations.weight()
+            + self.accepted_operations.max_encoded_len()
     }
 }
 
 impl ApplyOutcome {
-    fn weight(&self) -> usize {
+    fn max_encoded_len(&self) -> usize {
         match self {
             ApplyOutcome::Rejected { reason } => reason.len() + 32,
             ApplyOutcome::Accepted { .. } | ApplyOutcome::Conflict { .. } => 32,
--- a/crates/control-plane/src/state_machine/operations.rs
+++ b/crates/control-plane/src/state_machine/operations.rs
@@ -7,10 +7,10 @@
 use std::{collections::VecDeque, hash::Hasher};
 
 /// Accepted documents whose operations are known, counted back from the newest.
-pub const ACCEPTED_KEPT: usize = 4_096;
+pub const MAX_ACCEPTED_OPERATIONS: usize = 4_096;
 
 /// Upper bound on the encoded length of one operation, in bytes.
-pub const OPERATION_BYTES: usize = 20;
+pub const MAX_OPERATION_BYTES: usize = 20;
 
 /// The operations that made the newest revisions, as hashes of their names, one for each revision.
 ///
@@ -24,7 +24,7 @@
     /// Records the operation that made the newest revision; the oldest one is forgotten.
     pub fn record(&mut self, op: &OpId) {
         self.hashes.push_back(hash(op));
-        if self.hashes.len() > ACCEPTED_KEPT {
+        if self.hashes.len() > MAX_ACCEPTED_OPERATIONS {
             self.hashes.pop_front();
         }
     }
@@ -47,15 +47,16 @@
     }
 
     /// Upper bound on its encoded length, in bytes.
-    pub fn weight(&self) -> usize {
-        self.hashes.len() * OPERATION_BYTES
+    pub fn max_encoded_len(&self) -> usize {
+        self.hashes.len() * MAX_OPERATION_BYTES
     }
 
     /// Whether an operation that builds on version `base_version` may have been accepted and forgotten. Each
     /// accepted document has a higher version than the one before it, so at least as many versions as
     /// operations are kept lie between a forgotten one's base and the current version.
     pub(super) fn may_have_forgotten(&self, base_version: u64, current: u64) -> bool {
-        self.hashes.len() == ACCEPTED_KEPT && current.saturating_sub(base_version) > ACCEPTED_KEPT as u64
+        self.hashes.len() == MAX_ACCEPTED_OPERATIONS
+            && current.saturating_sub(base_version) > MAX_ACCEPTED_OPERATIONS as u64
     }
 }
 
--- a/crates/control-plane/src/storage/data_folder.rs
+++ b/crates/control-plane/src/storage/data_folder.rs
@@ -27,7 +27,7 @@
 }
 
 fn refused(step: &'static str) -> impl Fn(io::Error) -> OpenError {
-    move |error| OpenError::Refused { step, error }
+    move |error| OpenError::Io { step, error }
 }
 
 impl DataFolder {
@@ -36,14 +36,14 @@
     /// # Errors
     /// The settings name none.
     pub fn new(settings: &Settings) -> eyre::Result<Self> {
-        Self::on(settings, Arc::new(SystemMedium))
+        Self::with_medium(settings, Arc::new(SystemMedium))
     }
 
     /// The same with writes through `medium`.
     ///
     /// # Errors
     /// As for [`DataFolder::new`].
-    pub fn on(settings: &Settings, medium: Arc<dyn Medium>) -> eyre::Result<Self> {
+    pub fn with_medium(settings: &Settings, medium: Arc<dyn Medium>) -> eyre::Result<Self> {
         let path = settings.data.clone();
         let path = path.ok_or_else(|| eyre::eyre!("data: missing; allowed: a folder of this node's own"))?;
         Ok(Self { settings: settings.clone(), path, medium })
@@ -67,7 +67,7 @@
     }
 
     fn not_ours(&self, what: &str, allowed: &str) -> OpenError {
-        OpenError::NotOurs(format!("data: {:?} {what}; allowed: {allowed}", self.path))
+        OpenError::Foreign(format!("data: {:?} {what}; allowed: {allowed}", self.path))
     }
 
     /// The state under the addresses that this node has now, if it belongs to this node.
@@ -97,7 +97,8 @@
 impl StateStorage for DataFolder {
     fn open(&mut self) -> Result<OpenedStorage, OpenError> {
         let state = self.read()?;
-        let store = FileStore::open_on(&self.path, &state, self.medium.clone()).map_err(refused("write"))?;
+        let store =
+            FileStore::open_with_medium(&self.path, &state, self.medium.clone()).map_err(refused("write"))?;
         Ok(OpenedStorage { state, writer: Box::new(store) })
     }
 }
--- a/crates/control-plane/src/storage/file_store.rs
+++ b/crates/control-plane/src/storage/file_store.rs
@@ -95,7 +95,7 @@
             return load_without_slots(folder);
         }
         let Some((slot, state)) = newest else {
-            return Ok(LoadResult::Corrupt(Corruption::NoWholeSlot));
+            return Ok(LoadResult::Corrupt(Corruption::NoReadableSlot));
         };
         Self::load_log(folder, slot, state)
     }
@@ -113,7 +113,7 @@
         match log_state(&path, slot)? {
             LogState::Begun { synced_records } => replay_log(&path, slot, synced_records, state),
             LogState::NotBegun => Ok(LoadResult::State(Box::new(state))),
-            LogState::FollowsLaterSlot(later) => Ok(LoadResult::Corrupt(Corruption::LostSlot(later))),
+            LogState::FollowsLaterSlot(later) => Ok(LoadResult::Corrupt(Corruption::MissingSlot(later))),
             LogState::Damaged => Ok(LoadResult::Corrupt(Corruption::DamagedLogHeader(slot))),
         }
     }
@@ -124,14 +124,18 @@
     /// # Errors
     /// What the system answered, where a file can't be made, written or synced.
     pub fn open(folder: &Path, state: &DurableState) -> io::Result<Self> {
-        Self::open_on(folder, state, Arc::new(SystemMedium))
+        Self::open_with_medium(folder, state, Arc::new(SystemMedium))
     }
 
     /// The same with writes through `medium`.
     ///
     /// # Errors
     /// As for [`FileStore::open`].
-    pub fn open_on(folder: &Path, state: &DurableState, medium: Arc<dyn Medium>) -> io::Result<Self> {
+    pub fn open_with_medium(
+        folder: &Path,
+        state: &DurableState,
+        medium: Arc<dyn Medium>,
+    ) -> io::Result<Self> {
         std::fs::create_dir_all(folder)?;
         for parity in 0..2 {
             for (kind, length) in FILE_KINDS {
--- a/crates/control-plane/src/storage/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -47,21 +47,21 @@
 #[derive(Debug)]
 pub enum OpenError {
     /// It can't be read or written now; opening it may succeed later.
-    Refused {
+    Io {
         /// What was tried.
         step: &'static str,
         /// What the system answered.
         error: io::Error,
     },
     /// It belongs to another node, cluster or version: it is never written over.
-    NotOurs(String),
+    Foreign(String),
 }
 
 impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            OpenError::Refused { step, error } => write!(f, "{step}: {error}"),
-            OpenError::NotOurs(why) => f.write_str(why),
+            OpenError::Io { step, error } => write!(f, "{step}: {error}"),
+            OpenError::Foreign(why) => f.write_str(why),
         }
     }
 }
@@ -69,8 +69,8 @@
 impl std::error::Error for OpenError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
-            OpenError::Refused { error, .. } => Some(error),
-            OpenError::NotOurs(_) => None,
+            OpenError::Io { error, .. } => Some(error),
+            OpenError::Foreign(_) => None,
         }
     }
 }
@@ -93,11 +93,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Corruption {
     /// Neither slot can be read.
-    NoWholeSlot,
+    NoReadableSlot,
     /// A slot that was synced can't be read.
     DamagedSlot(u64),
     /// A slot that was synced is not there; its log is.
-    LostSlot(u64),
+    MissingSlot(u64),
     /// The header of the log that follows a slot can't be read.
     DamagedLogHeader(u64),
     /// A record can't have been written behind the state before it.
@@ -133,9 +133,9 @@
 impl fmt::Display for Corruption {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Corruption::NoWholeSlot => write!(f, "no slot is whole"),
+            Corruption::NoReadableSlot => write!(f, "no slot is whole"),
             Corruption::DamagedSlot(slot) => write!(f, "slot {slot} was synced and is damaged"),
-            Corruption::LostSlot(slot) => write!(f, "slot {slot} was synced and is lost"),
+            Corruption::MissingSlot(slot) => write!(f, "slot {slot} was synced and is lost"),
             Corruption::DamagedLogHeader(slot) => write!(f, "the header of log {slot} is damaged"),
             Corruption::Gap { record, slot } => {
                 write!(f, "record {record} of log {slot} does not follow its slot")
--- a/crates/control-plane/src/storage/recorder.rs
+++ b/crates/control-plane/src/storage/recorder.rs
@@ -72,7 +72,7 @@
     }
 
     /// Counts a failure. Returns whether it is to be logged: the first, the second, the fourth and so on.
-    pub fn failed(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         self.failures = self.failures.saturating_add(1);
         self.failures.is_power_of_two()
     }
--- a/crates/control-plane/tests/desk.rs
+++ b/crates/control-plane/tests/desk.rs
@@ -2,7 +2,7 @@
 
 use common::runtime::Simulation;
 use control_plane::{
-    MAX_DOCUMENT_BYTES, operator::OperationOutcome, state_machine::cluster_state::RECENT_OPERATIONS_KEPT,
+    MAX_DOCUMENT_BYTES, operator::OperationOutcome, state_machine::cluster_state::MAX_RECENT_OPERATIONS,
 };
 use rstest::rstest;
 use std::time::Duration;
@@ -143,10 +143,10 @@
         let c = Cluster::initialized(w, 1).await;
         let s = &c.nodes[0];
         assert_eq!(s.replace(0, "1\na").await, OperationOutcome::Accepted);
-        for n in 0..RECENT_OPERATIONS_KEPT + 1 {
+        for n in 0..MAX_RECENT_OPERATIONS + 1 {
             assert_eq!(s.evacuate("far", n % 2 == 0).await, OperationOutcome::Accepted);
         }
-        assert_eq!(s.recorded_operations(), RECENT_OPERATIONS_KEPT);
+        assert_eq!(s.recorded_operations(), MAX_RECENT_OPERATIONS);
         assert_eq!(s.replace(0, "1\na").await, OperationOutcome::Accepted);
         assert_eq!(s.replace(1, "2\nb").await, OperationOutcome::Accepted);
         assert_eq!(s.replace(0, "1\na").await, OperationOutcome::Accepted);
--- a/crates/control-plane/tests/disk_faults.rs
+++ b/crates/control-plane/tests/disk_faults.rs
@@ -89,7 +89,7 @@
         let dir = folder();
         let data = dir.path().join("data");
         let medium = Arc::new(FaultyMedium::new(&data, seed));
-        let folder = DataFolder::on(&settings(&data), medium.clone()).unwrap();
+        let folder = DataFolder::with_medium(&settings(&data), medium.clone()).unwrap();
         let mut recorder = Recorder::new(Box::new(folder));
         let held = recorder.recover().unwrap();
         assert_eq!(last(&held), 3);
@@ -103,7 +103,7 @@
             if self.recorder.failed() {
                 match self.recorder.recover() {
                     Ok(image) => self.take(image)?,
-                    Err(OpenError::Refused { .. }) => continue,
+                    Err(OpenError::Io { .. }) => continue,
                     Err(e) => return Err(e.to_string()),
                 }
             }
@@ -219,10 +219,11 @@
     let d = tempdir().unwrap();
     let data = d.path().join("data");
     let medium = Arc::new(FaultyMedium::new(&data, 1));
-    let mut recorder = Recorder::new(Box::new(DataFolder::on(&settings(&data), medium.clone()).unwrap()));
+    let mut recorder =
+        Recorder::new(Box::new(DataFolder::with_medium(&settings(&data), medium.clone()).unwrap()));
     medium.plan(Plan { trouble: Trouble::Refuses, from: 0, for_operations: 3, power_lost_at: NEVER });
     for _ in 0..3 {
-        assert!(matches!(recorder.recover(), Err(OpenError::Refused { step: "write", .. })));
+        assert!(matches!(recorder.recover(), Err(OpenError::Io { step: "write", .. })));
         assert!(recorder.failed());
     }
     let image = recorder.recover().unwrap();
@@ -256,7 +257,7 @@
     let before = fs::read(data.join("slot-0")).unwrap();
     let set = Settings { node: "s2".into(), ..settings(&data) };
     let mut recorder = Recorder::new(Box::new(DataFolder::new(&set).unwrap()));
-    assert!(matches!(recorder.recover(), Err(OpenError::NotOurs(_))));
+    assert!(matches!(recorder.recover(), Err(OpenError::Foreign(_))));
     assert_eq!(fs::read(data.join("slot-0")).unwrap(), before);
 }
 
@@ -266,7 +267,7 @@
     let timing = Timing::default();
     let mut retry = RecoveryBackoff::new(&timing);
     let mut waits = vec![retry.wait()];
-    let told = (0..1_000).filter(|_| retry.failed()).count();
+    let told = (0..1_000).filter(|_| retry.record_failure()).count();
     waits.push(retry.wait());
     assert_eq!(waits, [timing.heartbeat_ms(), timing.renew_interval_ms()].map(Duration::from_millis));
     assert_eq!(told, 10);
--- a/crates/control-plane/tests/operator/orders.rs
+++ b/crates/control-plane/tests/operator/orders.rs
@@ -6,10 +6,10 @@
     ApplyOutcome, Change, ClusterState,
     operator::OperationOutcome,
     rpc::ProposalOutcome,
-    state_machine::cluster_state::RECENT_OPERATIONS_KEPT,
+    state_machine::cluster_state::MAX_RECENT_OPERATIONS,
     state_machine::{
         OperationStatus, operation_status,
-        operations::{ACCEPTED_KEPT, OPERATION_BYTES},
+        operations::{MAX_ACCEPTED_OPERATIONS, MAX_OPERATION_BYTES},
     },
 };
 use rstest::rstest;
@@ -29,13 +29,13 @@
         assert_eq!(c.nodes[0].replace(0, "1\na").await, OperationOutcome::Accepted);
         assert_eq!(send(&c.nodes[1], kind, 1, "2\nb").await, OperationOutcome::Accepted);
         let mut told = Vec::new();
-        for n in 0..RECENT_OPERATIONS_KEPT {
+        for n in 0..MAX_RECENT_OPERATIONS {
             assert_eq!(c.nodes[n % 3].evacuate("far", n % 2 == 0).await, OperationOutcome::Accepted);
         }
         for s in &c.nodes {
             told.push(send(s, kind, 1, "2\nb").await);
         }
-        for version in 2..RECENT_OPERATIONS_KEPT as u64 + 20 {
+        for version in 2..MAX_RECENT_OPERATIONS as u64 + 20 {
             let text = format!("{}\n{version}", version + 1);
             assert_eq!(
                 c.nodes[version as usize % 3].replace(version, &text).await,
@@ -111,7 +111,7 @@
 #[test]
 fn an_order_older_than_all_that_is_kept_is_left_open() {
     let mut l = ClusterState::bootstrapped("c", vec![]);
-    let all = ACCEPTED_KEPT as u64 + 10;
+    let all = MAX_ACCEPTED_OPERATIONS as u64 + 10;
     for n in 0..all {
         assert_eq!(l.apply(Index(n + 1), &apply(n)), ApplyOutcome::Accepted { revision: Revision(n + 1) });
     }
@@ -121,7 +121,7 @@
     assert_eq!(ask("op10", 20), taken, "the oldest that is kept");
     assert_eq!(ask("op9", 18), OperationStatus::Forgotten);
     assert_eq!(ask("op0", 0), OperationStatus::Forgotten);
-    assert_eq!(ask("other", current - ACCEPTED_KEPT as u64), OperationStatus::Superseded);
+    assert_eq!(ask("other", current - MAX_ACCEPTED_OPERATIONS as u64), OperationStatus::Superseded);
     assert_eq!(ask("other", current + 1), OperationStatus::Superseded);
     assert_eq!(ask("other", current), OperationStatus::Open);
 }
@@ -141,12 +141,16 @@
 fn operations_stay_small_in_a_snapshot() {
     let mut l = ClusterState::bootstrapped("c", vec![]);
     let empty = wire::encode(&l).unwrap().len();
-    for n in 0..2 * ACCEPTED_KEPT as u64 {
+    for n in 0..2 * MAX_ACCEPTED_OPERATIONS as u64 {
         let _ = l.apply(Index(n + 1), &apply(n));
     }
     let encoded = wire::encode(&l).unwrap();
-    assert!(encoded.len() - empty <= ACCEPTED_KEPT * OPERATION_BYTES, "{} bytes", encoded.len());
-    assert!(encoded.len() <= l.weight());
+    assert!(
+        encoded.len() - empty <= MAX_ACCEPTED_OPERATIONS * MAX_OPERATION_BYTES,
+        "{} bytes",
+        encoded.len()
+    );
+    assert!(encoded.len() <= l.max_encoded_len());
     assert_eq!(l.recent_operations.len(), 0, "accepted documents push no other verdict out");
     assert_eq!(wire::decode::<ClusterState>(&encoded).unwrap(), l);
     println!("{} operations: {} bytes", l.accepted_operations.len(), encoded.len() - empty);
--- a/crates/control-plane/tests/size.rs
+++ b/crates/control-plane/tests/size.rs
@@ -194,7 +194,7 @@
         let e = LogEntry { index: Index(u64::MAX - 100 + n as u64), change };
         assert!(wire::encode(&e).unwrap().len() <= e.max_encoded_len(), "{e:?}");
         let _ = l.apply(e.index, &e.change);
-        assert!(wire::encode(&l).unwrap().len() <= l.weight(), "{l:?}");
+        assert!(wire::encode(&l).unwrap().len() <= l.max_encoded_len(), "{l:?}");
         told.push(e);
     }
     let record = Record::Install { term: Term(u64::MAX), truncate_to: Index(u64::MAX), entries: told };
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -274,7 +274,7 @@
     let d = tempfile::tempdir().unwrap();
     filled(d.path(), 3);
     let medium = RecordedMedium::default();
-    let mut s = FileStore::open_on(d.path(), &one_voter(), Arc::new(medium.clone())).unwrap();
+    let mut s = FileStore::open_with_medium(d.path(), &one_voter(), Arc::new(medium.clone())).unwrap();
     for n in 1..3 {
         s.write(&append(n)).unwrap();
         let changes = std::mem::take(&mut *medium.0.lock().unwrap());
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -112,7 +112,7 @@
         if let (Mood::Well | Mood::Slow, Some(image)) = (d.mood, &d.kept) {
             break image.clone();
         }
-        retry.failed();
+        retry.record_failure();
     };
     if let Some(core) = core.upgrade() {
         core.step(Event::Recovered(Box::new(image)));
--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -143,7 +143,7 @@
             member.start(now);
         }
         self.watched = Some(n);
-        self.measured.needed = self.leader().map_or(0, |l| l.cluster_state.weight());
+        self.measured.needed = self.leader().map_or(0, |l| l.cluster_state.max_encoded_len());
     }
 
     /// Runs to a moment, or until what is waited for has come.
--- a/crates/simulator/src/sim/catch_up/member.rs
+++ b/crates/simulator/src/sim/catch_up/member.rs
@@ -99,7 +99,7 @@
             Record::DurableState(image) => {
                 self.log_bytes = 0;
                 let entries: usize = image.entries.iter().map(LogEntry::max_encoded_len).sum();
-                let bytes = image.cluster_state.weight() + entries;
+                let bytes = image.cluster_state.max_encoded_len() + entries;
                 fits("a slot", bytes, SizeLimits::default().slot())?;
                 bytes + SHORT_LOG_BYTES as usize
             }
