--- a/crates/simulator/src/acts.rs
+++ b/crates/simulator/src/acts.rs
@@ -4,7 +4,7 @@
     fault::{Fault, What},
     fleet::Fleet,
     papers::{self, Paper},
-    sim::disk::Mood,
+    sim::disk::DiskCondition,
     standin::StandIn,
 };
 use eyre::{Result, eyre};
@@ -75,10 +75,10 @@
             f.node(whom)?.power_off().await?;
             f.spare_for(whom)?;
         }
-        What::SlowDisk => f.node(whom)?.mood(Mood::Slow)?,
-        What::StallDisk => f.node(whom)?.mood(Mood::Stalled)?,
-        What::FailDisk => f.node(whom)?.mood(Mood::Failing)?,
-        What::WellDisk => f.node(whom)?.mood(Mood::Well)?,
+        What::SlowDisk => f.node(whom)?.mood(DiskCondition::Slow)?,
+        What::StallDisk => f.node(whom)?.mood(DiskCondition::Stalled)?,
+        What::FailDisk => f.node(whom)?.mood(DiskCondition::Failing)?,
+        What::WellDisk => f.node(whom)?.mood(DiskCondition::Healthy)?,
         _ => return Ok(false),
     }
     Ok(true)
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     node::Node,
-    sim::disk::{Mood, SimDisk},
+    sim::disk::{DiskCondition, SimDisk},
 };
 use common::{
     runtime::{Host, Simulation, bind, spawn_at},
@@ -97,8 +97,8 @@
 
 fn take_up(set: &common::settings::Settings, disk: &Mutex<SimDisk>) -> DurableState {
     let mut d = lock(disk);
-    let image = d.kept.clone().unwrap_or_else(|| DurableState::blank(&blank_voter(set)));
-    d.kept = Some(image.clone());
+    let image = d.durable.clone().unwrap_or_else(|| DurableState::blank(&blank_voter(set)));
+    d.durable = Some(image.clone());
     image
 }
 
@@ -109,7 +109,7 @@
     let image = loop {
         sleep(retry.wait()).await;
         let d = lock(&disk);
-        if let (Mood::Well | Mood::Slow, Some(image)) = (d.mood, &d.kept) {
+        if let (DiskCondition::Healthy | DiskCondition::Slow, Some(image)) = (d.condition, &d.durable) {
             break image.clone();
         }
         retry.failed();
@@ -133,23 +133,23 @@
             if let Err(e) = d.write(token, record) {
                 panic!("{e}");
             }
-            match d.mood {
-                Mood::Slow => self.world.rng().random_range(100..900),
+            match d.condition {
+                DiskCondition::Slow => self.world.rng().random_range(100..900),
                 _ => self.world.rng().random_range(1..8),
             }
         };
         let (core, disk) = (self.core.clone(), self.disk.clone());
         spawn_at(self.ip, async move {
             sleep(Duration::from_millis(ms)).await;
-            while lock(&disk).mood == Mood::Stalled {
+            while lock(&disk).condition == DiskCondition::Stalled {
                 sleep(Duration::from_millis(40)).await;
             }
             let event = {
                 let mut d = lock(&disk);
-                match d.mood {
+                match d.condition {
                     // An earlier write was refused with all that was under way.
                     _ if d.pending.is_empty() => None,
-                    Mood::Failing | Mood::Refusing => {
+                    DiskCondition::Failing | DiskCondition::Refusing => {
                         d.refuse(0);
                         Some(Event::SyncFailed)
                     }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -156,7 +156,7 @@
             let plan = WorldPlan { firm, seconds, rate, faults, calm, broken };
             tokio::task::spawn_blocking(move || sweep_worlds(&plan, from, seeds, verbose, all)).await?
         }
-        Opts::CatchUp(plan) => tokio::task::spawn_blocking(move || catch_up::table(&plan)).await?,
+        Opts::CatchUp(plan) => tokio::task::spawn_blocking(move || catch_up::print_table(&plan)).await?,
         Opts::SimData { from, seeds } => {
             ensure!((1..=10_000_000).contains(&seeds), "--seeds: {seeds}; allowed: 1 to 10000000");
             sweep_data(from, seeds)
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     hosted::Hosted,
-    sim::disk::{Mood, SimDisk},
+    sim::disk::{DiskCondition, SimDisk},
 };
 use common::settings::{Settings, Timing};
 use eyre::{Result, WrapErr, bail, eyre};
@@ -184,11 +184,11 @@
     }
 
     /// A voter's disk changes; real files do as they do.
-    pub fn mood(&self, m: Mood) -> Result<()> {
+    pub fn mood(&self, m: DiskCondition) -> Result<()> {
         if !matches!(self.process, Some(Life::Hosted(_))) {
             bail!("the disk of {} is a real one; disks change in a world only", self.name);
         }
-        self.disk.lock().unwrap_or_else(|e| e.into_inner()).mood = m;
+        self.disk.lock().unwrap_or_else(|e| e.into_inner()).condition = m;
         Ok(())
     }
 
@@ -197,7 +197,7 @@
     }
 
     pub fn wipe(&self) -> Result<()> {
-        self.disk.lock().unwrap_or_else(|e| e.into_inner()).lose();
+        self.disk.lock().unwrap_or_else(|e| e.into_inner()).wipe();
         let dir = self.dir.join("data");
         if dir.exists() {
             std::fs::remove_dir_all(dir)?;
--- a/crates/simulator/src/sim/catch_up/mod.rs
+++ b/crates/simulator/src/sim/catch_up/mod.rs
@@ -12,7 +12,7 @@
 mod traffic;
 
 pub use cluster::Cluster;
-pub use table::{CatchUpPlan, catch_up_plan, table};
+pub use table::{CatchUpPlan, catch_up_plan, print_table};
 
 use common::{Index, settings::Timing};
 use control_plane::consensus::Voter;
--- a/crates/simulator/src/sim/catch_up/table.rs
+++ b/crates/simulator/src/sim/catch_up/table.rs
@@ -25,7 +25,7 @@
 }
 
 /// Prints one row for each case, and fails where one breaks an invariant.
-pub fn table(plan: &CatchUpPlan) -> Result<()> {
+pub fn print_table(plan: &CatchUpPlan) -> Result<()> {
     println!(
         "| return | changes | documents | delay ms | going on | ms | level ms | KiB sent | KiB needed | snapshots | longest KiB | log kept KiB |"
     );
--- a/crates/simulator/src/sim/disk.rs
+++ b/crates/simulator/src/sim/disk.rs
@@ -8,8 +8,8 @@
 use std::collections::VecDeque;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
-    Well,
+pub enum DiskCondition {
+    Healthy,
     Slow,
     Stalled,
     /// The next write fails: the disk is full or broken.
@@ -21,9 +21,9 @@
 #[derive(Debug)]
 pub struct SimDisk {
     /// What a restart would find; nothing on a blank disk.
-    pub kept: Option<DurableState>,
+    pub durable: Option<DurableState>,
     pub pending: VecDeque<(u64, Record)>,
-    pub mood: Mood,
+    pub condition: DiskCondition,
     /// Bytes in the short log.
     used: usize,
     room: SizeLimits,
@@ -31,7 +31,7 @@
 
 impl SimDisk {
     pub fn new(image: Option<DurableState>, room: SizeLimits) -> Self {
-        Self { kept: image, pending: VecDeque::new(), mood: Mood::Well, used: 0, room }
+        Self { durable: image, pending: VecDeque::new(), condition: DiskCondition::Healthy, used: 0, room }
     }
 
     /// Takes a record, if it fits where the files of the daemon would have to put it.
@@ -58,7 +58,7 @@
     }
 
     fn keep(&mut self, record: Record) {
-        match (&mut self.kept, record) {
+        match (&mut self.durable, record) {
             (k, Record::DurableState(i)) => *k = Some(*i),
             (Some(k), r) => k.replay(r),
             (None, _) => {}
@@ -72,20 +72,20 @@
         reached.into_iter().for_each(|r| self.keep(r));
         // A start writes a slot of its own.
         self.used = 0;
-        self.mood = Mood::Well;
+        self.condition = DiskCondition::Healthy;
     }
 
     /// A write was refused under a process that goes on: of what was under way the first `n` reached
     /// the disk all the same.
     pub fn refuse(&mut self, n: usize) {
-        let mood = self.mood;
+        let condition = self.condition;
         self.crash(n);
-        self.mood = mood;
+        self.condition = condition;
     }
 
-    pub fn lose(&mut self) {
-        self.kept = None;
+    pub fn wipe(&mut self) {
+        self.durable = None;
         self.pending.clear();
-        self.mood = Mood::Well;
+        self.condition = DiskCondition::Healthy;
     }
 }
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Broken,
-    disk::Mood,
+    disk::DiskCondition,
     nodes::{ROUTERS, SimVoter},
     world::{CALM_AT, CORE, What, World},
 };
@@ -14,7 +14,7 @@
 pub enum Undo {
     Start(usize),
     Cut(Vec<(usize, usize)>),
-    Mood(usize),
+    HealDisk(usize),
     Router(usize),
     Calm,
 }
@@ -46,7 +46,7 @@
         let initialized = self.voters.iter().filter_map(|s| s.voter.as_ref()).find(|s| s.initialized);
         let Some(first) = initialized.map(|s| s.cluster_state.voters.clone()) else { return false };
         let newest = self.book.voters.as_ref().unwrap_or(&first);
-        let holds_state = |s: &SimVoter| s.disk.kept.as_ref().is_some_and(|k| k.initialized);
+        let holds_state = |s: &SimVoter| s.disk.durable.as_ref().is_some_and(|k| k.initialized);
         newest.iter().all(|h| {
             self.voters.iter().filter(|s| holds_state(s)).filter_map(|s| s.voter.as_ref()).any(|x| {
                 x.initialized
@@ -100,17 +100,17 @@
             }
             9 => {
                 self.note(format!("slow disk s{n} for {ms}"));
-                self.voters[n].disk.mood = Mood::Slow;
-                self.push(ms, What::Heal(Box::new(Undo::Mood(n))));
+                self.voters[n].disk.condition = DiskCondition::Slow;
+                self.push(ms, What::Heal(Box::new(Undo::HealDisk(n))));
             }
             10 => {
                 self.note(format!("stalled disk s{n} for {ms}"));
-                self.voters[n].disk.mood = Mood::Stalled;
-                self.push(ms, What::Heal(Box::new(Undo::Mood(n))));
+                self.voters[n].disk.condition = DiskCondition::Stalled;
+                self.push(ms, What::Heal(Box::new(Undo::HealDisk(n))));
             }
             11 if self.rng.random_bool(0.5) => {
                 self.note(format!("failing disk s{n}, new process in {ms}"));
-                self.voters[n].disk.mood = Mood::Failing;
+                self.voters[n].disk.condition = DiskCondition::Failing;
                 self.push(ms, What::Heal(Box::new(Undo::Start(n))));
             }
             11 => {
@@ -153,9 +153,9 @@
     fn blank(&mut self, n: usize, ms: u64) {
         self.note(format!("s{n} loses its disk"));
         self.voters[n].lost = true;
-        let was = self.voters[n].disk.kept.clone();
+        let was = self.voters[n].disk.durable.clone();
         self.crash(n);
-        self.voters[n].disk.lose();
+        self.voters[n].disk.wipe();
         if let (Some(Broken::BlankVotes), Some(i)) = (self.broken, was.filter(|i| i.initialized)) {
             let cluster_state =
                 control_plane::ClusterState::bootstrapped("sim", i.cluster_state.voters.clone());
@@ -166,7 +166,7 @@
                 entries: Vec::new(),
                 ..i
             };
-            self.voters[n].disk.kept = Some(image);
+            self.voters[n].disk.durable = Some(image);
         }
         self.push(ms, What::Heal(Box::new(Undo::Start(n))));
     }
@@ -189,14 +189,14 @@
             Undo::Start(n) => {
                 // A process with a failed disk is restarted by the platform.
                 if self.voters[n].voter.as_ref().is_some_and(|s| s.disk_failed)
-                    || self.voters[n].disk.mood == Mood::Failing
+                    || self.voters[n].disk.condition == DiskCondition::Failing
                 {
                     self.crash(n);
                 }
                 self.start(n);
             }
             Undo::Cut(pairs) => self.cut.retain(|p| !pairs.contains(p)),
-            Undo::Mood(n) => self.voters[n].disk.mood = Mood::Well,
+            Undo::HealDisk(n) => self.voters[n].disk.condition = DiskCondition::Healthy,
             Undo::Router(r) => {
                 let incarnation = self.number();
                 let clock = self.routers[r].clock;
@@ -207,10 +207,10 @@
                 self.cut.clear();
                 for n in 0..self.voters.len() {
                     self.voters[n].frozen_until = 0;
-                    if self.voters[n].disk.mood == Mood::Failing {
+                    if self.voters[n].disk.condition == DiskCondition::Failing {
                         self.crash(n);
                     }
-                    self.voters[n].disk.mood = Mood::Well;
+                    self.voters[n].disk.condition = DiskCondition::Healthy;
                     self.start(n);
                 }
                 self.routers.iter_mut().for_each(|r| r.frozen_until = 0);
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -105,11 +105,11 @@
 
     /// Starts from what the disk kept; a blank disk gets a new incarnation first.
     pub fn start(&mut self, t: u64, fresh_inc: u64) {
-        let image: DurableState = match &self.disk.kept {
+        let image: DurableState = match &self.disk.durable {
             Some(i) => i.clone(),
             None => DurableState::blank(&self.blank(fresh_inc)),
         };
-        self.disk.kept = Some(image.clone());
+        self.disk.durable = Some(image.clone());
         let seeds = (0..3).map(addr).collect();
         let me = VoterInfo { number: image.me.number, incarnation: image.me.incarnation, ..self.me.clone() };
         let mut voter = Voter::new(me, "sim", seeds, timing(), Some(image), self.clock.at(t));
--- a/crates/simulator/src/sim/refusals.rs
+++ b/crates/simulator/src/sim/refusals.rs
@@ -3,7 +3,7 @@
 
 use super::{
     Broken,
-    disk::Mood,
+    disk::DiskCondition,
     faults::Undo,
     world::{CALM_AT, What, World},
 };
@@ -37,8 +37,8 @@
 
     pub fn refuse(&mut self, voter: usize, for_ms: u64) {
         self.note(format!("s{voter}'s disk refuses writes for {for_ms}"));
-        self.voters[voter].disk.mood = Mood::Refusing;
-        self.push(for_ms, What::Heal(Box::new(Undo::Mood(voter))));
+        self.voters[voter].disk.condition = DiskCondition::Refusing;
+        self.push(for_ms, What::Heal(Box::new(Undo::HealDisk(voter))));
     }
 
     /// A write is refused: of what was under way some may have reached the disk, and none counts.
@@ -57,7 +57,7 @@
         if damaged {
             self.note(format!("s{n}'s folder is damaged"));
             self.voters[n].lost = true;
-            self.voters[n].disk.kept = None;
+            self.voters[n].disk.durable = None;
         }
         self.voter_step(n, Event::SyncFailed)?;
         let starts = self.voters[n].starts;
@@ -72,14 +72,14 @@
         if s.starts != starts || s.voter.is_none() {
             return Ok(());
         }
-        if frozen || !matches!(s.disk.mood, Mood::Well | Mood::Slow) {
+        if frozen || !matches!(s.disk.condition, DiskCondition::Healthy | DiskCondition::Slow) {
             self.push(RETRY_MS, What::Recover { voter: n, starts });
             return Ok(());
         }
         let fresh = self.number();
         let s = &mut self.voters[n];
         let blank = DurableState::blank(&s.blank(fresh));
-        let image = s.disk.kept.get_or_insert(blank).clone();
+        let image = s.disk.durable.get_or_insert(blank).clone();
         self.note(format!("s{n}'s disk works again"));
         self.voter_step(n, Event::Recovered(Box::new(image)))
     }
--- a/crates/simulator/src/sim/way.rs
+++ b/crates/simulator/src/sim/way.rs
@@ -3,7 +3,7 @@
 use super::{
     Broken,
     check::{backed, blank_votes_by_right},
-    disk::Mood,
+    disk::DiskCondition,
     nodes::{WIRE, addr, fits},
     world::{What, World},
 };
@@ -36,13 +36,13 @@
         if self.voters[n].starts != starts {
             return Ok(());
         }
-        match self.voters[n].disk.mood {
-            Mood::Stalled => {
+        match self.voters[n].disk.condition {
+            DiskCondition::Stalled => {
                 self.push(40, What::Synced { voter: n, starts });
                 Ok(())
             }
-            Mood::Failing => self.voter_step(n, Event::SyncFailed),
-            Mood::Refusing => self.refused(n),
+            DiskCondition::Failing => self.voter_step(n, Event::SyncFailed),
+            DiskCondition::Refusing => self.refused(n),
             _ => match self.voters[n].disk.sync_one() {
                 Some(token) => self.voter_step(n, Event::Synced(token)),
                 None => Ok(()),
@@ -69,12 +69,12 @@
                     let running = self.voters.iter().filter_map(|s| s.voter.as_ref());
                     let first = running.flat_map(|s| &s.cluster_state.voters);
                     let committed: Vec<_> = first.chain(self.book.admitted()).collect();
-                    blank_votes_by_right(&msg, self.voters[n].disk.kept.as_ref(), &committed)
+                    blank_votes_by_right(&msg, self.voters[n].disk.durable.as_ref(), &committed)
                         .map_err(|what| format!("s{n} {what}"))?;
                 }
                 // A disk that lies is to be caught by what comes of it.
                 if self.broken != Some(Broken::LyingDisk) {
-                    backed(&msg, self.voters[n].disk.kept.as_ref())?;
+                    backed(&msg, self.voters[n].disk.durable.as_ref())?;
                 }
                 fits("a message", &msg, WIRE)?;
                 if let Some(ms) = self.transit(n, to).filter(|_| to < self.voters.len()) {
@@ -86,8 +86,8 @@
                 if self.broken == Some(Broken::LyingDisk) {
                     return self.voter_step(n, Event::Synced(token));
                 }
-                let ms = match self.voters[n].disk.mood {
-                    Mood::Slow => self.rng.random_range(100..900),
+                let ms = match self.voters[n].disk.condition {
+                    DiskCondition::Slow => self.rng.random_range(100..900),
                     _ => self.rng.random_range(1..8),
                 };
                 let starts = self.voters[n].starts;
