--- /dev/null
+++ b/crates/simulator/src/actions.rs
@@ -0,0 +1,154 @@
+//! What happens to a fleet during a run: faults, and what operators do (design 7.4).
+
+use crate::{
+    fake_replica::FakeReplica,
+    fault::{Fault, FaultKind},
+    fleet::Fleet,
+    sim::disk::DiskCondition,
+    submissions::{self, Submission},
+};
+use eyre::{Result, eyre};
+use std::{sync::Arc, time::Duration};
+use tokio::time::{Instant, sleep};
+
+/// What operators did and saw during the run.
+#[derive(Clone, Debug)]
+pub struct Action {
+    pub started: Instant,
+    /// When it was over: for an operator's call, when it was answered.
+    pub finished: Instant,
+    pub label: String,
+    pub fault: Fault,
+    pub ok: bool,
+    /// For documents: how long until all nodes said that it governs.
+    pub in_force_ms: Option<u64>,
+    pub submissions: Vec<Submission>,
+}
+
+pub async fn perform(fleet: &mut Fleet, fault: &Fault, seed: u64) -> Action {
+    let started = Instant::now();
+    let label = format!("{}:{:?}:{}", fault.second, fault.kind, fault.target);
+    let mut action = Action {
+        started,
+        finished: started,
+        label,
+        fault: fault.clone(),
+        ok: true,
+        in_force_ms: None,
+        submissions: vec![],
+    };
+    let op = fleet.operator();
+    match fault.kind {
+        FaultKind::Apply => submissions::apply(&op, fault, seed, &mut action).await,
+        FaultKind::Race => submissions::race(&op, fault, seed, &mut action).await,
+        FaultKind::Burst => submissions::burst(&op, fault, seed, &mut action).await,
+        FaultKind::EvacuateAndPatch => submissions::evacuate_and_patch(&op, fault, seed, &mut action).await,
+        _ => {
+            let res = if fault.kind >= FaultKind::Evacuate {
+                apply_to_platform(fleet, fault).await
+            } else {
+                apply_to_machines(fleet, fault).await
+            };
+            action.ok = res.unwrap_or(false);
+        }
+    }
+    action.finished = Instant::now();
+    action
+}
+
+/// What befalls machines and links.
+async fn apply_to_machines(fleet: &mut Fleet, fault: &Fault) -> Result<bool> {
+    let target = fault.target.as_str();
+    let control_nodes: Vec<String> =
+        fleet.nodes.iter().filter(|n| n.is_control && !n.is_replacement).map(|n| n.name.clone()).collect();
+    match fault.kind {
+        FaultKind::Kill => fleet.node(target)?.kill().await?,
+        FaultKind::Stop => drop(fleet.node(target)?.stop().await?),
+        FaultKind::Start => fleet.start_node(target)?,
+        FaultKind::Blank => {
+            fleet.node(target)?.wipe()?;
+            fleet.start_node(target)?;
+        }
+        FaultKind::Freeze => fleet.node(target)?.freeze()?,
+        FaultKind::Thaw => fleet.node(target)?.thaw()?,
+        FaultKind::Dark => fleet.node(target)?.power_off().await?,
+        FaultKind::Cut => fleet.cut(target),
+        FaultKind::Mend => fleet.heal(target),
+        FaultKind::KillCore => {
+            for n in &control_nodes {
+                fleet.node(n)?.kill().await?;
+            }
+        }
+        FaultKind::StartCore => {
+            for n in control_nodes {
+                fleet.start_node(&n)?;
+            }
+        }
+        FaultKind::Replace => {
+            fleet.node(target)?.power_off().await?;
+            fleet.start_replacement(target)?;
+        }
+        FaultKind::SlowDisk => fleet.node(target)?.set_disk_condition(DiskCondition::Slow)?,
+        FaultKind::StallDisk => fleet.node(target)?.set_disk_condition(DiskCondition::Stalled)?,
+        FaultKind::FailDisk => fleet.node(target)?.set_disk_condition(DiskCondition::Failing)?,
+        FaultKind::WellDisk => fleet.node(target)?.set_disk_condition(DiskCondition::Healthy)?,
+        _ => return Ok(false),
+    }
+    Ok(true)
+}
+
+/// What befalls replicas and zones, and what the platform does.
+async fn apply_to_platform(fleet: &mut Fleet, fault: &Fault) -> Result<bool> {
+    let (target, op) = (fault.target.as_str(), fleet.operator());
+    let zone: Vec<String> = fleet.nodes.iter().filter(|n| n.zone == target).map(|n| n.name.clone()).collect();
+    let replicas: Vec<Arc<FakeReplica>> =
+        fleet.replicas.iter().filter(|b| b.spec.zone == target).cloned().collect();
+    match fault.kind {
+        FaultKind::Evacuate => return Ok(op.evacuate(target, true).await),
+        FaultKind::Restore => return Ok(op.evacuate(target, false).await),
+        FaultKind::Crash => fleet.replica(target)?.crash(),
+        FaultKind::Cold => fleet.replica(target)?.start().await?,
+        FaultKind::Drain => return Ok(op.drain(target).await),
+        FaultKind::Remove => return Ok(op.remove(target).await),
+        FaultKind::Mute => fleet.replica(target)?.mute(),
+        FaultKind::Unmute => fleet.replica(target)?.unmute().await?,
+        FaultKind::Lose => {
+            fleet.replica(target)?.crash();
+            sleep(Duration::from_secs(1)).await;
+            return Ok(op.remove(target).await);
+        }
+        FaultKind::Take => {
+            let ok = op.drain(target).await;
+            sleep(Duration::from_secs(2)).await;
+            fleet.replica(target)?.crash();
+            return Ok(op.remove(target).await && ok);
+        }
+        FaultKind::Swap => {
+            let new = fleet.start_replica_like(target).await?;
+            let spec = &new.spec;
+            let ok = op.list(&new.id, &spec.service, &spec.zone, new.addr).await && op.drain(target).await;
+            sleep(Duration::from_secs(3)).await;
+            return Ok(ok && op.remove(target).await);
+        }
+        FaultKind::BrownOut => fleet.replicas.iter().for_each(|b| b.set_unhealthy(true)),
+        FaultKind::BrownOver => fleet.replicas.iter().for_each(|b| b.set_unhealthy(false)),
+        FaultKind::Sour => fleet.replicas.iter().for_each(|b| b.set_rejecting(true)),
+        FaultKind::Sweet => fleet.replicas.iter().for_each(|b| b.set_rejecting(false)),
+        FaultKind::KillArea => {
+            for n in &zone {
+                fleet.node(n)?.kill().await?;
+            }
+            replicas.iter().for_each(|b| b.crash());
+        }
+        FaultKind::StartArea => {
+            for n in &zone {
+                fleet.start_node(n)?;
+            }
+            for b in &replicas {
+                b.start().await?;
+            }
+        }
+        _ => return Err(eyre!("{:?} is no act of the platform", fault.kind)),
+    }
+    Ok(true)
+}
--- a/crates/simulator/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -1,11 +1,11 @@
 //! The audit of a run (design 7.5): callers' answers against the replicas' own logs.
 
 use crate::{
-    caller::{Heard, Told},
+    caller::{CallOutcome, CallResult},
     checks::checks,
-    drive::Ride,
-    standin::{StandIn, by_job},
-    timeline::Scene,
+    fake_replica::{FakeReplica, by_job},
+    timeline::Topology,
+    traffic::RunRecord,
 };
 use serde::Serialize;
 use std::{collections::BTreeMap, sync::Arc};
@@ -76,7 +76,8 @@
     pub extra_share: f64,
     pub hops: f64,
     pub read_back_exact: Option<bool>,
-    pub acts: Vec<String>,
+    #[serde(rename = "acts")]
+    pub actions: Vec<String>,
     /// Longest time between the beginnings of two jobs that were done, by entry.
     pub longest_gap_ms: BTreeMap<String, u128>,
     pub p50_ms: BTreeMap<String, u128>,
@@ -84,25 +85,25 @@
     pub examples: Vec<String>,
 }
 
-pub fn audit(ride: &Ride, backs: &[Arc<StandIn>], scene: &Scene) -> Audit {
-    let model = scene.model;
-    let runs = by_job(backs);
-    let mut a = Audit { jobs: ride.responses.len(), model: model.into(), ..Audit::default() };
-    for h in &ride.responses {
-        one(&mut a, h, runs.get(&h.call.job).map(Vec::as_slice).unwrap_or(&[]));
+pub fn audit(record: &RunRecord, replicas: &[Arc<FakeReplica>], topology: &Topology) -> Audit {
+    let model = topology.model;
+    let runs = by_job(replicas);
+    let mut a = Audit { jobs: record.responses.len(), model: model.into(), ..Audit::default() };
+    for h in &record.responses {
+        audit_call(&mut a, h, runs.get(&h.call.job).map(Vec::as_slice).unwrap_or(&[]));
     }
-    for s in backs.iter().filter(|s| s.shape.service == model) {
+    for s in replicas.iter().filter(|s| s.spec.service == model) {
         let runs = s.runs();
         a.model_runs += runs.len();
         a.prefix_hits += runs.iter().filter(|r| r.warm).count();
-        *a.runs_by_region.entry(s.shape.region.clone()).or_default() += runs.len();
+        *a.runs_by_region.entry(s.spec.region.clone()).or_default() += runs.len();
         a.most_open_at_a_replica =
             a.most_open_at_a_replica.max(runs.iter().map(|r| r.open).max().unwrap_or(0));
     }
-    checks(&mut a, ride, scene, backs);
+    checks(&mut a, record, topology, replicas);
     a.prefix_hit_ratio = a.prefix_hits as f64 / a.model_runs.max(1) as f64;
     let mut begun: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
-    for h in ride.responses.iter().filter(|h| h.told == Told::Done) {
+    for h in record.responses.iter().filter(|h| h.outcome == CallOutcome::Done) {
         begun.entry(h.call.entry).or_default().push(h.at);
     }
     for (k, mut v) in begun {
@@ -111,7 +112,7 @@
         a.longest_gap_ms.insert(k.into(), gap.unwrap_or(0));
     }
     let mut took: BTreeMap<String, Vec<u128>> = BTreeMap::new();
-    for h in ride.responses.iter().filter(|h| h.told == Told::Done) {
+    for h in record.responses.iter().filter(|h| h.outcome == CallOutcome::Done) {
         took.entry(h.call.entry.into()).or_default().push(h.took.as_millis());
     }
     for (k, mut v) in took {
@@ -119,32 +120,35 @@
         a.p50_ms.insert(k.clone(), v[v.len() / 2]);
         a.p99_ms.insert(k, v[v.len() * 99 / 100]);
     }
-    a.acts =
-        ride.acts.iter().map(|x| format!("{} ok={} governs_ms={:?}", x.what, x.ok, x.governs_ms)).collect();
+    a.actions = record
+        .actions
+        .iter()
+        .map(|x| format!("{} ok={} governs_ms={:?}", x.label, x.ok, x.in_force_ms))
+        .collect();
     a
 }
 
-fn one(a: &mut Audit, h: &Heard, runs: &[(Arc<StandIn>, crate::standin::Run)]) {
+fn audit_call(a: &mut Audit, h: &CallResult, runs: &[(Arc<FakeReplica>, crate::fake_replica::JobRun)]) {
     let note = |a: &mut Audit, what: &str| {
         let at: Vec<String> = runs.iter().map(|r| r.0.id.clone()).collect();
-        a.note(what, &format!("{} {:?} ran at {at:?}", h.call.job, h.told));
+        a.note(what, &format!("{} {:?} ran at {at:?}", h.call.job, h.outcome));
     };
     if h.call.once && runs.len() > 1 {
         note(a, "doubled");
         a.doubled += 1;
     }
-    if runs.iter().any(|(s, _)| !h.call.homes.contains(&s.shape.region.as_str())) {
+    if runs.iter().any(|(s, _)| !h.call.homes.contains(&s.spec.region.as_str())) {
         note(a, "misrouted");
         a.misrouted += 1;
     }
     a.redirected += usize::from(h.redirected);
-    match &h.told {
-        Told::Done if runs.is_empty() => {
+    match &h.outcome {
+        CallOutcome::Done if runs.is_empty() => {
             note(a, "done, not run");
             a.done_not_run += 1;
         }
-        Told::Done => a.done += 1,
-        Told::Rejected(why) => {
+        CallOutcome::Done => a.done += 1,
+        CallOutcome::Rejected(why) => {
             a.rejected += 1;
             *a.bounce_reasons.entry(why.clone()).or_default() += 1;
             a.slowest_bounce_ms = a.slowest_bounce_ms.max(h.took.as_millis());
@@ -153,20 +157,20 @@
                 a.bounced_yet_run += 1;
             }
         }
-        Told::Unknown(why) => {
+        CallOutcome::Unknown(why) => {
             a.unknown += 1;
             *a.unknown_reasons.entry(why.clone()).or_default() += 1;
         }
-        Told::Broken(why) => {
+        CallOutcome::Broken(why) => {
             a.broken += 1;
             *a.broken_reasons.entry(why.clone()).or_default() += 1;
         }
-        Told::NotAsked => a.not_asked += 1,
-        Told::Garbled(_) => {
+        CallOutcome::NotAsked => a.not_asked += 1,
+        CallOutcome::Garbled(_) => {
             note(a, "garbled");
             a.garbled += 1;
         }
-        Told::Other(c) => {
+        CallOutcome::Other(c) => {
             note(a, "other");
             *a.other.entry(*c).or_default() += 1;
         }
--- a/crates/simulator/src/caller.rs
+++ b/crates/simulator/src/caller.rs
@@ -1,7 +1,7 @@
 //! Stand-in callers (design 7.3): each job carries its own id, and each answer is checked line
 //! by line against it.
 
-use crate::standin::{last_line, line};
+use crate::fake_replica::{last_line, line};
 use common::http::{RequestSender, full, open_client};
 use http_body_util::BodyExt;
 use hyper::{Method, Request, Response, body::Incoming};
@@ -26,7 +26,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum CallOutcome {
     /// A whole answer, line by line this job's own.
     Done,
     Rejected(String),
@@ -41,9 +41,9 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Heard {
+pub struct CallResult {
     pub call: Call,
-    pub told: Told,
+    pub outcome: CallOutcome,
     pub at: Instant,
     pub took: Duration,
     pub router: SocketAddr,
@@ -54,8 +54,8 @@
     pub revision: Option<u64>,
 }
 
-fn said<T>(r: &Response<T>, k: &str) -> String {
-    r.headers().get(k).and_then(|v| v.to_str().ok()).unwrap_or("").to_string()
+fn header<T>(r: &Response<T>, name: &str) -> String {
+    r.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or("").to_string()
 }
 
 async fn send(
@@ -86,20 +86,20 @@
 }
 
 /// Sends one job, follows one redirect, and says what came of it.
-pub async fn call(ip: IpAddr, to: SocketAddr, c: Call, give_up_after: Duration) -> Heard {
+pub async fn call(ip: IpAddr, to: SocketAddr, c: Call, give_up_after: Duration) -> CallResult {
     let at = Instant::now();
     let (mut router, mut redirected) = (to, false);
-    let told = tokio::time::timeout(give_up_after, async {
+    let result = tokio::time::timeout(give_up_after, async {
         loop {
             let Ok(mut tx) = open_client(ip, router, 2_000).await else {
                 // What was redirected was told that it did not run: no connection changes nothing.
-                return (Told::NotAsked, Head::default());
+                return (CallOutcome::NotAsked, Head::default());
             };
             let res = match send(&mut tx, router, &c, &c.path).await {
                 Ok(r) => r,
-                Err(e) => return (Told::Broken(format!("before the answer: {e}")), Head::default()),
+                Err(e) => return (CallOutcome::Broken(format!("before the answer: {e}")), Head::default()),
             };
-            let next = said(&res, "location")
+            let next = header(&res, "location")
                 .strip_prefix("http://")
                 .map(|l| l.split('/').next().unwrap_or("").to_string());
             if res.status().as_u16() == 307
@@ -111,38 +111,38 @@
             }
             let head = Head {
                 code: res.status().as_u16(),
-                retry_after: said(&res, "retry-after").parse().ok(),
-                revision: said(&res, "foldshunt-revision").parse().ok(),
+                retry_after: header(&res, "retry-after").parse().ok(),
+                revision: header(&res, "foldshunt-revision").parse().ok(),
             };
-            return (read(&c, res).await, head);
+            return (read_answer(&c, res).await, head);
         }
     })
     .await;
-    let late = || (Told::Broken("the caller's patience ended".into()), Head::default());
-    let (told, h) = told.unwrap_or_else(|_| late());
-    let Head { code, retry_after, revision } = h;
-    Heard { call: c, told, at, took: at.elapsed(), router, redirected, retry_after, code, revision }
+    let late = || (CallOutcome::Broken("the caller's patience ended".into()), Head::default());
+    let (outcome, head) = result.unwrap_or_else(|_| late());
+    let Head { code, retry_after, revision } = head;
+    CallResult { call: c, outcome, at, took: at.elapsed(), router, redirected, retry_after, code, revision }
 }
 
-async fn read(c: &Call, res: Response<Incoming>) -> Told {
+async fn read_answer(c: &Call, res: Response<Incoming>) -> CallOutcome {
     let code = res.status().as_u16();
-    let (outcome, reason) = (said(&res, "foldshunt-outcome"), said(&res, "foldshunt-reason"));
+    let (outcome, reason) = (header(&res, "foldshunt-outcome"), header(&res, "foldshunt-reason"));
     let body = match res.into_body().collect().await {
         Ok(b) => b.to_bytes(),
-        Err(e) => return Told::Broken(format!("within the body: {e}")),
+        Err(e) => return CallOutcome::Broken(format!("within the body: {e}")),
     };
     match (outcome.as_str(), code) {
         ("done", 200) => {
             let want: String =
                 (0..c.tokens).map(|n| line(&c.job, n)).chain([last_line(&c.job, c.tokens)]).collect();
             if body == want.as_bytes() {
-                Told::Done
+                CallOutcome::Done
             } else {
-                Told::Garbled(String::from_utf8_lossy(&body).chars().take(120).collect())
+                CallOutcome::Garbled(String::from_utf8_lossy(&body).chars().take(120).collect())
             }
         }
-        ("bounced", _) => Told::Rejected(reason),
-        ("unknown", _) => Told::Unknown(reason),
-        _ => Told::Other(code),
+        ("bounced", _) => CallOutcome::Rejected(reason),
+        ("unknown", _) => CallOutcome::Unknown(reason),
+        _ => CallOutcome::Other(code),
     }
 }
--- a/crates/simulator/src/deployment.rs
+++ b/crates/simulator/src/deployment.rs
@@ -8,7 +8,7 @@
 
 /// One kind of job that callers send.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct RequestKind {
     pub entry: &'static str,
     pub method: &'static str,
     pub path: &'static str,
@@ -31,7 +31,7 @@
     pub zones: [(&'static str, &'static str); 3],
     /// Service, and replicas in each zone.
     pub replicas: [(&'static str, [usize; 3]); 2],
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<RequestKind>,
     /// Tenant, its share of jobs, its home.
     pub tenants: &'static [(&'static str, f64, Option<&'static str>)],
 }
@@ -47,8 +47,8 @@
     }
 }
 
-fn kind(entry: &'static str, method: &'static str, path: &'static str, rate: f64) -> Kind {
-    Kind {
+fn kind(entry: &'static str, method: &'static str, path: &'static str, rate: f64) -> RequestKind {
+    RequestKind {
         entry,
         method,
         path,
@@ -70,8 +70,8 @@
             replicas: [("verdict", [5, 5, 8]), ("contacts", [1, 1, 1])],
             kinds: vec![
                 kind("match-verdicts", "POST", "/v1/verdicts", 14.0),
-                Kind { tokens: 40, ..kind("confirmation-notes", "POST", "/v1/notes", 2.0) },
-                Kind { prefix: 0, tokens: 1, ..kind("contact-lookups", "GET", "/v1/contacts/", 60.0) },
+                RequestKind { tokens: 40, ..kind("confirmation-notes", "POST", "/v1/notes", 2.0) },
+                RequestKind { prefix: 0, tokens: 1, ..kind("contact-lookups", "GET", "/v1/contacts/", 60.0) },
             ],
             tenants: &[
                 ("operators", 0.7, None),
@@ -87,14 +87,14 @@
                 zones: [("baires-1", "buenos-aires"), ("baires-2", "buenos-aires"), ("cordoba-1", "cordoba")],
                 replicas: [("match", [3, 3, 5]), ("tickets", [1, 1, 1])],
                 kinds: vec![
-                    Kind { user_field, ..kind("register-matches", "POST", "/v1/matches", 9.0) },
-                    Kind {
+                    RequestKind { user_field, ..kind("register-matches", "POST", "/v1/matches", 9.0) },
+                    RequestKind {
                         user_field,
                         tokens: 40,
                         homes: Some("buenos-aires"),
                         ..kind("claimant-replies", "POST", "/v1/replies", 1.5)
                     },
-                    Kind {
+                    RequestKind {
                         user_field,
                         prefix: 0,
                         tokens: 1,
--- a/crates/simulator/src/standin.rs
+++ b/crates/simulator/src/fake_replica.rs
@@ -25,7 +25,7 @@
 
 /// One run of a job at a replica.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct JobRun {
     pub job: String,
     pub tenant: String,
     pub path: String,
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct ReplicaSpec {
     pub service: String,
     pub zone: String,
     pub region: String,
@@ -50,17 +50,17 @@
 
 #[derive(Default)]
 struct Inner {
-    runs: Vec<Run>,
+    runs: Vec<JobRun>,
     cache: VecDeque<u64>,
     open: usize,
-    sick: bool,
-    sour: bool,
+    unhealthy: bool,
+    rejecting: bool,
 }
 
-pub struct StandIn {
+pub struct FakeReplica {
     pub id: String,
     pub addr: SocketAddr,
-    pub shape: Shape,
+    pub spec: ReplicaSpec,
     inner: Mutex<Inner>,
     slots: Semaphore,
     stop: Mutex<Option<watch::Sender<bool>>>,
@@ -68,7 +68,7 @@
 }
 
 /// Ends the count of an open run, however the run ends.
-struct OpenRun(Arc<StandIn>);
+struct OpenRun(Arc<FakeReplica>);
 
 impl Drop for OpenRun {
     fn drop(&mut self) {
@@ -85,13 +85,13 @@
     format!("{job} end {n}\n")
 }
 
-impl StandIn {
-    pub fn new(id: String, addr: SocketAddr, shape: Shape) -> Arc<Self> {
-        let slots = Semaphore::new(shape.slots);
+impl FakeReplica {
+    pub fn new(id: String, addr: SocketAddr, spec: ReplicaSpec) -> Arc<Self> {
+        let slots = Semaphore::new(spec.slots);
         Arc::new(Self {
             id,
             addr,
-            shape,
+            spec,
             inner: Mutex::default(),
             slots,
             stop: Mutex::default(),
@@ -103,16 +103,16 @@
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    pub fn runs(&self) -> Vec<Run> {
+    pub fn runs(&self) -> Vec<JobRun> {
         self.lock().runs.clone()
     }
 
-    pub fn set_sour(&self, sour: bool) {
-        self.lock().sour = sour;
+    pub fn set_rejecting(&self, rejecting: bool) {
+        self.lock().rejecting = rejecting;
     }
 
-    pub fn set_sick(&self, sick: bool) {
-        self.lock().sick = sick;
+    pub fn set_unhealthy(&self, unhealthy: bool) {
+        self.lock().unhealthy = unhealthy;
     }
 
     /// Comes up, with an empty cache: a cold start.
@@ -175,7 +175,7 @@
                 let g = self.lock();
                 return Ok(json(
                     StatusCode::OK,
-                    &serde_json::json!({"healthy": !g.sick, "capacity": self.shape.slots, "consumption": g.open, "model": self.shape.service}),
+                    &serde_json::json!({"healthy": !g.unhealthy, "capacity": self.spec.slots, "consumption": g.open, "model": self.spec.service}),
                 ));
             }
             _ => {}
@@ -184,7 +184,7 @@
         let (job, tenant) = (said("x-job"), said("x-tenant"));
         let tokens: usize = said("x-tokens").parse().unwrap_or(1);
         let bytes = body.collect().await?.to_bytes();
-        if self.lock().sour {
+        if self.lock().rejecting {
             return Ok(text(StatusCode::SERVICE_UNAVAILABLE, "not now\n"));
         }
         let prefix = common::rendezvous::stable_hash(&[bytes.get(..bytes.len().min(4096)).unwrap_or(&[])]);
@@ -195,10 +195,10 @@
             let warm = bytes.is_empty() || g.cache.contains(&prefix);
             g.cache.retain(|p| *p != prefix);
             g.cache.push_back(prefix);
-            while g.cache.len() > self.shape.prefixes {
+            while g.cache.len() > self.spec.prefixes {
                 g.cache.pop_front();
             }
-            let run = Run {
+            let run = JobRun {
                 job: job.clone(),
                 tenant,
                 path: head.uri.path().into(),
@@ -210,12 +210,12 @@
             (warm, open)
         };
         let counted = OpenRun(self.clone());
-        let load = format!("{:.2}", open as f64 / self.shape.slots as f64);
+        let load = format!("{:.2}", open as f64 / self.spec.slots as f64);
         let me = self.clone();
         let _slot = me.slots.acquire().await?;
-        let ms = if warm { self.shape.slow_start_ms } else { self.shape.cold_ms };
+        let ms = if warm { self.spec.slow_start_ms } else { self.spec.cold_ms };
         tokio::time::sleep(Duration::from_millis(ms)).await;
-        let step = Duration::from_millis(self.shape.token_ms);
+        let step = Duration::from_millis(self.spec.token_ms);
         let out = futures::stream::unfold((0, counted), move |(n, c)| {
             let job = job.clone();
             async move {
@@ -234,8 +234,8 @@
 }
 
 /// Runs by job id over all replicas.
-pub fn by_job(all: &[Arc<StandIn>]) -> HashMap<String, Vec<(Arc<StandIn>, Run)>> {
-    let mut out: HashMap<String, Vec<(Arc<StandIn>, Run)>> = HashMap::new();
+pub fn by_job(all: &[Arc<FakeReplica>]) -> HashMap<String, Vec<(Arc<FakeReplica>, JobRun)>> {
+    let mut out: HashMap<String, Vec<(Arc<FakeReplica>, JobRun)>> = HashMap::new();
     for s in all {
         for r in s.runs() {
             out.entry(r.job.clone()).or_default().push((s.clone(), r));
--- a/crates/simulator/src/fault.rs
+++ b/crates/simulator/src/fault.rs
@@ -3,7 +3,7 @@
 use std::str::FromStr;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum What {
+pub enum FaultKind {
     /// SIGKILL; a node's name.
     Kill,
     /// SIGTERM: a planned stop.
@@ -67,54 +67,54 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
     pub second: f64,
-    pub what: What,
-    pub whom: String,
+    pub kind: FaultKind,
+    pub target: String,
 }
 
-const NAMES: &[(&str, What)] = &[
-    ("kill", What::Kill),
-    ("stop", What::Stop),
-    ("start", What::Start),
-    ("blank", What::Blank),
-    ("freeze", What::Freeze),
-    ("thaw", What::Thaw),
-    ("dark", What::Dark),
-    ("cut", What::Cut),
-    ("mend", What::Mend),
-    ("kill-core", What::KillCore),
-    ("start-core", What::StartCore),
-    ("replace", What::Replace),
-    ("slow-disk", What::SlowDisk),
-    ("stall-disk", What::StallDisk),
-    ("fail-disk", What::FailDisk),
-    ("well-disk", What::WellDisk),
-    ("evacuate", What::Evacuate),
-    ("restore", What::Restore),
-    ("evacuate-and-patch", What::EvacuateAndPatch),
-    ("crash", What::Crash),
-    ("cold", What::Cold),
-    ("drain", What::Drain),
-    ("remove", What::Remove),
-    ("mute", What::Mute),
-    ("unmute", What::Unmute),
-    ("lose", What::Lose),
-    ("take", What::Take),
-    ("swap", What::Swap),
-    ("brown-out", What::BrownOut),
-    ("brown-over", What::BrownOver),
-    ("sour", What::Sour),
-    ("sweet", What::Sweet),
-    ("apply", What::Apply),
-    ("race", What::Race),
-    ("burst", What::Burst),
-    ("kill-area", What::KillArea),
-    ("start-area", What::StartArea),
+const NAMES: &[(&str, FaultKind)] = &[
+    ("kill", FaultKind::Kill),
+    ("stop", FaultKind::Stop),
+    ("start", FaultKind::Start),
+    ("blank", FaultKind::Blank),
+    ("freeze", FaultKind::Freeze),
+    ("thaw", FaultKind::Thaw),
+    ("dark", FaultKind::Dark),
+    ("cut", FaultKind::Cut),
+    ("mend", FaultKind::Mend),
+    ("kill-core", FaultKind::KillCore),
+    ("start-core", FaultKind::StartCore),
+    ("replace", FaultKind::Replace),
+    ("slow-disk", FaultKind::SlowDisk),
+    ("stall-disk", FaultKind::StallDisk),
+    ("fail-disk", FaultKind::FailDisk),
+    ("well-disk", FaultKind::WellDisk),
+    ("evacuate", FaultKind::Evacuate),
+    ("restore", FaultKind::Restore),
+    ("evacuate-and-patch", FaultKind::EvacuateAndPatch),
+    ("crash", FaultKind::Crash),
+    ("cold", FaultKind::Cold),
+    ("drain", FaultKind::Drain),
+    ("remove", FaultKind::Remove),
+    ("mute", FaultKind::Mute),
+    ("unmute", FaultKind::Unmute),
+    ("lose", FaultKind::Lose),
+    ("take", FaultKind::Take),
+    ("swap", FaultKind::Swap),
+    ("brown-out", FaultKind::BrownOut),
+    ("brown-over", FaultKind::BrownOver),
+    ("sour", FaultKind::Sour),
+    ("sweet", FaultKind::Sweet),
+    ("apply", FaultKind::Apply),
+    ("race", FaultKind::Race),
+    ("burst", FaultKind::Burst),
+    ("kill-area", FaultKind::KillArea),
+    ("start-area", FaultKind::StartArea),
 ];
 
-impl What {
+impl FaultKind {
     /// Part of planned work: nothing that was read may be dropped by it.
     pub fn planned(self) -> bool {
-        use What::*;
+        use FaultKind::*;
         matches!(
             self,
             Stop | Start
@@ -136,10 +136,10 @@
     fn from_str(s: &str) -> Result<Self, String> {
         let mut parts = s.splitn(3, ':');
         let second = parts.next().and_then(|p| p.parse().ok()).filter(|v: &f64| *v >= 0.0);
-        let what = parts.next().and_then(|p| NAMES.iter().find(|(n, _)| *n == p)).map(|n| n.1);
-        match (second, what) {
-            (Some(second), Some(what)) => {
-                Ok(Fault { second, what, whom: parts.next().unwrap_or("").to_string() })
+        let kind = parts.next().and_then(|p| NAMES.iter().find(|(n, _)| *n == p)).map(|n| n.1);
+        match (second, kind) {
+            (Some(second), Some(kind)) => {
+                Ok(Fault { second, kind, target: parts.next().unwrap_or("").to_string() })
             }
             _ => {
                 let names: Vec<_> = NAMES.iter().map(|n| n.0).collect();
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,24 +1,24 @@
 //! Proof (design 7): stand-ins for callers and back ends, a whole fleet on one machine, and the
 //! seeded simulator. The only package that starts processes.
 
-pub mod acts;
+pub mod actions;
 pub mod audit;
 pub mod caller;
 pub mod chaos;
 pub mod checks;
 pub mod deployment;
-pub mod drive;
+pub mod fake_replica;
 pub mod fault;
 pub mod fleet;
-pub mod hosted;
 pub mod node;
 pub mod operator;
-pub mod papers;
 pub mod relay;
+pub mod replacements;
 pub mod run;
 pub mod sim;
-pub mod spare;
-pub mod standin;
+pub mod simulated_process;
+pub mod submissions;
 pub mod sync_body;
 pub mod timeline;
+pub mod traffic;
 pub mod world;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -3,18 +3,18 @@
 use bpaf::Bpaf;
 use eyre::{Result, ensure, eyre};
 use simulator::{
-    chaos::plan,
+    chaos::draw_faults,
     deployment::{Firm, deployment},
-    drive::Load,
     fault::Fault,
     fleet::Fleet,
-    run::{run, told},
+    run::{print_audit, run},
     sim::{
         Broken,
         catch_up::{self, CatchUpPlan, catch_up_plan},
         sweep::{sweep, sweep_data},
     },
-    world::{Variant, WorldPlan, sweep_worlds},
+    traffic::Load,
+    world::{BrokenVariant, WorldPlan, sweep_worlds},
 };
 use std::path::PathBuf;
 
@@ -87,7 +87,7 @@
         all: bool,
         /// Runs a deliberately broken variant, which a check must catch
         #[bpaf(argument("NAME"))]
-        broken: Option<Variant>,
+        broken: Option<BrokenVariant>,
     },
     /// Measures time and bytes until a member of the core has caught up, in virtual time
     #[bpaf(command("catch-up"))]
@@ -136,18 +136,18 @@
             ensure!((1..=254).contains(&net), "--net: {net}; allowed: 1 to 254");
             let taken = std::fs::read_dir(&dir).is_ok_and(|mut d| d.next().is_some());
             ensure!(!taken, "--dir: {dir:?} is not empty; allowed: a new or empty folder");
-            let mut dep = deployment(firm);
-            replace.iter().try_for_each(|r| dep.replace(r)).map_err(|e| eyre!("--replace: {e}"))?;
-            let known = crowd.as_ref().is_none_or(|c| dep.regions().contains(&c.as_str()));
-            ensure!(known, "--crowd: {crowd:?}; allowed: {}", dep.regions().join(", "));
-            let mut f = Fleet::start(dep, &dir, net).await?;
+            let mut deployment = deployment(firm);
+            replace.iter().try_for_each(|r| deployment.replace(r)).map_err(|e| eyre!("--replace: {e}"))?;
+            let known = crowd.as_ref().is_none_or(|c| deployment.regions().contains(&c.as_str()));
+            ensure!(known, "--crowd: {crowd:?}; allowed: {}", deployment.regions().join(", "));
+            let mut f = Fleet::start(deployment, &dir, net).await?;
             if chaos {
-                faults.extend(plan(seed, seconds, &f.dep, false));
+                faults.extend(draw_faults(seed, seconds, &f.deployment, false));
             }
             let load = Load { secs: seconds, rate, seed, crowd };
             let res = run(&mut f, &load, settle, &faults).await;
             f.stop().await;
-            told(&res?)
+            print_audit(&res?)
         }
         Opts::World { firm, from, seeds, seconds, rate, faults, calm, verbose, all, broken } => {
             ensure!((1..=10_000_000).contains(&seeds), "--seeds: {seeds}; allowed: 1 to 10000000");
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -1,8 +1,8 @@
 //! One node of a fleet: a real process, or the same code on a host of a world (design 7.2).
 
 use crate::{
-    hosted::Hosted,
     sim::disk::{DiskCondition, SimDisk},
+    simulated_process::SimulatedProcess,
 };
 use common::settings::{Settings, Timing};
 use eyre::{Result, WrapErr, bail, eyre};
@@ -20,78 +20,79 @@
 };
 use tokio::process::{Child, Command};
 
-pub const RAIL: u16 = 7100;
-pub const HTTP: u16 = 8080;
+pub const RPC_PORT: u16 = 7100;
+pub const HTTP_PORT: u16 = 8080;
 
 /// How a node lives while it runs.
-pub enum Life {
+pub enum RunningNode {
     Process(Child),
-    Hosted(Hosted),
+    Simulated(SimulatedProcess),
 }
 
 /// Where nodes are started.
 #[derive(Clone)]
-pub enum Yard {
+pub enum Launcher {
     /// As processes, from the programs in this folder.
-    Programs(PathBuf),
-    World(Arc<common::runtime::Simulation>),
+    Processes(PathBuf),
+    Simulation(Arc<common::runtime::Simulation>),
 }
 
 pub struct Node {
     pub name: String,
     pub zone: &'static str,
-    pub core: bool,
+    pub is_control: bool,
     /// An empty machine that may take the place of another.
-    pub spare: bool,
+    pub is_replacement: bool,
     pub ip: IpAddr,
-    /// Where its relay stands: what the others are told.
-    pub told: IpAddr,
+    /// Where its relay stands: what the others are advertised_ip.
+    pub advertised_ip: IpAddr,
     pub dir: PathBuf,
     pub cluster: &'static str,
     pub seeds: Vec<SocketAddr>,
-    pub process: Option<Life>,
+    pub running: Option<RunningNode>,
     /// In a world: its disk, which outlives the process.
     pub disk: Arc<Mutex<SimDisk>>,
 }
 
 impl Node {
     pub fn http(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, HTTP)
+        SocketAddr::new(self.ip, HTTP_PORT)
     }
 
     pub fn settings(&self) -> Settings {
-        let advertise = |port| (self.told != self.ip).then_some(SocketAddr::new(self.told, port));
+        let advertise =
+            |port| (self.advertised_ip != self.ip).then_some(SocketAddr::new(self.advertised_ip, port));
         Settings {
             cluster: self.cluster.into(),
             node: self.name.clone(),
             zone: self.zone.into(),
-            rpc_addr: SocketAddr::new(self.ip, RAIL),
+            rpc_addr: SocketAddr::new(self.ip, RPC_PORT),
             http: self.http(),
-            rpc_advertise: advertise(RAIL),
-            http_advertise: advertise(HTTP),
+            rpc_advertise: advertise(RPC_PORT),
+            http_advertise: advertise(HTTP_PORT),
             seeds: self.seeds.clone(),
             may_bootstrap: true,
-            data: self.core.then(|| self.dir.join("data")),
+            data: self.is_control.then(|| self.dir.join("data")),
             timing: Timing::default(),
             log: "info".into(),
         }
     }
 
-    pub fn start(&mut self, yard: &Yard) -> Result<()> {
-        if self.process.is_some() {
+    pub fn start(&mut self, yard: &Launcher) -> Result<()> {
+        if self.running.is_some() {
             bail!("{} runs already", self.name);
         }
-        self.process = Some(match yard {
-            Yard::Programs(bin) => Life::Process(self.process(bin)?),
-            Yard::World(w) => Life::Hosted(Hosted::start(w, self)),
+        self.running = Some(match yard {
+            Launcher::Processes(bin) => RunningNode::Process(self.spawn_process(bin)?),
+            Launcher::Simulation(w) => RunningNode::Simulated(SimulatedProcess::start(w, self)),
         });
         Ok(())
     }
 
-    fn process(&self, bin: &Path) -> Result<Child> {
+    fn spawn_process(&self, bin: &Path) -> Result<Child> {
         std::fs::create_dir_all(&self.dir)?;
         std::fs::write(self.dir.join("node.toml"), toml::to_string(&self.settings())?)?;
-        let prog = bin.join(if self.core { "foldshunt-control" } else { "foldshunt-router" });
+        let prog = bin.join(if self.is_control { "foldshunt-control" } else { "foldshunt-router" });
         let log = File::options().create(true).append(true).open(self.dir.join("log"))?;
         Command::new(&prog)
             .arg("--config")
@@ -106,25 +107,25 @@
 
     /// Of a real process, while it runs.
     pub fn pid(&self) -> Option<u32> {
-        match &self.process {
-            Some(Life::Process(c)) => c.id(),
+        match &self.running {
+            Some(RunningNode::Process(c)) => c.id(),
             _ => None,
         }
     }
 
-    fn signal(&self, s: Signal) -> Result<()> {
-        match &self.process {
-            Some(Life::Process(c)) => {
+    fn signal(&self, signal: Signal) -> Result<()> {
+        match &self.running {
+            Some(RunningNode::Process(c)) => {
                 let pid = c.id().ok_or_else(|| eyre!("{} has ended", self.name))?;
-                Ok(kill(Pid::from_raw(pid as i32), s)?)
+                Ok(kill(Pid::from_raw(pid as i32), signal)?)
             }
             _ => bail!("{} does not run", self.name),
         }
     }
 
     pub fn freeze(&self) -> Result<()> {
-        match &self.process {
-            Some(Life::Hosted(h)) => {
+        match &self.running {
+            Some(RunningNode::Simulated(h)) => {
                 h.host.freeze();
                 Ok(())
             }
@@ -133,8 +134,8 @@
     }
 
     pub fn thaw(&self) -> Result<()> {
-        match &self.process {
-            Some(Life::Hosted(h)) => {
+        match &self.running {
+            Some(RunningNode::Simulated(h)) => {
                 h.host.thaw();
                 Ok(())
             }
@@ -143,9 +144,9 @@
     }
 
     pub async fn kill(&mut self) -> Result<()> {
-        match self.process.take() {
-            Some(Life::Process(mut c)) => c.kill().await?,
-            Some(Life::Hosted(h)) => h.kill(&self.disk).await,
+        match self.running.take() {
+            Some(RunningNode::Process(mut c)) => c.kill().await?,
+            Some(RunningNode::Simulated(h)) => h.kill(&self.disk).await,
             None => {}
         }
         Ok(())
@@ -153,13 +154,13 @@
 
     /// The machine loses its power; a real process can only be killed.
     pub async fn power_off(&mut self) -> Result<()> {
-        match self.process.take() {
-            Some(Life::Hosted(h)) => {
+        match self.running.take() {
+            Some(RunningNode::Simulated(h)) => {
                 h.power_off(&self.disk).await;
                 Ok(())
             }
-            process => {
-                self.process = process;
+            running => {
+                self.running = running;
                 self.kill().await
             }
         }
@@ -169,13 +170,13 @@
     pub async fn stop(&mut self) -> Result<Duration> {
         let at = tokio::time::Instant::now();
         let most = Duration::from_secs(90);
-        match self.process.take() {
-            Some(Life::Process(mut c)) => {
+        match self.running.take() {
+            Some(RunningNode::Process(mut c)) => {
                 let pid = c.id().ok_or_else(|| eyre!("{} has ended", self.name))?;
                 kill(Pid::from_raw(pid as i32), Signal::SIGTERM)?;
                 tokio::time::timeout(most, c.wait()).await.wrap_err("no end after SIGTERM")??;
             }
-            Some(Life::Hosted(h)) => {
+            Some(RunningNode::Simulated(h)) => {
                 tokio::time::timeout(most, h.stop(&self.disk)).await.wrap_err("no end after the stop")?;
             }
             None => bail!("{} does not run", self.name),
@@ -184,16 +185,16 @@
     }
 
     /// A voter's disk changes; real files do as they do.
-    pub fn mood(&self, m: DiskCondition) -> Result<()> {
-        if !matches!(self.process, Some(Life::Hosted(_))) {
+    pub fn set_disk_condition(&self, condition: DiskCondition) -> Result<()> {
+        if !matches!(self.running, Some(RunningNode::Simulated(_))) {
             bail!("the disk of {} is a real one; disks change in a world only", self.name);
         }
-        self.disk.lock().unwrap_or_else(|e| e.into_inner()).condition = m;
+        self.disk.lock().unwrap_or_else(|e| e.into_inner()).condition = condition;
         Ok(())
     }
 
-    pub fn runs(&self) -> bool {
-        self.process.is_some()
+    pub fn is_running(&self) -> bool {
+        self.running.is_some()
     }
 
     pub fn wipe(&self) -> Result<()> {
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -43,13 +43,13 @@
         Some((code, serde_json::from_slice(&b).unwrap_or_default()))
     }
 
-    pub async fn shown(&self) -> Option<String> {
+    pub async fn document(&self) -> Option<String> {
         let (code, b) = self.ask(Method::GET, "/v1/timetable", &[], "").await?;
         (code == 200).then(|| String::from_utf8_lossy(&b).into_owned())
     }
 
     /// The document with its revision.
-    pub async fn shown_at(&self) -> Option<(String, u64)> {
+    pub async fn document_and_revision(&self) -> Option<(String, u64)> {
         for s in &self.voters {
             let res = send_request(self.ip, *s, Method::GET, "/v1/timetable", &[], "", 8_000).await;
             if let Ok((code, head, b)) = res
@@ -63,7 +63,7 @@
     }
 
     /// Another operator, who asks the voters in another order.
-    pub fn turned(&self) -> Operator {
+    pub fn with_rotated_voters(&self) -> Operator {
         let mut voters = self.voters.clone();
         voters.rotate_left(1);
         Operator { ip: self.ip, voters }
--- a/crates/simulator/src/relay.rs
+++ b/crates/simulator/src/relay.rs
@@ -16,22 +16,22 @@
 };
 
 /// Pairs (from, to) whose bytes do not flow.
-pub type Cuts = BTreeSet<(IpAddr, IpAddr)>;
+pub type BlockedLinks = BTreeSet<(IpAddr, IpAddr)>;
 
 #[derive(Clone)]
 pub struct Relays {
-    cuts: Arc<watch::Sender<Cuts>>,
+    cuts: Arc<watch::Sender<BlockedLinks>>,
 }
 
 impl Default for Relays {
     fn default() -> Self {
-        Self { cuts: Arc::new(watch::channel(Cuts::new()).0) }
+        Self { cuts: Arc::new(watch::channel(BlockedLinks::new()).0) }
     }
 }
 
 impl Relays {
     /// Relays everything that reaches `at` to `to`.
-    pub async fn put(&self, at: SocketAddr, to: SocketAddr) -> std::io::Result<()> {
+    pub async fn add(&self, at: SocketAddr, to: SocketAddr) -> std::io::Result<()> {
         let listener = TcpListener::bind(at).await?;
         let cuts = self.cuts.clone();
         tokio::spawn(async move {
@@ -40,13 +40,13 @@
                 let cuts = cuts.clone();
                 tokio::spawn(async move {
                     let there = (from.ip(), to.ip());
-                    open(&cuts, there).await;
+                    wait_until_unblocked(&cuts, there).await;
                     let Ok(far) = TcpStream::connect(to).await else { return };
                     let _ = (io.set_nodelay(true), far.set_nodelay(true));
                     let ((ir, iw), (fr, fw)) = (io.into_split(), far.into_split());
                     let c2 = cuts.clone();
-                    let a = tokio::spawn(async move { pump(ir, fw, &c2, there).await });
-                    pump(fr, iw, &cuts, (there.1, there.0)).await;
+                    let a = tokio::spawn(async move { copy(ir, fw, &c2, there).await });
+                    copy(fr, iw, &cuts, (there.1, there.0)).await;
                     a.abort();
                 });
             }
@@ -58,24 +58,24 @@
         self.cuts.send_modify(|c| c.extend(pairs));
     }
 
-    pub fn mend(&self, pairs: &Cuts) {
+    pub fn heal(&self, pairs: &BlockedLinks) {
         self.cuts.send_modify(|c| c.retain(|p| !pairs.contains(p)));
     }
 }
 
-async fn open(cuts: &watch::Sender<Cuts>, pair: (IpAddr, IpAddr)) {
+async fn wait_until_unblocked(cuts: &watch::Sender<BlockedLinks>, pair: (IpAddr, IpAddr)) {
     let _ = cuts.subscribe().wait_for(|c| !c.contains(&pair)).await;
 }
 
-async fn pump(
+async fn copy(
     mut r: OwnedReadHalf,
     mut w: OwnedWriteHalf,
-    cuts: &watch::Sender<Cuts>,
+    cuts: &watch::Sender<BlockedLinks>,
     pair: (IpAddr, IpAddr),
 ) {
     let mut buf = vec![0u8; 16 << 10];
     while let Ok(n) = r.read(&mut buf).await {
-        open(cuts, pair).await;
+        wait_until_unblocked(cuts, pair).await;
         if n == 0 || w.write_all(&buf[..n]).await.is_err() {
             break;
         }
--- a/crates/simulator/src/spare.rs
+++ b/crates/simulator/src/replacements.rs
@@ -1,10 +1,10 @@
 //! Machines and replicas that take the place of others (design 7.4).
 
 use crate::{
+    fake_replica::FakeReplica,
     fleet::{Fleet, ip},
     node::Node,
     sim::disk::SimDisk,
-    standin::StandIn,
 };
 use control_plane::types::SizeLimits;
 use eyre::Result;
@@ -13,7 +13,7 @@
     sync::{Arc, Mutex},
 };
 
-fn spare_ip(of: IpAddr) -> IpAddr {
+fn replacement_ip(of: IpAddr) -> IpAddr {
     match of {
         IpAddr::V4(v) => {
             let [a, b, c, d] = v.octets();
@@ -25,19 +25,19 @@
 
 impl Fleet {
     /// An empty machine in the same zone, at a new address, for a voter that is gone.
-    pub fn spare_for(&mut self, name: &str) -> Result<()> {
+    pub fn start_replacement(&mut self, name: &str) -> Result<()> {
         let old = self.node(name)?;
         let n = Node {
             name: format!("{name}-new"),
             dir: old.dir.with_file_name(format!("{name}-new")),
             zone: old.zone,
-            core: true,
-            spare: true,
-            ip: spare_ip(old.ip),
-            told: spare_ip(old.told),
+            is_control: true,
+            is_replacement: true,
+            ip: replacement_ip(old.ip),
+            advertised_ip: replacement_ip(old.advertised_ip),
             cluster: old.cluster,
             seeds: old.seeds.clone(),
-            process: None,
+            running: None,
             disk: Arc::new(Mutex::new(SimDisk::new(None, SizeLimits::default()))),
         };
         let name = n.name.clone();
@@ -47,12 +47,12 @@
     }
 
     /// A replica of the same kind, under another name and address.
-    pub async fn another(&mut self, id: &str) -> Result<Arc<StandIn>> {
-        let (n, shape) = (self.backs.len() as u8, self.back(id)?.shape.clone());
+    pub async fn start_replica_like(&mut self, id: &str) -> Result<Arc<FakeReplica>> {
+        let (n, spec) = (self.replicas.len() as u8, self.replica(id)?.spec.clone());
         let addr = SocketAddr::new(ip(self.net, 100, n + 1), 9000);
-        let new = StandIn::new(format!("{}-{}-{n}", shape.service, shape.zone), addr, shape);
+        let new = FakeReplica::new(format!("{}-{}-{n}", spec.service, spec.zone), addr, spec);
         new.start().await?;
-        self.backs.push(new.clone());
+        self.replicas.push(new.clone());
         Ok(new)
     }
 }
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/simulated_process.rs
@@ -22,7 +22,7 @@
 };
 use tokio::{sync::oneshot, task::JoinHandle, time::sleep};
 
-pub struct Hosted {
+pub struct SimulatedProcess {
     pub host: Arc<Host>,
     world: Arc<Simulation>,
     stop: oneshot::Sender<()>,
@@ -33,12 +33,12 @@
     d.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-impl Hosted {
-    pub fn start(w: &Arc<Simulation>, n: &Node) -> Hosted {
-        let (stop, told) = oneshot::channel();
-        let (set, core, disk) = (n.settings(), n.core, n.disk.clone());
+impl SimulatedProcess {
+    pub fn start(w: &Arc<Simulation>, n: &Node) -> SimulatedProcess {
+        let (stop, stopped) = oneshot::channel();
+        let (set, core, disk) = (n.settings(), n.is_control, n.disk.clone());
         let (ip, world) = (n.ip, w.clone());
-        let told = async move { drop(told.await) };
+        let shutdown = async move { drop(stopped.await) };
         let task = w.host(n.ip).spawn(async move {
             let bound = match (bind(set.rpc_addr).await, bind(set.http).await) {
                 (Ok(rpc), Ok(http)) => Listeners { rpc, http },
@@ -47,7 +47,7 @@
             if core {
                 let image = take_up(&set, &disk);
                 let drive = Box::new(move |core| -> Box<dyn LogWriter> {
-                    Box::new(WorldDrive { core, disk, ip, world })
+                    Box::new(SimulatedLogWriter { core, disk, ip, world })
                 });
                 control_plane::daemon::run(
                     set,
@@ -55,14 +55,14 @@
                     bound,
                     (image, drive),
                     control_plane::operator::api::handle,
-                    told,
+                    shutdown,
                 )
                 .await;
             } else {
-                data_plane::daemon::run(set, bound, told).await;
+                data_plane::daemon::run(set, bound, shutdown).await;
             }
         });
-        Hosted { host: w.host(n.ip), world: w.clone(), stop, task }
+        SimulatedProcess { host: w.host(n.ip), world: w.clone(), stop, task }
     }
 
     /// Of what was not synced yet, some had reached the disk.
@@ -119,14 +119,14 @@
     }
 }
 
-struct WorldDrive {
+struct SimulatedLogWriter {
     core: Weak<ControlNode>,
     disk: Arc<Mutex<SimDisk>>,
     ip: IpAddr,
     world: Arc<Simulation>,
 }
 
-impl LogWriter for WorldDrive {
+impl LogWriter for SimulatedLogWriter {
     fn write(&self, token: u64, record: Record) {
         let ms = {
             let mut d = lock(&self.disk);
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -2,12 +2,12 @@
 
 use crate::{
     audit::Audit,
-    chaos::plan,
+    chaos::draw_faults,
     deployment::{Firm, deployment},
-    drive::Load,
     fault::Fault,
     fleet::Fleet,
     run::run,
+    traffic::Load,
 };
 use common::runtime::Simulation;
 use eyre::{Result, bail};
@@ -20,7 +20,7 @@
 };
 
 /// Deliberately broken variants of the daemons, each with the check that must catch it.
-pub const VARIANTS: &[(&str, &str)] = &[
+pub const BROKEN_VARIANTS: &[(&str, &str)] = &[
     ("once-goes-again", "doubled"),
     ("unknown-called-bounced", "bounced, yet run"),
     ("cut-looks-whole", "garbled"),
@@ -34,13 +34,13 @@
 ];
 
 #[derive(Clone, Debug)]
-pub struct Variant(pub &'static str);
+pub struct BrokenVariant(pub &'static str);
 
-impl FromStr for Variant {
+impl FromStr for BrokenVariant {
     type Err = String;
     fn from_str(s: &str) -> Result<Self, String> {
-        VARIANTS.iter().find(|v| v.0 == s).map(|v| Variant(v.0)).ok_or_else(|| {
-            let all: Vec<&str> = VARIANTS.iter().map(|v| v.0).collect();
+        BROKEN_VARIANTS.iter().find(|v| v.0 == s).map(|v| BrokenVariant(v.0)).ok_or_else(|| {
+            let all: Vec<&str> = BROKEN_VARIANTS.iter().map(|v| v.0).collect();
             format!("{s:?}; allowed: {}", all.join(", "))
         })
     }
@@ -53,21 +53,21 @@
     pub rate: f64,
     pub faults: Vec<Fault>,
     pub calm: bool,
-    pub broken: Option<Variant>,
+    pub broken: Option<BrokenVariant>,
 }
 
 /// One run from one seed. The same seed gives the same run again.
-pub fn one(p: &WorldPlan, seed: u64) -> Result<Audit> {
+pub fn run_seed(p: &WorldPlan, seed: u64) -> Result<Audit> {
     let both = if seed.is_multiple_of(2) { Firm::Rinaldi } else { Firm::Bitacora };
-    let dep = deployment(p.firm.unwrap_or(both));
+    let deployment = deployment(p.firm.unwrap_or(both));
     let mut faults = p.faults.clone();
     if !p.calm {
-        faults.extend(plan(seed, p.seconds, &dep, true));
+        faults.extend(draw_faults(seed, p.seconds, &deployment, true));
     }
     let load = Load { secs: p.seconds, rate: p.rate, seed, crowd: None };
     let broken = p.broken.as_ref().map(|b| b.0.to_string());
     Simulation::run(seed, broken, |w| async move {
-        let mut f = Fleet::hosted(w, dep).await?;
+        let mut f = Fleet::start_simulated(w, deployment).await?;
         let res = run(&mut f, &load, 11.0, &faults).await;
         f.stop().await;
         res
@@ -90,7 +90,7 @@
                     if seed >= from + seeds {
                         return;
                     }
-                    let res = one(p, seed);
+                    let res = run_seed(p, seed);
                     if verbose && let Ok(a) = &res {
                         println!("seed {seed}: {}", serde_json::to_string_pretty(a).unwrap_or_default());
                     }
@@ -101,7 +101,7 @@
                         Ok(a) => {
                             stop.store(!all, Ordering::Release);
                             let what = format!("{:?}", a.violations());
-                            let trace = [a.acts.clone(), a.examples.clone()].concat();
+                            let trace = [a.actions.clone(), a.examples.clone()].concat();
                             common::lock(&found).push((seed, what, trace));
                         }
                         Err(e) => {
@@ -114,8 +114,8 @@
             });
         }
     });
-    let whole = sum.into_inner().unwrap_or_else(|e| e.into_inner());
-    println!("{}", told(&whole));
+    let completed = sum.into_inner().unwrap_or_else(|e| e.into_inner());
+    println!("{}", summary(&completed));
     let mut found: Vec<Finding> = found.into_inner().unwrap_or_else(|e| e.into_inner());
     found.sort();
     if all && found.len() > 1 {
@@ -133,7 +133,7 @@
     }
 }
 
-fn told(all: &[Audit]) -> String {
+fn summary(all: &[Audit]) -> String {
     let sum = |f: &dyn Fn(&Audit) -> usize| all.iter().map(f).sum::<usize>();
     let most = |f: &dyn Fn(&Audit) -> u128| all.iter().map(f).max().unwrap_or(0);
     let extra: f64 = all.iter().map(|a| a.retry_ratio).sum();
--- a/crates/simulator/tests/world.rs
+++ b/crates/simulator/tests/world.rs
@@ -4,30 +4,30 @@
 use rstest::rstest;
 use simulator::{
     deployment::Firm,
-    world::{VARIANTS, Variant, WorldPlan, one},
+    world::{BROKEN_VARIANTS, BrokenVariant, WorldPlan, run_seed},
 };
 
 fn plan(seconds: f64, rate: f64, faults: &[&str], broken: Option<&str>) -> WorldPlan {
     let faults: Vec<_> = faults.iter().map(|f| f.parse().unwrap()).collect();
-    let broken = broken.map(|b| b.parse::<Variant>().unwrap());
+    let broken = broken.map(|b| b.parse::<BrokenVariant>().unwrap());
     let calm = !faults.is_empty();
     WorldPlan { firm: None, seconds, rate, faults, calm, broken }
 }
 
 fn violations(p: &WorldPlan, seed: u64) -> Vec<&'static str> {
-    one(p, seed).unwrap().violations().into_iter().map(|v| v.0).collect()
+    run_seed(p, seed).unwrap().violations().into_iter().map(|v| v.0).collect()
 }
 
 #[test]
 fn a_fixed_set_of_seeds_holds() {
     for seed in 1..=6 {
-        let a = one(&plan(45.0, 0.4, &[], None), seed).unwrap();
-        assert_eq!(a.violations(), vec![], "seed {seed}: {:?} {:?}", a.acts, a.examples);
+        let a = run_seed(&plan(45.0, 0.4, &[], None), seed).unwrap();
+        assert_eq!(a.violations(), vec![], "seed {seed}: {:?} {:?}", a.actions, a.examples);
         assert!(a.done > 500, "seed {seed}: {} jobs done", a.done);
     }
 }
 
-/// The same faults with the daemons as they are, and with one thing broken.
+/// The same faults with the daemons as they are, and with run_seed thing broken.
 #[rstest]
 #[case("once-goes-again", "doubled", &["5:kill-area:centro-1", "9:start-area:centro-1", "12:kill-area:baires-1", "16:start-area:baires-1"])]
 #[case("unknown-called-bounced", "bounced, yet run", &["5:kill-area:centro-1", "9:start-area:centro-1", "12:kill-area:baires-1", "16:start-area:baires-1"])]
@@ -40,7 +40,7 @@
 #[case("narrows-unheard", "governed late", &["5:cut:core", "9:apply:", "18:mend:core"])]
 #[case("boundless-goes", "extra goes over a fifth", &["4:sour:", "20:sweet:"])]
 fn each_check_is_seen_to_fail(#[case] variant: &str, #[case] check: &str, #[case] faults: &[&str]) {
-    assert!(VARIANTS.contains(&(variant, check)));
+    assert!(BROKEN_VARIANTS.contains(&(variant, check)));
     let sound = plan(22.0, 2.0, faults, None);
     let broken = plan(22.0, 2.0, faults, Some(variant));
     let seeds = 1..=4;
@@ -53,7 +53,7 @@
 
 #[test]
 fn unknown_variants_are_refused_with_what_is_allowed() {
-    let e = "no-such".parse::<Variant>().unwrap_err();
-    assert!(VARIANTS.iter().all(|v| e.contains(v.0)), "{e}");
+    let e = "no-such".parse::<BrokenVariant>().unwrap_err();
+    assert!(BROKEN_VARIANTS.iter().all(|v| e.contains(v.0)), "{e}");
     assert!("atlantis".parse::<Firm>().is_err());
 }
