--- a/crates/simulator/src/actions.rs
+++ b/crates/simulator/src/actions.rs
@@ -1,4 +1,4 @@
-//! What happens to a fleet during a run: faults, and what operators do (design 7.4).
+//! Carries out the faults of a run, and what operators do (design 7.4).
 
 use crate::{
     fake_replica::FakeReplica,
@@ -11,20 +11,26 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time::{Instant, sleep};
 
-/// What operators did and saw during the run.
+/// A fault that was carried out, and what came of it.
 #[derive(Clone, Debug)]
 pub struct Action {
+    /// When it began.
     pub started: Instant,
-    /// When it was over: for an operator's call, when it was answered.
+    /// When it was complete; for an operator's call, when it was answered.
     pub finished: Instant,
+    /// `SECOND:WHAT:WHOM`, as printed in the audit.
     pub label: String,
+    /// The fault.
     pub fault: Fault,
+    /// Whether it could be carried out, and was accepted where an operator asked.
     pub ok: bool,
-    /// For documents: how long until all nodes said that it governs.
+    /// For a document: how long until all nodes confirmed that they use it, in milliseconds.
     pub in_force_ms: Option<u64>,
+    /// The documents submitted.
     pub submissions: Vec<Submission>,
 }
 
+/// Carries out one fault; `seed` makes its operation ids unique.
 pub async fn perform(fleet: &mut Fleet, fault: &Fault, seed: u64) -> Action {
     let started = Instant::now();
     let label = format!("{}:{:?}:{}", fault.second, fault.kind, fault.target);
@@ -37,12 +43,14 @@
         in_force_ms: None,
         submissions: vec![],
     };
-    let op = fleet.operator();
+    let operator = fleet.operator();
     match fault.kind {
-        FaultKind::Apply => submissions::apply(&op, fault, seed, &mut action).await,
-        FaultKind::Race => submissions::race(&op, fault, seed, &mut action).await,
-        FaultKind::Burst => submissions::burst(&op, fault, seed, &mut action).await,
-        FaultKind::EvacuateAndPatch => submissions::evacuate_and_patch(&op, fault, seed, &mut action).await,
+        FaultKind::Apply => submissions::apply(&operator, fault, seed, &mut action).await,
+        FaultKind::Race => submissions::race(&operator, fault, seed, &mut action).await,
+        FaultKind::Burst => submissions::burst(&operator, fault, seed, &mut action).await,
+        FaultKind::EvacuateAndPatch => {
+            submissions::evacuate_and_patch(&operator, fault, seed, &mut action).await;
+        }
         _ => {
             let res = if fault.kind >= FaultKind::Evacuate {
                 apply_to_platform(fleet, fault).await
@@ -56,7 +64,7 @@
     action
 }
 
-/// What befalls machines and links.
+/// Faults of machines, links and disks.
 async fn apply_to_machines(fleet: &mut Fleet, fault: &Fault) -> Result<bool> {
     let target = fault.target.as_str();
     let control_nodes: Vec<String> =
@@ -97,58 +105,60 @@
     Ok(true)
 }
 
-/// What befalls replicas and zones, and what the platform does.
+/// Faults of replicas and zones, and what operators and the platform do.
 async fn apply_to_platform(fleet: &mut Fleet, fault: &Fault) -> Result<bool> {
-    let (target, op) = (fault.target.as_str(), fleet.operator());
-    let zone: Vec<String> = fleet.nodes.iter().filter(|n| n.zone == target).map(|n| n.name.clone()).collect();
+    let (target, operator) = (fault.target.as_str(), fleet.operator());
+    let zone_nodes: Vec<String> =
+        fleet.nodes.iter().filter(|n| n.zone == target).map(|n| n.name.clone()).collect();
     let replicas: Vec<Arc<FakeReplica>> =
         fleet.replicas.iter().filter(|b| b.spec.zone == target).cloned().collect();
     match fault.kind {
-        FaultKind::Evacuate => return Ok(op.evacuate(target, true).await),
-        FaultKind::Restore => return Ok(op.evacuate(target, false).await),
+        FaultKind::Evacuate => return Ok(operator.evacuate(target, true).await),
+        FaultKind::Restore => return Ok(operator.evacuate(target, false).await),
         FaultKind::Crash => fleet.replica(target)?.crash(),
         FaultKind::Cold => fleet.replica(target)?.start().await?,
-        FaultKind::Drain => return Ok(op.drain(target).await),
-        FaultKind::Remove => return Ok(op.remove(target).await),
+        FaultKind::Drain => return Ok(operator.drain(target).await),
+        FaultKind::Remove => return Ok(operator.remove(target).await),
         FaultKind::Mute => fleet.replica(target)?.mute(),
         FaultKind::Unmute => fleet.replica(target)?.unmute().await?,
         FaultKind::Lose => {
             fleet.replica(target)?.crash();
             sleep(Duration::from_secs(1)).await;
-            return Ok(op.remove(target).await);
+            return Ok(operator.remove(target).await);
         }
         FaultKind::Take => {
-            let ok = op.drain(target).await;
+            let ok = operator.drain(target).await;
             sleep(Duration::from_secs(2)).await;
             fleet.replica(target)?.crash();
-            return Ok(op.remove(target).await && ok);
+            return Ok(operator.remove(target).await && ok);
         }
         FaultKind::Swap => {
             let new = fleet.start_replica_like(target).await?;
             let spec = &new.spec;
-            let ok = op.list(&new.id, &spec.service, &spec.zone, new.addr).await && op.drain(target).await;
+            let ok = operator.list(&new.id, &spec.service, &spec.zone, new.addr).await
+                && operator.drain(target).await;
             sleep(Duration::from_secs(3)).await;
-            return Ok(ok && op.remove(target).await);
+            return Ok(ok && operator.remove(target).await);
         }
         FaultKind::BrownOut => fleet.replicas.iter().for_each(|b| b.set_unhealthy(true)),
         FaultKind::BrownOver => fleet.replicas.iter().for_each(|b| b.set_unhealthy(false)),
         FaultKind::Sour => fleet.replicas.iter().for_each(|b| b.set_rejecting(true)),
         FaultKind::Sweet => fleet.replicas.iter().for_each(|b| b.set_rejecting(false)),
         FaultKind::KillArea => {
-            for n in &zone {
+            for n in &zone_nodes {
                 fleet.node(n)?.kill().await?;
             }
             replicas.iter().for_each(|b| b.crash());
         }
         FaultKind::StartArea => {
-            for n in &zone {
+            for n in &zone_nodes {
                 fleet.start_node(n)?;
             }
             for b in &replicas {
                 b.start().await?;
             }
         }
-        _ => return Err(eyre!("{:?} is no act of the platform", fault.kind)),
+        _ => return Err(eyre!("{:?} does not concern replicas or zones", fault.kind)),
     }
     Ok(true)
 }
--- a/crates/simulator/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -1,9 +1,10 @@
-//! The audit of a run (design 7.5): callers' answers against the replicas' own logs.
+//! The audit of a run (design 7.5): compares the callers' answers with the replicas' logs.
 
 use crate::{
     caller::{CallOutcome, CallResult},
-    checks::checks,
-    fake_replica::{FakeReplica, by_job},
+    checks::run_checks,
+    fake_replica::FakeReplica,
+    replica_log::{RequestRun, runs_by_request},
     timeline::Topology,
     traffic::RunRecord,
 };
@@ -11,198 +12,233 @@
 use std::{collections::BTreeMap, sync::Arc};
 use tokio::time::Instant;
 
+/// The printed result of a run.
 #[derive(Debug, Default, Serialize)]
 pub struct Audit {
+    /// The service that runs the model.
     pub model: String,
-    pub jobs: usize,
+    /// Requests that callers sent.
+    #[serde(rename = "jobs")]
+    pub requests: usize,
+    /// Complete answers.
     pub done: usize,
+    /// Requests refused before they ran.
     #[serde(rename = "bounced")]
     pub rejected: usize,
+    /// Requests of which the router could not say whether they ran.
     pub unknown: usize,
+    /// Answers that broke off.
     pub broken: usize,
+    /// Requests that found no router to connect to.
     pub not_asked: usize,
+    /// All other answers, by status.
     pub other: BTreeMap<u16, usize>,
+    /// Rejections by reason.
     pub bounce_reasons: BTreeMap<String, usize>,
+    /// Unknown outcomes by reason.
     pub unknown_reasons: BTreeMap<String, usize>,
+    /// Broken answers by error.
     pub broken_reasons: BTreeMap<String, usize>,
+    /// Requests redirected to another router.
     pub redirected: usize,
-    /// Must be zero: jobs that may not be repeated and ran twice.
+    /// Must be zero: requests that must not be repeated and ran more than once.
     pub doubled: usize,
-    /// Must be zero: told as rejected, and ran.
+    /// Must be zero: requests that were rejected and still ran.
     pub bounced_yet_run: usize,
-    /// Must be zero: ran outside the homes.
+    /// Must be zero: requests that ran outside their home regions.
     pub misrouted: usize,
-    /// Must be zero: an answer that looked whole and was not the job's own.
+    /// Must be zero: answers that looked complete and were not this request's.
     pub garbled: usize,
-    /// Must be zero: whole answers without a run.
+    /// Must be zero: complete answers to requests that no replica ran.
     pub done_not_run: usize,
-    /// Must be zero: runs begun at a drained or removed replica later than 4 s after that.
+    /// Must be zero: runs begun at a replica more than 4 s after its drain or removal.
     pub late_at_departed: usize,
-    /// Must be zero: runs begun in an evacuated zone later than 5 s after that.
+    /// Must be zero: runs begun in a zone more than 5 s after its evacuation.
     pub late_at_evacuated: usize,
-    /// How long after a drain, removal or evacuation the last run began there.
+    /// For each drain, removal or evacuation: how long after it the last run began there.
     pub last_begun_after_ms: BTreeMap<String, u128>,
-    /// Must be zero: 503 without when to come back.
+    /// Must be zero: rejections with 503 and no `Retry-After`.
     pub bounced_without_retry_after: usize,
-    /// Must be zero: rejected later than at once, with no router frozen or cut off meanwhile.
+    /// Must be zero: rejections that took more than 5 s although no router was frozen or cut off meanwhile.
     pub bounced_late: usize,
+    /// Longest time until a rejection.
     pub slowest_bounce_ms: u128,
-    /// Must be zero: answered by an older document three seconds after a newer was accepted.
+    /// Must be zero: requests served by an older document three seconds after a newer one was accepted.
     pub governed_late: usize,
-    /// Must be zero: a router answered by an older document than before.
+    /// Must be zero: answers by an older document than the same router had used before.
     pub went_back: usize,
-    /// Must be zero: entries of tenants that could be served and were not for over twelve seconds.
+    /// Must be zero: pairs of entry and tenant that failed for over twelve seconds although they could be served.
     pub not_back: usize,
+    /// Longest time that an entry of a tenant failed although it could be served.
     pub longest_outage_ms: u128,
-    /// Must be zero: more open at a replica that came back cold than its ramp allows.
+    /// Must be zero: runs that exceeded what the slow start of a cold replica allows.
     pub cold_over_allowance: usize,
-    /// Must be zero: broken, unknown or odd answers in a run of planned work alone.
+    /// Must be zero: broken, unknown or unexpected answers in a run with planned work only.
     pub dropped_in_planned_work: usize,
-    /// Must be zero: goes beyond a fifth of all jobs and what routers start with.
+    /// Must be zero: retries beyond a fifth of all requests and what each router may use after its start.
     pub extra_over: usize,
-    /// Must be zero: a refused document that is read back.
+    /// Must be zero: refused documents that were read back as the current one.
     pub refused_read_back: usize,
+    /// Runs at replicas of the model.
     pub model_runs: usize,
+    /// Runs at replicas of the model whose prefix was cached.
     pub prefix_hits: usize,
+    /// Share of such runs.
     pub prefix_hit_ratio: f64,
+    /// Most open runs at one replica of the model.
     pub most_open_at_a_replica: usize,
+    /// Runs at replicas of the model, by region.
     pub runs_by_region: BTreeMap<String, usize>,
     /// Most runs open at a replica in each second after it came back cold.
     pub cold_open: BTreeMap<String, Vec<usize>>,
+    /// Placements by kind, from the routers' metrics.
     pub placements: BTreeMap<String, f64>,
+    /// Capacity grants by outcome, from the routers' metrics.
     pub passes: BTreeMap<String, f64>,
+    /// Retries, from the routers' metrics.
     #[serde(rename = "extra_goes")]
+    pub retries: f64,
+    /// Retries as a share of all requests.
+    #[serde(rename = "extra_share")]
     pub retry_ratio: f64,
-    pub extra_share: f64,
+    /// Requests forwarded to another router, from the routers' metrics.
     pub hops: f64,
+    /// Whether the newest accepted document was read back unchanged at the end.
     pub read_back_exact: Option<bool>,
+    /// The faults that were carried out.
     #[serde(rename = "acts")]
     pub actions: Vec<String>,
-    /// Longest time between the beginnings of two jobs that were done, by entry.
+    /// Longest time between the starts of two successful requests, by entry.
     pub longest_gap_ms: BTreeMap<String, u128>,
+    /// Median time of successful requests, by entry.
     pub p50_ms: BTreeMap<String, u128>,
+    /// 99th percentile of the time of successful requests, by entry.
     pub p99_ms: BTreeMap<String, u128>,
+    /// The first violations, with the requests concerned.
     pub examples: Vec<String>,
 }
 
+/// Audits a run.
 pub fn audit(record: &RunRecord, replicas: &[Arc<FakeReplica>], topology: &Topology) -> Audit {
     let model = topology.model;
-    let runs = by_job(replicas);
-    let mut a = Audit { jobs: record.responses.len(), model: model.into(), ..Audit::default() };
-    for h in &record.responses {
-        audit_call(&mut a, h, runs.get(&h.call.job).map(Vec::as_slice).unwrap_or(&[]));
+    let runs = runs_by_request(replicas);
+    let mut audit = Audit { requests: record.responses.len(), model: model.into(), ..Audit::default() };
+    for result in &record.responses {
+        audit_call(&mut audit, result, runs.get(&result.call.request_id).map(Vec::as_slice).unwrap_or(&[]));
     }
-    for s in replicas.iter().filter(|s| s.spec.service == model) {
-        let runs = s.runs();
-        a.model_runs += runs.len();
-        a.prefix_hits += runs.iter().filter(|r| r.warm).count();
-        *a.runs_by_region.entry(s.spec.region.clone()).or_default() += runs.len();
-        a.most_open_at_a_replica =
-            a.most_open_at_a_replica.max(runs.iter().map(|r| r.open).max().unwrap_or(0));
+    for replica in replicas.iter().filter(|replica| replica.spec.service == model) {
+        let runs = replica.runs();
+        audit.model_runs += runs.len();
+        audit.prefix_hits += runs.iter().filter(|r| r.warm).count();
+        *audit.runs_by_region.entry(replica.spec.region.clone()).or_default() += runs.len();
+        audit.most_open_at_a_replica =
+            audit.most_open_at_a_replica.max(runs.iter().map(|r| r.open).max().unwrap_or(0));
     }
-    checks(&mut a, record, topology, replicas);
-    a.prefix_hit_ratio = a.prefix_hits as f64 / a.model_runs.max(1) as f64;
-    let mut begun: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
-    for h in record.responses.iter().filter(|h| h.outcome == CallOutcome::Done) {
-        begun.entry(h.call.entry).or_default().push(h.at);
+    run_checks(&mut audit, record, topology, replicas);
+    audit.prefix_hit_ratio = audit.prefix_hits as f64 / audit.model_runs.max(1) as f64;
+    let mut starts: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
+    for result in record.responses.iter().filter(|result| result.outcome == CallOutcome::Done) {
+        starts.entry(result.call.entry).or_default().push(result.at);
     }
-    for (k, mut v) in begun {
-        v.sort();
-        let gap = v.windows(2).map(|w| w[1].duration_since(w[0]).as_millis()).max();
-        a.longest_gap_ms.insert(k.into(), gap.unwrap_or(0));
+    for (entry, mut values) in starts {
+        values.sort();
+        let gap = values.windows(2).map(|w| w[1].duration_since(w[0]).as_millis()).max();
+        audit.longest_gap_ms.insert(entry.into(), gap.unwrap_or(0));
     }
-    let mut took: BTreeMap<String, Vec<u128>> = BTreeMap::new();
-    for h in record.responses.iter().filter(|h| h.outcome == CallOutcome::Done) {
-        took.entry(h.call.entry.into()).or_default().push(h.took.as_millis());
+    let mut durations: BTreeMap<String, Vec<u128>> = BTreeMap::new();
+    for result in record.responses.iter().filter(|result| result.outcome == CallOutcome::Done) {
+        durations.entry(result.call.entry.into()).or_default().push(result.took.as_millis());
     }
-    for (k, mut v) in took {
-        v.sort();
-        a.p50_ms.insert(k.clone(), v[v.len() / 2]);
-        a.p99_ms.insert(k, v[v.len() * 99 / 100]);
+    for (entry, mut values) in durations {
+        values.sort();
+        audit.p50_ms.insert(entry.clone(), values[values.len() / 2]);
+        audit.p99_ms.insert(entry, values[values.len() * 99 / 100]);
     }
-    a.actions = record
+    audit.actions = record
         .actions
         .iter()
-        .map(|x| format!("{} ok={} governs_ms={:?}", x.label, x.ok, x.in_force_ms))
+        .map(|action| format!("{} ok={} governs_ms={:?}", action.label, action.ok, action.in_force_ms))
         .collect();
-    a
+    audit
 }
 
-fn audit_call(a: &mut Audit, h: &CallResult, runs: &[(Arc<FakeReplica>, crate::fake_replica::JobRun)]) {
-    let note = |a: &mut Audit, what: &str| {
+/// Audits one request against its runs.
+fn audit_call(audit: &mut Audit, result: &CallResult, runs: &[(Arc<FakeReplica>, RequestRun)]) {
+    let note = |audit: &mut Audit, what: &str| {
         let at: Vec<String> = runs.iter().map(|r| r.0.id.clone()).collect();
-        a.note(what, &format!("{} {:?} ran at {at:?}", h.call.job, h.outcome));
+        audit.note(what, &format!("{} {:?} ran at {at:?}", result.call.request_id, result.outcome));
     };
-    if h.call.once && runs.len() > 1 {
-        note(a, "doubled");
-        a.doubled += 1;
+    if result.call.once && runs.len() > 1 {
+        note(audit, "doubled");
+        audit.doubled += 1;
     }
-    if runs.iter().any(|(s, _)| !h.call.homes.contains(&s.spec.region.as_str())) {
-        note(a, "misrouted");
-        a.misrouted += 1;
+    if runs.iter().any(|(replica, _)| !result.call.homes.contains(&replica.spec.region.as_str())) {
+        note(audit, "misrouted");
+        audit.misrouted += 1;
     }
-    a.redirected += usize::from(h.redirected);
-    match &h.outcome {
+    audit.redirected += usize::from(result.redirected);
+    match &result.outcome {
         CallOutcome::Done if runs.is_empty() => {
-            note(a, "done, not run");
-            a.done_not_run += 1;
+            note(audit, "done, not run");
+            audit.done_not_run += 1;
         }
-        CallOutcome::Done => a.done += 1,
-        CallOutcome::Rejected(why) => {
-            a.rejected += 1;
-            *a.bounce_reasons.entry(why.clone()).or_default() += 1;
-            a.slowest_bounce_ms = a.slowest_bounce_ms.max(h.took.as_millis());
+        CallOutcome::Done => audit.done += 1,
+        CallOutcome::Rejected(reason) => {
+            audit.rejected += 1;
+            *audit.bounce_reasons.entry(reason.clone()).or_default() += 1;
+            audit.slowest_bounce_ms = audit.slowest_bounce_ms.max(result.took.as_millis());
             if !runs.is_empty() {
-                note(a, "bounced, yet run");
-                a.bounced_yet_run += 1;
+                note(audit, "rejected, yet run");
+                audit.bounced_yet_run += 1;
             }
         }
-        CallOutcome::Unknown(why) => {
-            a.unknown += 1;
-            *a.unknown_reasons.entry(why.clone()).or_default() += 1;
+        CallOutcome::Unknown(reason) => {
+            audit.unknown += 1;
+            *audit.unknown_reasons.entry(reason.clone()).or_default() += 1;
         }
-        CallOutcome::Broken(why) => {
-            a.broken += 1;
-            *a.broken_reasons.entry(why.clone()).or_default() += 1;
+        CallOutcome::Broken(reason) => {
+            audit.broken += 1;
+            *audit.broken_reasons.entry(reason.clone()).or_default() += 1;
         }
-        CallOutcome::NotAsked => a.not_asked += 1,
+        CallOutcome::NotAsked => audit.not_asked += 1,
         CallOutcome::Garbled(_) => {
-            note(a, "garbled");
-            a.garbled += 1;
+            note(audit, "garbled");
+            audit.garbled += 1;
         }
-        CallOutcome::Other(c) => {
-            note(a, "other");
-            *a.other.entry(*c).or_default() += 1;
+        CallOutcome::Other(code) => {
+            note(audit, "other");
+            *audit.other.entry(*code).or_default() += 1;
         }
     }
 }
 
 impl Audit {
+    /// Keeps an example of a violation, up to 12.
     pub fn note(&mut self, what: &str, which: &str) {
         if self.examples.len() < 12 {
             self.examples.push(format!("{what}: {which}"));
         }
     }
 
-    /// The never-points that this run can judge, by name.
+    /// What must never happen and did: the name of each check that failed, with its count.
     pub fn violations(&self) -> Vec<(&'static str, usize)> {
         [
             ("doubled", self.doubled),
-            ("bounced, yet run", self.bounced_yet_run),
+            ("rejected, yet run", self.bounced_yet_run),
             ("misrouted", self.misrouted),
             ("garbled", self.garbled),
             ("done, not run", self.done_not_run),
-            ("late at a departed replica", self.late_at_departed),
-            ("late in an evacuated area", self.late_at_evacuated),
-            ("bounced without Retry-After", self.bounced_without_retry_after),
-            ("bounced late", self.bounced_late),
-            ("governed late", self.governed_late),
+            ("late run at a departed replica", self.late_at_departed),
+            ("late run in an evacuated zone", self.late_at_evacuated),
+            ("rejected without Retry-After", self.bounced_without_retry_after),
+            ("rejected late", self.bounced_late),
+            ("older document used late", self.governed_late),
             ("went back to an older document", self.went_back),
-            ("not back within twelve seconds", self.not_back),
+            ("not served again within twelve seconds", self.not_back),
             ("cold replica over its allowance", self.cold_over_allowance),
             ("dropped in planned work", self.dropped_in_planned_work),
-            ("extra goes over a fifth", self.extra_over),
-            ("refused, yet read back", self.refused_read_back),
+            ("retries over a fifth of requests", self.extra_over),
+            ("refused document read back", self.refused_read_back),
             ("read-back differs", usize::from(self.read_back_exact == Some(false))),
         ]
         .into_iter()
--- a/crates/simulator/src/caller.rs
+++ b/crates/simulator/src/caller.rs
@@ -1,5 +1,5 @@
-//! Stand-in callers (design 7.3): each job carries its own id, and each answer is checked line
-//! by line against it.
+//! Simulated callers (design 7.3): each request carries its own id, and each answer is checked line by line
+//! against it.
 
 use crate::fake_replica::{last_line, line};
 use common::http::{RequestSender, full, open_client};
@@ -11,73 +11,97 @@
 };
 use tokio::time::Instant;
 
+/// A request that a caller sends.
 #[derive(Clone, Debug)]
 pub struct Call {
-    pub job: String,
+    /// Unique id, sent as `x-job`.
+    pub request_id: String,
+    /// The entry that it is for.
     pub entry: &'static str,
+    /// The service that runs it.
     pub service: &'static str,
+    /// HTTP method.
     pub method: Method,
+    /// Path.
     pub path: String,
+    /// The tenant, sent as `x-tenant`.
     pub tenant: &'static str,
+    /// Whether it must not be repeated.
     pub once: bool,
+    /// Tokens that the answer must have.
     pub tokens: usize,
+    /// Body.
     pub body: String,
+    /// Regions that may serve it.
     pub homes: Vec<&'static str>,
 }
 
+/// What became of a request, as the caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// A whole answer, line by line this job's own.
+    /// A complete answer, each line of which belongs to this request.
     Done,
+    /// Refused before it ran; with the reason.
     Rejected(String),
+    /// The router could not say whether it ran; with the reason.
     Unknown(String),
-    /// The connection broke before a final answer: known to the caller as such.
+    /// The connection broke before the answer was complete, and the caller noticed; with the error.
     Broken(String),
-    /// No connection was made: nothing was asked.
+    /// No connection was made, so nothing was sent.
     NotAsked,
-    /// Looked whole and was not this job's whole answer: must never be.
+    /// The answer looked complete and was not this request's answer, which must never happen; with its beginning.
     Garbled(String),
+    /// Any other answer; with its status.
     Other(u16),
 }
 
+/// A request and its answer.
 #[derive(Clone, Debug)]
 pub struct CallResult {
+    /// The request.
     pub call: Call,
+    /// What became of it.
     pub outcome: CallOutcome,
+    /// When it was sent.
     pub at: Instant,
+    /// How long it took.
     pub took: Duration,
+    /// The last router asked.
     pub router: SocketAddr,
+    /// Whether it was redirected.
     pub redirected: bool,
+    /// Value of `Retry-After`, in seconds.
     pub retry_after: Option<u64>,
+    /// Status of the last answer; 0 without one.
     pub code: u16,
-    /// The document by which the last router answered.
+    /// Revision of the document that the last router answered by.
     pub revision: Option<u64>,
 }
 
-fn header<T>(r: &Response<T>, name: &str) -> String {
-    r.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or("").to_string()
+fn header<T>(response: &Response<T>, name: &str) -> String {
+    response.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or("").to_string()
 }
 
 async fn send(
-    tx: &mut RequestSender,
+    sender: &mut RequestSender,
     to: SocketAddr,
-    c: &Call,
+    call: &Call,
     path: &str,
 ) -> Result<Response<Incoming>, hyper::Error> {
-    let req = Request::builder()
-        .method(c.method.clone())
+    let request = Request::builder()
+        .method(call.method.clone())
         .uri(path)
         .header("host", to.to_string())
-        .header("x-job", &c.job)
-        .header("x-tenant", c.tenant)
-        .header("x-tokens", c.tokens.to_string())
+        .header("x-job", &call.request_id)
+        .header("x-tenant", call.tenant)
+        .header("x-tokens", call.tokens.to_string())
         .header("content-type", "application/json")
-        .body(full(c.body.clone()))
-        .expect("a fixed shape of request");
-    tx.send_request(req).await
+        .body(full(call.body.clone()))
+        .expect("all parts of the request are valid");
+    sender.send_request(request).await
 }
 
-/// What the last answer's head said.
+/// What the caller needs of the last answer's status and headers.
 #[derive(Clone, Copy, Default)]
 struct Head {
     code: u16,
@@ -85,24 +109,24 @@
     revision: Option<u64>,
 }
 
-/// Sends one job, follows one redirect, and says what came of it.
-pub async fn call(ip: IpAddr, to: SocketAddr, c: Call, give_up_after: Duration) -> CallResult {
+/// Sends one request, follows one redirect, and returns the result.
+pub async fn call(ip: IpAddr, to: SocketAddr, call: Call, give_up_after: Duration) -> CallResult {
     let at = Instant::now();
     let (mut router, mut redirected) = (to, false);
     let result = tokio::time::timeout(give_up_after, async {
         loop {
-            let Ok(mut tx) = open_client(ip, router, 2_000).await else {
-                // What was redirected was told that it did not run: no connection changes nothing.
+            let Ok(mut sender) = open_client(ip, router, 2_000).await else {
+                // A redirected request has not run, so it counts as not sent when the second connection fails.
                 return (CallOutcome::NotAsked, Head::default());
             };
-            let res = match send(&mut tx, router, &c, &c.path).await {
-                Ok(r) => r,
+            let response = match send(&mut sender, router, &call, &call.path).await {
+                Ok(response) => response,
                 Err(e) => return (CallOutcome::Broken(format!("before the answer: {e}")), Head::default()),
             };
-            let next = header(&res, "location")
+            let next = header(&response, "location")
                 .strip_prefix("http://")
                 .map(|l| l.split('/').next().unwrap_or("").to_string());
-            if res.status().as_u16() == 307
+            if response.status().as_u16() == 307
                 && !redirected
                 && let Some(Ok(n)) = next.map(|n| n.parse())
             {
@@ -110,32 +134,34 @@
                 continue;
             }
             let head = Head {
-                code: res.status().as_u16(),
-                retry_after: header(&res, "retry-after").parse().ok(),
-                revision: header(&res, "foldshunt-revision").parse().ok(),
+                code: response.status().as_u16(),
+                retry_after: header(&response, "retry-after").parse().ok(),
+                revision: header(&response, "foldshunt-revision").parse().ok(),
             };
-            return (read_answer(&c, res).await, head);
+            return (read_answer(&call, response).await, head);
         }
     })
     .await;
-    let late = || (CallOutcome::Broken("the caller's patience ended".into()), Head::default());
-    let (outcome, head) = result.unwrap_or_else(|_| late());
+    let gave_up = || (CallOutcome::Broken("the caller gave up".into()), Head::default());
+    let (outcome, head) = result.unwrap_or_else(|_| gave_up());
     let Head { code, retry_after, revision } = head;
-    CallResult { call: c, outcome, at, took: at.elapsed(), router, redirected, retry_after, code, revision }
+    CallResult { call, outcome, at, took: at.elapsed(), router, redirected, retry_after, code, revision }
 }
 
-async fn read_answer(c: &Call, res: Response<Incoming>) -> CallOutcome {
-    let code = res.status().as_u16();
-    let (outcome, reason) = (header(&res, "foldshunt-outcome"), header(&res, "foldshunt-reason"));
-    let body = match res.into_body().collect().await {
+async fn read_answer(call: &Call, response: Response<Incoming>) -> CallOutcome {
+    let code = response.status().as_u16();
+    let (outcome, reason) = (header(&response, "foldshunt-outcome"), header(&response, "foldshunt-reason"));
+    let body = match response.into_body().collect().await {
         Ok(b) => b.to_bytes(),
         Err(e) => return CallOutcome::Broken(format!("within the body: {e}")),
     };
     match (outcome.as_str(), code) {
         ("done", 200) => {
-            let want: String =
-                (0..c.tokens).map(|n| line(&c.job, n)).chain([last_line(&c.job, c.tokens)]).collect();
-            if body == want.as_bytes() {
+            let expected: String = (0..call.tokens)
+                .map(|n| line(&call.request_id, n))
+                .chain([last_line(&call.request_id, call.tokens)])
+                .collect();
+            if body == expected.as_bytes() {
                 CallOutcome::Done
             } else {
                 CallOutcome::Garbled(String::from_utf8_lossy(&body).chars().take(120).collect())
--- a/crates/simulator/src/chaos.rs
+++ b/crates/simulator/src/chaos.rs
@@ -1,6 +1,6 @@
-//! A plan of faults by seed (design 7.4): each is undone again, and no more than one disk or one
-//! zone is lost at a time, which is kind the brief asks to survive. Herds of processes, the whole
-//! core among them, are killed and come back with their disks.
+//! Draws the faults of a run by its seed (design 7.4). Each fault is undone, and no more than one disk or one
+//! zone is lost at a time, as the requirements ask to survive. Groups of processes, among them all control nodes
+//! together, are killed and come back with their disks.
 
 use crate::{
     deployment::Deployment,
@@ -8,112 +8,121 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 
-/// Nothing new begins in the last seconds, so that the end is quiet.
+/// No fault begins in the last seconds of a run, apart from those of `add_final_faults`.
 const QUIET_END_S: f64 = 12.0;
 
-pub fn draw_faults(seed: u64, secs: f64, deployment: &Deployment, world: bool) -> Vec<Fault> {
+/// The faults of a run of this length. Disk faults are drawn for a simulated fleet only.
+pub fn draw_faults(seed: u64, seconds: f64, deployment: &Deployment, simulated: bool) -> Vec<Fault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x0063_6861_6f73);
-    let mut out = Vec::new();
-    let (mut gone, mut replaced): (Vec<String>, Option<String>) = (Vec::new(), None);
-    let mut t = 4.0;
-    while t < secs - QUIET_END_S {
-        let span: f64 = rng.random_range(2.0..7.0);
-        let zone = deployment.zones.choose(&mut rng).map(|a| a.0.to_string()).unwrap_or_default();
-        let core = format!("s{}", rng.random_range(1..=3));
+    let mut faults = Vec::new();
+    let (mut removed, mut replaced): (Vec<String>, Option<String>) = (Vec::new(), None);
+    let mut start_s = 4.0;
+    while start_s < seconds - QUIET_END_S {
+        let duration_s: f64 = rng.random_range(2.0..7.0);
+        let zone = deployment.zones.choose(&mut rng).map(|z| z.0.to_string()).unwrap_or_default();
+        let control_node = format!("s{}", rng.random_range(1..=3));
         let router = format!("p{}", rng.random_range(1..=9));
-        let rep = replica(deployment, &mut rng);
-        let alive = !gone.contains(&rep);
+        let replica = draw_model_replica(deployment, &mut rng);
+        let in_use = !removed.contains(&replica);
         let fault = |second, kind, target| Fault { second, kind, target };
-        let both = |a, b, target: String| vec![fault(t, a, target.clone()), fault(t + span, b, target)];
-        let one = |a, target: String| vec![fault(t, a, target)];
-        // A voter that starts blank must be readmitted before the next machine may be lost.
-        let (mut rest, known) = (0.0, replaced.clone());
+        let with_undo = |begin, end, target: String| {
+            vec![fault(start_s, begin, target.clone()), fault(start_s + duration_s, end, target)]
+        };
+        let single = |kind, target: String| vec![fault(start_s, kind, target)];
+        // A voter that starts with an empty disk must be readmitted before the next machine may be lost.
+        let (mut extra_pause_s, already_replaced) = (0.0, replaced.clone());
         let actions = match rng.random_range(0..32) {
-            0 | 1 => both(FaultKind::Kill, FaultKind::Start, router),
-            2 => both(FaultKind::Freeze, FaultKind::Thaw, router),
-            3 => both(FaultKind::Stop, FaultKind::Start, router),
-            4 => both(FaultKind::Dark, FaultKind::Start, router),
-            5 => both(FaultKind::Kill, FaultKind::Start, core),
-            6 => both(FaultKind::Freeze, FaultKind::Thaw, core),
+            0 | 1 => with_undo(FaultKind::Kill, FaultKind::Start, router),
+            2 => with_undo(FaultKind::Freeze, FaultKind::Thaw, router),
+            3 => with_undo(FaultKind::Stop, FaultKind::Start, router),
+            4 => with_undo(FaultKind::Dark, FaultKind::Start, router),
+            5 => with_undo(FaultKind::Kill, FaultKind::Start, control_node),
+            6 => with_undo(FaultKind::Freeze, FaultKind::Thaw, control_node),
             7 => {
-                rest = 6.0;
-                both(FaultKind::Kill, FaultKind::Blank, core)
+                extra_pause_s = 6.0;
+                with_undo(FaultKind::Kill, FaultKind::Blank, control_node)
             }
-            8 => both(FaultKind::Cut, FaultKind::Mend, core),
-            9 => both(FaultKind::Cut, FaultKind::Mend, router),
-            10 => both(FaultKind::Cut, FaultKind::Mend, format!("{router}>")),
-            11 => both(FaultKind::Cut, FaultKind::Mend, "core".into()),
-            12 => both(FaultKind::Cut, FaultKind::Mend, zone),
-            13 => both(FaultKind::KillCore, FaultKind::StartCore, String::new()),
+            8 => with_undo(FaultKind::Cut, FaultKind::Mend, control_node),
+            9 => with_undo(FaultKind::Cut, FaultKind::Mend, router),
+            10 => with_undo(FaultKind::Cut, FaultKind::Mend, format!("{router}>")),
+            11 => with_undo(FaultKind::Cut, FaultKind::Mend, "core".into()),
+            12 => with_undo(FaultKind::Cut, FaultKind::Mend, zone),
+            13 => with_undo(FaultKind::KillCore, FaultKind::StartCore, String::new()),
             14 => {
-                let herd = (1..=9).filter(|_| rng.random_bool(0.5)).map(|n| format!("p{n}"));
-                herd.flat_map(|p| both(FaultKind::Kill, FaultKind::Start, p)).collect()
+                let group = (1..=9).filter(|_| rng.random_bool(0.5)).map(|n| format!("p{n}"));
+                group.flat_map(|router| with_undo(FaultKind::Kill, FaultKind::Start, router)).collect()
             }
-            15 if replaced.is_none() && span > 4.0 => {
-                rest = 6.0;
-                replaced = Some(core.clone());
+            15 if replaced.is_none() && duration_s > 4.0 => {
+                extra_pause_s = 6.0;
+                replaced = Some(control_node.clone());
                 vec![
-                    fault(t, FaultKind::Replace, core.clone()),
-                    fault(t + span + 4.0, FaultKind::Start, core),
+                    fault(start_s, FaultKind::Replace, control_node.clone()),
+                    fault(start_s + duration_s + 4.0, FaultKind::Start, control_node),
                 ]
             }
-            16 if world => both(FaultKind::SlowDisk, FaultKind::WellDisk, core),
-            17 if world => both(FaultKind::StallDisk, FaultKind::WellDisk, core),
-            18 if world => both(FaultKind::FailDisk, FaultKind::WellDisk, core),
-            19 => both(FaultKind::Evacuate, FaultKind::Restore, zone),
-            20 => both(FaultKind::EvacuateAndPatch, FaultKind::Restore, zone),
-            21 if alive => both(FaultKind::Crash, FaultKind::Cold, rep),
-            22 if alive => both(FaultKind::Mute, FaultKind::Unmute, rep),
-            23 | 24 if alive => {
-                gone.push(rep.clone());
+            16 if simulated => with_undo(FaultKind::SlowDisk, FaultKind::WellDisk, control_node),
+            17 if simulated => with_undo(FaultKind::StallDisk, FaultKind::WellDisk, control_node),
+            18 if simulated => with_undo(FaultKind::FailDisk, FaultKind::WellDisk, control_node),
+            19 => with_undo(FaultKind::Evacuate, FaultKind::Restore, zone),
+            20 => with_undo(FaultKind::EvacuateAndPatch, FaultKind::Restore, zone),
+            21 if in_use => with_undo(FaultKind::Crash, FaultKind::Cold, replica),
+            22 if in_use => with_undo(FaultKind::Mute, FaultKind::Unmute, replica),
+            23 | 24 if in_use => {
+                removed.push(replica.clone());
                 match rng.random_range(0..4) {
-                    0 => both(FaultKind::Drain, FaultKind::Remove, rep),
-                    1 => one(FaultKind::Lose, rep),
-                    2 => one(FaultKind::Take, rep),
-                    _ => one(FaultKind::Swap, rep),
+                    0 => with_undo(FaultKind::Drain, FaultKind::Remove, replica),
+                    1 => single(FaultKind::Lose, replica),
+                    2 => single(FaultKind::Take, replica),
+                    _ => single(FaultKind::Swap, replica),
                 }
             }
-            25 if rng.random_bool(0.5) => both(FaultKind::Sour, FaultKind::Sweet, String::new()),
-            25 => both(FaultKind::BrownOut, FaultKind::BrownOver, String::new()),
-            26 => one(FaultKind::Race, String::new()),
-            27 => one(FaultKind::Burst, String::new()),
-            28 => both(FaultKind::KillArea, FaultKind::StartArea, zone),
-            _ => one(FaultKind::Apply, String::new()),
+            25 if rng.random_bool(0.5) => with_undo(FaultKind::Sour, FaultKind::Sweet, String::new()),
+            25 => with_undo(FaultKind::BrownOut, FaultKind::BrownOver, String::new()),
+            26 => single(FaultKind::Race, String::new()),
+            27 => single(FaultKind::Burst, String::new()),
+            28 => with_undo(FaultKind::KillArea, FaultKind::StartArea, zone),
+            _ => single(FaultKind::Apply, String::new()),
         };
-        // What was replaced is out for good.
-        out.extend(actions.into_iter().filter(|a| known.as_ref() != Some(&a.target)));
-        t += span + rest + rng.random_range(1.0..4.0);
+        // A control node that was replaced gets no more faults.
+        faults.extend(actions.into_iter().filter(|f| already_replaced.as_ref() != Some(&f.target)));
+        start_s += duration_s + extra_pause_s + rng.random_range(1.0..4.0);
     }
     if rng.random_bool(0.4) {
-        closing(secs, &mut rng, &mut out);
+        add_final_faults(seconds, &mut rng, &mut faults);
     }
-    out.sort_by(|a, b| a.second.total_cmp(&b.second));
-    out
+    faults.sort_by(|a, b| a.second.total_cmp(&b.second));
+    faults
 }
 
-/// Some days end with a fault just after the last change.
-fn closing(secs: f64, rng: &mut SmallRng, out: &mut Vec<Fault>) {
+/// Adds a change near the end of the run, and a fault right after it.
+fn add_final_faults(seconds: f64, rng: &mut SmallRng, faults: &mut Vec<Fault>) {
     let fault = |second, kind, target: &str| Fault { second, kind, target: target.into() };
     let last = if rng.random_bool(0.5) { FaultKind::Apply } else { FaultKind::Race };
-    out.push(fault(secs - 4.0, last, ""));
+    faults.push(fault(seconds - 4.0, last, ""));
     if rng.random_bool(0.5) {
-        out.extend([fault(secs - 1.0, FaultKind::KillCore, ""), fault(secs + 1.0, FaultKind::StartCore, "")]);
+        faults.extend([
+            fault(seconds - 1.0, FaultKind::KillCore, ""),
+            fault(seconds + 1.0, FaultKind::StartCore, ""),
+        ]);
     } else {
-        let s = format!("s{}", rng.random_range(1..=3));
-        out.extend([fault(secs - 1.0, FaultKind::Kill, &s), fault(secs + 1.0, FaultKind::Start, &s)]);
+        let node = format!("s{}", rng.random_range(1..=3));
+        faults.extend([
+            fault(seconds - 1.0, FaultKind::Kill, &node),
+            fault(seconds + 1.0, FaultKind::Start, &node),
+        ]);
     }
 }
 
-/// A model replica's name, as the fleet gives them.
-fn replica(deployment: &Deployment, rng: &mut SmallRng) -> String {
+/// Draws a replica of the model, by the id that the fleet gives it.
+fn draw_model_replica(deployment: &Deployment, rng: &mut SmallRng) -> String {
     let (service, per_zone) = &deployment.replicas[0];
-    let n = rng.random_range(0..per_zone.iter().sum::<usize>());
-    let mut left = n;
-    for (a, count) in per_zone.iter().enumerate() {
-        if left < *count {
-            return format!("{service}-{}-{n}", deployment.zones[a].0);
+    let index = rng.random_range(0..per_zone.iter().sum::<usize>());
+    let mut index_in_zone = index;
+    for (zone_index, count) in per_zone.iter().enumerate() {
+        if index_in_zone < *count {
+            return format!("{service}-{}-{index}", deployment.zones[zone_index].0);
         }
-        left -= count;
+        index_in_zone -= count;
     }
     String::new()
 }
--- a/crates/simulator/src/checks.rs
+++ b/crates/simulator/src/checks.rs
@@ -1,11 +1,11 @@
-//! What must never happen, looked for in what callers heard and replicas logged (design 7.5).
+//! Checks for what must never happen, over the callers' results and the replicas' logs (design 7.5).
 
 use crate::{
-    actions::Action,
     audit::Audit,
     caller::{CallOutcome, CallResult},
     fake_replica::FakeReplica,
     fault::FaultKind,
+    slow_start::check_slow_start,
     submissions::DocumentOutcome,
     timeline::{Timeline, Topology},
     traffic::RunRecord,
@@ -13,111 +13,145 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// The brief's bounds.
+/// Once a document is accepted, how long requests may still be served by an older one.
 pub const CONFIGURATION_DEADLINE: Duration = Duration::from_secs(3);
+/// How long a request may keep failing although it can be served again.
 pub const RECOVERY_DEADLINE: Duration = Duration::from_secs(12);
+/// How long runs may still begin at a replica that was drained or removed.
 pub const DEPARTURE_DEADLINE: Duration = Duration::from_secs(4);
+/// How long runs may still begin in an evacuated zone.
 pub const EVACUATION_DEADLINE: Duration = Duration::from_secs(5);
+/// Most retries, as a share of all requests.
 pub const MAX_RETRY_RATIO: f64 = 0.2;
-/// A reject may follow a wait for room of two checks, three connects and a node's joining.
+/// How long a rejection may take: the wait for a free slot spans two health checks, three connection attempts and a
+/// node's joining.
 pub const REJECTION_DEADLINE: Duration = Duration::from_secs(5);
-/// Three checks and the expire of a home.
-const UNDETECTED_OUTAGE: Duration = Duration::from_millis(3_500);
-/// As in the documents: the ramp of a replica that came up.
-const SLOW_START_S: f64 = 10.0;
 
-pub fn checks(a: &mut Audit, record: &RunRecord, topology: &Topology, replicas: &[Arc<FakeReplica>]) {
-    let t = Timeline::from_actions(&record.actions, topology, replicas);
-    documents(a, record);
-    rejections(a, record, topology, &t);
-    gaps(a, record, topology, replicas, &t);
-    departures(a, record, replicas);
-    record.actions.iter().for_each(|x| cold(a, record, x, replicas));
+/// Runs all checks and counts what they find in the audit.
+pub fn run_checks(audit: &mut Audit, record: &RunRecord, topology: &Topology, replicas: &[Arc<FakeReplica>]) {
+    let timeline = Timeline::from_actions(&record.actions, topology, replicas);
+    check_documents(audit, record);
+    check_rejections(audit, record, topology, &timeline);
+    check_recovery(audit, record, topology, replicas, &timeline);
+    check_departures(audit, record, replicas);
+    record.actions.iter().for_each(|action| check_slow_start(audit, record, action, replicas));
     let planned = record.actions.iter().all(|x| x.fault.kind.planned());
-    a.dropped_in_planned_work =
-        if planned { a.broken + a.unknown + a.other.values().sum::<usize>() } else { 0 };
+    audit.dropped_in_planned_work =
+        if planned { audit.broken + audit.unknown + audit.other.values().sum::<usize>() } else { 0 };
 }
 
-/// A job that began three seconds after a document was told as accepted goes by that one or a
-/// newer; and no router answers by an older one than it did before.
-fn documents(a: &mut Audit, record: &RunRecord) {
-    let revision_of = |h: &CallResult| h.revision;
-    for p in record.actions.iter().flat_map(|x| &x.submissions) {
-        let DocumentOutcome::Accepted(rev) = p.outcome else { continue };
-        let late =
-            |h: &&CallResult| h.at > p.at + CONFIGURATION_DEADLINE && revision_of(h).is_some_and(|v| v < rev);
+/// A request sent more than three seconds after a document was reported as accepted must be served by that
+/// document or a newer one, and no router may answer by an older one than it did before.
+fn check_documents(audit: &mut Audit, record: &RunRecord) {
+    let revision_of = |result: &CallResult| result.revision;
+    for submission in record.actions.iter().flat_map(|action| &action.submissions) {
+        let DocumentOutcome::Accepted(revision) = submission.outcome else { continue };
+        let late = |result: &&CallResult| {
+            result.at > submission.at + CONFIGURATION_DEADLINE
+                && revision_of(result).is_some_and(|v| v < revision)
+        };
         let found: Vec<&CallResult> = record.responses.iter().filter(late).collect();
-        a.governed_late += found.len();
-        found
-            .iter()
-            .take(1)
-            .for_each(|h| a.note("governed late", &format!("{} by {:?}, not {rev}", h.call.job, h.revision)));
+        audit.governed_late += found.len();
+        found.iter().take(1).for_each(|result| {
+            audit.note(
+                "older document used late",
+                &format!("{} by revision {:?}, not {revision}", result.call.request_id, result.revision),
+            );
+        });
     }
-    let mut by: BTreeMap<SocketAddr, Vec<&CallResult>> = BTreeMap::new();
+    let mut results_by_router: BTreeMap<SocketAddr, Vec<&CallResult>> = BTreeMap::new();
     record
         .responses
         .iter()
-        .filter(|h| h.revision.is_some())
-        .for_each(|h| by.entry(h.router).or_default().push(h));
-    for v in by.values_mut() {
-        v.sort_by_key(|h| h.at);
-        let mut ends: Vec<(Instant, u64)> =
-            v.iter().filter_map(|h| Some((h.at + h.took, h.revision?))).collect();
-        ends.sort();
-        let (mut n, mut high) = (0, 0);
-        for h in v.iter() {
-            while n < ends.len() && ends[n].0 < h.at {
-                high = high.max(ends[n].1);
-                n += 1;
+        .filter(|result| result.revision.is_some())
+        .for_each(|result| results_by_router.entry(result.router).or_default().push(result));
+    for results in results_by_router.values_mut() {
+        results.sort_by_key(|result| result.at);
+        let mut answered: Vec<(Instant, u64)> =
+            results.iter().filter_map(|result| Some((result.at + result.took, result.revision?))).collect();
+        answered.sort();
+        let (mut answered_before, mut newest) = (0, 0);
+        for result in results.iter() {
+            while answered_before < answered.len() && answered[answered_before].0 < result.at {
+                newest = newest.max(answered[answered_before].1);
+                answered_before += 1;
             }
-            a.went_back += usize::from(h.revision.is_some_and(|r| r < high));
+            audit.went_back += usize::from(result.revision.is_some_and(|r| r < newest));
         }
     }
 }
 
-/// Told at once, with when to come back; what a frozen or cut-off router holds up is no fault of its own.
-fn rejections(a: &mut Audit, record: &RunRecord, topology: &Topology, t: &Timeline) {
-    for h in record.responses.iter().filter(|h| matches!(h.outcome, CallOutcome::Rejected(_))) {
-        if h.code == 503 && h.retry_after.is_none() {
-            a.bounced_without_retry_after += 1;
+/// Rejections must come without delay and say when to retry. Delays while a router was frozen or cut off do not count.
+fn check_rejections(audit: &mut Audit, record: &RunRecord, topology: &Topology, timeline: &Timeline) {
+    for result in record.responses.iter().filter(|result| matches!(result.outcome, CallOutcome::Rejected(_)))
+    {
+        if result.code == 503 && result.retry_after.is_none() {
+            audit.bounced_without_retry_after += 1;
         }
-        let name = topology.routers.iter().find(|r| r.2 == h.router).map_or("", |r| r.0.as_str());
-        // A hop may have waited at another router; then its fate is not known here.
-        let frozen = topology.routers.iter().any(|r| t.was_down_during(&r.0, h.at, h.at + h.took));
-        if h.took > REJECTION_DEADLINE && !frozen {
-            a.bounced_late += 1;
-            a.note("bounced late", &format!("{} at {name} after {:?}: {:?}", h.call.job, h.took, h.outcome));
+        let name = topology.routers.iter().find(|r| r.2 == result.router).map_or("", |r| r.0.as_str());
+        // The request may have been forwarded to another router, and which one is not recorded: any may have delayed it.
+        let impaired = topology
+            .routers
+            .iter()
+            .any(|r| timeline.was_down_during(&r.0, result.at, result.at + result.took));
+        if result.took > REJECTION_DEADLINE && !impaired {
+            audit.bounced_late += 1;
+            audit.note(
+                "rejected late",
+                &format!(
+                    "{} at {name} after {:?}: {:?}",
+                    result.call.request_id, result.took, result.outcome
+                ),
+            );
         }
     }
 }
 
-/// For each entry and tenant: from the first job that failed where it could have been served, to one
-/// that still fails, all the while servable, at most twelve seconds.
-fn gaps(a: &mut Audit, record: &RunRecord, topology: &Topology, replicas: &[Arc<FakeReplica>], t: &Timeline) {
-    let mut by: BTreeMap<(&str, &str), Vec<&CallResult>> = BTreeMap::new();
-    record.responses.iter().for_each(|h| by.entry((h.call.entry, h.call.tenant)).or_default().push(h));
-    for ((entry, tenant), v) in &mut by {
-        v.sort_by_key(|h| h.at);
-        let mut failing: Option<Instant> = None;
-        for h in v.iter() {
-            if h.outcome == CallOutcome::Done {
-                failing = None;
+/// For each entry and tenant, requests that could be served may not keep failing for more than twelve seconds,
+/// counted from the first failure or from when they could be served again.
+fn check_recovery(
+    audit: &mut Audit,
+    record: &RunRecord,
+    topology: &Topology,
+    replicas: &[Arc<FakeReplica>],
+    timeline: &Timeline,
+) {
+    let mut results_by_entry: BTreeMap<(&str, &str), Vec<&CallResult>> = BTreeMap::new();
+    record.responses.iter().for_each(|result| {
+        results_by_entry.entry((result.call.entry, result.call.tenant)).or_default().push(result);
+    });
+    for ((entry, tenant), results) in &mut results_by_entry {
+        results.sort_by_key(|result| result.at);
+        let mut failing_since: Option<Instant> = None;
+        for result in results.iter() {
+            if result.outcome == CallOutcome::Done {
+                failing_since = None;
                 continue;
             }
-            let since =
-                t.servable_since(topology, replicas, h.call.service, &h.call.homes, h.at, record.began);
-            let Some(since) = since else {
-                failing = None;
+            let servable_since = timeline.servable_since(
+                topology,
+                replicas,
+                result.call.service,
+                &result.call.homes,
+                result.at,
+                record.began,
+            );
+            let Some(servable_since) = servable_since else {
+                failing_since = None;
                 continue;
             };
-            let first = *failing.get_or_insert(h.at);
-            let gap = h.at.saturating_duration_since(first.max(since));
-            a.longest_outage_ms = a.longest_outage_ms.max(gap.as_millis());
-            if gap > RECOVERY_DEADLINE {
-                a.not_back += 1;
-                a.note(
-                    "not back",
-                    &format!("{entry} of {tenant}: {} ms, last {:?}", gap.as_millis(), h.outcome),
+            let first_failure = *failing_since.get_or_insert(result.at);
+            let outage = result.at.saturating_duration_since(first_failure.max(servable_since));
+            audit.longest_outage_ms = audit.longest_outage_ms.max(outage.as_millis());
+            if outage > RECOVERY_DEADLINE {
+                audit.not_back += 1;
+                audit.note(
+                    "not served again",
+                    &format!(
+                        "{entry} of {tenant}: failing for {} ms, last {:?}",
+                        outage.as_millis(),
+                        result.outcome
+                    ),
                 );
                 break;
             }
@@ -125,18 +159,18 @@
     }
 }
 
-/// Runs that began where nothing new may begin any more.
-fn departures(a: &mut Audit, record: &RunRecord, replicas: &[Arc<FakeReplica>]) {
-    for act in record.actions.iter().filter(|x| x.ok) {
-        let target = act.fault.target.as_str();
-        let later = |w: FaultKind| {
-            let it = record
+/// No run may begin at a replica that left, or in an evacuated zone, after the deadline for it.
+fn check_departures(audit: &mut Audit, record: &RunRecord, replicas: &[Arc<FakeReplica>]) {
+    for action in record.actions.iter().filter(|x| x.ok) {
+        let target = action.fault.target.as_str();
+        let later = |kind: FaultKind| {
+            let matching = record
                 .actions
                 .iter()
-                .filter(|x| x.started > act.started && x.fault.kind == w && x.fault.target == target);
-            it.map(|x| x.started).min()
+                .filter(|x| x.started > action.started && x.fault.kind == kind && x.fault.target == target);
+            matching.map(|x| x.started).min()
         };
-        let (span, until) = match act.fault.kind {
+        let (deadline, until) = match action.fault.kind {
             FaultKind::Drain | FaultKind::Remove | FaultKind::Lose | FaultKind::Take | FaultKind::Swap => {
                 (DEPARTURE_DEADLINE, None)
             }
@@ -145,70 +179,24 @@
             }
             _ => continue,
         };
-        let evacuated = span == EVACUATION_DEADLINE;
-        let there = |b: &&Arc<FakeReplica>| if evacuated { b.spec.zone == target } else { b.id == target };
+        let evacuated = deadline == EVACUATION_DEADLINE;
+        let concerned = |replica: &&Arc<FakeReplica>| {
+            if evacuated { replica.spec.zone == target } else { replica.id == target }
+        };
         let runs: Vec<Instant> = replicas
             .iter()
-            .filter(there)
-            .flat_map(|b| b.runs())
+            .filter(concerned)
+            .flat_map(|replica| replica.runs())
             .map(|r| r.at)
-            .filter(|at| *at > act.finished && until.is_none_or(|u| *at < u))
+            .filter(|at| *at > action.finished && until.is_none_or(|u| *at < u))
             .collect();
-        let last = runs.iter().map(|at| at.duration_since(act.finished).as_millis()).max();
-        a.last_begun_after_ms.insert(act.label.clone(), last.unwrap_or(0));
-        let late = runs.iter().filter(|at| **at > act.finished + span).count();
+        let last = runs.iter().map(|at| at.duration_since(action.finished).as_millis()).max();
+        audit.last_begun_after_ms.insert(action.label.clone(), last.unwrap_or(0));
+        let late = runs.iter().filter(|at| **at > action.finished + deadline).count();
         if evacuated {
-            a.late_at_evacuated += late;
+            audit.late_at_evacuated += late;
         } else {
-            a.late_at_departed += late;
-        }
-    }
-}
-
-/// What was open at a replica that came back cold, against the most that its ramp allows.
-fn cold(a: &mut Audit, record: &RunRecord, act: &Action, replicas: &[Arc<FakeReplica>]) {
-    let target = act.fault.target.as_str();
-    let whose = |b: &&Arc<FakeReplica>| match act.fault.kind {
-        FaultKind::Cold => b.id == target,
-        FaultKind::StartArea => b.spec.zone == target,
-        _ => false,
-    };
-    // A zone that was lost with the home of its figures, and is back before three checks, was never
-    // seen to be gone.
-    let lost = record.actions.iter().filter(|x| {
-        x.fault.kind == FaultKind::KillArea && x.fault.target == target && x.started < act.started
-    });
-    let unseen = act.fault.kind == FaultKind::StartArea
-        && lost.map(|x| x.started).max().is_some_and(|at| act.started.duration_since(at) < UNDETECTED_OUTAGE);
-    if unseen {
-        return;
-    }
-    for b in replicas.iter().filter(whose) {
-        let gone = record.actions.iter().filter(|x| x.started > act.started).find(|x| match x.fault.kind {
-            FaultKind::Crash | FaultKind::Mute | FaultKind::Lose | FaultKind::Take => x.fault.target == b.id,
-            FaultKind::KillArea => x.fault.target == b.spec.zone,
-            _ => false,
-        });
-        let mut most = vec![0usize; 15];
-        for r in b.runs().iter().filter(|r| r.at > act.started && gone.is_none_or(|g| r.at < g.started)) {
-            let up = r.at.duration_since(act.started).as_secs_f64();
-            if (up as usize) < most.len() {
-                most[up as usize] = most[up as usize].max(r.open);
-            }
-            let slots = b.spec.slots as f64;
-            let allowed = (slots * (up / SLOW_START_S).max(0.1)).floor().max(1.0) as usize;
-            // A place changes hands with the membership: one job may end at the old holder while the
-            // new one begins another.
-            if up < SLOW_START_S && r.open > allowed + 1 {
-                a.cold_over_allowance += 1;
-                a.note(
-                    "cold",
-                    &format!("{} had {} open {up:.1} s after its return, allowed {allowed}", b.id, r.open),
-                );
-            }
-        }
-        if b.spec.service == a.model {
-            a.cold_open.insert(b.id.clone(), most);
+            audit.late_at_departed += late;
         }
     }
 }
--- a/crates/simulator/src/fault.rs
+++ b/crates/simulator/src/fault.rs
@@ -1,76 +1,101 @@
-//! Faults of a fleet run, as written on the command line: `SECOND:WHAT:WHOM` (design 7.4).
+//! Faults of a fleet run, written on the command line as `SECOND:WHAT:WHOM` (design 7.4).
 
 use std::str::FromStr;
 
+/// A fault, or what an operator or the platform does to the fleet. The name on the command line is in [`NAMES`].
+///
+/// The order matters: from `Evacuate` on, the kinds concern replicas, zones and documents; those before it concern
+/// machines, links and disks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// SIGKILL; a node's name.
+    /// Kills a node with SIGKILL.
     Kill,
-    /// SIGTERM: a planned stop.
+    /// Stops a node with SIGTERM, as in planned work.
     Stop,
     /// Starts a node again with what is on its disk.
     Start,
-    /// Starts it with an empty data folder.
+    /// Starts a node with an empty data folder.
     Blank,
+    /// Suspends a node's process (SIGSTOP).
     Freeze,
+    /// Resumes a suspended process (SIGCONT).
     Thaw,
-    /// The machine loses its power: nothing is closed, nothing answers until it is started.
+    /// The machine loses power: no connection is closed, and nothing answers until it is started.
     Dark,
-    /// Cuts a node, a zone or `core` off (`p1`), only outwards (`p1>`), or one link (`s1--s2`).
+    /// Cuts off a node, a zone or `core` (`p1`), only its outgoing traffic (`p1>`), or one link (`s1--s2`).
     Cut,
+    /// Restores the links of a cut.
     Mend,
-    /// All control nodes at once.
+    /// Kills all control nodes at once.
     KillCore,
+    /// Starts all control nodes.
     StartCore,
     /// An empty machine at a new address takes this voter's place; the old one is started later.
     Replace,
-    /// A voter's disk turns slow, stalls, or fails at its next write; then it is well again.
+    /// A control node's disk becomes slow.
     SlowDisk,
+    /// A control node's disk completes no write.
     StallDisk,
+    /// A control node's disk fails at its next write.
     FailDisk,
+    /// A control node's disk is healthy again.
     WellDisk,
+    /// Evacuates a zone.
     Evacuate,
+    /// Ends the evacuation of a zone.
     Restore,
-    /// Two operators at once: one evacuates, the other patches the document.
+    /// Two operators at once: one evacuates a zone, the other patches the document.
     EvacuateAndPatch,
-    /// A replica crashes, comes back cold, is drained, or leaves the list.
+    /// A replica crashes.
     Crash,
+    /// A crashed replica starts again with an empty cache.
     Cold,
+    /// A replica is drained.
     Drain,
+    /// A replica is removed from the list.
     Remove,
-    /// A replica goes dark without a close, and is back.
+    /// A replica stops answering without closing its connections.
     Mute,
+    /// A replica that stopped answering is back.
     Unmute,
-    /// Lost for good: it crashes, and the platform takes it from the list a second later.
+    /// A replica is lost for good: it crashes, and the platform removes it from the list a second later.
     Lose,
-    /// Taken away at short notice: drained, and gone two seconds later.
+    /// A replica is taken away at short notice: drained, and gone two seconds later.
     Take,
-    /// Replaced: another one is listed, then this one is drained and removed.
+    /// A replica is replaced: another one is listed, then this one is drained and removed.
     Swap,
-    /// Every replica says that it is unwell, until it is over.
+    /// Every replica reports itself as unhealthy, until `BrownOver`.
     BrownOut,
+    /// Every replica reports itself as healthy again.
     BrownOver,
-    /// Every replica answers 503 to each job, and reports itself as well, until it is over.
+    /// Every replica answers each job with 503 and still reports itself as healthy, until `Sweet`.
     Sour,
+    /// Every replica serves jobs again.
     Sweet,
-    /// A new document with a small change.
+    /// Applies a new document with a small change.
     Apply,
-    /// Two documents at once.
+    /// Applies two documents at once, on the same base revision.
     Race,
-    /// Three documents in quick succession.
+    /// Applies three documents in quick succession.
     Burst,
-    /// All processes and replicas of a zone at once.
+    /// Kills all processes and replicas of a zone at once.
     KillArea,
+    /// Starts all processes and replicas of a zone.
     StartArea,
 }
 
+/// One fault of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
+    /// When it happens, in seconds after the traffic began.
     pub second: f64,
+    /// What happens.
     pub kind: FaultKind,
+    /// The node, replica, zone or link concerned; empty where the kind needs none.
     pub target: String,
 }
 
+/// Each kind with its name on the command line.
 const NAMES: &[(&str, FaultKind)] = &[
     ("kill", FaultKind::Kill),
     ("stop", FaultKind::Stop),
@@ -112,7 +137,7 @@
 ];
 
 impl FaultKind {
-    /// Part of planned work: nothing that was read may be dropped by it.
+    /// Whether this is planned work, which must not make any accepted request fail.
     pub fn planned(self) -> bool {
         use FaultKind::*;
         matches!(
@@ -133,8 +158,8 @@
 
 impl FromStr for Fault {
     type Err = String;
-    fn from_str(s: &str) -> Result<Self, String> {
-        let mut parts = s.splitn(3, ':');
+    fn from_str(text: &str) -> Result<Self, String> {
+        let mut parts = text.splitn(3, ':');
         let second = parts.next().and_then(|p| p.parse().ok()).filter(|v: &f64| *v >= 0.0);
         let kind = parts.next().and_then(|p| NAMES.iter().find(|(n, _)| *n == p)).map(|n| n.1);
         match (second, kind) {
@@ -143,7 +168,7 @@
             }
             _ => {
                 let names: Vec<_> = NAMES.iter().map(|n| n.0).collect();
-                Err(format!("{s:?}; allowed: SECOND:WHAT:WHOM, where WHAT is one of {}", names.join(", ")))
+                Err(format!("{text:?}; allowed: SECOND:WHAT:WHOM, where WHAT is one of {}", names.join(", ")))
             }
         }
     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,5 +1,5 @@
-//! Proof (design 7): stand-ins for callers and back ends, a whole fleet on one machine, and the
-//! seeded simulator. The only package that starts processes.
+//! Test harness (design 7): simulated callers and replicas, a whole fleet on one machine, and the seeded simulator.
+//! The only package that starts processes.
 
 pub mod actions;
 pub mod audit;
@@ -14,9 +14,11 @@
 pub mod operator;
 pub mod relay;
 pub mod replacements;
+pub mod replica_log;
 pub mod run;
 pub mod sim;
 pub mod simulated_process;
+pub mod slow_start;
 pub mod submissions;
 pub mod sync_body;
 pub mod timeline;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `simulator`: stand-ins, fleets and the simulator (design 7).
+//! `simulator`: runs fleets on one machine and the seeded simulations (design 7).
 
 use bpaf::Bpaf;
 use eyre::{Result, ensure, eyre};
@@ -18,11 +18,11 @@
 };
 use std::path::PathBuf;
 
-/// Proof of foldshunt on one machine.
+/// Tests foldshunt on one machine: fleets of real processes, and seeded simulations.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Opts {
-    /// Starts twelve nodes and their back ends, drives a deployment, and prints the audit
+    /// Starts twelve nodes and their replicas, sends a deployment's traffic, and prints the audit
     #[bpaf(command)]
     Fleet {
         /// bitacora or rinaldi
@@ -31,7 +31,7 @@
         /// Seconds of traffic
         #[bpaf(argument("N"), fallback(60.0))]
         seconds: f64,
-        /// Traffic, as a multiple of the firm's own
+        /// Traffic, as a multiple of the deployment's own
         #[bpaf(argument("X"), fallback(1.0))]
         rate: f64,
         /// Seed of the traffic
@@ -43,7 +43,7 @@
         /// Second octet of the addresses, 127.NET.x.y
         #[bpaf(argument("NET"), fallback(10))]
         net: u8,
-        /// Folder for the nodes' settings, data and logs; a new one must be empty
+        /// Folder for the nodes' settings, data and logs; must be new or empty
         #[bpaf(argument("DIR"), fallback("run/fleet".into()))]
         dir: PathBuf,
         /// SECOND:WHAT:WHOM, such as 20:kill:s1; may be given many times
@@ -51,17 +51,17 @@
         faults: Vec<Fault>,
         /// Adds faults drawn by the seed
         chaos: bool,
-        /// Region at which all callers without a home arrive
+        /// Region that all callers without a home region use
         #[bpaf(argument("REGION"))]
         crowd: Option<String>,
-        /// FROM=>TO: changes one piece of the document first; may be given many times
+        /// FROM=>TO: replaces one piece of the document before the start; may be given many times
         #[bpaf(argument("FROM=>TO"))]
         replace: Vec<String>,
     },
-    /// Runs whole fleets, the daemons' own code, under virtual time over many seeds of faults
+    /// Runs whole fleets, with the daemons' own code, under virtual time over many seeds of faults
     #[bpaf(command)]
     World {
-        /// bitacora or rinaldi; both in turn without it
+        /// bitacora or rinaldi; by default both in turn
         #[bpaf(argument("FIRM"))]
         firm: Option<Firm>,
         /// First seed
@@ -73,26 +73,26 @@
         /// Seconds of traffic (virtual)
         #[bpaf(argument("N"), fallback(60.0))]
         seconds: f64,
-        /// Traffic, as a multiple of the firm's own
+        /// Traffic, as a multiple of the deployment's own
         #[bpaf(argument("X"), fallback(0.5))]
         rate: f64,
         /// Faults besides those drawn by the seed; may be given many times
         #[bpaf(long("fault"), argument("FAULT"))]
         faults: Vec<Fault>,
-        /// No faults drawn by the seed
+        /// Draws no faults by the seed
         calm: bool,
         /// Prints each run's audit
         verbose: bool,
-        /// Goes on after a violation, and lists all seeds that had one
+        /// Continues after a violation, and lists all seeds that had one
         all: bool,
         /// Runs a deliberately broken variant, which a check must catch
         #[bpaf(argument("NAME"))]
         broken: Option<BrokenVariant>,
     },
-    /// Measures time and bytes until a member of the core has caught up, in virtual time
+    /// Measures, in virtual time, how long and how many bytes a control node takes to catch up
     #[bpaf(command("catch-up"))]
     CatchUp(#[bpaf(external(catch_up_plan))] CatchUpPlan),
-    /// Runs placement and lending under virtual time over many seeds
+    /// Simulates placement and capacity grants under virtual time over many seeds
     #[bpaf(command("sim-data"))]
     SimData {
         /// First seed
@@ -102,10 +102,10 @@
         #[bpaf(argument("N"), fallback(200))]
         seeds: u64,
     },
-    /// Runs the simulator over many seeds; a violation ends it with the seed and its trace
+    /// Simulates the control nodes over many seeds; stops at a violation and prints its seed and trace
     #[bpaf(command)]
     Sim {
-        /// Voters of the core: 3, 5 or 6
+        /// Number of voters: 3, 5 or 6
         #[bpaf(argument("N"), fallback(3))]
         voters: usize,
         /// First seed
@@ -114,7 +114,7 @@
         /// How many seeds
         #[bpaf(argument("N"), fallback(200))]
         seeds: u64,
-        /// Adds disks that refuse writes for a while under processes that go on
+        /// Adds disks that refuse writes for a while, under processes that keep running
         refusals: bool,
         /// Runs a deliberately broken variant, which a check must catch
         #[bpaf(argument("NAME"))]
@@ -124,30 +124,30 @@
 
 #[tokio::main]
 async fn main() -> std::process::ExitCode {
-    common::error::exit_code(go().await)
+    common::error::exit_code(run_command().await)
 }
 
-async fn go() -> Result<()> {
+async fn run_command() -> Result<()> {
     match opts().run() {
         Opts::Fleet { firm, seconds, rate, seed, settle, net, dir, mut faults, chaos, crowd, replace } => {
             ensure!((1.0..=86_400.0).contains(&seconds), "--seconds: {seconds}; allowed: 1 to 86400");
             ensure!((0.01..=100.0).contains(&rate), "--rate: {rate}; allowed: 0.01 to 100");
             ensure!((0.0..=600.0).contains(&settle), "--settle: {settle}; allowed: 0 to 600");
             ensure!((1..=254).contains(&net), "--net: {net}; allowed: 1 to 254");
-            let taken = std::fs::read_dir(&dir).is_ok_and(|mut d| d.next().is_some());
-            ensure!(!taken, "--dir: {dir:?} is not empty; allowed: a new or empty folder");
+            let in_use = std::fs::read_dir(&dir).is_ok_and(|mut d| d.next().is_some());
+            ensure!(!in_use, "--dir: {dir:?} is not empty; allowed: a new or empty folder");
             let mut deployment = deployment(firm);
             replace.iter().try_for_each(|r| deployment.replace(r)).map_err(|e| eyre!("--replace: {e}"))?;
-            let known = crowd.as_ref().is_none_or(|c| deployment.regions().contains(&c.as_str()));
-            ensure!(known, "--crowd: {crowd:?}; allowed: {}", deployment.regions().join(", "));
-            let mut f = Fleet::start(deployment, &dir, net).await?;
+            let crowd_known = crowd.as_ref().is_none_or(|c| deployment.regions().contains(&c.as_str()));
+            ensure!(crowd_known, "--crowd: {crowd:?}; allowed: {}", deployment.regions().join(", "));
+            let mut fleet = Fleet::start(deployment, &dir, net).await?;
             if chaos {
-                faults.extend(draw_faults(seed, seconds, &f.deployment, false));
+                faults.extend(draw_faults(seed, seconds, &fleet.deployment, false));
             }
             let load = Load { secs: seconds, rate, seed, crowd };
-            let res = run(&mut f, &load, settle, &faults).await;
-            f.stop().await;
-            print_audit(&res?)
+            let result = run(&mut fleet, &load, settle, &faults).await;
+            fleet.stop().await;
+            print_audit(&result?)
         }
         Opts::World { firm, from, seeds, seconds, rate, faults, calm, verbose, all, broken } => {
             ensure!((1..=10_000_000).contains(&seeds), "--seeds: {seeds}; allowed: 1 to 10000000");
@@ -162,7 +162,7 @@
             sweep_data(from, seeds)
         }
         Opts::Sim { voters, from, seeds, refusals, broken } => {
-            ensure!([3, 5, 6].contains(&voters), "--seats: {voters}; allowed: 3, 5, 6");
+            ensure!([3, 5, 6].contains(&voters), "--voters: {voters}; allowed: 3, 5, 6");
             ensure!((1..=10_000_000).contains(&seeds), "--seeds: {seeds}; allowed: 1 to 10000000");
             sweep(from, seeds, voters, broken, refusals)
         }
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -1,4 +1,4 @@
-//! One node of a fleet: a real process, or the same code on a host of a world (design 7.2).
+//! One node of a fleet: a real process, or the same code on a simulated host (design 7.2).
 
 use crate::{
     sim::disk::{DiskCondition, SimDisk},
@@ -20,45 +20,61 @@
 };
 use tokio::process::{Child, Command};
 
+/// Port of every node for calls between nodes.
 pub const RPC_PORT: u16 = 7100;
+/// Port of every node for HTTP.
 pub const HTTP_PORT: u16 = 8080;
 
-/// How a node lives while it runs.
+/// A node that is running.
 pub enum RunningNode {
+    /// A real process.
     Process(Child),
+    /// Tasks on a simulated host.
     Simulated(SimulatedProcess),
 }
 
-/// Where nodes are started.
+/// How the nodes of a fleet are started.
 #[derive(Clone)]
 pub enum Launcher {
     /// As processes, from the programs in this folder.
     Processes(PathBuf),
+    /// On hosts of a simulation.
     Simulation(Arc<common::runtime::Simulation>),
 }
 
+/// A node of a fleet, running or not.
 pub struct Node {
+    /// Its name: `s1` to `s3` for control nodes, `p1` to `p9` for routers.
     pub name: String,
+    /// Its zone.
     pub zone: &'static str,
+    /// Whether it is a control node; otherwise it is a router.
     pub is_control: bool,
-    /// An empty machine that may take the place of another.
+    /// Whether it was started empty, to take the place of another node.
     pub is_replacement: bool,
+    /// The address that it listens on.
     pub ip: IpAddr,
-    /// Where its relay stands: what the others are advertised_ip.
+    /// The address that it advertises to others: its relay's, or its own where there are no relays.
     pub advertised_ip: IpAddr,
+    /// Folder of its settings, data and log.
     pub dir: PathBuf,
+    /// Name of its cluster.
     pub cluster: &'static str,
+    /// Addresses of the control nodes, as advertised.
     pub seeds: Vec<SocketAddr>,
+    /// The running node; `None` while it is down.
     pub running: Option<RunningNode>,
-    /// In a world: its disk, which outlives the process.
+    /// In a simulation: its disk, which outlives the process.
     pub disk: Arc<Mutex<SimDisk>>,
 }
 
 impl Node {
+    /// Its HTTP address.
     pub fn http(&self) -> SocketAddr {
         SocketAddr::new(self.ip, HTTP_PORT)
     }
 
+    /// Its settings.
     pub fn settings(&self) -> Settings {
         let advertise =
             |port| (self.advertised_ip != self.ip).then_some(SocketAddr::new(self.advertised_ip, port));
@@ -78,9 +94,10 @@
         }
     }
 
+    /// Starts it; an error if it is already running.
     pub fn start(&mut self, yard: &Launcher) -> Result<()> {
         if self.running.is_some() {
-            bail!("{} runs already", self.name);
+            bail!("{} is already running", self.name);
         }
         self.running = Some(match yard {
             Launcher::Processes(bin) => RunningNode::Process(self.spawn_process(bin)?),
@@ -92,9 +109,9 @@
     fn spawn_process(&self, bin: &Path) -> Result<Child> {
         std::fs::create_dir_all(&self.dir)?;
         std::fs::write(self.dir.join("node.toml"), toml::to_string(&self.settings())?)?;
-        let prog = bin.join(if self.is_control { "foldshunt-control" } else { "foldshunt-router" });
+        let program = bin.join(if self.is_control { "foldshunt-control" } else { "foldshunt-router" });
         let log = File::options().create(true).append(true).open(self.dir.join("log"))?;
-        Command::new(&prog)
+        Command::new(&program)
             .arg("--config")
             .arg(self.dir.join("node.toml"))
             .stdin(Stdio::null())
@@ -102,10 +119,10 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()
-            .wrap_err_with(|| format!("start {prog:?} (built with: cargo build --workspace)"))
+            .wrap_err_with(|| format!("cannot start {program:?}; build it first: cargo build --workspace"))
     }
 
-    /// Of a real process, while it runs.
+    /// Process id of a real process, while it runs.
     pub fn pid(&self) -> Option<u32> {
         match &self.running {
             Some(RunningNode::Process(c)) => c.id(),
@@ -119,10 +136,11 @@
                 let pid = c.id().ok_or_else(|| eyre!("{} has ended", self.name))?;
                 Ok(kill(Pid::from_raw(pid as i32), signal)?)
             }
-            _ => bail!("{} does not run", self.name),
+            _ => bail!("{} is not running", self.name),
         }
     }
 
+    /// Suspends it, with its connections open.
     pub fn freeze(&self) -> Result<()> {
         match &self.running {
             Some(RunningNode::Simulated(h)) => {
@@ -133,6 +151,7 @@
         }
     }
 
+    /// Resumes it.
     pub fn thaw(&self) -> Result<()> {
         match &self.running {
             Some(RunningNode::Simulated(h)) => {
@@ -143,6 +162,7 @@
         }
     }
 
+    /// Kills it; does nothing if it is not running.
     pub async fn kill(&mut self) -> Result<()> {
         match self.running.take() {
             Some(RunningNode::Process(mut c)) => c.kill().await?,
@@ -152,7 +172,7 @@
         Ok(())
     }
 
-    /// The machine loses its power; a real process can only be killed.
+    /// The machine loses power; a real process is killed instead.
     pub async fn power_off(&mut self) -> Result<()> {
         match self.running.take() {
             Some(RunningNode::Simulated(h)) => {
@@ -166,37 +186,43 @@
         }
     }
 
-    /// SIGTERM, then waits for the end; how long that took.
+    /// Sends SIGTERM and waits for the process to end; returns how long that took.
     pub async fn stop(&mut self) -> Result<Duration> {
-        let at = tokio::time::Instant::now();
-        let most = Duration::from_secs(90);
+        let started = tokio::time::Instant::now();
+        let limit = Duration::from_secs(90);
         match self.running.take() {
             Some(RunningNode::Process(mut c)) => {
                 let pid = c.id().ok_or_else(|| eyre!("{} has ended", self.name))?;
                 kill(Pid::from_raw(pid as i32), Signal::SIGTERM)?;
-                tokio::time::timeout(most, c.wait()).await.wrap_err("no end after SIGTERM")??;
+                tokio::time::timeout(limit, c.wait())
+                    .await
+                    .wrap_err("still running 90 s after SIGTERM")??;
             }
             Some(RunningNode::Simulated(h)) => {
-                tokio::time::timeout(most, h.stop(&self.disk)).await.wrap_err("no end after the stop")?;
+                tokio::time::timeout(limit, h.stop(&self.disk))
+                    .await
+                    .wrap_err("still running 90 s after the stop")?;
             }
-            None => bail!("{} does not run", self.name),
+            None => bail!("{} is not running", self.name),
         }
-        Ok(at.elapsed())
+        Ok(started.elapsed())
     }
 
-    /// A voter's disk changes; real files do as they do.
+    /// Sets the condition of a simulated disk. An error for a real process, whose disk cannot be changed.
     pub fn set_disk_condition(&self, condition: DiskCondition) -> Result<()> {
         if !matches!(self.running, Some(RunningNode::Simulated(_))) {
-            bail!("the disk of {} is a real one; disks change in a world only", self.name);
+            bail!("the disk of {} is a real one; only a simulated disk can be changed", self.name);
         }
         self.disk.lock().unwrap_or_else(|e| e.into_inner()).condition = condition;
         Ok(())
     }
 
+    /// Whether it is running, even if suspended.
     pub fn is_running(&self) -> bool {
         self.running.is_some()
     }
 
+    /// Empties its disk and its data folder.
     pub fn wipe(&self) -> Result<()> {
         self.disk.lock().unwrap_or_else(|e| e.into_inner()).wipe();
         let dir = self.dir.join("data");
--- a/crates/simulator/src/replacements.rs
+++ b/crates/simulator/src/replacements.rs
@@ -1,4 +1,4 @@
-//! Machines and replicas that take the place of others (design 7.4).
+//! Control nodes and replicas that are started to take the place of others (design 7.4).
 
 use crate::{
     fake_replica::FakeReplica,
@@ -13,6 +13,7 @@
     sync::{Arc, Mutex},
 };
 
+/// Address of the machine that replaces one at `of`.
 fn replacement_ip(of: IpAddr) -> IpAddr {
     match of {
         IpAddr::V4(v) => {
@@ -24,10 +25,10 @@
 }
 
 impl Fleet {
-    /// An empty machine in the same zone, at a new address, for a voter that is gone.
+    /// Starts an empty control node in the same zone, at a new address, in place of a voter that is gone.
     pub fn start_replacement(&mut self, name: &str) -> Result<()> {
         let old = self.node(name)?;
-        let n = Node {
+        let node = Node {
             name: format!("{name}-new"),
             dir: old.dir.with_file_name(format!("{name}-new")),
             zone: old.zone,
@@ -40,17 +41,17 @@
             running: None,
             disk: Arc::new(Mutex::new(SimDisk::new(None, SizeLimits::default()))),
         };
-        let name = n.name.clone();
+        let name = node.name.clone();
         self.nodes.retain(|o| o.name != name);
-        self.nodes.push(n);
+        self.nodes.push(node);
         self.start_node(&name)
     }
 
-    /// A replica of the same kind, under another name and address.
+    /// Starts a replica of the same kind, under another id and address.
     pub async fn start_replica_like(&mut self, id: &str) -> Result<Arc<FakeReplica>> {
-        let (n, spec) = (self.replicas.len() as u8, self.replica(id)?.spec.clone());
-        let addr = SocketAddr::new(ip(self.net, 100, n + 1), 9000);
-        let new = FakeReplica::new(format!("{}-{}-{n}", spec.service, spec.zone), addr, spec);
+        let (number, spec) = (self.replicas.len() as u8, self.replica(id)?.spec.clone());
+        let addr = SocketAddr::new(ip(self.net, 100, number + 1), 9000);
+        let new = FakeReplica::new(format!("{}-{}-{number}", spec.service, spec.zone), addr, spec);
         new.start().await?;
         self.replicas.push(new.clone());
         Ok(new)
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a fleet, of processes or in a world: opened, driven, audited (design 7.5).
+//! One run of a fleet, of processes or simulated: brought up, put under load, audited (design 7.5).
 
 use crate::{
     audit::{Audit, audit},
@@ -11,47 +11,48 @@
 use eyre::{Result, WrapErr, ensure};
 use std::time::Duration;
 
-/// Goes that a router may have saved up when it starts.
+/// Retries that a router may make right after its start, beyond the ratio.
 const INITIAL_RETRIES_PER_ROUTER: usize = 2;
 
+/// Brings a fleet up, waits `settle` seconds, sends traffic while the faults happen, and audits the run.
 pub async fn run(fleet: &mut Fleet, load: &Load, settle: f64, faults: &[Fault]) -> Result<Audit> {
-    fleet.bring_up().await.wrap_err("opening the fleet")?;
+    fleet.bring_up().await.wrap_err("bringing up the fleet")?;
     tokio::time::sleep(Duration::from_secs_f64(settle)).await;
     let mut record = drive(fleet, load, faults).await?;
-    // A closing fault is given the time that the brief gives to come back.
-    let op = fleet.operator();
-    let mut document = op.document().await;
+    // A fault at the very end may take as long to recover from as the requirements allow: 12 s.
+    let operator = fleet.operator();
+    let mut document = operator.document().await;
     for _ in 0..24 {
         if document.is_some() {
             break;
         }
         tokio::time::sleep(Duration::from_millis(500)).await;
-        document = op.document().await;
+        document = operator.document().await;
     }
-    submissions::resolve_undetermined(&op, &mut record.actions).await;
+    submissions::resolve_undetermined(&operator, &mut record.actions).await;
     let mut audit = audit(&record, &fleet.replicas, &fleet.topology());
     audit.placements = fleet.counter_by_label("foldshunt_placements_total{").await;
     audit.passes = fleet.counter_by_label("foldshunt_passes_total{").await;
-    let goes = fleet.counter_by_label("foldshunt_goes_total{").await;
-    audit.retry_ratio = goes.get("extra").copied().unwrap_or(0.0);
-    audit.hops = goes.get("hop").copied().unwrap_or(0.0);
-    audit.extra_share = audit.retry_ratio / audit.jobs.max(1) as f64;
+    let attempts = fleet.counter_by_label("foldshunt_goes_total{").await;
+    audit.retries = attempts.get("extra").copied().unwrap_or(0.0);
+    audit.hops = attempts.get("hop").copied().unwrap_or(0.0);
+    audit.retry_ratio = audit.retries / audit.requests.max(1) as f64;
     let routers = fleet.nodes.iter().filter(|n| !n.is_control).count();
-    let most = MAX_RETRY_RATIO * audit.jobs as f64
+    let allowed = MAX_RETRY_RATIO * audit.requests as f64
         + (INITIAL_RETRIES_PER_ROUTER * (routers + record.actions.len())) as f64;
-    audit.extra_over = (audit.retry_ratio - most).max(0.0).ceil() as usize;
-    let want = submissions::newest_accepted(&record.actions, &fleet.deployment.document);
-    audit.read_back_exact = Some(document.as_ref() == Some(&want));
+    audit.extra_over = (audit.retries - allowed).max(0.0).ceil() as usize;
+    let expected = submissions::newest_accepted(&record.actions, &fleet.deployment.document);
+    audit.read_back_exact = Some(document.as_ref() == Some(&expected));
     let refused =
         record.actions.iter().flat_map(|x| &x.submissions).filter(|p| p.outcome == DocumentOutcome::Refused);
     audit.refused_read_back = refused.filter(|p| document.as_ref() == Some(&p.text)).count();
     Ok(audit)
 }
 
-/// Prints the audit; an error where what must never happen did.
+/// Prints the audit; an error if it found a violation.
 pub fn print_audit(audit: &Audit) -> Result<()> {
     println!("{}", serde_json::to_string_pretty(audit)?);
-    let bad = audit.violations();
-    ensure!(bad.is_empty(), "what must never happen did: {bad:?}");
+    let violations = audit.violations();
+    ensure!(violations.is_empty(), "violations: {violations:?}");
     Ok(())
 }
--- a/crates/simulator/src/submissions.rs
+++ b/crates/simulator/src/submissions.rs
@@ -1,32 +1,39 @@
-//! Documents that operators send during a run, and what they were told of each (design 7.4).
+//! Documents that operators submit during a run, and the outcome of each (design 7.4).
 
 use crate::{actions::Action, fault::Fault, operator::Operator};
 use tokio::time::Instant;
 
+/// What became of a document.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DocumentOutcome {
+    /// Accepted as this revision.
     Accepted(u64),
-    /// Never to take effect.
+    /// It will never take effect.
     Refused,
-    /// No final answer, or one that left it open.
+    /// There was no answer, or none that said whether it was accepted.
     Undetermined,
 }
 
+/// A document that an operator submitted.
 #[derive(Clone, Debug)]
 pub struct Submission {
+    /// Operation id.
     pub op: String,
+    /// The document.
     pub text: String,
+    /// What became of it, as far as the operator knows.
     pub outcome: DocumentOutcome,
-    /// When its outcome was told.
+    /// When the operator learned its outcome.
     pub at: Instant,
 }
 
 impl Submission {
-    fn new(op: &str, text: &str, res: &Option<(u16, serde_json::Value)>) -> Submission {
-        let outcome = match res {
-            Some((200, v)) => {
-                v["revision"].as_u64().map(DocumentOutcome::Accepted).unwrap_or(DocumentOutcome::Undetermined)
-            }
+    fn new(op: &str, text: &str, answer: &Option<(u16, serde_json::Value)>) -> Submission {
+        let outcome = match answer {
+            Some((200, body)) => body["revision"]
+                .as_u64()
+                .map(DocumentOutcome::Accepted)
+                .unwrap_or(DocumentOutcome::Undetermined),
             Some((412 | 422, _)) => DocumentOutcome::Refused,
             _ => DocumentOutcome::Undetermined,
         };
@@ -34,46 +41,51 @@
     }
 }
 
-fn with_comment(doc: &str, fault: &Fault, tag: u32) -> String {
-    format!("{doc}\n# change at {} number {tag}\n", fault.second)
+/// The document with a comment added, so that each submission differs.
+fn with_comment(document: &str, fault: &Fault, tag: u32) -> String {
+    format!("{document}\n# change at {} number {tag}\n", fault.second)
 }
 
-pub async fn apply(op: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
-    let Some((doc, base)) = op.document_and_revision().await else {
+/// Applies a changed document, and waits until all nodes use it.
+pub async fn apply(operator: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
+    let Some((document, base)) = operator.document_and_revision().await else {
         action.ok = false;
         return;
     };
-    let text = with_comment(&doc, fault, 0);
+    let text = with_comment(&document, fault, 0);
     let at = Instant::now();
     let name = format!("apply-{seed}-{}", fault.second);
-    let res = op.apply_waiting(&text, base, &name).await;
-    action.ok = res.as_ref().is_some_and(|r| r.0 == 200 && r.1["governs"] == true);
+    let answer = operator.apply_waiting(&text, base, &name).await;
+    action.ok = answer.as_ref().is_some_and(|r| r.0 == 200 && r.1["governs"] == true);
     action.in_force_ms = Some(at.elapsed().as_millis() as u64);
-    action.submissions.push(Submission::new(&name, &text, &res));
+    action.submissions.push(Submission::new(&name, &text, &answer));
 }
 
-pub async fn burst(op: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
+/// Applies three documents in quick succession.
+pub async fn burst(operator: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
     for n in 1..=3 {
-        let Some((doc, base)) = op.document_and_revision().await else {
+        let Some((document, base)) = operator.document_and_revision().await else {
             action.ok = false;
             return;
         };
-        let (text, name) = (with_comment(&doc, fault, n), format!("burst-{seed}-{}-{n}", fault.second));
-        let res = op.apply(&text, base, &name).await;
-        action.ok &= matches!(res, Some((200, _)));
-        action.submissions.push(Submission::new(&name, &text, &res));
+        let (text, name) = (with_comment(&document, fault, n), format!("burst-{seed}-{}-{n}", fault.second));
+        let answer = operator.apply(&text, base, &name).await;
+        action.ok &= matches!(answer, Some((200, _)));
+        action.submissions.push(Submission::new(&name, &text, &answer));
     }
 }
 
-pub async fn race(op: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
-    let Some((doc, base)) = op.document_and_revision().await else {
+/// Two operators apply on the same base revision: one must be accepted, the other refused.
+pub async fn race(operator: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
+    let Some((document, base)) = operator.document_and_revision().await else {
         action.ok = false;
         return;
     };
-    let texts: Vec<String> = (1..=2).map(|n| with_comment(&doc, fault, n)).collect();
+    let texts: Vec<String> = (1..=2).map(|n| with_comment(&document, fault, n)).collect();
     let names: Vec<String> = (1..=2).map(|n| format!("race-{seed}-{}-{n}", fault.second)).collect();
-    let other = op.with_rotated_voters();
-    let (a, b) = tokio::join!(op.apply(&texts[0], base, &names[0]), other.apply(&texts[1], base, &names[1]));
+    let other = operator.with_rotated_voters();
+    let (a, b) =
+        tokio::join!(operator.apply(&texts[0], base, &names[0]), other.apply(&texts[1], base, &names[1]));
     let codes: Vec<u16> = [&a, &b].iter().filter_map(|r| r.as_ref().map(|r| r.0)).collect();
     action.ok = codes.contains(&200) && codes.contains(&412);
     for (n, r) in [a, b].iter().enumerate() {
@@ -81,54 +93,57 @@
     }
 }
 
-/// One evacuates while the other changes a value of the document.
-pub async fn evacuate_and_patch(op: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
-    let Some((doc, base)) = op.document_and_revision().await else {
+/// One operator evacuates a zone while another patches the document.
+pub async fn evacuate_and_patch(operator: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
+    let Some((document, base)) = operator.document_and_revision().await else {
         action.ok = false;
         return;
     };
-    let other = op.with_rotated_voters();
+    let other = operator.with_rotated_voters();
     let with = format!("slots = 4 # patched at {}", fault.second);
     let body = serde_json::json!({"replace": [{"find": "slots = 4", "with": with}]}).to_string();
     let name = format!("patch-{seed}-{}", fault.second);
     let (base, line) =
-        (base.to_string(), doc.lines().find(|l| l.starts_with("slots = 4")).map(str::to_string));
+        (base.to_string(), document.lines().find(|l| l.starts_with("slots = 4")).map(str::to_string));
     let headers = [("if-match", base.as_str()), ("foldshunt-op", name.as_str())];
-    let (evacuated, res) = tokio::join!(
-        op.evacuate(&fault.target, true),
+    let (evacuated, answer) = tokio::join!(
+        operator.evacuate(&fault.target, true),
         other.ask(hyper::Method::PATCH, "/v1/timetable", &headers, &body)
     );
     action.ok = evacuated;
-    let text = line.map(|l| doc.replacen(&l, &l.replacen("slots = 4", &with, 1), 1)).unwrap_or_default();
-    let res = res.map(|(c, b)| (c, serde_json::from_slice(&b).unwrap_or_default()));
-    action.submissions.push(Submission::new(&name, &text, &res));
+    let text = line.map(|l| document.replacen(&l, &l.replacen("slots = 4", &with, 1), 1)).unwrap_or_default();
+    let answer = answer.map(|(c, b)| (c, serde_json::from_slice(&b).unwrap_or_default()));
+    action.submissions.push(Submission::new(&name, &text, &answer));
 }
 
-/// What must be read back at the end, and what must not: doubts are asked for by their operation.
-pub async fn resolve_undetermined(op: &Operator, actions: &mut [Action]) {
-    for p in actions
+/// Asks for the outcome of each undetermined submission by its operation id. The audit must know which documents may
+/// be read back at the end.
+pub async fn resolve_undetermined(operator: &Operator, actions: &mut [Action]) {
+    for submission in actions
         .iter_mut()
         .flat_map(|a| a.submissions.iter_mut())
-        .filter(|p| p.outcome == DocumentOutcome::Undetermined)
+        .filter(|submission| submission.outcome == DocumentOutcome::Undetermined)
     {
-        let res = op.ask(hyper::Method::GET, &format!("/v1/ops/{}", p.op), &[], "").await;
-        let v: serde_json::Value = res.and_then(|(_, b)| serde_json::from_slice(&b).ok()).unwrap_or_default();
-        p.outcome = match v["outcome"].as_str() {
-            Some("accepted") => {
-                v["revision"].as_u64().map(DocumentOutcome::Accepted).unwrap_or(DocumentOutcome::Undetermined)
-            }
+        let answer = operator.ask(hyper::Method::GET, &format!("/v1/ops/{}", submission.op), &[], "").await;
+        let status: serde_json::Value =
+            answer.and_then(|(_, b)| serde_json::from_slice(&b).ok()).unwrap_or_default();
+        submission.outcome = match status["outcome"].as_str() {
+            Some("accepted") => status["revision"]
+                .as_u64()
+                .map(DocumentOutcome::Accepted)
+                .unwrap_or(DocumentOutcome::Undetermined),
             Some("refused") => DocumentOutcome::Refused,
             _ => DocumentOutcome::Undetermined,
         };
-        p.at = Instant::now();
+        submission.at = Instant::now();
     }
 }
 
-/// The newest accepted text, of all papers and the first document.
+/// The newest accepted document of all submissions; without any, the first document.
 pub fn newest_accepted(actions: &[Action], first: &str) -> String {
     let submissions = actions.iter().flat_map(|a| &a.submissions);
-    let accepted = submissions.filter_map(|p| match p.outcome {
-        DocumentOutcome::Accepted(r) => Some((r, p.text.as_str())),
+    let accepted = submissions.filter_map(|submission| match submission.outcome {
+        DocumentOutcome::Accepted(r) => Some((r, submission.text.as_str())),
         _ => None,
     });
     accepted.max_by_key(|a| a.0).map_or(first, |a| a.1).to_string()
--- a/crates/simulator/src/timeline.rs
+++ b/crates/simulator/src/timeline.rs
@@ -1,26 +1,30 @@
-//! What was out, and when, by the acts of a run (design 7.5): when a job could have been served.
+//! What was down and when, from the actions of a run (design 7.5); tells when a request could have been served.
 
 use crate::{actions::Action, fake_replica::FakeReplica, fault::FaultKind};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 use tokio::time::Instant;
 
-/// The fleet as the audit must know it.
+/// What the audit needs to know of the fleet.
 pub struct Topology {
     /// Name, zone, and address of each router.
     pub routers: Vec<(String, &'static str, SocketAddr)>,
+    /// Each zone and its region.
     pub zones: Vec<(&'static str, &'static str)>,
+    /// The service that runs the model.
     pub model: &'static str,
 }
 
 impl Topology {
+    /// Region of a zone; empty if the zone is unknown.
     pub fn region_of(&self, zone: &str) -> &'static str {
-        self.zones.iter().find(|a| a.0 == zone).map_or("", |a| a.1)
+        self.zones.iter().find(|action| action.0 == zone).map_or("", |action| action.1)
     }
 }
 
+/// When something went down and when it was back; `None` while it is down.
 type Span = (Instant, Option<Instant>);
 
-/// For each node, replica and evacuation (`evac/AREA`): when it was out.
+/// The downtimes of each router and replica, by name, and of each evacuated zone (`evac/ZONE`).
 #[derive(Default)]
 pub struct Timeline(BTreeMap<String, Vec<Span>>);
 
@@ -29,76 +33,86 @@
 }
 
 impl Timeline {
+    /// The downtimes that these actions caused.
     pub fn from_actions(actions: &[Action], topology: &Topology, replicas: &[Arc<FakeReplica>]) -> Timeline {
-        let mut t = Timeline::default();
-        for a in actions {
-            let target = a.fault.target.trim_end_matches('>').to_string();
-            let nodes = || -> Vec<String> {
+        let mut timeline = Timeline::default();
+        for action in actions {
+            let target = action.fault.target.trim_end_matches('>').to_string();
+            let routers = || -> Vec<String> {
                 let inside = |r: &&(String, &str, SocketAddr)| r.0 == target || r.1 == target;
                 topology.routers.iter().filter(inside).map(|r| r.0.clone()).collect()
             };
-            let reps = || -> Vec<String> {
+            let replica_ids = || -> Vec<String> {
                 replicas
                     .iter()
-                    .filter(|b| b.id == target || b.spec.zone == target)
-                    .map(|b| b.id.clone())
+                    .filter(|replica| replica.id == target || replica.spec.zone == target)
+                    .map(|replica| replica.id.clone())
                     .collect()
             };
-            let all = || -> Vec<String> { replicas.iter().map(|b| b.id.clone()).collect() };
-            match a.fault.kind {
+            let all_replicas =
+                || -> Vec<String> { replicas.iter().map(|replica| replica.id.clone()).collect() };
+            match action.fault.kind {
                 FaultKind::Kill | FaultKind::Stop | FaultKind::Freeze | FaultKind::Dark | FaultKind::Cut => {
-                    t.mark_down(nodes(), a.started);
+                    timeline.mark_down(routers(), action.started);
                 }
                 FaultKind::Start | FaultKind::Blank | FaultKind::Thaw | FaultKind::Mend => {
-                    t.mark_up(nodes(), a.finished);
+                    timeline.mark_up(routers(), action.finished);
+                }
+                FaultKind::KillArea => {
+                    timeline.mark_down([routers(), replica_ids()].concat(), action.started);
+                }
+                FaultKind::StartArea => {
+                    timeline.mark_up([routers(), replica_ids()].concat(), action.finished);
                 }
-                FaultKind::KillArea => t.mark_down([nodes(), reps()].concat(), a.started),
-                FaultKind::StartArea => t.mark_up([nodes(), reps()].concat(), a.finished),
                 FaultKind::Crash | FaultKind::Mute | FaultKind::Drain | FaultKind::Remove => {
-                    t.mark_down(reps(), a.started);
+                    timeline.mark_down(replica_ids(), action.started);
                 }
-                FaultKind::Lose | FaultKind::Take | FaultKind::Swap => t.mark_down(reps(), a.started),
-                FaultKind::Cold | FaultKind::Unmute => t.mark_up(reps(), a.finished),
-                FaultKind::BrownOut | FaultKind::Sour => t.mark_down(all(), a.started),
-                FaultKind::BrownOver | FaultKind::Sweet => t.mark_up(all(), a.finished),
+                FaultKind::Lose | FaultKind::Take | FaultKind::Swap => {
+                    timeline.mark_down(replica_ids(), action.started);
+                }
+                FaultKind::Cold | FaultKind::Unmute => timeline.mark_up(replica_ids(), action.finished),
+                FaultKind::BrownOut | FaultKind::Sour => timeline.mark_down(all_replicas(), action.started),
+                FaultKind::BrownOver | FaultKind::Sweet => timeline.mark_up(all_replicas(), action.finished),
                 FaultKind::Evacuate | FaultKind::EvacuateAndPatch => {
-                    t.mark_down(vec![evacuation_key(&target)], a.started);
+                    timeline.mark_down(vec![evacuation_key(&target)], action.started);
+                }
+                FaultKind::Restore if action.ok => {
+                    timeline.mark_up(vec![evacuation_key(&target)], action.finished);
                 }
-                FaultKind::Restore if a.ok => t.mark_up(vec![evacuation_key(&target)], a.finished),
                 _ => {}
             }
         }
-        t
+        timeline
     }
 
     fn mark_down(&mut self, names: Vec<String>, at: Instant) {
         for n in names {
-            let v = self.0.entry(n).or_default();
-            if v.last().is_none_or(|s| s.1.is_some()) {
-                v.push((at, None));
+            let spans = self.0.entry(n).or_default();
+            if spans.last().is_none_or(|span| span.1.is_some()) {
+                spans.push((at, None));
             }
         }
     }
 
     fn mark_up(&mut self, names: Vec<String>, at: Instant) {
         for n in names {
-            let open = self.0.get_mut(&n).and_then(|v| v.last_mut());
-            open.into_iter().filter(|s| s.1.is_none()).for_each(|s| s.1 = Some(at));
+            let last = self.0.get_mut(&n).and_then(|spans| spans.last_mut());
+            last.into_iter().filter(|span| span.1.is_none()).for_each(|span| span.1 = Some(at));
         }
     }
 
-    /// Whether something was out at any time between the two.
+    /// Whether something was down at any time between the two instants.
     pub fn was_down_during(&self, name: &str, from: Instant, to: Instant) -> bool {
         let spans = self.0.get(name).map(Vec::as_slice).unwrap_or(&[]);
-        spans.iter().any(|s| s.0 <= to && s.1.is_none_or(|e| e >= from))
+        spans.iter().any(|span| span.0 <= to && span.1.is_none_or(|end| end >= from))
     }
 
     fn is_up(&self, name: &str, at: Instant) -> bool {
         !self.was_down_during(name, at, at)
     }
 
-    /// Whether a job with these homes could be served at a time: a router and a replica of its
-    /// service in one of them.
+    /// Whether a request with these home regions could be served at that time: one of them had a router and a
+    /// replica of the service.
     pub fn can_serve(
         &self,
         topology: &Topology,
@@ -107,23 +121,23 @@
         homes: &[&str],
         at: Instant,
     ) -> bool {
-        let open = |zone: &str| self.is_up(&evacuation_key(zone), at);
+        let in_use = |zone: &str| self.is_up(&evacuation_key(zone), at);
         homes.iter().any(|h| {
-            let router = topology
+            let has_router = topology
                 .routers
                 .iter()
-                .any(|r| topology.region_of(r.1) == *h && open(r.1) && self.is_up(&r.0, at));
-            let replica = replicas.iter().any(|b| {
-                b.spec.service == service
-                    && b.spec.region == *h
-                    && open(&b.spec.zone)
-                    && self.is_up(&b.id, at)
+                .any(|r| topology.region_of(r.1) == *h && in_use(r.1) && self.is_up(&r.0, at));
+            let has_replica = replicas.iter().any(|replica| {
+                replica.spec.service == service
+                    && replica.spec.region == *h
+                    && in_use(&replica.spec.zone)
+                    && self.is_up(&replica.id, at)
             });
-            router && replica
+            has_router && has_replica
         })
     }
 
-    /// Since when it could be served without a break, looking back from a time at which it can.
+    /// Since when such a request could be served without interruption up to `at`; `None` if it cannot at `at`.
     pub fn servable_since(
         &self,
         topology: &Topology,
@@ -133,20 +147,20 @@
         at: Instant,
         began: Instant,
     ) -> Option<Instant> {
-        let ok = |t: Instant| self.can_serve(topology, replicas, service, homes, t);
+        let ok = |time: Instant| self.can_serve(topology, replicas, service, homes, time);
         if !ok(at) {
             return None;
         }
         let mut edges: Vec<Instant> =
-            self.0.values().flatten().flat_map(|s| [Some(s.0), s.1]).flatten().collect();
-        edges.retain(|e| *e <= at && *e >= began);
+            self.0.values().flatten().flat_map(|span| [Some(span.0), span.1]).flatten().collect();
+        edges.retain(|end| *end <= at && *end >= began);
         edges.sort();
         let mut since = at;
-        for e in edges.into_iter().rev() {
-            if !ok(e) {
+        for end in edges.into_iter().rev() {
+            if !ok(end) {
                 return Some(since);
             }
-            since = e;
+            since = end;
         }
         Some(began)
     }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -1,4 +1,4 @@
-//! Whole fleets under virtual time (design 7.2): the daemons' own code, by seed.
+//! Runs whole fleets, with the daemons' own code, under virtual time and seeded faults (design 7.2).
 
 use crate::{
     audit::Audit,
@@ -22,134 +22,144 @@
 /// Deliberately broken variants of the daemons, each with the check that must catch it.
 pub const BROKEN_VARIANTS: &[(&str, &str)] = &[
     ("once-goes-again", "doubled"),
-    ("unknown-called-bounced", "bounced, yet run"),
+    ("unknown-called-bounced", "rejected, yet run"),
     ("cut-looks-whole", "garbled"),
-    ("departed-still-used", "late in an evacuated area"),
+    ("departed-still-used", "late run in an evacuated zone"),
     ("no-homes", "misrouted"),
-    ("boundless-goes", "extra goes over a fifth"),
+    ("boundless-goes", "retries over a fifth of requests"),
     ("cold-is-warm", "cold replica over its allowance"),
-    ("narrows-unheard", "governed late"),
+    ("narrows-unheard", "older document used late"),
     ("no-drain", "dropped in planned work"),
-    ("no-retry-after", "bounced without Retry-After"),
+    ("no-retry-after", "rejected without Retry-After"),
 ];
 
+/// Name of a deliberately broken variant.
 #[derive(Clone, Debug)]
 pub struct BrokenVariant(pub &'static str);
 
 impl FromStr for BrokenVariant {
     type Err = String;
-    fn from_str(s: &str) -> Result<Self, String> {
-        BROKEN_VARIANTS.iter().find(|v| v.0 == s).map(|v| BrokenVariant(v.0)).ok_or_else(|| {
+    fn from_str(name: &str) -> Result<Self, String> {
+        BROKEN_VARIANTS.iter().find(|v| v.0 == name).map(|v| BrokenVariant(v.0)).ok_or_else(|| {
             let all: Vec<&str> = BROKEN_VARIANTS.iter().map(|v| v.0).collect();
-            format!("{s:?}; allowed: {}", all.join(", "))
+            format!("{name:?}; allowed: {}", all.join(", "))
         })
     }
 }
 
+/// What the runs of a sweep have in common.
 #[derive(Clone, Debug)]
 pub struct WorldPlan {
+    /// The deployment; `None` alternates between both by seed.
     pub firm: Option<Firm>,
+    /// Seconds of traffic.
     pub seconds: f64,
+    /// Traffic, as a multiple of the deployment's own.
     pub rate: f64,
+    /// Faults besides those drawn by the seed.
     pub faults: Vec<Fault>,
+    /// Whether the seed draws no faults.
     pub calm: bool,
+    /// The broken variant to run.
     pub broken: Option<BrokenVariant>,
 }
 
-/// One run from one seed. The same seed gives the same run again.
-pub fn run_seed(p: &WorldPlan, seed: u64) -> Result<Audit> {
-    let both = if seed.is_multiple_of(2) { Firm::Rinaldi } else { Firm::Bitacora };
-    let deployment = deployment(p.firm.unwrap_or(both));
-    let mut faults = p.faults.clone();
-    if !p.calm {
-        faults.extend(draw_faults(seed, p.seconds, &deployment, true));
+/// Runs one seed. The same seed always gives the same run.
+pub fn run_seed(plan: &WorldPlan, seed: u64) -> Result<Audit> {
+    let alternating = if seed.is_multiple_of(2) { Firm::Rinaldi } else { Firm::Bitacora };
+    let deployment = deployment(plan.firm.unwrap_or(alternating));
+    let mut faults = plan.faults.clone();
+    if !plan.calm {
+        faults.extend(draw_faults(seed, plan.seconds, &deployment, true));
     }
-    let load = Load { secs: p.seconds, rate: p.rate, seed, crowd: None };
-    let broken = p.broken.as_ref().map(|b| b.0.to_string());
-    Simulation::run(seed, broken, |w| async move {
-        let mut f = Fleet::start_simulated(w, deployment).await?;
-        let res = run(&mut f, &load, 11.0, &faults).await;
-        f.stop().await;
-        res
+    let load = Load { secs: plan.seconds, rate: plan.rate, seed, crowd: None };
+    let broken = plan.broken.as_ref().map(|b| b.0.to_string());
+    Simulation::run(seed, broken, |simulation| async move {
+        let mut fleet = Fleet::start_simulated(simulation, deployment).await?;
+        let result = run(&mut fleet, &load, 11.0, &faults).await;
+        fleet.stop().await;
+        result
     })
 }
 
-/// Seed, what was violated, and what had happened.
+/// A seed, its violations, and the faults and examples of its run.
 type Finding = (u64, String, Vec<String>);
 
-/// Runs many seeds on all cores; the first violation ends it, with its seed and what happened.
-pub fn sweep_worlds(p: &WorldPlan, from: u64, seeds: u64, verbose: bool, all: bool) -> Result<()> {
+/// Runs many seeds on all cores. Stops at the first violation unless `all` is set, and returns it as an error with
+/// its seed and trace.
+pub fn sweep_worlds(plan: &WorldPlan, from: u64, seeds: u64, verbose: bool, all: bool) -> Result<()> {
     let (next, stop) = (AtomicU64::new(from), AtomicBool::new(false));
-    let (sum, found) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
+    let (completed_runs, findings) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
     let cores = std::thread::available_parallelism().map(|n| n.get()).unwrap_or(2);
-    std::thread::scope(|s| {
+    std::thread::scope(|name| {
         for _ in 0..cores {
-            s.spawn(|| {
+            name.spawn(|| {
                 while !stop.load(Ordering::Acquire) {
                     let seed = next.fetch_add(1, Ordering::AcqRel);
                     if seed >= from + seeds {
                         return;
                     }
-                    let res = run_seed(p, seed);
-                    if verbose && let Ok(a) = &res {
-                        println!("seed {seed}: {}", serde_json::to_string_pretty(a).unwrap_or_default());
+                    let result = run_seed(plan, seed);
+                    if verbose && let Ok(audit) = &result {
+                        println!("seed {seed}: {}", serde_json::to_string_pretty(audit).unwrap_or_default());
                     }
-                    match res {
-                        Ok(a) if a.violations().is_empty() => {
-                            common::lock(&sum).push(a);
+                    match result {
+                        Ok(audit) if audit.violations().is_empty() => {
+                            common::lock(&completed_runs).push(audit);
                         }
-                        Ok(a) => {
+                        Ok(audit) => {
                             stop.store(!all, Ordering::Release);
-                            let what = format!("{:?}", a.violations());
-                            let trace = [a.actions.clone(), a.examples.clone()].concat();
-                            common::lock(&found).push((seed, what, trace));
+                            let problem = format!("{:?}", audit.violations());
+                            let trace = [audit.actions.clone(), audit.examples.clone()].concat();
+                            common::lock(&findings).push((seed, problem, trace));
                         }
                         Err(e) => {
                             stop.store(!all, Ordering::Release);
-                            let what = format!("{e:#}");
-                            common::lock(&found).push((seed, what, vec![]));
+                            let problem = format!("{e:#}");
+                            common::lock(&findings).push((seed, problem, vec![]));
                         }
                     }
                 }
             });
         }
     });
-    let completed = sum.into_inner().unwrap_or_else(|e| e.into_inner());
+    let completed = completed_runs.into_inner().unwrap_or_else(|e| e.into_inner());
     println!("{}", summary(&completed));
-    let mut found: Vec<Finding> = found.into_inner().unwrap_or_else(|e| e.into_inner());
-    found.sort();
-    if all && found.len() > 1 {
-        found.iter().for_each(|(seed, what, _)| println!("seed {seed}: {what}"));
-        println!("{} of {seeds} seeds with a violation", found.len());
+    let mut findings: Vec<Finding> = findings.into_inner().unwrap_or_else(|e| e.into_inner());
+    findings.sort();
+    if all && findings.len() > 1 {
+        findings.iter().for_each(|(seed, problem, _)| println!("seed {seed}: {problem}"));
+        println!("{} of {seeds} seeds with a violation", findings.len());
     }
-    match found.into_iter().next() {
-        Some((seed, what, trace)) => {
+    match findings.into_iter().next() {
+        Some((seed, problem, trace)) => {
             let trace = trace.join("\n  ");
             bail!(
-                "violation\nseed {seed}: {what}\n  {trace}\nreplay: the same command with --from {seed} --seeds 1"
+                "violation\nseed {seed}: {problem}\n  {trace}\nreplay: the same command with --from {seed} --seeds 1"
             )
         }
         None => Ok(()),
     }
 }
 
+/// Totals over all runs without a violation.
 fn summary(all: &[Audit]) -> String {
-    let sum = |f: &dyn Fn(&Audit) -> usize| all.iter().map(f).sum::<usize>();
-    let most = |f: &dyn Fn(&Audit) -> u128| all.iter().map(f).max().unwrap_or(0);
-    let extra: f64 = all.iter().map(|a| a.retry_ratio).sum();
+    let completed_runs = |fleet: &dyn Fn(&Audit) -> usize| all.iter().map(fleet).sum::<usize>();
+    let most = |fleet: &dyn Fn(&Audit) -> u128| all.iter().map(fleet).max().unwrap_or(0);
+    let extra: f64 = all.iter().map(|audit| audit.retries).sum();
     format!(
-        "{} whole runs: {} jobs, {} done, {} bounced, {} unknown, {} broken, {} not asked; extra goes {:.3} % (most in a run {:.2} %); \
-         longest gap {} ms, slowest bounce {} ms",
+        "{} runs without violation: {} requests, {} done, {} rejected, {} unknown, {} broken, {} not sent; retries {:.3} % (most in a run {:.2} %); \
+         longest gap {} ms, slowest rejection {} ms",
         all.len(),
-        sum(&|a| a.jobs),
-        sum(&|a| a.done),
-        sum(&|a| a.rejected),
-        sum(&|a| a.unknown),
-        sum(&|a| a.broken),
-        sum(&|a| a.not_asked),
-        100.0 * extra / sum(&|a| a.jobs).max(1) as f64,
-        all.iter().map(|a| 100.0 * a.extra_share).fold(0.0, f64::max),
-        most(&|a| a.longest_gap_ms.values().copied().max().unwrap_or(0)),
-        most(&|a| a.slowest_bounce_ms),
+        completed_runs(&|audit| audit.requests),
+        completed_runs(&|audit| audit.done),
+        completed_runs(&|audit| audit.rejected),
+        completed_runs(&|audit| audit.unknown),
+        completed_runs(&|audit| audit.broken),
+        completed_runs(&|audit| audit.not_asked),
+        100.0 * extra / completed_runs(&|audit| audit.requests).max(1) as f64,
+        all.iter().map(|audit| 100.0 * audit.retry_ratio).fold(0.0, f64::max),
+        most(&|audit| audit.longest_gap_ms.values().copied().max().unwrap_or(0)),
+        most(&|audit| audit.slowest_bounce_ms),
     )
 }
