--- a/crates/foldshunt-check/src/lib.rs
+++ b/crates/foldshunt-check/src/lib.rs
@@ -1,213 +1,217 @@
-//! Checks of a document against the fleet as it is (design 4.9): pure, over what a control node
-//! told of its state.
+//! Checks a document against the running fleet (design 4.9). Pure functions over the status that a control node
+//! reports.
+
+mod status;
+
+pub use status::{MemberRow, Status, VoterRow};
 
 use common::{Region, Service, Zone};
 use configuration::{RoutingTable, check_fleet, compile};
 use control_plane::Replica;
-use serde::{Deserialize, Serialize};
-use std::{
-    collections::{BTreeMap, BTreeSet},
-    net::SocketAddr,
-};
-
-/// The parts of `/v1/status` that the checks go by.
-#[derive(Clone, Debug, Default, Deserialize)]
-pub struct Status {
-    #[serde(default)]
-    pub cluster: String,
-    #[serde(default)]
-    pub leader: Option<String>,
-    #[serde(default)]
-    pub revision: u64,
-    #[serde(default)]
-    pub evacuated: BTreeSet<Zone>,
-    #[serde(default)]
-    pub members: Vec<MemberRow>,
-    #[serde(default)]
-    pub replicas: BTreeMap<String, Replica>,
-    #[serde(default)]
-    pub voters: Vec<RosterRow>,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-pub struct MemberRow {
-    pub node: String,
-    #[serde(rename = "area")]
-    pub zone: Zone,
-    pub role: String,
-    #[serde(default)]
-    pub lags: Option<bool>,
-    #[serde(default)]
-    pub lang: u32,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-pub struct RosterRow {
-    pub node: String,
-    #[serde(default)]
-    pub http: Option<SocketAddr>,
-}
+use serde::Serialize;
 
+/// How severe a finding is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Weight {
+pub enum Severity {
+    /// Worth knowing; needs no action.
     Note,
+    /// Works now, but not after one more failure, or not as intended.
     Warning,
+    /// The document or the cluster does not work.
     #[serde(rename = "fault")]
-    PeerError,
+    Error,
 }
 
+/// What a check found.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    pub weight: Weight,
+    /// How severe it is.
+    #[serde(rename = "weight")]
+    pub severity: Severity,
+    /// Name of the check.
     pub check: &'static str,
+    /// What was found.
     pub message: String,
+    /// Line in the document.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub line: Option<usize>,
+    /// Column in the document.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub column: Option<usize>,
 }
 
-fn found(weight: Weight, check: &'static str, message: String) -> Finding {
-    Finding { weight, check, message, line: None, column: None }
+fn finding(severity: Severity, check: &'static str, message: String) -> Finding {
+    Finding { severity, check, message, line: None, column: None }
 }
 
-/// All findings, the heaviest first.
-pub fn tap(src: &str, st: &Status) -> Vec<Finding> {
-    let mut out = Vec::new();
-    let flawed = |check, diagnostics: Vec<configuration::Diagnostic>| -> Vec<Finding> {
+/// All findings, the most severe first.
+pub fn check_document(source: &str, status: &Status) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    let errors_at = |check, diagnostics: Vec<configuration::Diagnostic>| -> Vec<Finding> {
         diagnostics
             .into_iter()
-            .map(|f| Finding {
-                line: Some(f.line),
-                column: Some(f.column),
-                ..found(Weight::PeerError, check, f.message)
+            .map(|diagnostic| Finding {
+                line: Some(diagnostic.line),
+                column: Some(diagnostic.column),
+                ..finding(Severity::Error, check, diagnostic.message)
             })
             .collect()
     };
-    match compile(src) {
-        Err(f) => out.extend(flawed("document", f)),
-        Ok(t) => {
-            if t.cluster != st.cluster {
-                let msg = format!("the document is for cluster {:?}, this is {:?}", t.cluster, st.cluster);
-                out.push(found(Weight::PeerError, "cluster", msg));
+    match compile(source) {
+        Err(diagnostics) => findings.extend(errors_at("document", diagnostics)),
+        Ok(table) => {
+            if table.cluster != status.cluster {
+                let message =
+                    format!("the document is for cluster {:?}, this is {:?}", table.cluster, status.cluster);
+                findings.push(finding(Severity::Error, "cluster", message));
             }
-            let live: Vec<(Service, Zone)> = live(st).map(|r| (r.service.clone(), r.zone.clone())).collect();
-            out.extend(flawed("homes", check_fleet(src, &t, &live)));
-            out.extend(homeless(&t));
-            out.extend(strays(&t, st));
-            out.extend(losses(&t, st));
-            out.extend(routers(&t, st));
+            let usable_replicas: Vec<(Service, Zone)> = usable_replicas(status)
+                .map(|replica| (replica.service.clone(), replica.zone.clone()))
+                .collect();
+            findings.extend(errors_at("homes", check_fleet(source, &table, &usable_replicas)));
+            findings.extend(pairs_without_home(&table));
+            findings.extend(unknown_replicas(&table, status));
+            findings.extend(zone_losses(&table, status));
+            findings.extend(zones_without_router(&table, status));
         }
     }
-    out.extend(nodes(st));
-    out.sort_by(|a, b| b.weight.cmp(&a.weight).then(a.line.cmp(&b.line)));
-    out
+    findings.extend(node_problems(status));
+    findings.sort_by(|a, b| b.severity.cmp(&a.severity).then(a.line.cmp(&b.line)));
+    findings
 }
 
-/// Replicas that can be given something: not draining, and not in an evacuated zone.
-fn live(st: &Status) -> impl Iterator<Item = &Replica> {
-    st.replicas.values().filter(|r| !r.draining && !st.evacuated.contains(&r.zone))
+/// Replicas that may get requests: not draining, and not in an evacuated zone.
+fn usable_replicas(status: &Status) -> impl Iterator<Item = &Replica> {
+    status.replicas.values().filter(|replica| !replica.draining && !status.evacuated.contains(&replica.zone))
 }
 
-/// Pairs of tenant and entry that can be served nowhere: told here, not first by a caller's 403.
-fn homeless(t: &RoutingTable) -> Vec<Finding> {
-    let pairs = t.entries.iter().flat_map(|e| t.tenants.keys().map(move |n| (e, n)));
+/// Pairs of tenant and entry that no region may serve, which callers would otherwise first notice by a 403.
+fn pairs_without_home(table: &RoutingTable) -> Vec<Finding> {
+    let pairs =
+        table.entries.iter().flat_map(|entry| table.tenants.keys().map(move |tenant| (entry, tenant)));
     pairs
-        .filter(|(e, n)| t.homes(e, Some(n)).is_empty())
-        .map(|(e, n)| {
-            let msg =
-                format!("tenant '{n}' and entry '{}' have no home in common: such jobs get 403", e.name);
-            found(Weight::Note, "no common home", msg)
+        .filter(|(entry, tenant)| table.homes(entry, Some(tenant)).is_empty())
+        .map(|(entry, tenant)| {
+            let message = format!(
+                "tenant '{tenant}' and entry '{}' have no home region in common: such requests get 403",
+                entry.name
+            );
+            finding(Severity::Note, "no common home", message)
         })
         .collect()
 }
 
-/// Replicas that the document has no place for.
-fn strays(t: &RoutingTable, st: &Status) -> Vec<Finding> {
-    let odd =
-        st.replicas.iter().filter_map(|(id, r)| match (t.zones.get(&r.zone), t.services.get(&r.service)) {
+/// Replicas whose zone or service is not in the document.
+fn unknown_replicas(table: &RoutingTable, status: &Status) -> Vec<Finding> {
+    let unknown = status.replicas.iter().filter_map(|(id, replica)| {
+        match (table.zones.get(&replica.zone), table.services.get(&replica.service)) {
             (None, _) => {
-                Some(format!("replica {id} is in area {:?}, which the document does not have", r.zone))
-            }
-            (_, None) => {
-                Some(format!("replica {id} is of service {:?}, which the document does not have", r.service))
+                Some(format!("replica {id} is in zone {:?}, which the document does not have", replica.zone))
             }
+            (_, None) => Some(format!(
+                "replica {id} is of service {:?}, which the document does not have",
+                replica.service
+            )),
             _ => None,
-        });
-    odd.map(|m| found(Weight::Warning, "stray replica", m)).collect()
+        }
+    });
+    unknown.map(|message| finding(Severity::Warning, "stray replica", message)).collect()
 }
 
-/// What would be left of each entry's replicas after the loss of any one zone.
-fn losses(t: &RoutingTable, st: &Status) -> Vec<Finding> {
-    let mut out = Vec::new();
-    for e in &t.entries {
-        let homes = t.homes(e, None);
+/// Entries that would lose all or most of their replicas with any one zone.
+fn zone_losses(table: &RoutingTable, status: &Status) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    for entry in &table.entries {
+        let homes = table.homes(entry, None);
         let count = |without: Option<&Zone>| {
-            live(st)
-                .filter(|r| r.service == e.service && Some(&r.zone) != without)
-                .filter(|r| t.region_of(&r.zone).is_some_and(|x: &Region| homes.contains(x)))
+            usable_replicas(status)
+                .filter(|replica| replica.service == entry.service && Some(&replica.zone) != without)
+                .filter(|replica| {
+                    table.region_of(&replica.zone).is_some_and(|region: &Region| homes.contains(region))
+                })
                 .count()
         };
-        let all = count(None);
-        for a in t.zones.keys().filter(|a| t.region_of(a).is_some_and(|r| homes.contains(r))) {
-            let left = count(Some(a));
-            if all > 0 && left == 0 {
-                let msg = format!("entry '{}' has no replica left when area '{a}' is lost", e.name);
-                out.push(found(Weight::Warning, "loss of an area", msg));
-            } else if left * 2 < all {
-                let msg =
-                    format!("entry '{}' keeps {left} of {all} replicas when area '{a}' is lost", e.name);
-                out.push(found(Weight::Note, "loss of an area", msg));
+        let total = count(None);
+        for zone in table
+            .zones
+            .keys()
+            .filter(|zone| table.region_of(zone).is_some_and(|region| homes.contains(region)))
+        {
+            let left = count(Some(zone));
+            if total > 0 && left == 0 {
+                let message =
+                    format!("entry '{}' has no replica left when zone '{zone}' is lost", entry.name);
+                findings.push(finding(Severity::Warning, "loss of an area", message));
+            } else if left * 2 < total {
+                let message = format!(
+                    "entry '{}' keeps {left} of {total} replicas when zone '{zone}' is lost",
+                    entry.name
+                );
+                findings.push(finding(Severity::Note, "loss of an area", message));
             }
         }
     }
-    out
+    findings
 }
 
-fn routers(t: &RoutingTable, st: &Status) -> Vec<Finding> {
-    let in_area = |a: &Zone| st.members.iter().filter(|m| m.role == "Router" && m.zone == *a).count();
-    t.zones
+/// Zones without a router, and evacuated zones.
+fn zones_without_router(table: &RoutingTable, status: &Status) -> Vec<Finding> {
+    let routers_in = |zone: &Zone| {
+        status.members.iter().filter(|member| member.role == "Router" && member.zone == *zone).count()
+    };
+    table
+        .zones
         .keys()
-        .filter(|a| in_area(a) == 0)
-        .map(|a| found(Weight::Warning, "routers", format!("no router holds a tenure in area '{a}'")))
+        .filter(|zone| routers_in(zone) == 0)
+        .map(|zone| {
+            finding(Severity::Warning, "routers", format!("no router holds a lease in zone '{zone}'"))
+        })
         .chain(
-            st.evacuated
+            status
+                .evacuated
                 .iter()
-                .map(|a| found(Weight::Warning, "evacuation", format!("area '{a}' is evacuated"))),
+                .map(|zone| finding(Severity::Warning, "evacuation", format!("zone '{zone}' is evacuated"))),
         )
         .collect()
 }
 
-fn nodes(st: &Status) -> Vec<Finding> {
-    let mut out = Vec::new();
-    if st.leader.is_none() {
-        out.push(found(Weight::PeerError, "core", "no leader: no change can be accepted now".into()));
+/// A missing leader or voter, and nodes that lag behind or are too old.
+fn node_problems(status: &Status) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    if status.leader.is_none() {
+        findings.push(finding(Severity::Error, "core", "no leader: no change can be accepted now".into()));
     }
-    for h in st.voters.iter().filter(|h| !st.members.iter().any(|m| m.node == h.node)) {
-        let msg = format!("seat holder {} holds no tenure: one more loss stops all changes", h.node);
-        out.push(found(Weight::Warning, "core", msg));
+    for voter in
+        status.voters.iter().filter(|voter| !status.members.iter().any(|member| member.node == voter.node))
+    {
+        let message = format!("voter {} holds no lease: one more loss stops all changes", voter.node);
+        findings.push(finding(Severity::Warning, "core", message));
     }
-    for m in st.members.iter().filter(|m| m.lags == Some(true)) {
-        out.push(found(Weight::Warning, "lag", format!("{} lags behind revision {}", m.node, st.revision)));
+    for member in status.members.iter().filter(|member| member.lags == Some(true)) {
+        findings.push(finding(
+            Severity::Warning,
+            "lag",
+            format!("{} lags behind revision {}", member.node, status.revision),
+        ));
     }
-    for m in st.members.iter().filter(|m| m.lang < configuration::LANGUAGE_VERSION) {
-        let msg = format!(
-            "{} reads language version {}, this document is checked for {}",
-            m.node,
-            m.lang,
+    for member in status.members.iter().filter(|member| member.lang < configuration::LANGUAGE_VERSION) {
+        let message = format!(
+            "{} reads language version {}, but this document is checked for version {}",
+            member.node,
+            member.lang,
             configuration::LANGUAGE_VERSION
         );
-        out.push(found(Weight::PeerError, "too old", msg));
+        findings.push(finding(Severity::Error, "too old", message));
     }
-    out
+    findings
 }
 
-/// For scripts: 0 nothing but notes, 2 faults, 3 warnings.
-pub fn exit_code(f: &[Finding]) -> u8 {
-    match f.iter().map(|x| x.weight).max() {
-        Some(Weight::PeerError) => 2,
-        Some(Weight::Warning) => 3,
+/// Exit code for scripts: 0 for notes only, 2 for errors, 3 for warnings.
+pub fn exit_code(findings: &[Finding]) -> u8 {
+    match findings.iter().map(|finding| finding.severity).max() {
+        Some(Severity::Error) => 2,
+        Some(Severity::Warning) => 3,
         _ => 0,
     }
 }
--- a/crates/foldshunt-check/src/main.rs
+++ b/crates/foldshunt-check/src/main.rs
@@ -1,21 +1,21 @@
-//! `foldshunt-check`: taps a document against the live fleet and changes nothing (design 4.9).
+//! `foldshunt-check`: checks a document against the running fleet and changes nothing (design 4.9).
 
 use bpaf::Bpaf;
 use common::{error::print, http::send_request_to_any};
 use eyre::{Result, WrapErr, bail};
-use foldshunt_check::{Finding, Status, exit_code, tap};
+use foldshunt_check::{Finding, Status, check_document, exit_code};
 use hyper::Method;
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode};
 
-/// Checks a document against the fleet as it is, and changes nothing.
+/// Checks a document against the running fleet, and changes nothing.
 ///
-/// Exit codes: 0 well, 1 the check could not be made, 2 faults, 3 warnings only.
+/// Exit codes: 0 no errors or warnings, 1 the check could not be made, 2 errors, 3 warnings only.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Opts {
-    /// HTTP address of a control node; may be given for each of them, they are tried in turn
+    /// HTTP address of a control node; may be given several times, and the nodes are tried in turn
     #[bpaf(long("core"), argument("IP:PORT"))]
-    core: Vec<SocketAddr>,
+    control_nodes: Vec<SocketAddr>,
     /// Prints the findings as JSON
     json: bool,
     /// Document (TOML); the newest accepted one when left out
@@ -23,53 +23,55 @@
     file: Option<PathBuf>,
 }
 
-async fn get(core: &[SocketAddr], path: &str) -> Result<(u16, String)> {
-    let (code, _, b) = send_request_to_any(core, Method::GET, path, &[], Default::default(), 5_000).await?;
-    Ok((code.as_u16(), String::from_utf8_lossy(&b).into_owned()))
+async fn get(control_nodes: &[SocketAddr], path: &str) -> Result<(u16, String)> {
+    let (code, _, body) =
+        send_request_to_any(control_nodes, Method::GET, path, &[], Default::default(), 5_000).await?;
+    Ok((code.as_u16(), String::from_utf8_lossy(&body).into_owned()))
 }
 
-async fn status(core: &[SocketAddr]) -> Result<Status> {
-    serde_json::from_str(&get(core, "/v1/status").await?.1).wrap_err("status")
+async fn read_status(control_nodes: &[SocketAddr]) -> Result<Status> {
+    serde_json::from_str(&get(control_nodes, "/v1/status").await?.1).wrap_err("status of the cluster")
 }
 
-async fn check(o: &Opts) -> Result<Vec<Finding>> {
-    let src = match &o.file {
-        Some(f) => std::fs::read_to_string(f).wrap_err_with(|| format!("{f:?}"))?,
-        None => match get(&o.core, "/v1/timetable").await? {
-            (200, s) => s,
-            (code, s) => bail!("newest document: {code} {s}"),
+async fn check(options: &Opts) -> Result<Vec<Finding>> {
+    let source = match &options.file {
+        Some(file) => std::fs::read_to_string(file).wrap_err_with(|| format!("cannot read {file:?}"))?,
+        None => match get(&options.control_nodes, "/v1/timetable").await? {
+            (200, text) => text,
+            (code, text) => bail!("cannot read the newest document: {code} {text}"),
         },
     };
-    // The leader knows what governs where; the others only know who it is.
-    let mut st = status(&o.core).await?;
-    let lead = st.voters.iter().find(|h| Some(&h.node) == st.leader.as_ref());
-    if let Some(at) = lead.and_then(|h| h.http) {
-        st = status(&[at]).await.wrap_err("the leader")?;
+    // Only the leader knows which document each node uses; the others know who the leader is.
+    let mut status = read_status(&options.control_nodes).await?;
+    let leader = status.voters.iter().find(|voter| Some(&voter.node) == status.leader.as_ref());
+    if let Some(address) = leader.and_then(|voter| voter.http) {
+        status = read_status(&[address]).await.wrap_err("status of the leader")?;
     }
-    Ok(tap(&src, &st))
+    Ok(check_document(&source, &status))
 }
 
-fn show(o: &Opts, f: &[Finding]) {
-    if o.json {
-        print(&format!("{}\n", serde_json::json!({"exit": exit_code(f), "findings": f})));
+fn show(options: &Opts, findings: &[Finding]) {
+    if options.json {
+        print(&format!("{}\n", serde_json::json!({"exit": exit_code(findings), "findings": findings})));
         return;
     }
-    for x in f {
-        let at = x.line.zip(x.column).map(|(l, c)| format!("{l}:{c}: ")).unwrap_or_default();
-        print(&format!("{:?} ({}): {at}{}\n", x.weight, x.check, x.message));
+    for finding in findings {
+        let position =
+            finding.line.zip(finding.column).map(|(line, c)| format!("{line}:{c}: ")).unwrap_or_default();
+        print(&format!("{:?} ({}): {position}{}\n", finding.severity, finding.check, finding.message));
     }
-    if f.is_empty() {
+    if findings.is_empty() {
         print("well\n");
     }
 }
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    let o = opts().run();
-    match check(&o).await {
-        Ok(f) => {
-            show(&o, &f);
-            ExitCode::from(exit_code(&f))
+    let options = opts().run();
+    match check(&options).await {
+        Ok(findings) => {
+            show(&options, &findings);
+            ExitCode::from(exit_code(&findings))
         }
         Err(e) => {
             eprintln!("error: {e:#}");
--- a/crates/foldshunt-control/src/main.rs
+++ b/crates/foldshunt-control/src/main.rs
@@ -1,4 +1,4 @@
-//! The control daemon (design 1.1): one on each machine that keeps the cluster state on disk.
+//! The control daemon (design 1.1), which runs on each machine that keeps the cluster state on disk.
 
 use bpaf::Bpaf;
 use common::{
--- a/crates/foldshunt-router/src/main.rs
+++ b/crates/foldshunt-router/src/main.rs
@@ -1,4 +1,4 @@
-//! The router daemon (design 1.1): takes callers' jobs and carries them out.
+//! The router daemon (design 1.1), which takes clients' requests and has replicas serve them.
 
 use bpaf::Bpaf;
 use common::{
