--- a/crates/simulator/src/actions.rs
+++ b/crates/simulator/src/actions.rs
@@ -52,12 +52,12 @@
             submissions::evacuate_and_patch(&operator, fault, seed, &mut action).await;
         }
         _ => {
-            let res = if fault.kind >= FaultKind::Evacuate {
+            let result = if fault.kind >= FaultKind::Evacuate {
                 apply_to_platform(fleet, fault).await
             } else {
                 apply_to_machines(fleet, fault).await
             };
-            action.ok = res.unwrap_or(false);
+            action.ok = result.unwrap_or(false);
         }
     }
     action.finished = Instant::now();
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -144,7 +144,7 @@
             if chaos {
                 faults.extend(draw_faults(seed, seconds, &fleet.deployment, false));
             }
-            let load = Load { secs: seconds, rate, seed, crowd };
+            let load = Load { seconds, rate, seed, crowd };
             let result = run(&mut fleet, &load, settle, &faults).await;
             fleet.stop().await;
             print_audit(&result?)
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -95,11 +95,11 @@
     }
 
     /// Starts it; an error if it is already running.
-    pub fn start(&mut self, yard: &Launcher) -> Result<()> {
+    pub fn start(&mut self, launcher: &Launcher) -> Result<()> {
         if self.running.is_some() {
             bail!("{} is already running", self.name);
         }
-        self.running = Some(match yard {
+        self.running = Some(match launcher {
             Launcher::Processes(bin) => RunningNode::Process(self.spawn_process(bin)?),
             Launcher::Simulation(w) => RunningNode::Simulated(SimulatedProcess::start(w, self)),
         });
--- a/crates/simulator/src/traffic.rs
+++ b/crates/simulator/src/traffic.rs
@@ -115,7 +115,7 @@
 #[derive(Clone, Debug)]
 pub struct Load {
     /// Seconds of traffic.
-    pub secs: f64,
+    pub seconds: f64,
     /// Traffic, as a multiple of the deployment's own.
     pub rate: f64,
     /// Seed of the traffic.
@@ -162,7 +162,7 @@
     began: Instant,
     load: &Load,
 ) -> Vec<CallResult> {
-    let Load { secs, rate, seed, crowd } = load.clone();
+    let Load { seconds, rate, seed, crowd } = load.clone();
     let mut rng = SmallRng::seed_from_u64(seed);
     let users = draw_users(&deployment, &mut rng);
     let mut calls: JoinSet<CallResult> = JoinSet::new();
@@ -170,7 +170,7 @@
     let (mut number, mut responses) = (0u64, Vec::new());
     loop {
         let now = began.elapsed().as_secs_f64();
-        if now >= secs {
+        if now >= seconds {
             break;
         }
         for (kind, due) in deployment.kinds.iter().zip(due_times.iter_mut()) {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -64,7 +64,7 @@
     pub broken: Option<BrokenVariant>,
 }
 
-/// Runs one seed. The same seed always gives the same run.
+/// Runs one seed. The same seed gives the same run again.
 pub fn run_seed(plan: &WorldPlan, seed: u64) -> Result<Audit> {
     let alternating = if seed.is_multiple_of(2) { Firm::Rinaldi } else { Firm::Bitacora };
     let deployment = deployment(plan.firm.unwrap_or(alternating));
@@ -72,7 +72,7 @@
     if !plan.calm {
         faults.extend(draw_faults(seed, plan.seconds, &deployment, true));
     }
-    let load = Load { secs: plan.seconds, rate: plan.rate, seed, crowd: None };
+    let load = Load { seconds: plan.seconds, rate: plan.rate, seed, crowd: None };
     let broken = plan.broken.as_ref().map(|b| b.0.to_string());
     Simulation::run(seed, broken, |simulation| async move {
         let mut fleet = Fleet::start_simulated(simulation, deployment).await?;
@@ -91,9 +91,9 @@
     let (next, stop) = (AtomicU64::new(from), AtomicBool::new(false));
     let (completed_runs, findings) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
     let cores = std::thread::available_parallelism().map(|n| n.get()).unwrap_or(2);
-    std::thread::scope(|name| {
+    std::thread::scope(|scope| {
         for _ in 0..cores {
-            name.spawn(|| {
+            scope.spawn(|| {
                 while !stop.load(Ordering::Acquire) {
                     let seed = next.fetch_add(1, Ordering::AcqRel);
                     if seed >= from + seeds {
@@ -143,22 +143,22 @@
 }
 
 /// Totals over all runs without a violation.
-fn summary(all: &[Audit]) -> String {
-    let completed_runs = |fleet: &dyn Fn(&Audit) -> usize| all.iter().map(fleet).sum::<usize>();
-    let most = |fleet: &dyn Fn(&Audit) -> u128| all.iter().map(fleet).max().unwrap_or(0);
-    let extra: f64 = all.iter().map(|audit| audit.retries).sum();
+fn summary(audits: &[Audit]) -> String {
+    let total = |count: &dyn Fn(&Audit) -> usize| audits.iter().map(count).sum::<usize>();
+    let most = |count: &dyn Fn(&Audit) -> u128| audits.iter().map(count).max().unwrap_or(0);
+    let retries: f64 = audits.iter().map(|audit| audit.retries).sum();
     format!(
         "{} runs without violation: {} requests, {} done, {} rejected, {} unknown, {} broken, {} not sent; retries {:.3} % (most in a run {:.2} %); \
          longest gap {} ms, slowest rejection {} ms",
-        all.len(),
-        completed_runs(&|audit| audit.requests),
-        completed_runs(&|audit| audit.done),
-        completed_runs(&|audit| audit.rejected),
-        completed_runs(&|audit| audit.unknown),
-        completed_runs(&|audit| audit.broken),
-        completed_runs(&|audit| audit.not_asked),
-        100.0 * extra / completed_runs(&|audit| audit.requests).max(1) as f64,
-        all.iter().map(|audit| 100.0 * audit.retry_ratio).fold(0.0, f64::max),
+        audits.len(),
+        total(&|audit| audit.requests),
+        total(&|audit| audit.done),
+        total(&|audit| audit.rejected),
+        total(&|audit| audit.unknown),
+        total(&|audit| audit.broken),
+        total(&|audit| audit.not_asked),
+        100.0 * retries / total(&|audit| audit.requests).max(1) as f64,
+        audits.iter().map(|audit| 100.0 * audit.retry_ratio).fold(0.0, f64::max),
         most(&|audit| audit.longest_gap_ms.values().copied().max().unwrap_or(0)),
         most(&|audit| audit.slowest_bounce_ms),
     )
