--- a/crates/simulator/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -1,12 +1,8 @@
 //! The audit of a run (design 7.5): compares the callers' answers with the replicas' logs.
 
 use crate::{
-    caller::{CallOutcome, CallResult},
-    checks::run_checks,
-    fake_replica::FakeReplica,
-    replica_log::{RequestRun, runs_by_request},
-    timeline::Topology,
-    traffic::RunRecord,
+    caller::CallOutcome, checks::run_checks, fake_replica::FakeReplica, replica_log::runs_by_request,
+    request_audit::audit_call, timeline::Topology, traffic::RunRecord,
 };
 use serde::Serialize;
 use std::{collections::BTreeMap, sync::Arc};
@@ -30,11 +26,13 @@
     /// Answers that broke off.
     pub broken: usize,
     /// Requests that found no router to connect to.
-    pub not_asked: usize,
+    #[serde(rename = "not_asked")]
+    pub not_sent: usize,
     /// All other answers, by status.
     pub other: BTreeMap<u16, usize>,
     /// Rejections by reason.
-    pub bounce_reasons: BTreeMap<String, usize>,
+    #[serde(rename = "bounce_reasons")]
+    pub rejection_reasons: BTreeMap<String, usize>,
     /// Unknown outcomes by reason.
     pub unknown_reasons: BTreeMap<String, usize>,
     /// Broken answers by error.
@@ -42,9 +40,11 @@
     /// Requests redirected to another router.
     pub redirected: usize,
     /// Must be zero: requests that must not be repeated and ran more than once.
-    pub doubled: usize,
+    #[serde(rename = "doubled")]
+    pub run_twice: usize,
     /// Must be zero: requests that were rejected and still ran.
-    pub bounced_yet_run: usize,
+    #[serde(rename = "bounced_yet_run")]
+    pub rejected_yet_run: usize,
     /// Must be zero: requests that ran outside their home regions.
     pub misrouted: usize,
     /// Must be zero: answers that looked complete and were not this request's.
@@ -52,23 +52,32 @@
     /// Must be zero: complete answers to requests that no replica ran.
     pub done_not_run: usize,
     /// Must be zero: runs begun at a replica more than 4 s after its drain or removal.
-    pub late_at_departed: usize,
+    #[serde(rename = "late_at_departed")]
+    pub late_at_departed_replica: usize,
     /// Must be zero: runs begun in a zone more than 5 s after its evacuation.
-    pub late_at_evacuated: usize,
+    #[serde(rename = "late_at_evacuated")]
+    pub late_in_evacuated_zone: usize,
     /// For each drain, removal or evacuation: how long after it the last run began there.
-    pub last_begun_after_ms: BTreeMap<String, u128>,
+    #[serde(rename = "last_begun_after_ms")]
+    pub last_run_begun_after_ms: BTreeMap<String, u128>,
     /// Must be zero: rejections with 503 and no `Retry-After`.
-    pub bounced_without_retry_after: usize,
+    #[serde(rename = "bounced_without_retry_after")]
+    pub rejected_without_retry_after: usize,
     /// Must be zero: rejections that took more than 5 s although no router was frozen or cut off meanwhile.
-    pub bounced_late: usize,
+    #[serde(rename = "bounced_late")]
+    pub rejected_late: usize,
     /// Longest time until a rejection.
-    pub slowest_bounce_ms: u128,
+    #[serde(rename = "slowest_bounce_ms")]
+    pub slowest_rejection_ms: u128,
     /// Must be zero: requests served by an older document three seconds after a newer one was accepted.
-    pub governed_late: usize,
+    #[serde(rename = "governed_late")]
+    pub older_document_used_late: usize,
     /// Must be zero: answers by an older document than the same router had used before.
-    pub went_back: usize,
+    #[serde(rename = "went_back")]
+    pub revision_went_back: usize,
     /// Must be zero: pairs of entry and tenant that failed for over twelve seconds although they could be served.
-    pub not_back: usize,
+    #[serde(rename = "not_back")]
+    pub not_served_again: usize,
     /// Longest time that an entry of a tenant failed although it could be served.
     pub longest_outage_ms: u128,
     /// Must be zero: runs that exceeded what the slow start of a cold replica allows.
@@ -76,9 +85,11 @@
     /// Must be zero: broken, unknown or unexpected answers in a run with planned work only.
     pub dropped_in_planned_work: usize,
     /// Must be zero: retries beyond a fifth of all requests and what each router may use after its start.
-    pub extra_over: usize,
+    #[serde(rename = "extra_over")]
+    pub retries_over_limit: usize,
     /// Must be zero: refused documents that were read back as the current one.
-    pub refused_read_back: usize,
+    #[serde(rename = "refused_read_back")]
+    pub refused_document_read_back: usize,
     /// Runs at replicas of the model.
     pub model_runs: usize,
     /// Runs at replicas of the model whose prefix was cached.
@@ -90,11 +101,13 @@
     /// Runs at replicas of the model, by region.
     pub runs_by_region: BTreeMap<String, usize>,
     /// Most runs open at a replica in each second after it came back cold.
-    pub cold_open: BTreeMap<String, Vec<usize>>,
+    #[serde(rename = "cold_open")]
+    pub most_open_since_cold_start: BTreeMap<String, Vec<usize>>,
     /// Placements by kind, from the routers' metrics.
     pub placements: BTreeMap<String, f64>,
     /// Capacity grants by outcome, from the routers' metrics.
-    pub passes: BTreeMap<String, f64>,
+    #[serde(rename = "passes")]
+    pub grants: BTreeMap<String, f64>,
     /// Retries, from the routers' metrics.
     #[serde(rename = "extra_goes")]
     pub retries: f64,
@@ -162,56 +175,6 @@
     audit
 }
 
-/// Audits one request against its runs.
-fn audit_call(audit: &mut Audit, result: &CallResult, runs: &[(Arc<FakeReplica>, RequestRun)]) {
-    let note = |audit: &mut Audit, what: &str| {
-        let at: Vec<String> = runs.iter().map(|r| r.0.id.clone()).collect();
-        audit.note(what, &format!("{} {:?} ran at {at:?}", result.call.request_id, result.outcome));
-    };
-    if result.call.once && runs.len() > 1 {
-        note(audit, "doubled");
-        audit.doubled += 1;
-    }
-    if runs.iter().any(|(replica, _)| !result.call.homes.contains(&replica.spec.region.as_str())) {
-        note(audit, "misrouted");
-        audit.misrouted += 1;
-    }
-    audit.redirected += usize::from(result.redirected);
-    match &result.outcome {
-        CallOutcome::Done if runs.is_empty() => {
-            note(audit, "done, not run");
-            audit.done_not_run += 1;
-        }
-        CallOutcome::Done => audit.done += 1,
-        CallOutcome::Rejected(reason) => {
-            audit.rejected += 1;
-            *audit.bounce_reasons.entry(reason.clone()).or_default() += 1;
-            audit.slowest_bounce_ms = audit.slowest_bounce_ms.max(result.took.as_millis());
-            if !runs.is_empty() {
-                note(audit, "rejected, yet run");
-                audit.bounced_yet_run += 1;
-            }
-        }
-        CallOutcome::Unknown(reason) => {
-            audit.unknown += 1;
-            *audit.unknown_reasons.entry(reason.clone()).or_default() += 1;
-        }
-        CallOutcome::Broken(reason) => {
-            audit.broken += 1;
-            *audit.broken_reasons.entry(reason.clone()).or_default() += 1;
-        }
-        CallOutcome::NotAsked => audit.not_asked += 1,
-        CallOutcome::Garbled(_) => {
-            note(audit, "garbled");
-            audit.garbled += 1;
-        }
-        CallOutcome::Other(code) => {
-            note(audit, "other");
-            *audit.other.entry(*code).or_default() += 1;
-        }
-    }
-}
-
 impl Audit {
     /// Keeps an example of a violation, up to 12.
     pub fn note(&mut self, what: &str, which: &str) {
@@ -223,22 +186,22 @@
     /// What must never happen and did: the name of each check that failed, with its count.
     pub fn violations(&self) -> Vec<(&'static str, usize)> {
         [
-            ("doubled", self.doubled),
-            ("rejected, yet run", self.bounced_yet_run),
+            ("doubled", self.run_twice),
+            ("rejected, yet run", self.rejected_yet_run),
             ("misrouted", self.misrouted),
             ("garbled", self.garbled),
             ("done, not run", self.done_not_run),
-            ("late run at a departed replica", self.late_at_departed),
-            ("late run in an evacuated zone", self.late_at_evacuated),
-            ("rejected without Retry-After", self.bounced_without_retry_after),
-            ("rejected late", self.bounced_late),
-            ("older document used late", self.governed_late),
-            ("went back to an older document", self.went_back),
-            ("not served again within twelve seconds", self.not_back),
+            ("late run at a departed replica", self.late_at_departed_replica),
+            ("late run in an evacuated zone", self.late_in_evacuated_zone),
+            ("rejected without Retry-After", self.rejected_without_retry_after),
+            ("rejected late", self.rejected_late),
+            ("older document used late", self.older_document_used_late),
+            ("went back to an older document", self.revision_went_back),
+            ("not served again within twelve seconds", self.not_served_again),
             ("cold replica over its allowance", self.cold_over_allowance),
             ("dropped in planned work", self.dropped_in_planned_work),
-            ("retries over a fifth of requests", self.extra_over),
-            ("refused document read back", self.refused_read_back),
+            ("retries over a fifth of requests", self.retries_over_limit),
+            ("refused document read back", self.refused_document_read_back),
             ("read-back differs", usize::from(self.read_back_exact == Some(false))),
         ]
         .into_iter()
--- a/crates/simulator/src/checks.rs
+++ b/crates/simulator/src/checks.rs
@@ -51,7 +51,7 @@
                 && revision_of(result).is_some_and(|v| v < revision)
         };
         let found: Vec<&CallResult> = record.responses.iter().filter(late).collect();
-        audit.governed_late += found.len();
+        audit.older_document_used_late += found.len();
         found.iter().take(1).for_each(|result| {
             audit.note(
                 "older document used late",
@@ -76,7 +76,7 @@
                 newest = newest.max(answered[answered_before].1);
                 answered_before += 1;
             }
-            audit.went_back += usize::from(result.revision.is_some_and(|r| r < newest));
+            audit.revision_went_back += usize::from(result.revision.is_some_and(|r| r < newest));
         }
     }
 }
@@ -86,7 +86,7 @@
     for result in record.responses.iter().filter(|result| matches!(result.outcome, CallOutcome::Rejected(_)))
     {
         if result.code == 503 && result.retry_after.is_none() {
-            audit.bounced_without_retry_after += 1;
+            audit.rejected_without_retry_after += 1;
         }
         let name = topology.routers.iter().find(|r| r.2 == result.router).map_or("", |r| r.0.as_str());
         // The request may have been forwarded to another router, and which one is not recorded: any may have delayed it.
@@ -95,7 +95,7 @@
             .iter()
             .any(|r| timeline.was_down_during(&r.0, result.at, result.at + result.took));
         if result.took > REJECTION_DEADLINE && !impaired {
-            audit.bounced_late += 1;
+            audit.rejected_late += 1;
             audit.note(
                 "rejected late",
                 &format!(
@@ -144,7 +144,7 @@
             let outage = result.at.saturating_duration_since(first_failure.max(servable_since));
             audit.longest_outage_ms = audit.longest_outage_ms.max(outage.as_millis());
             if outage > RECOVERY_DEADLINE {
-                audit.not_back += 1;
+                audit.not_served_again += 1;
                 audit.note(
                     "not served again",
                     &format!(
@@ -191,12 +191,12 @@
             .filter(|at| *at > action.finished && until.is_none_or(|u| *at < u))
             .collect();
         let last = runs.iter().map(|at| at.duration_since(action.finished).as_millis()).max();
-        audit.last_begun_after_ms.insert(action.label.clone(), last.unwrap_or(0));
+        audit.last_run_begun_after_ms.insert(action.label.clone(), last.unwrap_or(0));
         let late = runs.iter().filter(|at| **at > action.finished + deadline).count();
         if evacuated {
-            audit.late_at_evacuated += late;
+            audit.late_in_evacuated_zone += late;
         } else {
-            audit.late_at_departed += late;
+            audit.late_at_departed_replica += late;
         }
     }
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod relay;
 pub mod replacements;
 pub mod replica_log;
+pub mod request_audit;
 pub mod run;
 pub mod sim;
 pub mod simulated_process;
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -32,7 +32,7 @@
     submissions::resolve_undetermined(&operator, &mut record.actions).await;
     let mut audit = audit(&record, &fleet.replicas, &fleet.topology());
     audit.placements = fleet.counter_by_label("foldshunt_placements_total{").await;
-    audit.passes = fleet.counter_by_label("foldshunt_passes_total{").await;
+    audit.grants = fleet.counter_by_label("foldshunt_passes_total{").await;
     let attempts = fleet.counter_by_label("foldshunt_goes_total{").await;
     audit.retries = attempts.get("extra").copied().unwrap_or(0.0);
     audit.hops = attempts.get("hop").copied().unwrap_or(0.0);
@@ -40,12 +40,12 @@
     let routers = fleet.nodes.iter().filter(|n| !n.is_control).count();
     let allowed = MAX_RETRY_RATIO * audit.requests as f64
         + (INITIAL_RETRIES_PER_ROUTER * (routers + record.actions.len())) as f64;
-    audit.extra_over = (audit.retries - allowed).max(0.0).ceil() as usize;
+    audit.retries_over_limit = (audit.retries - allowed).max(0.0).ceil() as usize;
     let expected = submissions::newest_accepted(&record.actions, &fleet.deployment.document);
     audit.read_back_exact = Some(document.as_ref() == Some(&expected));
     let refused =
         record.actions.iter().flat_map(|x| &x.submissions).filter(|p| p.outcome == DocumentOutcome::Refused);
-    audit.refused_read_back = refused.filter(|p| document.as_ref() == Some(&p.text)).count();
+    audit.refused_document_read_back = refused.filter(|p| document.as_ref() == Some(&p.text)).count();
     Ok(audit)
 }
 
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -69,7 +69,7 @@
             }
         }
         if replica.spec.service == audit.model {
-            audit.cold_open.insert(replica.id.clone(), most_open);
+            audit.most_open_since_cold_start.insert(replica.id.clone(), most_open);
         }
     }
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -156,10 +156,10 @@
         total(&|audit| audit.rejected),
         total(&|audit| audit.unknown),
         total(&|audit| audit.broken),
-        total(&|audit| audit.not_asked),
+        total(&|audit| audit.not_sent),
         100.0 * retries / total(&|audit| audit.requests).max(1) as f64,
         audits.iter().map(|audit| 100.0 * audit.retry_ratio).fold(0.0, f64::max),
         most(&|audit| audit.longest_gap_ms.values().copied().max().unwrap_or(0)),
-        most(&|audit| audit.slowest_bounce_ms),
+        most(&|audit| audit.slowest_rejection_ms),
     )
 }
