--- a/crates/data-plane/src/serving/usage/call.rs
+++ b/crates/data-plane/src/serving/usage/call.rs
@@ -7,8 +7,8 @@
 use crate::router::lock;
 use common::{
     PeerError,
-    error::{AtPeer, within},
-    http::{full, open},
+    error::{AtPeer, with_timeout},
+    http::{full, open_client},
 };
 use http_body_util::{BodyExt, Limited};
 use hyper::{Method, Request, StatusCode};
@@ -33,7 +33,7 @@
     pub(super) async fn report(&self, call: &Call) -> Option<Result<StatusCode, PeerError>> {
         let timeout_ms = lock(&self.plan).spans.call_timeout_ms;
         let sent = self.send(call);
-        within(timeout_ms, STEP, self.duty.address, async { Ok(sent.await) })
+        with_timeout(timeout_ms, STEP, self.duty.address, async { Ok(sent.await) })
             .await
             .unwrap_or_else(|error| Some(Err(error)))
     }
@@ -51,7 +51,7 @@
             Err(error) => return Some(Err(error)),
         };
         let timeout_ms = lock(&self.plan).spans.call_timeout_ms;
-        let mut connection = match open(router.settings.rpc_addr.ip(), to, timeout_ms).await {
+        let mut connection = match open_client(router.settings.rpc_addr.ip(), to, timeout_ms).await {
             Ok(connection) => connection,
             Err(error) => return Some(Err(error)),
         };
