--- a/crates/control-plane/src/membership/lease.rs
+++ b/crates/control-plane/src/membership/lease.rs
@@ -1,4 +1,4 @@
-//! Leases (design 3.1): the leader's count of renewals, and the holder's own, stricter one.
+//! Leases (design 3.1): the leader's record of renewals, and the lease as its holder counts it, which ends earlier.
 
 use crate::{
     state_machine::ClusterState,
@@ -7,14 +7,14 @@
 use common::{Epoch, Incarnation, NodeId, Tick, settings::Timing};
 use std::collections::BTreeMap;
 
-/// The leases of all members, counted by the leader only. A new leader gives each member a full lease from its
-/// election.
+/// When each member last renewed its lease. Only the leader keeps this. A new leader has seen no renewals, so it
+/// counts a full lease for each member from its election.
 #[derive(Clone, Debug, Default)]
 pub struct Leases {
-    elected: Tick,
+    elected_at: Tick,
     last_renewals: BTreeMap<NodeId, LastRenewal>,
-    /// When a change of the membership was last proposed for a node.
-    proposed: BTreeMap<NodeId, Tick>,
+    /// When a change of the membership was last proposed for each node.
+    last_proposals: BTreeMap<NodeId, Tick>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -23,44 +23,45 @@
     at: Tick,
 }
 
-/// What a leader answers to a renewal.
+/// The leader's decision on a request to renew a lease.
 #[derive(Clone, Debug, PartialEq)]
 #[must_use]
 pub enum Renewal {
-    /// The lease is extended.
+    /// The lease of the membership with this epoch is extended.
     Extended(Epoch),
-    /// The node is to ask again with its next renewal; meanwhile this change is proposed, if there is one.
+    /// No lease is granted yet: the node asks again with its next renewal. The leader proposes the change, if there
+    /// is one, in the meantime.
     Pending(Option<Change>),
 }
 
 impl Leases {
-    /// The count of a leader that was elected now.
+    /// The record of a leader that was elected at `now`.
     pub fn new_leader(now: Tick) -> Self {
-        Self { elected: now, ..Self::default() }
+        Self { elected_at: now, ..Self::default() }
     }
 
-    /// Takes a renewal.
+    /// Decides on a request to renew that arrived at `now`.
     pub fn renew(&mut self, state: &ClusterState, timing: &Timing, info: &NodeInfo, now: Tick) -> Renewal {
         if let Some(member) = state.members.get(&info.node) {
-            let same = member.info.incarnation == info.incarnation;
+            let same_incarnation = member.info.incarnation == info.incarnation;
             let expired = self.expired(&member.info, timing, now);
-            // Once its expiry may be in the log, a lease is not renewed: the node joins anew.
-            if same && expired {
+            // The expiry of this lease may already be in the log, so it is not renewed: the node has to join again.
+            if same_incarnation && expired {
                 return Renewal::Pending(None);
             }
             if member.info == *info {
                 self.note_renewal(info, now);
                 return Renewal::Extended(member.epoch);
             }
-            // A new incarnation takes over only after the old lease must have expired; but what holds the old
-            // one's address now has outlived it, once nothing of the old one can be on its way.
-            if !same && !expired && !self.outlived(&member.info, info, timing, now) {
+            // A new incarnation waits until the old one's lease must have expired. If it has the old one's address,
+            // the old process has ended, and it waits only until none of the old one's messages can still arrive.
+            if !same_incarnation && !expired && !self.has_replaced(&member.info, info, timing, now) {
                 return Renewal::Pending(None);
             }
         }
-        // The new lease counts from when it was asked for.
+        // The new lease counts from this request.
         self.note_renewal(info, now);
-        let join = self.may_propose(&info.node, timing, now).then(|| Change::Join(info.clone()));
+        let join = self.claim_proposal(&info.node, timing, now).then(|| Change::Join(info.clone()));
         Renewal::Pending(join)
     }
 
@@ -69,12 +70,13 @@
         self.last_renewals.insert(info.node.clone(), renewal);
     }
 
-    /// At most one proposal for a node within a renewal interval.
-    fn may_propose(&mut self, node: &NodeId, timing: &Timing, now: Tick) -> bool {
-        let last = self.proposed.get(node);
+    /// Whether a change of this node's membership may be proposed now: at most one in each renewal interval. If so,
+    /// `now` is recorded as the time of the proposal.
+    fn claim_proposal(&mut self, node: &NodeId, timing: &Timing, now: Tick) -> bool {
+        let last = self.last_proposals.get(node);
         let due = last.is_none_or(|at| now.since(*at) > timing.renew_interval_ms());
         if due {
-            self.proposed.insert(node.clone(), now);
+            self.last_proposals.insert(node.clone(), now);
         }
         due
     }
@@ -84,18 +86,18 @@
         (renewal.incarnation == info.incarnation).then_some(renewal.at)
     }
 
-    /// Whether `new` has the address of `old`, which has been silent for two heartbeats.
-    fn outlived(&self, old: &NodeInfo, new: &NodeInfo, timing: &Timing, now: Tick) -> bool {
+    /// Whether the process `old` has ended: `new` has its address, and `old` has been silent for two heartbeats.
+    fn has_replaced(&self, old: &NodeInfo, new: &NodeInfo, timing: &Timing, now: Tick) -> bool {
         let silent = |at: Tick| now.since(at) > 2 * timing.heartbeat_ms();
         old.rpc_addr == new.rpc_addr && self.last_renewal(old).is_none_or(silent)
     }
 
     fn expired(&self, info: &NodeInfo, timing: &Timing, now: Tick) -> bool {
-        let last = self.last_renewal(info).unwrap_or(self.elected).max(self.elected);
+        let last = self.last_renewal(info).unwrap_or(self.elected_at).max(self.elected_at);
         now.since(last) > timing.lease_ms + timing.lease_margin_ms()
     }
 
-    /// Members that have not renewed here for two renewal intervals: they may not learn of what is logged now.
+    /// Members that have not renewed here for two renewal intervals: a change that is logged now may not reach them.
     pub fn silent_members(&self, state: &ClusterState, timing: &Timing, now: Tick) -> Vec<NodeId> {
         let recent = |at: Tick| now.since(at) <= 2 * timing.renew_interval_ms();
         let silent = |info: &&NodeInfo| !self.last_renewal(info).is_some_and(recent);
@@ -108,7 +110,7 @@
             .collect()
     }
 
-    /// The change to propose when a node gives its lease back on a planned stop.
+    /// The change to propose when a node gives up its lease on a planned stop; `None` if it is not a member.
     pub fn leave(&self, state: &ClusterState, info: &NodeInfo) -> Option<Change> {
         let member = state.members.get(&info.node)?;
         let NodeInfo { node, incarnation, .. } = info.clone();
@@ -121,7 +123,7 @@
         let expired: Vec<&NodeInfo> = infos.filter(|info| self.expired(info, timing, now)).collect();
         let mut changes = Vec::new();
         for info in expired {
-            if self.may_propose(&info.node, timing, now) {
+            if self.claim_proposal(&info.node, timing, now) {
                 let (node, incarnation) = (info.node.clone(), info.incarnation);
                 changes.push(Change::Expire { node, incarnation, left: false });
             }
@@ -130,23 +132,24 @@
     }
 }
 
-/// A lease as its holder counts it: from before the renewal was sent (design 3.1).
+/// A lease as its holder counts it (design 3.1): from when the request to renew was sent, so that it ends before the
+/// leader takes it for expired.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeldLease {
-    /// Number of the membership; 0 before the first.
+    /// Epoch of the membership; 0 before the first one.
     pub epoch: Epoch,
-    /// When it ends, on the holder's clock.
+    /// When the lease ends, on the holder's clock.
     pub until: Tick,
 }
 
 impl HeldLease {
-    /// A renewal that was sent at `sent` was granted.
+    /// Extends the lease after a renewal that was sent at `sent` was granted.
     pub fn extend(&mut self, epoch: Epoch, sent: Tick, timing: &Timing) {
         self.epoch = epoch;
         self.until = self.until.max(sent + timing.lease_ms);
     }
 
-    /// Whether it has not ended.
+    /// Whether the lease has not ended.
     pub fn valid(&self, now: Tick) -> bool {
         now < self.until
     }
--- a/crates/control-plane/src/membership/local_member.rs
+++ b/crates/control-plane/src/membership/local_member.rs
@@ -1,5 +1,5 @@
 //! A node's own side of its membership (design 3.1, 3.3): it renews its lease at the leader, follows the cluster
-//! state, and knows when it lags behind.
+//! state, and detects when its copy of the state lags behind.
 
 use super::HeldLease;
 use crate::{
@@ -23,36 +23,37 @@
 };
 use tokio::sync::watch;
 
-/// A node's membership and its copy of the cluster state.
+/// This node as a member: its lease and its copy of the cluster state.
 pub struct LocalMember {
     /// The node's settings.
     pub settings: Settings,
     /// The node's clock.
     pub clock: Clock,
-    /// The node as it presents itself.
+    /// How the node describes itself when it joins or renews.
     pub info: NodeInfo,
-    /// Client of the control nodes.
+    /// Client for requests to control nodes.
     pub control: Arc<ControlClient>,
-    /// Newest state that this node has seen.
+    /// This node's copy of the cluster state.
     pub cluster_state: ArcSwap<ClusterState>,
-    /// Index of that state; changes when it does.
+    /// Index of that copy; sent each time the copy changes.
     pub applied: watch::Sender<Index>,
     lease: Mutex<HeldLease>,
-    /// Revision whose compiled form is in use here.
+    /// Revision of the document whose compiled form is in use on this node.
     pub active_revision: AtomicU64,
-    /// Who answered the last renewal.
+    /// The node that answered the last renewal as the leader.
     leader: Mutex<Option<SocketAddr>>,
-    /// Voters that others told of, for as long as the state that names them is not here.
+    /// Addresses of voters that another control node reported; needed until the cluster state names the voters.
     announced_voters: Mutex<Vec<SocketAddr>>,
-    /// Indexes that the leader announced and that are not held yet, each with a time before it did.
+    /// Indexes that the leader announced and that this node's copy has not reached, each with a time before the
+    /// announcement.
     pub(super) announced: Mutex<VecDeque<(Index, Tick)>>,
-    /// A gap was found in the updates: the next request asks for a snapshot.
+    /// Changes are missing between the copy and an update: the next request asks for a snapshot.
     pub(super) gap: AtomicBool,
-    /// On its way out: renews no more.
+    /// The node is stopping and no longer renews its lease.
     leaving: AtomicBool,
 }
 
-/// A voter that may be asked.
+/// Address of a voter, and whether it is in this node's zone.
 #[derive(Clone, Copy)]
 pub(super) struct VoterAddr {
     pub(super) addr: SocketAddr,
@@ -60,7 +61,7 @@
 }
 
 impl LocalMember {
-    /// A node that holds no membership yet.
+    /// A node that is not a member yet.
     pub fn new(settings: Settings, info: NodeInfo, clock: Clock) -> Arc<Self> {
         let control = Arc::new(ControlClient::new(settings.me(), SERVICE));
         Arc::new(Self {
@@ -80,13 +81,14 @@
         })
     }
 
-    /// Starts to renew the lease and to follow the cluster state.
+    /// Starts the tasks that renew the lease and follow the cluster state.
     pub fn start(self: &Arc<Self>) {
         spawn(self.clone().keep_lease());
         spawn(self.clone().keep_following());
     }
 
-    /// Without a lease it asks with each heartbeat: a join is committed within one or two.
+    /// Renews the lease at each renewal interval. Without a lease it asks at each heartbeat, since a join is committed
+    /// within one or two of them.
     async fn keep_lease(self: Arc<Self>) {
         let mut applied = self.applied.subscribe();
         while !self.leaving.load(Ordering::Acquire) {
@@ -94,21 +96,22 @@
             self.renew().await;
             let timing = &self.settings.timing;
             let wait_ms = if self.has_lease() { timing.renew_interval_ms() } else { timing.heartbeat_ms() };
-            // What is new here is reported at once: an operator may wait for it.
+            // A renewal reports the index of this node's copy. An operator may be waiting for it, so a new index is
+            // sent at once.
             let _ = tokio::time::timeout(Duration::from_millis(wait_ms), applied.changed()).await;
         }
     }
 
-    /// The lease as it is held now.
+    /// The lease as this node counts it now.
     pub fn lease(&self) -> HeldLease {
         *lock(&self.lease)
     }
 
-    /// Takes a lease, counted from before its renewal was sent.
+    /// Extends the lease, counted from `sent`: a time before the request to renew was sent.
     pub fn extend_lease(&self, epoch: Epoch, sent: Tick) {
         let mut lease = lock(&self.lease);
         if lease.epoch != epoch {
-            log_event!(Info, "lease", "epoch" => epoch.0);
+            log_event!(Info, "lease granted for a new membership", "epoch" => epoch.0);
         }
         lease.extend(epoch, sent, &self.settings.timing);
     }
@@ -118,14 +121,14 @@
         self.lease().valid(self.clock.now())
     }
 
-    /// Whether the copy of the state is at least as new as the own join: nothing that was in force before a
-    /// restart of this node is newer (design 3.3).
+    /// Whether the copy of the state has reached this node's own join, so that it is not older than any state that
+    /// this node served by before a restart (design 3.3).
     pub fn caught_up(&self) -> bool {
         let epoch = self.lease().epoch;
         epoch.0 > 0 && self.cluster_state.load().index.0 >= epoch.0
     }
 
-    /// The leader announced an index; `before` is a time before it did.
+    /// Records that the leader announced an index as committed; `before` is a time before it did.
     pub fn note_announced_index(&self, index: Index, before: Tick) {
         let mut announced = lock(&self.announced);
         let newest = announced.back().map(|(index, _)| *index).unwrap_or_default();
@@ -134,17 +137,17 @@
         }
     }
 
-    /// Whether it renews its lease and has lacked for an election time-out what the leader announced: it must not
-    /// serve by what it holds (design 3.6).
+    /// Whether this node has a lease, but has been missing an announced index for longer than an election time-out:
+    /// it must not serve by its copy of the state (design 3.6).
     pub fn lags(&self) -> bool {
         let announced = lock(&self.announced);
-        let late = |(_, before): &(Index, Tick)| {
+        let overdue = |(_, before): &(Index, Tick)| {
             self.clock.now().since(*before) > self.settings.timing.election_timeout_ms()
         };
-        self.has_lease() && announced.front().is_some_and(late)
+        self.has_lease() && announced.front().is_some_and(overdue)
     }
 
-    /// The control nodes' addresses: those of the voters where they are known, and the seeds.
+    /// Addresses of control nodes: the voters that the state names, those that were reported, and the seeds.
     pub(super) fn voters(&self) -> Vec<VoterAddr> {
         let state = self.cluster_state.load();
         let known = state.voters.iter();
@@ -160,7 +163,7 @@
         voters
     }
 
-    /// Others told who the voters are.
+    /// Records addresses of voters that another control node reported.
     pub(crate) fn note_voters(&self, voters: Vec<SocketAddr>) {
         *lock(&self.announced_voters) = voters;
     }
@@ -173,14 +176,14 @@
         *lock(&self.leader) = leader;
     }
 
-    /// The known leader first, then all voters.
+    /// Addresses of all voters, the known leader first.
     fn voters_from_leader(&self) -> Vec<SocketAddr> {
         let leader = self.known_leader();
         let others = self.voters().into_iter().map(|voter| voter.addr).filter(|addr| Some(*addr) != leader);
         leader.into_iter().chain(others).collect()
     }
 
-    /// Asks one voter after the other to extend the lease. A voter that knows the leader is followed by it.
+    /// Asks one voter after the other to extend the lease. Where one names the leader, the leader is asked next.
     async fn renew(&self) {
         let mut candidates = self.voters_from_leader();
         let mut asked = 0;
@@ -207,7 +210,7 @@
         self.set_leader(None);
     }
 
-    /// Opening a connection takes three round trips: the call may take as long as any.
+    /// Sends one request to renew. It has the full RPC time-out, since opening a connection takes three round trips.
     async fn request_renewal(&self, to: SocketAddr) -> Result<ControlResponse, PeerError> {
         let request = ControlRequest::Renew {
             info: self.info.clone(),
@@ -217,10 +220,10 @@
         self.control.call("renew", to, request).await
     }
 
-    /// Gives the lease back on a planned stop.
+    /// Gives up the lease on a planned stop.
     pub async fn leave(&self) {
         self.leaving.store(true, Ordering::Release);
-        // A renewal that is on its way must not arrive after the leave and join anew.
+        // A renewal that is still in flight must not arrive after the leave: it would make the node join again.
         tokio::time::sleep(Duration::from_millis(self.settings.timing.heartbeat_ms())).await;
         let known = self.known_leader();
         for to in known.into_iter().chain(self.voters().into_iter().map(|voter| voter.addr)) {
--- a/crates/control-plane/src/membership/mod.rs
+++ b/crates/control-plane/src/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Membership (design 3.1): leases as the leader counts them, and a node's own side of its membership.
+//! Membership (design 3.1): the leader's record of leases, and a node's own side: renewing its lease and following
+//! the cluster state.
 
 pub mod lease;
 pub mod local_member;
--- a/crates/control-plane/src/membership/state_follower.rs
+++ b/crates/control-plane/src/membership/state_follower.rs
@@ -1,4 +1,4 @@
-//! How a node follows the cluster state (design 3.3).
+//! Keeps a node's copy of the cluster state up to date by long polls to the voters (design 3.3).
 
 use super::LocalMember;
 use crate::{
@@ -18,17 +18,18 @@
 impl LocalMember {
     pub(super) async fn keep_following(self: Arc<Self>) {
         loop {
-            if !self.follow().await {
+            if !self.fetch_update().await {
                 tokio::time::sleep(Duration::from_millis(self.settings.timing.heartbeat_ms())).await;
             }
         }
     }
 
-    /// Takes updates from a voter in the own zone first, then from the others. Returns whether one answered.
-    async fn follow(&self) -> bool {
+    /// Asks one voter after the other for an update, those in this node's zone first, until one answers. Returns
+    /// whether one did.
+    async fn fetch_update(&self) -> bool {
         let mut voters = self.voters();
         voters.sort_by_key(|voter| !voter.same_zone);
-        // A voter that is cut off from the others may have nothing newer to offer.
+        // The leader has every announced index; a voter that is cut off from the others may not.
         let behind = !lock(&self.announced).is_empty();
         if let Some(leader) = self.known_leader().filter(|_| behind) {
             voters.sort_by_key(|voter| voter.addr != leader);
@@ -36,7 +37,7 @@
         for voter in voters {
             match self.request_update(voter.addr).await {
                 Ok(ControlResponse::StateUpdate(update)) => {
-                    // A voter that lags has nothing new; another may know more.
+                    // A voter that is behind this node has nothing for it; another voter may.
                     let unchanged = matches!(update, StateUpdate::Unchanged);
                     if unchanged && self.is_ahead_of(voter.addr).await {
                         continue;
@@ -60,7 +61,8 @@
         self.control.call_within(timeout_ms, "watch state", to, request).await
     }
 
-    /// Whether a voter that had nothing new is behind what this node has.
+    /// Whether this node's copy is newer than what a voter that sent no changes can offer. Index 0 means that the
+    /// voter receives no changes itself.
     async fn is_ahead_of(&self, voter: SocketAddr) -> bool {
         let have = self.cluster_state.load().index;
         let request = ControlRequest::Heartbeat { index: have };
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Brings the copy of the state forward with an update from a voter or a peer.
+    /// Applies an update from a voter or another member to this node's copy of the cluster state.
     pub fn install(&self, update: StateUpdate, from: &str) -> InstallResult {
         let mut state = ClusterState::clone(&self.cluster_state.load());
         let result = state_update::install(&mut state, &self.settings.cluster, update);
@@ -83,10 +85,11 @@
             }
             InstallResult::Gap => {
                 self.gap.store(true, Ordering::Release);
-                log_event!(Warn, "state update", "peer" => from, "cause" => "gap; taking a snapshot");
+                let cause = "changes before this update are missing here; a snapshot is requested next";
+                log_event!(Warn, "state update not applied", "peer" => from, "cause" => cause);
             }
             InstallResult::Rejected(why) => {
-                log_event!(Warn, "state update", "peer" => from, "cause" => why.to_string());
+                log_event!(Warn, "state update rejected", "peer" => from, "cause" => why.to_string());
             }
             InstallResult::Unchanged => {}
         }
