--- a/crates/control-plane/src/types/change.rs
+++ b/crates/control-plane/src/types/change.rs
@@ -1,53 +1,53 @@
-//! Changes of the cluster state (design 2.1) and what becomes of them (design 4.6).
+//! Changes of the cluster state (design 2.1) and the outcomes of applying them (design 4.6).
 
 use super::{Document, NodeInfo, VoterInfo, size::MAX_NAME_BYTES};
 use common::{Incarnation, Index, NodeId, OpId, ReplicaId, Revision, Service, Zone};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A replica of a service, as operators list it.
+/// A replica of a service, as an operator registered it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
-    /// The service that it serves.
+    /// Name of the service.
     pub service: Service,
-    /// Its failure domain.
+    /// Failure domain of the replica.
     #[serde(rename = "area")]
     pub zone: Zone,
-    /// Where it listens.
+    /// Address for requests.
     pub addr: SocketAddr,
-    /// It finishes what it has and gets nothing new.
+    /// The replica finishes the requests that it has and gets no new ones.
     pub draining: bool,
 }
 
 /// A change of one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaChange {
-    /// Adds it, or replaces what was listed under its name.
+    /// Adds the replica, or replaces the one of this name.
     List {
-        /// The service that it serves.
+        /// Name of the service.
         service: Service,
-        /// Its failure domain.
+        /// Failure domain of the replica.
         #[serde(rename = "area")]
         zone: Zone,
-        /// Where it listens.
+        /// Address for requests.
         addr: SocketAddr,
     },
-    /// It gets nothing new from now on.
+    /// The replica gets no new requests from now on.
     Drain,
-    /// It is listed no more.
+    /// The replica is deleted.
     Remove,
 }
 
 /// One change of the cluster state: the payload of a log entry.
 ///
-/// `op` names an operator's change, so that the same one sent again has the outcome of the first.
+/// `op` identifies an operator's change: if the same change is sent again, it has the outcome of the first one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// Replaces the document, if `base` is still the current revision.
     Apply {
         /// Name of the operation.
         op: OpId,
-        /// The revision that the document builds on.
+        /// The revision that the document is based on.
         base: Revision,
         /// The new document.
         text: Document,
@@ -59,10 +59,10 @@
         /// The zone.
         #[serde(rename = "area")]
         zone: Zone,
-        /// Whether it is begun.
+        /// Whether the evacuation begins; otherwise it ends.
         on: bool,
-        /// Newest index known when the order was decided: an evacuation of the zone that was begun or
-        /// ended since then stands.
+        /// Newest index that was known when this change was made. If an evacuation of the zone began or ended
+        /// after it, this change has no effect.
         seen: Index,
     },
     /// Changes one replica.
@@ -74,19 +74,19 @@
         /// What changes.
         what: ReplicaChange,
     },
-    /// A node begins a membership.
+    /// A node becomes a member.
     Join(NodeInfo),
-    /// A membership ends.
+    /// The membership of a node ends.
     Expire {
         /// The member.
         node: NodeId,
-        /// The incarnation whose membership ends; another one's is left alone.
+        /// The incarnation whose membership ends; that of any other incarnation stays.
         #[serde(rename = "inc")]
         incarnation: Incarnation,
-        /// The lease was given back on a planned stop, so the node serves nobody.
+        /// The node gave up its lease on a planned stop, so it serves no traffic.
         left: bool,
     },
-    /// An operator confirms that a lost member is down and serves nobody.
+    /// An operator confirms that a lost member is down and serves no traffic.
     #[serde(rename = "Down")]
     ConfirmDown {
         /// Name of the operation.
@@ -94,23 +94,23 @@
         /// The lost member.
         node: NodeId,
     },
-    /// Another holder takes the voter's number (design 2.5).
+    /// The voter with this number is replaced by this one (design 2.5).
     ReplaceVoter(VoterInfo),
 }
 
-/// What a change takes besides its names and its document, at most.
+/// Upper bound on the encoded length of a change without its names and its document.
 const CHANGE_OVERHEAD_BYTES: usize = 64;
-/// What a listed replica takes besides its names.
+/// Upper bound on the encoded length of a listed replica without its names.
 const LISTING_OVERHEAD_BYTES: usize = 64;
-/// What a member takes besides its names.
+/// Upper bound on the encoded length of a member without its names.
 const MEMBER_OVERHEAD_BYTES: usize = 128;
-/// What the outcome of an accepted document takes in the state besides the operation's name.
+/// Upper bound on the encoded length of an accepted document's outcome, without the operation's name.
 const ACCEPTED_OUTCOME_BYTES: usize = 128;
-/// What the outcome of any other change takes besides the change itself.
+/// Upper bound on the encoded length of any other change's outcome beyond that of the change itself.
 const OTHER_OUTCOME_BYTES: usize = 96;
 
 impl Change {
-    /// The operator's name for it, if an operator made it.
+    /// Name of the operation, if an operator made the change.
     pub fn op(&self) -> Option<&OpId> {
         match self {
             Change::Apply { op, .. }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Whether it may take something away from traffic, so that a router that does not learn of it serves
+    /// Whether the change may withdraw routes or replicas from traffic, so that a router that misses it serves
     /// wrongly (design 3.7).
     pub fn restricts_traffic(&self) -> bool {
         match self {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Upper bound on its encoded length, in bytes; a test holds it to that.
+    /// Upper bound on the encoded length, in bytes; a test checks it.
     pub fn max_encoded_len(&self) -> usize {
         CHANGE_OVERHEAD_BYTES + self.payload_bytes()
     }
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Upper bound on what applying it adds to the state beyond the entry itself, in bytes: its outcome.
+    /// Upper bound on what applying the change adds to the state beyond the encoded entry, in bytes: its outcome.
     pub(crate) fn max_state_growth(&self) -> usize {
         match self {
             Change::Apply { op, .. } => op.as_str().len() + ACCEPTED_OUTCOME_BYTES,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Whether applying it may make the state larger.
+    /// Whether applying the change may make the state larger.
     pub(crate) fn may_grow_state(&self) -> bool {
         match self {
             Change::Apply { .. } | Change::Evacuate { on: true, .. } => true,
@@ -165,19 +165,19 @@
         }
     }
 
-    /// Whether no name in it is longer than a name may be.
+    /// Whether each name in the change is within the length limit.
     pub(crate) fn names_within_limit(&self) -> bool {
-        self.op().is_none_or(|op| fits(op.as_str())) && self.other_names_fit()
+        self.op().is_none_or(|op| name_fits(op.as_str())) && self.target_names_within_limit()
     }
 
-    fn other_names_fit(&self) -> bool {
+    fn target_names_within_limit(&self) -> bool {
         match self {
             Change::Apply { .. } => true,
-            Change::Evacuate { zone, .. } => fits(zone.as_str()),
-            Change::Replica { id, what, .. } => fits(id.as_str()) && what.names_within_limit(),
-            Change::Join(info) => fits(info.node.as_str()) && fits(info.zone.as_str()),
-            Change::Expire { node, .. } | Change::ConfirmDown { node, .. } => fits(node.as_str()),
-            Change::ReplaceVoter(voter) => fits(voter.node.as_str()) && fits(voter.zone.as_str()),
+            Change::Evacuate { zone, .. } => name_fits(zone.as_str()),
+            Change::Replica { id, what, .. } => name_fits(id.as_str()) && what.names_within_limit(),
+            Change::Join(info) => name_fits(info.node.as_str()) && name_fits(info.zone.as_str()),
+            Change::Expire { node, .. } | Change::ConfirmDown { node, .. } => name_fits(node.as_str()),
+            Change::ReplaceVoter(voter) => name_fits(voter.node.as_str()) && name_fits(voter.zone.as_str()),
         }
     }
 }
@@ -194,34 +194,36 @@
 
     fn names_within_limit(&self) -> bool {
         match self {
-            ReplicaChange::List { service, zone, .. } => fits(service.as_str()) && fits(zone.as_str()),
+            ReplicaChange::List { service, zone, .. } => {
+                name_fits(service.as_str()) && name_fits(zone.as_str())
+            }
             ReplicaChange::Drain | ReplicaChange::Remove => true,
         }
     }
 }
 
-fn fits(name: &str) -> bool {
+fn name_fits(name: &str) -> bool {
     name.len() <= MAX_NAME_BYTES
 }
 
-/// What became of a change once it was committed (design 4.6).
+/// Outcome of applying a committed change (design 4.6).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[must_use]
 pub enum ApplyOutcome {
-    /// It is in force.
+    /// The change took effect.
     Accepted {
-        /// The revision of the document after it.
+        /// Revision of the document after the change.
         revision: Revision,
     },
-    /// Another change was committed first; this one never takes effect.
+    /// A change that this one does not take into account was committed first; this one never takes effect.
     Conflict {
-        /// The revision of the document in force.
+        /// Current revision of the document.
         current: Revision,
     },
-    /// It asks for what can't be done; it never takes effect.
+    /// The change is not possible in this state; it never takes effect.
     #[serde(rename = "Bounced")]
     Rejected {
-        /// For the operator.
+        /// Why, in words for the operator.
         reason: String,
     },
 }
--- a/crates/control-plane/src/types/document.rs
+++ b/crates/control-plane/src/types/document.rs
@@ -1,19 +1,19 @@
-//! The operator's document: one shared text, compressed wherever it is written or sent (design 2.8).
+//! The operator's document: shared in memory, and compressed where it is written or sent (design 2.8).
 
 use super::SizeLimits;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Visitor};
 use std::{borrow::Cow, fmt, ops::Deref, sync::Arc};
 
-/// The longest text, in bytes; compressed, it may have a quarter of that (design 2.8).
+/// Longest text of a document, in bytes. Compressed, it may be a quarter of that (design 2.8).
 pub const MAX_DOCUMENT_BYTES: usize = 4 << 20;
 
 struct Inner {
     text: Box<str>,
-    /// The text as one LZ4 block after its length; empty where that would not be shorter.
+    /// Length of the text and the text as one LZ4 block; empty if that is not shorter than the text.
     packed: Vec<u8>,
 }
 
-/// The text of a document. Clones share it.
+/// The text of a document; clones share one copy of it.
 #[derive(Clone)]
 pub struct Document(Arc<Inner>);
 
@@ -28,17 +28,17 @@
         Self(Arc::new(Inner { text, packed }))
     }
 
-    /// Its encoded length in bytes, but for a few.
+    /// Length in bytes of the text as it is written and sent, without the few bytes of its framing.
     pub fn packed_len(&self) -> usize {
         self.encoded().1.len()
     }
 
-    /// Whether it may be logged at all.
+    /// Whether the document is within the limits on its length, plain and compressed.
     pub fn fits(&self) -> bool {
         self.len() <= MAX_DOCUMENT_BYTES && self.packed_len() <= SizeLimits::default().document()
     }
 
-    /// Whether it is compressed, and the bytes that are written and sent.
+    /// The bytes that are written and sent, and whether they are compressed.
     fn encoded(&self) -> (bool, &[u8]) {
         match self.0.packed.as_slice() {
             [] => (false, self.0.text.as_bytes()),
@@ -51,14 +51,14 @@
             let text = String::from_utf8(bytes).map_err(|e| e.to_string())?;
             return Ok(Self(Arc::new(Inner { text: text.into(), packed: Vec::new() })));
         }
-        // Damaged bytes must not make this reserve whatever length they claim.
+        // Corrupt bytes could claim any length: check it before memory is reserved for the text.
         let (len, _) = lz4_flex::block::uncompressed_size(&bytes).map_err(|e| e.to_string())?;
         if len > MAX_DOCUMENT_BYTES {
-            return Err(format!("a document of {len} bytes; allowed: {MAX_DOCUMENT_BYTES}"));
+            return Err(format!("document length: {len} bytes; allowed: {MAX_DOCUMENT_BYTES}"));
         }
         let text = lz4_flex::block::decompress_size_prepended(&bytes).map_err(|e| e.to_string())?;
         if text.len() != len {
-            return Err(format!("a document of {} bytes where {len} were announced", text.len()));
+            return Err(format!("document length: {} bytes, but {len} were announced", text.len()));
         }
         let text = String::from_utf8(text).map_err(|e| e.to_string())?;
         Ok(Self(Arc::new(Inner { text: text.into(), packed: bytes })))
@@ -76,8 +76,8 @@
 
 impl<'de> Deserialize<'de> for Bytes<'static> {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        struct Whole;
-        impl Visitor<'_> for Whole {
+        struct BytesVisitor;
+        impl Visitor<'_> for BytesVisitor {
             type Value = Vec<u8>;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("the bytes of a document")
@@ -89,7 +89,7 @@
                 Ok(v)
             }
         }
-        d.deserialize_byte_buf(Whole).map(|v| Bytes(v.into()))
+        d.deserialize_byte_buf(BytesVisitor).map(|v| Bytes(v.into()))
     }
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// For response bodies that hold the text without a copy.
+/// Lets a response body hold the text without copying it.
 impl AsRef<[u8]> for Document {
     fn as_ref(&self) -> &[u8] {
         self.0.text.as_bytes()
@@ -141,7 +141,7 @@
     }
 }
 
-/// Shows the length only: texts are long.
+/// Shows only the length, since the text may be megabytes long.
 impl fmt::Debug for Document {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "document of {} bytes", self.len())
--- a/crates/control-plane/src/types/mod.rs
+++ b/crates/control-plane/src/types/mod.rs
@@ -1,5 +1,5 @@
-//! Plain types that all layers of the control plane share: nodes, replicas, changes, log entries, and how
-//! large they may be. Nothing here depends on a layer above.
+//! Types that all layers of the control plane share: nodes, replicas, changes, documents, log entries, and limits
+//! on their size. Nothing here depends on another layer.
 
 mod change;
 mod document;
--- a/crates/control-plane/src/types/node.rs
+++ b/crates/control-plane/src/types/node.rs
@@ -1,25 +1,25 @@
-//! Nodes, as they present themselves and as the cluster state keeps them.
+//! Nodes: how they describe themselves, and what the cluster state records of them.
 
 use common::{Epoch, Incarnation, NodeId, Zone, settings::Settings};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a node does.
+/// Role of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// Votes on changes and keeps them on disk.
+    /// Control node: takes part in replicating the log, as a voter or as a learner.
     #[serde(rename = "Core")]
     Control,
-    /// Carries traffic.
+    /// Router: carries traffic.
     Router,
 }
 
-/// A voter's identity. A lost disk or a new machine makes another incarnation (design 2.5).
+/// A voter's identity. A voter that lost its disk or runs on a new machine is another incarnation (design 2.5).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterInfo {
-    /// Position in the voter set; terms are numbered by it (design 2.2).
+    /// Position in the voter set; part of the number of each term that the voter leads (design 2.2).
     pub number: u8,
-    /// Drawn once for each data folder.
+    /// Random number, chosen when the data folder is created.
     #[serde(rename = "inc")]
     pub incarnation: Incarnation,
     /// Name of the node.
@@ -30,21 +30,21 @@
     /// Address for RPCs from other nodes.
     #[serde(rename = "rail")]
     pub rpc_addr: SocketAddr,
-    /// Address for operators' HTTP.
+    /// Address of the operators' HTTP API.
     pub http: SocketAddr,
 }
 
-/// A node as it presents itself when it asks for a lease (design 3.1).
+/// A node as it describes itself when it asks for a lease (design 3.1).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
     /// Name of the node.
     pub node: NodeId,
-    /// Drawn at each start of a router, and once for each data folder of a control node.
+    /// Random number, chosen at each start of a router, and once for each data folder of a control node.
     #[serde(rename = "inc")]
     pub incarnation: Incarnation,
-    /// What the node does.
+    /// Role of the node.
     pub role: Role,
-    /// Version of the document's language that this node can compile.
+    /// Newest version of the document language that this node can compile.
     pub lang: u32,
     /// Failure domain of the node.
     #[serde(rename = "area")]
@@ -52,12 +52,12 @@
     /// Address for RPCs from other nodes.
     #[serde(rename = "rail")]
     pub rpc_addr: SocketAddr,
-    /// Address for clients (router) or operators (control node).
+    /// HTTP address for clients (router) or operators (control node).
     pub http: SocketAddr,
 }
 
 impl NodeInfo {
-    /// The node that these settings describe.
+    /// Describes the node that has these settings.
     pub fn of(settings: &Settings, role: Role, incarnation: Incarnation) -> Self {
         Self {
             node: settings.node.as_str().into(),
@@ -71,21 +71,21 @@
     }
 }
 
-/// A node that holds a membership.
+/// A member: a node that has joined and whose membership has not ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// As it presented itself when it joined.
+    /// The node as it described itself when it joined.
     pub info: NodeInfo,
-    /// Number of this membership: the index of the join that began it (design 3.1).
+    /// Index of the join that began this membership (design 3.1).
     pub epoch: Epoch,
 }
 
-/// A member whose lease expired without its leaving: it may be serving on (design 3.7).
+/// A former member whose lease expired without a planned stop: it may still be serving traffic (design 3.7).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LostMember {
     /// Name of the node.
     pub node: NodeId,
-    /// How many members there were before it was lost.
+    /// Number of members before this one was lost.
     #[serde(rename = "of")]
     pub members_before: u32,
 }
