--- a/crates/control-plane/src/control_node/connectivity.rs
+++ b/crates/control-plane/src/control_node/connectivity.rs
@@ -1,28 +1,28 @@
-//! A control node's contact with the others, and what the leader must know of the members before it narrows
-//! traffic and before it says that it did (design 3.7).
+//! A control node's contact with the other voters, and two checks by the leader on changes that restrict traffic
+//! (design 3.7): before such a change is logged, and before it is acknowledged.
 
 use super::{ControlNode, Inner};
 use crate::{consensus::Contact, state_machine::partition_risk::stale_majority, types::Change};
 use common::{Index, NodeId, Tick};
 use std::{sync::Arc, time::Duration};
 
-/// Election time-outs after the last contact within which another voter stands for election and wins, unless this
-/// voter is cut off.
+/// Election time-outs without contact after which this voter takes itself for cut off: otherwise another voter would
+/// have won an election by then.
 const ELECTION_TIMEOUTS: u64 = 2;
 
-/// Whether asking the other voters is worth while.
+/// This voter's contact with a majority, which decides whether it asks other voters or refuses at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Connectivity {
-    /// In contact with the leader, or with a majority as the leader.
+    /// In contact with the leader or, as the leader, with a majority.
     InContact,
-    /// Out of contact for a while only: there may be a new leader, or none yet.
+    /// Out of contact for less than an election takes: a new leader may exist or still be elected.
     Unsure,
     /// Out of contact for longer than an election takes.
     CutOff,
 }
 
 impl ControlNode {
-    /// The contact of this voter now. Asked with each tick, so that the time of the last contact is known.
+    /// This voter's contact now. Must be called at each tick: it records the time of the last contact.
     pub(super) fn connectivity(&self) -> Connectivity {
         let now = self.clock.now();
         let mut inner = self.lock();
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Members that a change may not reach, if they could be serving on by an older state: then it must not be
-    /// logged now.
+    /// Members that a change that restricts traffic may not reach, if they are enough to keep serving by an older
+    /// state; the change must not be logged then. `None` if there is no such risk.
     pub(super) fn members_at_risk(&self, inner: &Inner, change: &Change) -> Option<Vec<NodeId>> {
         let now = self.clock.now();
         let restricts = change.restricts_traffic() && !common::mutation::enabled("narrows-unheard");
@@ -55,18 +55,19 @@
         inner.voter.cluster_state.members.keys().cloned().collect()
     }
 
-    /// Waits until most of those that were members when a change was logged say that they hold it: then no majority
-    /// can serve on without learning of it from one of its own. Members whose lease expires meanwhile still count;
-    /// those that leave in good order serve nobody.
-    pub(super) async fn held_by_most(
+    /// Waits until a majority of `members`, those at the time when a change was logged, report that they have it.
+    /// Any majority that still serves then includes one of them and learns of the change from it. Members whose lease
+    /// expires meanwhile still count; those that leave on a planned stop don't, since they serve no traffic. Returns
+    /// whether the majority was reached before `until`.
+    pub(super) async fn wait_for_majority(
         self: &Arc<Self>,
         members: &[NodeId],
         index: Index,
         until: Tick,
     ) -> bool {
         loop {
-            if let Some(held) = self.majority_holds(members, index) {
-                return held;
+            if let Some(reached) = self.majority_has_index(members, index) {
+                return reached;
             }
             if self.clock.now() >= until {
                 return false;
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Whether most of the members hold an index; `None` while that may still change.
-    fn majority_holds(&self, members: &[NodeId], index: Index) -> Option<bool> {
+    /// Whether a majority of the members have reported an index; `None` while that may still change.
+    fn majority_has_index(&self, members: &[NodeId], index: Index) -> Option<bool> {
         let inner = self.lock();
         if inner.voter.disk_failed {
             return Some(false);
@@ -85,9 +86,10 @@
         let counts = |node: &&NodeId| {
             state.members.contains_key(*node) || state.lost.iter().any(|lost| lost.node == **node)
         };
-        let holds = |node: &&&NodeId| inner.reports.get(**node).is_some_and(|report| report.index >= index);
+        let has_index =
+            |node: &&&NodeId| inner.reports.get(**node).is_some_and(|report| report.index >= index);
         let counted: Vec<&NodeId> = members.iter().filter(counts).collect();
-        let held = counted.iter().filter(holds).count();
-        (held * 2 > counted.len() || counted.is_empty()).then_some(true)
+        let reached = counted.iter().filter(has_index).count();
+        (reached * 2 > counted.len() || counted.is_empty()).then_some(true)
     }
 }
--- a/crates/control-plane/src/control_node/leader_client.rs
+++ b/crates/control-plane/src/control_node/leader_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the leader, wherever it is (design 2.3, 4.6).
+//! Requests that only the leader can answer, from any control node (design 2.3, 4.6).
 
 use super::{ControlNode, LeaderSighting, OUT_OF_CONTACT, connectivity::Connectivity};
 use crate::{
@@ -12,21 +12,21 @@
 use std::{collections::VecDeque, fmt, net::SocketAddr, sync::Arc, time::Duration};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Voters asked by one search, at most.
+/// Most voters that one search asks.
 const MAX_ASKED: usize = MAX_VOTERS;
-/// Part of a call's time after which a read is asked for at the other voters as well (a hedged request).
-const HEDGE_AFTER_PART: u32 = 4;
-/// Part of a call's time after which a query ends, once a majority has answered that it does not lead.
-const ENOUGH_AFTER_PART: u32 = 2;
+/// A read is also sent to the other voters (a hedged request) after the RPC time-out divided by this.
+const HEDGE_TIMEOUT_DIVISOR: u32 = 4;
+/// A query ends after the RPC time-out divided by this, once a majority has answered that it does not lead.
+const MAJORITY_TIMEOUT_DIVISOR: u32 = 2;
 
 /// Why the newest state could not be read.
 #[derive(Debug)]
 pub enum ReadError {
     /// This node is out of contact with a majority.
     OutOfContact,
-    /// A majority answered, and none of them leads for certain.
+    /// A majority answered, and none of them is a leader with a confirmed term.
     NoLeader,
-    /// No majority answered; the last failure.
+    /// No majority answered; this is the last failure.
     Unreachable(PeerError),
 }
 
@@ -34,7 +34,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ReadError::OutOfContact => f.write_str(OUT_OF_CONTACT),
-            ReadError::NoLeader => f.write_str("no leader under a confirmed term; ask again"),
+            ReadError::NoLeader => f.write_str("no leader with a confirmed term was found; try again"),
             ReadError::Unreachable(error) => error.fmt(f),
         }
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Where the leader may be: what was learned of it first, then each voter that is known.
+/// A search for the leader: asks nodes that were named as the leader first, then each known voter.
 struct LeaderSearch {
     own: SocketAddr,
     candidates: VecDeque<SocketAddr>,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The next voter to ask; none is asked twice.
+    /// The next voter to ask; no voter is asked twice.
     fn next(&mut self) -> Option<SocketAddr> {
         while let Some(to) = self.candidates.pop_front() {
             if to != self.own && !self.asked.contains(&to) && self.asked.len() < MAX_ASKED {
@@ -75,10 +75,10 @@
     }
 }
 
-/// What came of asking the voters once for the newest state.
+/// Result of asking the voters once for the newest state.
 enum QueryResult {
     Found(Box<ClusterState>),
-    /// A majority answered, and none of them leads.
+    /// A majority answered, and none of them is the leader.
     NoLeader,
     /// No majority answered.
     Failed(ReadError),
@@ -88,8 +88,8 @@
 type PendingAnswers<'a> = FuturesUnordered<BoxFuture<'a, Answer>>;
 
 impl ControlNode {
-    /// A search for the leader. Whoever answered as the leader a moment ago is asked first: a blank voter, or one
-    /// that was replaced, knows no leader, but the others may.
+    /// Starts a search for the leader. A node that answered as the leader a moment ago is asked first: a blank or
+    /// replaced voter knows no leader itself, but still reaches the last one that way.
     fn search_leader(&self, hint: Option<VoterInfo>) -> LeaderSearch {
         let now = self.clock.now();
         let inner = self.lock();
@@ -104,15 +104,15 @@
         search
     }
 
-    /// How many voters are a majority, as far as this node knows.
+    /// Number of voters that make a majority, as far as this node knows.
     fn majority(&self) -> usize {
         let voters = self.lock().voter.cluster_state.voters.len();
         let voters = if voters == 0 { self.settings.seeds.len() } else { voters };
         voters / 2 + 1
     }
 
-    /// Proposes at the leader. Only where nothing was sent, or a node said that it logged nothing, is the change
-    /// known not to take effect; so voters are asked one after the other, the next one only once that is known.
+    /// Proposes a change at the leader. The next voter is asked only if the last one is known not to have logged the
+    /// change: nothing was sent to it, or it said so. Otherwise the outcome is undetermined.
     pub async fn propose(self: &Arc<Self>, change: Change, timeout_ms: u64) -> ProposalOutcome {
         let (mut search, mut why) = match self.propose_here(change.clone(), timeout_ms).await {
             ProposalOutcome::NotLogged { leader, why } => (self.search_leader(leader), why),
@@ -137,8 +137,8 @@
         ProposalOutcome::NotLogged { leader: None, why }
     }
 
-    /// The newest committed state, from the leader under a confirmed term. A node that is cut off says so at once;
-    /// while a majority is between two leaders, the next one is waited for.
+    /// Returns the newest committed state, read from a leader whose term is confirmed. A node that is cut off fails at
+    /// once. While a majority has no leader, the next one is waited for, up to an election time-out.
     ///
     /// # Errors
     /// See [`ReadError`].
@@ -162,18 +162,18 @@
         }
     }
 
-    /// Asks whoever was said to lead, and, where that one is silent for a while or none was, all others at once:
-    /// reading changes nothing, so it may be asked for many times.
+    /// Asks the presumed leader for its state, and all others at once if there is none or it does not answer for a
+    /// while: a read has no effect, so it may be sent many times.
     async fn query_voters(&self) -> QueryResult {
         let mut search = self.search_leader(self.local_state().err().flatten());
         let timeout = Duration::from_millis(self.settings.timing.rpc_timeout_ms);
         let began = Instant::now();
-        let mut hedge = std::pin::pin!(sleep_until(began + timeout / HEDGE_AFTER_PART));
+        let mut hedge = std::pin::pin!(sleep_until(began + timeout / HEDGE_TIMEOUT_DIVISOR));
         let mut pending = PendingAnswers::new();
         let first = if self.connectivity() == Connectivity::InContact { 1 } else { MAX_ASKED };
         self.ask_next(&mut search, first, &mut pending);
-        let mut enough = std::pin::pin!(sleep_until(began + timeout / ENOUGH_AFTER_PART));
-        // This node's own answer counts where it is one of the voters.
+        let mut majority_deadline = std::pin::pin!(sleep_until(began + timeout / MAJORITY_TIMEOUT_DIVISOR));
+        // This node counts as one answer if it is one of the voters.
         let outside = self.lock().voter.contact(self.clock.now()) == Contact::Outside;
         let mut answered = usize::from(!outside);
         let (majority, mut hedged) = (self.majority(), false);
@@ -187,7 +187,7 @@
                     self.ask_next(&mut search, MAX_ASKED, &mut pending);
                     continue;
                 }
-                () = &mut enough, if answered >= majority => break,
+                () = &mut majority_deadline, if answered >= majority => break,
             };
             match answer {
                 None => break,
@@ -202,7 +202,7 @@
                 Some((_, Ok(_))) => {}
                 Some((_, Err(error))) => failure = ReadError::Unreachable(error),
             }
-            // The one that was said to lead does not: all others may be asked.
+            // The presumed leader did not turn out to be one: ask all others.
             self.ask_next(&mut search, MAX_ASKED, &mut pending);
         }
         if answered >= majority { QueryResult::NoLeader } else { QueryResult::Failed(failure) }
--- a/crates/control-plane/src/control_node/learner.rs
+++ b/crates/control-plane/src/control_node/learner.rs
@@ -1,5 +1,5 @@
-//! A control node without a disk (design 2.10): it follows the cluster as any member does, hands what it holds to the
-//! nodes that ask it, and sends operators on to the leader.
+//! A control node without a disk, a learner (design 2.10): it does not vote, follows the cluster state as any member
+//! does, passes it on to nodes that ask, and redirects operators to the leader.
 
 use super::{ControlNode, LogWriter, LogWriterFactory, Start};
 use crate::{
@@ -11,30 +11,31 @@
 use common::{runtime::spawn, settings::Settings};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-/// A learner has nothing to write.
+/// Discards records: a learner has none to write.
 struct NoLog;
 
 impl LogWriter for NoLog {
     fn write(&self, _token: u64, _record: Record) {}
 }
 
-/// What a control node without a disk starts from.
+/// Start and log writer of a control node without a disk.
 pub fn diskless_start(settings: &Settings) -> (Start, LogWriterFactory) {
     (Start::Learner(Box::new(blank_voter(settings))), Box::new(|_| Box::new(NoLog)))
 }
 
 impl ControlNode {
-    /// Whether this node has no disk.
+    /// Whether this node is a learner: it has no disk and does not vote.
     pub fn is_learner(&self) -> bool {
         self.lock().voter.learner
     }
 
-    /// Where an operator's call is to go instead: a learner sends it on to the leader, as far as that is known.
+    /// HTTP address of the leader, if it is known: a learner redirects operators to it.
     pub fn leader_http_addr(&self) -> Option<SocketAddr> {
         self.lock().voter.leader().map(|leader| leader.http)
     }
 
-    /// Keeps a learner's copy of the state at what its membership follows, and tells that of voters.
+    /// Keeps a learner's copy of the state equal to that of its membership, and passes the addresses of voters that it
+    /// discovers to the membership.
     pub(crate) fn follow_as_learner(self: &Arc<Self>, member: Arc<LocalMember>) {
         let (node, followed) = (self.clone(), member.clone());
         spawn(async move {
@@ -42,7 +43,7 @@
             let mut applied = followed.applied.subscribe();
             loop {
                 let _ = tokio::time::timeout(interval, applied.changed()).await;
-                node.take_followed(&followed);
+                node.update_from_member(&followed);
             }
         });
         let mut discovered = self.discovered.subscribe();
@@ -53,8 +54,8 @@
         });
     }
 
-    /// The copy is handed on only when it or the leader changed.
-    fn take_followed(self: &Arc<Self>, member: &LocalMember) {
+    /// Passes the membership's copy of the state and its leader to the voter if one of them has changed.
+    fn update_from_member(self: &Arc<Self>, member: &LocalMember) {
         let cluster_state = member.cluster_state.load_full();
         let leader = member.known_leader();
         let known = {
@@ -62,24 +63,24 @@
             let leader = inner.voter.leader().map(|leader| leader.rpc_addr);
             (inner.voter.commit_index(), leader)
         };
-        let held = !cluster_state.cluster.is_empty();
-        if held && known != (cluster_state.index, leader) {
+        let received = !cluster_state.cluster.is_empty();
+        if received && known != (cluster_state.index, leader) {
             let cluster_state = Box::new(crate::ClusterState::clone(&cluster_state));
             self.step(Event::Followed { cluster_state, leader });
         }
     }
 
-    /// A leader tells control nodes that don't vote, and have been silent, who the voters are: one that has just
-    /// started may know only others of its kind.
+    /// As the leader, sends the list of voters to learners that have not renewed for a while: one that has just
+    /// started may know only the addresses of other learners.
     pub(super) fn announce_voters(self: &Arc<Self>) {
         let now = self.clock.now();
         let timing = &self.settings.timing;
         let mut inner = self.lock();
-        let due = now.since(inner.announced_voters) >= timing.renew_interval_ms();
+        let due = now.since(inner.voters_announced_at) >= timing.renew_interval_ms();
         if !due || !inner.voter.can_serve_reads(now) {
             return;
         }
-        inner.announced_voters = now;
+        inner.voters_announced_at = now;
         let state = &inner.voter.cluster_state;
         let votes = |info: &NodeInfo| state.voters.iter().any(|voter| voter.rpc_addr == info.rpc_addr);
         let silent = inner.leases.silent_members(state, timing, now);
--- a/crates/control-plane/src/control_node/log_writer.rs
+++ b/crates/control-plane/src/control_node/log_writer.rs
@@ -1,4 +1,4 @@
-//! Writes a voter's records off the threads that serve (design 2.4, 2.7).
+//! Writes a voter's records to its disk on a thread of its own, so that writes don't block requests (design 2.4, 2.7).
 
 use super::{ControlNode, Start};
 use crate::{
@@ -8,10 +8,10 @@
 use common::{log_event, settings::Settings};
 use std::sync::{Arc, Weak, mpsc};
 
-/// Takes records in order, and tells the control node of each once it is synced; or that one failed, and then what
-/// the disk holds once it works again.
+/// Writes records in order. It notifies the control node of each record that was synced; or that one failed and, once
+/// the disk works again, of the state that the disk holds.
 pub trait LogWriter: Send + Sync {
-    /// Queues a record; `token` names it.
+    /// Queues a record; `token` identifies it in the notification.
     fn write(&self, token: u64, record: Record);
 }
 
@@ -39,7 +39,7 @@
     runtime: tokio::runtime::Handle,
 }
 
-/// The control node is gone: its process ends.
+/// The control node was dropped, so the writer thread ends.
 struct NodeGone;
 
 impl WriterThread {
@@ -49,7 +49,7 @@
 
     fn notify(&self, event: Event) -> Result<(), NodeGone> {
         let node = self.node()?;
-        let _inside = self.runtime.enter();
+        let _runtime_context = self.runtime.enter();
         node.step(event);
         Ok(())
     }
@@ -63,15 +63,15 @@
             match self.recorder.write(&record) {
                 Ok(()) => self.notify(Event::Synced(token))?,
                 Err(error) => {
-                    log_event!(Error, "sync", "peer" => self.node()?.settings.node, "cause" => error.to_string());
+                    log_event!(Error, "log write failed", "peer" => self.node()?.settings.node, "cause" => error.to_string());
                     self.notify(Event::SyncFailed)?;
                 }
             }
         }
     }
 
-    /// The voter has stepped aside and writes nothing more: what it queued before is dropped, and the folder is
-    /// opened anew as often as it takes.
+    /// Drops the queued records and reopens the data folder until that succeeds. The voter knows of the failure and
+    /// queues no more records until then.
     fn recover(&mut self) -> Result<(), NodeGone> {
         while self.queue.try_recv().is_ok() {}
         let mut backoff = RecoveryBackoff::new(&self.node()?.settings.timing);
@@ -84,7 +84,7 @@
                     return self.notify(Event::Recovered(Box::new(state)));
                 }
                 Err(error) if backoff.failed() => {
-                    log_event!(Error, "recover", "peer" => node, "cause" => error.to_string(), "failures" => backoff.failures());
+                    log_event!(Error, "disk recovery failed", "peer" => node, "cause" => error.to_string(), "failures" => backoff.failures());
                 }
                 Err(_) => {}
             }
@@ -102,8 +102,8 @@
     Box::new(ThreadedLogWriter(sender))
 }
 
-/// What the data folder holds, and the log writer for it. Where the disk refuses, the node starts all the same and
-/// waits for it.
+/// Opens the data folder: returns the state that it holds and its log writer. If the disk fails, the node starts
+/// nevertheless and waits for the disk to recover.
 ///
 /// # Errors
 /// The settings name no folder, or it belongs to another node, cluster or version.
@@ -113,7 +113,7 @@
         Ok(state) => Start::from(state),
         Err(OpenError::NotOurs(why)) => eyre::bail!(why),
         Err(error) => {
-            log_event!(Error, "data folder", "peer" => settings.node, "cause" => error.to_string());
+            log_event!(Error, "data folder could not be opened", "peer" => settings.node, "cause" => error.to_string());
             Start::AwaitingDisk(Box::new(blank_voter(settings)))
         }
     };
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -1,5 +1,5 @@
-//! A control node around its voter (design 2.7): carries out the voter's effects, counts leases while it leads,
-//! and answers other processes.
+//! A running control node (design 2.7): carries out the effects that its voter returns, keeps the leases while it
+//! leads, and answers requests from other processes.
 
 mod connectivity;
 mod leader_client;
@@ -32,32 +32,32 @@
 };
 use tokio::sync::{oneshot, watch};
 
-/// Messages of more bytes than this go over a connection of their own, and have more time.
+/// Longer messages use a separate connection and have a longer time-out.
 const BULK_BYTES: usize = 64 << 10;
-/// Slowest rate at which such a message is taken to travel, in bytes a millisecond.
+/// Slowest link on which such a message still arrives in time, in bytes per millisecond.
 const BULK_BYTES_PER_MS: u64 = 512;
 /// Shortest interval between two timer events, in milliseconds.
 const MIN_TICK_MS: u64 = 5;
 
-/// Why a node refuses at once.
+/// Why a request is refused without being sent on.
 const OUT_OF_CONTACT: &str = "out of contact with a majority of the control nodes; nothing was sent";
 
-/// A proposal that waits for its index to be committed.
+/// A proposal that was logged and is not yet committed.
 struct PendingProposal {
     change: Change,
     outcome: oneshot::Sender<ProposalOutcome>,
 }
 
-/// What a member said with its last renewal.
+/// What a member reported with its last renewal.
 struct MemberReport {
-    /// Up to where it holds the cluster state.
+    /// Index of the member's copy of the cluster state.
     index: Index,
-    /// The revision in force there.
+    /// Revision of the document that is active on the member.
     revision: Revision,
     at: Tick,
 }
 
-/// Who last answered as the leader, and when.
+/// The node that last answered as the leader, and when.
 #[derive(Clone, Copy)]
 struct LeaderSighting {
     addr: SocketAddr,
@@ -72,47 +72,48 @@
     /// When this voter was last in contact with its leader, or with a majority as the leader.
     last_contact: Tick,
     leader_seen: Option<LeaderSighting>,
-    /// When this leader last told silent control nodes who the voters are.
-    announced_voters: Tick,
+    /// When this leader last sent the list of voters to silent learners.
+    voters_announced_at: Tick,
 }
 
 /// A running control node.
 pub struct ControlNode {
-    /// Its settings.
+    /// The node's settings.
     pub settings: Settings,
-    /// Its clock.
+    /// The node's clock.
     pub clock: Clock,
     client: ControlClient,
-    /// For long messages: heartbeats must not wait behind them on their connection (design 2.3).
+    /// Client for long messages, with connections of its own: heartbeats must not queue behind them (design 2.3).
     bulk_client: ControlClient,
     inner: Mutex<Inner>,
     log_writer: Box<dyn LogWriter>,
-    /// The commit index; changes when it does.
+    /// Sends the commit index each time it changes.
     committed: watch::Sender<Index>,
-    /// Addresses of the voters that a learner was told of.
+    /// Addresses of the voters that a leader announced to this learner.
     discovered: watch::Sender<Vec<SocketAddr>>,
 }
 
-/// What operators are shown of a control node.
+/// Status of a control node, as operators see it.
 pub struct Status {
-    /// Its copy of the cluster state.
+    /// The node's copy of the cluster state.
     pub cluster_state: ClusterState,
-    /// Its identity as a voter.
+    /// The node's identity as a voter.
     pub me: VoterInfo,
     /// The leader, as far as it is known.
     pub leader: Option<VoterInfo>,
-    /// It holds the state of a cluster.
+    /// Whether the node holds the state of a cluster.
     pub initialized: bool,
-    /// It takes part in elections and commits.
+    /// Whether the node takes part in elections and commits.
     pub voting: bool,
-    /// Its current term.
+    /// The node's current term.
     pub term: u64,
-    /// What members said lately: up to where they hold the state, and the revision in force there.
+    /// Recent reports of members: the index of their copy of the state, and the revision of the document that is active
+    /// there.
     pub reports: BTreeMap<NodeId, (Index, Revision)>,
 }
 
 impl ControlNode {
-    /// Starts a control node; `log_writer` makes what writes its records.
+    /// Starts a control node; `log_writer` makes its log writer.
     pub fn start(
         settings: Settings,
         bootstrap: Bootstrap,
@@ -129,7 +130,7 @@
             reports: BTreeMap::new(),
             last_contact: clock.now(),
             leader_seen: None,
-            announced_voters: Tick(0),
+            voters_announced_at: Tick(0),
         };
         let client = || ControlClient::new(settings.me(), SERVICE);
         let (client, bulk_client) = (client(), client());
@@ -163,23 +164,23 @@
         lock(&self.inner)
     }
 
-    /// Hands an event to the voter and carries out what comes of it.
+    /// Passes an event to the voter and carries out the effects.
     pub fn step(self: &Arc<Self>, event: Event) {
         let mut inner = self.lock();
         let effects = inner.voter.step(event, self.clock.now());
         self.carry_out(&mut inner, effects);
     }
 
-    /// The client for a message of that weight, and how long the call may take in milliseconds.
-    fn client_for(&self, weight: usize) -> (&ControlClient, u64) {
+    /// The client for a message of this length, and the time-out of the call in milliseconds.
+    fn client_for(&self, message_len: usize) -> (&ControlClient, u64) {
         let timeout_ms = self.settings.timing.rpc_timeout_ms;
-        if weight <= BULK_BYTES {
+        if message_len <= BULK_BYTES {
             return (&self.client, timeout_ms);
         }
-        (&self.bulk_client, 4 * timeout_ms + weight as u64 / BULK_BYTES_PER_MS)
+        (&self.bulk_client, 4 * timeout_ms + message_len as u64 / BULK_BYTES_PER_MS)
     }
 
-    /// Hands the leadership over before a planned stop, and waits for another node to take it.
+    /// Hands the leadership over before a planned stop, and waits for another voter to be elected.
     pub async fn hand_over_leadership(self: &Arc<Self>) {
         self.step(Event::StepDown);
         let heartbeat_ms = self.settings.timing.heartbeat_ms();
@@ -198,7 +199,8 @@
                     log_event!(Info, "became leader", "term" => term.0);
                 }
                 Effect::Removed => {
-                    log_event!(Error, "removed", "cause" => "another holder was committed in this voter's place");
+                    let cause = "another node was committed as the holder of this voter's number";
+                    log_event!(Error, "voter replaced", "cause" => cause);
                     let identity = Box::new(blank_voter(&self.settings));
                     let effects = inner.voter.step(Event::BecomeSpare(identity), self.clock.now());
                     self.carry_out(inner, effects);
@@ -208,7 +210,7 @@
                     self.discovered.send_replace(voters.iter().map(|voter| voter.rpc_addr).collect());
                 }
                 Effect::Refused { from, why } => {
-                    log_event!(Warn, "consensus message", "peer" => from, "cause" => why.to_string());
+                    log_event!(Warn, "consensus message refused", "peer" => from, "cause" => why.to_string());
                 }
                 Effect::Logged { .. } | Effect::NotLogged { .. } => {}
             }
@@ -216,9 +218,9 @@
     }
 
     fn send(self: &Arc<Self>, to: SocketAddr, msg: crate::consensus::Message) {
-        let (node, from, weight) = (self.clone(), self.settings.rpc_addr(), msg.weight());
+        let (node, from, message_len) = (self.clone(), self.settings.rpc_addr(), msg.weight());
         spawn(async move {
-            let (client, timeout_ms) = node.client_for(weight);
+            let (client, timeout_ms) = node.client_for(message_len);
             let request = ControlRequest::Consensus { from, msg: Box::new(msg) };
             let _ = client.call_within(timeout_ms, "consensus", to, request).await;
         });
@@ -226,14 +228,16 @@
 
     fn report_committed(&self, inner: &mut Inner, entry: LogEntry, outcome: ApplyOutcome) {
         if let Some(proposal) = inner.pending.remove(&entry.index) {
-            let same = proposal.change == entry.change;
+            let same_change = proposal.change == entry.change;
             let committed = ProposalOutcome::Committed { index: entry.index, outcome };
-            let _ = proposal.outcome.send(if same { committed } else { ProposalOutcome::Undetermined });
+            let _ =
+                proposal.outcome.send(if same_change { committed } else { ProposalOutcome::Undetermined });
         }
         self.committed.send_replace(inner.voter.commit_index());
     }
 
-    /// Entries that were passed over are not reported one by one.
+    /// Entries that a snapshot or an interruption skipped are not reported one by one, so the outcome of each pending
+    /// proposal is undetermined.
     fn abandon_pending(&self, inner: &mut Inner) {
         for proposal in std::mem::take(&mut inner.pending).into_values() {
             let _ = proposal.outcome.send(ProposalOutcome::Undetermined);
--- a/crates/control-plane/src/control_node/proposals.rs
+++ b/crates/control-plane/src/control_node/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals at the leader (design 2.3, 4.6): logged here, and answered once they are decided.
+//! Proposals at the leader (design 2.3, 4.6): a change is logged here, and answered once its outcome is known.
 
 use super::{ControlNode, Inner, OUT_OF_CONTACT, PendingProposal};
 use crate::{
@@ -10,14 +10,14 @@
 use std::{fmt, sync::Arc, time::Duration};
 use tokio::sync::oneshot;
 
-/// Why a proposal was refused before it was logged.
+/// Why a proposal was not logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Refusal {
-    /// This node leads, and has lost contact with a majority.
+    /// This node is the leader but out of contact with a majority.
     OutOfContact,
-    /// Members that the change may not reach could be serving on by an older state.
+    /// These members may miss the change, and are enough to keep serving by an older state.
     MembersAtRisk(Vec<NodeId>),
-    /// The voter did not log it.
+    /// The voter did not log the change.
     NotLogged(NotLogged),
 }
 
@@ -30,8 +30,8 @@
                 let names: Vec<&str> = members.iter().map(NodeId::as_str).collect();
                 write!(
                     f,
-                    "out of reach, and together enough to be serving on by an older state: {}; mend their links, or \
-                     say of each that is down: members/NAME/down",
+                    "out of reach, and enough to keep serving by an older state: {}; restore their links, or confirm \
+                     for each that is down: members/NAME/down",
                     names.join(", ")
                 )
             }
@@ -44,12 +44,13 @@
 /// A change that was logged here.
 struct Logged {
     outcome: oneshot::Receiver<ProposalOutcome>,
-    /// Who were members at that moment.
+    /// The members when the change was logged.
     members: Vec<NodeId>,
 }
 
 impl ControlNode {
-    /// Proposes here, where this node leads; waits for the outcome for at most `timeout_ms`.
+    /// Proposes a change at this node, which logs it if it is the leader, and waits at most `timeout_ms` for the
+    /// outcome.
     pub async fn propose_here(self: &Arc<Self>, change: Change, timeout_ms: u64) -> ProposalOutcome {
         let restricts = change.restricts_traffic();
         let Logged { outcome, members } = match self.log(change) {
@@ -62,16 +63,16 @@
                 index,
                 outcome: accepted @ ApplyOutcome::Accepted { .. },
             })) if restricts => {
-                let held = self.held_by_most(&members, index, until).await;
+                let reached = self.wait_for_majority(&members, index, until).await;
                 let committed = ProposalOutcome::Committed { index, outcome: accepted };
-                if held { committed } else { ProposalOutcome::Undetermined }
+                if reached { committed } else { ProposalOutcome::Undetermined }
             }
             Ok(Ok(outcome)) => outcome,
             _ => ProposalOutcome::Undetermined,
         }
     }
 
-    /// Logs a change, or says why not, with the leader as far as it is known.
+    /// Logs a change; the error is the reason why not, with the leader if it is known.
     fn log(self: &Arc<Self>, change: Change) -> Result<Logged, (Option<VoterInfo>, Refusal)> {
         let mut inner = self.lock();
         if let Some(members) = self.members_at_risk(&inner, &change) {
--- a/crates/control-plane/src/control_node/rpc_service.rs
+++ b/crates/control-plane/src/control_node/rpc_service.rs
@@ -1,4 +1,4 @@
-//! What a control node answers to other processes (design 3.1, 3.3, 3.4).
+//! Answers the RPCs of other processes (design 3.1, 3.3, 3.4).
 
 use super::{ControlNode, Inner, MemberReport, Status, connectivity::Connectivity};
 use crate::{
@@ -18,9 +18,9 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Longest that a request for updates waits, in milliseconds.
+/// Longest wait of a request for updates, in milliseconds.
 const MAX_WATCH_MS: u64 = 5_000;
-/// RPC time-outs that a forwarded proposal may take.
+/// Longest time of a forwarded proposal, in RPC time-outs.
 const PROPOSAL_TIMEOUTS: u64 = 4;
 
 /// Answers RPCs until the task is dropped.
@@ -29,7 +29,7 @@
 }
 
 impl ControlNode {
-    /// Proposes the expiry of leases that must have ended, where this node leads.
+    /// As the leader, proposes the expiry of memberships whose lease must have ended.
     pub(super) fn expire_leases(self: &Arc<Self>) {
         let now = self.clock.now();
         let mut inner = self.lock();
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Proposes a change whose outcome nobody waits for.
+    /// Proposes a change without waiting for its outcome.
     fn propose_locked(self: &Arc<Self>, inner: &mut Inner, change: Change) {
         let effects = inner.voter.step(Event::Propose(change), self.clock.now());
         self.carry_out(inner, effects);
@@ -90,7 +90,7 @@
         if !matches!(first, ControlResponse::StateUpdate(StateUpdate::Unchanged)) {
             return first;
         }
-        // A node that is cut off has nothing newer to wait for: others may.
+        // No changes reach a node that is cut off: the caller is to ask another one.
         if self.connectivity() == Connectivity::CutOff {
             return ControlResponse::NotLeader { leader: None };
         }
@@ -102,7 +102,7 @@
     fn update_since(&self, have: Index) -> ControlResponse {
         let inner = self.lock();
         let voter = &inner.voter;
-        // It learns of nothing new: another node does.
+        // No changes reach a voter whose disk has failed: the caller is to ask another node.
         if voter.disk_failed {
             return ControlResponse::NotLeader { leader: None };
         }
@@ -114,7 +114,7 @@
         ControlResponse::StateUpdate(update)
     }
 
-    /// What operators are shown.
+    /// This node's status, for operators.
     pub fn status(&self) -> Status {
         let now = self.clock.now();
         let inner = self.lock();
@@ -136,18 +136,18 @@
         }
     }
 
-    /// The state that reads may go by, where this node leads (design 2.3).
+    /// Returns this node's state if it is the leader and may serve reads (design 2.3).
     ///
     /// # Errors
-    /// The leader, as far as it is known.
+    /// This node may not serve reads; the error is the leader, if it is known.
     pub fn local_state(&self) -> Result<ClusterState, Option<VoterInfo>> {
         let inner = self.lock();
-        let leased =
+        let can_serve =
             inner.voter.can_serve_reads(self.clock.now()) || common::mutation::enabled("reads-without-lease");
-        if leased { Ok(inner.voter.cluster_state.clone()) } else { Err(inner.voter.leader()) }
+        if can_serve { Ok(inner.voter.cluster_state.clone()) } else { Err(inner.voter.leader()) }
     }
 
-    /// Up to where this node can tell of changes; one that learns of none counts as behind.
+    /// Index up to which this node can offer changes; 0 if none reach it since its disk has failed.
     fn known_index(&self) -> Index {
         let inner = self.lock();
         if inner.voter.disk_failed { Index(0) } else { inner.voter.commit_index() }
--- a/crates/control-plane/src/control_node/start.rs
+++ b/crates/control-plane/src/control_node/start.rs
@@ -1,4 +1,4 @@
-//! What a control node starts from.
+//! The state from which a control node starts.
 
 use crate::{
     consensus::{DurableState, Voter},
@@ -6,27 +6,27 @@
 };
 use common::{Tick, runtime::random, settings::Settings};
 
-/// What a control node starts from.
+/// The state from which a control node starts.
 pub enum Start {
-    /// What its disk holds.
+    /// The state that its disk holds.
     Ready(Box<DurableState>),
-    /// Its disk can't be read or written yet: it takes part in nothing until its log writer recovers.
+    /// Its disk can't be read or written yet: it does not take part in consensus until its log writer recovers.
     AwaitingDisk(Box<VoterInfo>),
-    /// It has no disk: it takes part as a learner (design 2.10).
+    /// It has no disk: it is a learner (design 2.10).
     Learner(Box<VoterInfo>),
 }
 
-/// What a bootstrap goes by besides the seeds (design 2.5).
+/// Settings of a bootstrap, besides the seeds (design 2.5).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Bootstrap {
-    /// Voters that it waits for, where they are more than the seeds.
+    /// Number of voters that a bootstrap waits for, if it is larger than that of the seeds.
     pub expected_voters: usize,
-    /// The whole system starts for the first time.
+    /// Whether the whole system starts for the first time.
     pub first_start: bool,
 }
 
-/// How many voters keep a majority when so many of them are lost at once: an odd number, since one voter more would
-/// bear no more losses and need a larger majority.
+/// Number of voters that still have a majority after this many losses. It is odd, since one more voter would tolerate
+/// no more losses and need a larger majority.
 pub fn voters_to_tolerate(losses: usize) -> usize {
     (2 * losses + 1).min(MAX_VOTERS)
 }
@@ -46,7 +46,7 @@
     }
 }
 
-/// The voter of a node that starts now.
+/// Makes the voter of a node that starts at `now`.
 pub(super) fn new_voter(settings: &Settings, bootstrap: Bootstrap, start: Start, now: Tick) -> Voter {
     let awaiting_disk = matches!(start, Start::AwaitingDisk(_));
     let learner = matches!(start, Start::Learner(_));
