--- a/crates/control-plane/src/operator/api/changes.rs
+++ b/crates/control-plane/src/operator/api/changes.rs
@@ -1,4 +1,4 @@
-//! Changes on their way through the log, and how the operator is answered (design 4.6).
+//! Calls that propose changes, and the responses for their outcomes (design 4.6).
 
 use super::{ApiResponse, Call, Early, ReplicaBody, early, error};
 use crate::{
@@ -10,11 +10,11 @@
 use serde_json::json as j;
 use std::time::Duration;
 
-/// RPC time-outs that a change may take.
+/// Longest time of a proposal, in RPC time-outs.
 const PROPOSAL_TIMEOUTS: u64 = 4;
-/// When to come back after a refusal, in seconds.
+/// `Retry-After` when nothing was logged, in seconds.
 const RETRY_AFTER_S: &str = "2";
-/// Most characters of a wrong name that are shown.
+/// Most characters of an invalid name that an error shows.
 const SHOWN_NAME_CHARS: usize = 80;
 
 impl Call<'_> {
@@ -48,7 +48,7 @@
         response
     }
 
-    /// The answer for a change that was decided.
+    /// The response for a change whose outcome is known.
     pub(super) fn answer(&self, outcome: &ApplyOutcome) -> ApiResponse {
         let op = &self.op;
         match outcome {
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Waits until all members report that this index is in force; names those that still lag.
+    /// Waits until all members report that they have applied this index; returns the names of those that have not.
     async fn wait_until_in_force(&self, index: Index) -> Vec<String> {
         let until = self.node.clock.now() + self.wait_ms;
         loop {
             let Some(lagging) = self.lagging_members(index) else {
-                return vec!["unknown: asked at a node that does not lead; see status".into()];
+                return vec!["unknown: this node is not the leader; see its status".into()];
             };
             if lagging.is_empty() || self.node.clock.now() >= until {
                 return lagging;
@@ -80,14 +80,14 @@
         }
     }
 
-    /// Members that have not reported this index; `None` where this node does not lead.
+    /// Members that have not reported this index; `None` if this node is not the leader.
     fn lagging_members(&self, index: Index) -> Option<Vec<String>> {
         self.node.local_state().ok()?;
         let status = self.node.status();
         let revision = status.cluster_state.revision;
         let lags = |node: &&NodeId| {
             let report = status.reports.get(*node);
-            report.is_none_or(|(reported, in_force)| *reported < index || *in_force < revision)
+            report.is_none_or(|(reported, active)| *reported < index || *active < revision)
         };
         Some(status.cluster_state.members.keys().filter(lags).map(NodeId::to_string).collect())
     }
@@ -116,7 +116,7 @@
         self.change_replica(&body.id, what).await
     }
 
-    /// An operator confirms that a lost node is down.
+    /// Records an operator's confirmation that a lost node is down.
     pub(super) async fn confirm_down(&self, node: &str) -> Early<ApiResponse> {
         check_name("node", node)?;
         self.propose(Change::ConfirmDown { op: self.op.clone(), node: NodeId::new(node) }).await
@@ -127,11 +127,11 @@
         self.propose(Change::Replica { op: self.op.clone(), id: ReplicaId::new(id), what }).await
     }
 
-    /// The outcome of an operation; where nothing is known yet, that is said and no more.
+    /// Shows the outcome of an operation. An unknown one is reported as undetermined, since it may still be committed.
     pub(super) async fn operation(&self, op: &OpId) -> Early<ApiResponse> {
         let state = self.newest_state().await?;
         let Some(outcome) = state.outcome(op) else {
-            let body = j!({"op": op, "outcome": "undetermined", "error": "not accepted so far"});
+            let body = j!({"op": op, "outcome": "undetermined", "error": "no outcome is known yet"});
             return Ok(json(StatusCode::NOT_FOUND, &body));
         };
         let mut response = Call { op: op.clone(), base: None, ..*self }.answer(&outcome);
--- a/crates/control-plane/src/operator/api/document.rs
+++ b/crates/control-plane/src/operator/api/document.rs
@@ -1,4 +1,4 @@
-//! The document: shown, replaced, patched (design 4.1, 4.2, 4.7).
+//! Calls that show, replace and patch the document (design 4.1, 4.2, 4.7).
 
 use super::{ApiResponse, Call, Early, early, error};
 use crate::{
@@ -19,7 +19,10 @@
     pub(super) async fn show_document(&self) -> Early<ApiResponse> {
         let state = self.newest_state().await?;
         let Some(document) = state.text else {
-            return early(error(StatusCode::NOT_FOUND, "no document was accepted yet; base revision 0"));
+            return early(error(
+                StatusCode::NOT_FOUND,
+                "no document was accepted yet; the base revision is 0",
+            ));
         };
         let mut response = text(StatusCode::OK, document.to_string());
         if let Ok(tag) = format!("\"{}\"", state.revision).parse() {
@@ -28,7 +31,7 @@
         Ok(response)
     }
 
-    /// The revision that the call builds on.
+    /// The revision that the change is based on, from `If-Match`.
     fn base_revision(&self) -> Early<Revision> {
         let raw = self.base.clone().unwrap_or_default();
         match raw.trim().trim_matches('"').parse() {
@@ -48,12 +51,12 @@
             return early(error(StatusCode::UNPROCESSABLE_ENTITY, "the document is not UTF-8"));
         };
         let text = Document::from(source);
-        // A patch may lengthen what it changes.
+        // The limit on the body does not cover this: a patch may make the document longer.
         if !text.fits() {
             return early(error(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 format!(
-                    "the document: {} bytes, packed {}; allowed: {MAX_DOCUMENT_BYTES}, packed a quarter",
+                    "the document: {} bytes, compressed {}; allowed: {MAX_DOCUMENT_BYTES}, compressed a quarter",
                     text.len(),
                     text.packed_len()
                 ),
@@ -61,13 +64,14 @@
         }
         let state = self.newest_state().await?;
         if state.outcome(&self.op).is_none() {
-            self.refuse_flawed(source, &state)?;
+            self.refuse_invalid(source, &state)?;
         }
         self.propose(Change::Apply { op: self.op.clone(), base, text }).await
     }
 
-    /// Reports all diagnostics at once; nothing was logged, so nothing can take effect (design 4.2).
-    fn refuse_flawed(&self, source: &str, state: &ClusterState) -> Early<()> {
+    /// Refuses an invalid document with all its diagnostics. Nothing was logged, so nothing can take effect (design
+    /// 4.2).
+    fn refuse_invalid(&self, source: &str, state: &ClusterState) -> Early<()> {
         let diagnostics = check_document(&self.node.settings.cluster, source, state);
         if diagnostics.is_empty() {
             return Ok(());
@@ -93,7 +97,7 @@
     }
 }
 
-/// Why a document must not be logged on top of the state as it is; none where it may be.
+/// Returns the reasons why a document must not be logged on top of this state; none if it may be.
 pub fn check_document(cluster: &str, source: &str, state: &ClusterState) -> Vec<Diagnostic> {
     let table = match configuration::compile(source) {
         Ok(table) => table,
@@ -111,7 +115,7 @@
     diagnostics
 }
 
-/// Members that can't compile the document.
+/// Reports the members that can't compile the document.
 fn outdated_members(table: &RoutingTable, state: &ClusterState) -> impl Iterator<Item = Diagnostic> {
     let outdated = state.members.values().filter(|member| member.info.lang < table.lang);
     outdated.map(|member| Diagnostic {
--- a/crates/control-plane/src/operator/api/mod.rs
+++ b/crates/control-plane/src/operator/api/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' and the platform's HTTP API (design 4.6), the same at each control node.
+//! HTTP API for operators and the platform (design 4.6), the same at each control node.
 //!
-//! Paths, fields and metrics have standard names; the names of earlier releases stay beside them.
+//! Paths, fields and metrics that were renamed remain available under their names of earlier releases.
 
 mod changes;
 mod document;
@@ -25,10 +25,10 @@
 use std::{net::SocketAddr, sync::Arc};
 
 type ApiResponse = Response<Body>;
-/// An answer, or one that ends the work early.
+/// A result, or the response that ends the call early.
 type Early<T> = Result<T, Box<ApiResponse>>;
 
-/// Longest that a call may ask to wait, in milliseconds.
+/// Longest wait that a call may request, in milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
 
 fn early<T>(response: ApiResponse) -> Early<T> {
@@ -56,25 +56,25 @@
     zone: String,
 }
 
-/// A name for a call that has none of its own. It is drawn: two operators in the same moment must never share an
+/// Id for an operation whose caller sent none. It is random, so that two calls at the same moment never share an
 /// outcome.
 pub fn random_operation_id() -> OpId {
     OpId::new(format!("drawn-{:032x}", common::runtime::random::<u128>()))
 }
 
-/// One operator's call, with what its headers and query say.
+/// A call, with the parameters from its headers and query.
 struct Call<'a> {
     node: &'a Arc<ControlNode>,
     op: OpId,
-    /// `If-Match`.
+    /// Value of the `If-Match` header.
     base: Option<String>,
     wait_ms: u64,
 }
 
-/// Answers one call.
+/// Handles one call.
 ///
 /// # Errors
-/// None; the type is that of a server's handler.
+/// Never; the server requires a handler to return a `Result`.
 pub async fn handle(
     node: Arc<ControlNode>,
     _peer: SocketAddr,
@@ -88,10 +88,12 @@
     let body = match read_body(body, MAX_DOCUMENT_BYTES).await {
         Ok(body) => body,
         Err(BodyError::TooLarge) => {
-            let why = format!("body: over {MAX_DOCUMENT_BYTES} bytes");
+            let why = format!("body: longer than {MAX_DOCUMENT_BYTES} bytes");
             return Ok(error(StatusCode::PAYLOAD_TOO_LARGE, why));
         }
-        Err(BodyError::Broken) => return Ok(error(StatusCode::BAD_REQUEST, "body: broke off")),
+        Err(BodyError::Broken) => {
+            return Ok(error(StatusCode::BAD_REQUEST, "body: ended before its announced length"));
+        }
     };
     let path: Vec<&str> = head.uri.path().trim_matches('/').split('/').collect();
     let response = call.route(&head.method, &path, &body).await;
@@ -102,7 +104,7 @@
     serde_json::from_slice(body).or_else(|e| early(error(StatusCode::BAD_REQUEST, format!("body: {e}"))))
 }
 
-/// The path of the document, under its name or the one of earlier releases.
+/// Whether this path segment names the document: `configuration`, or `timetable` as in earlier releases.
 fn is_document(name: &str) -> bool {
     if name == "timetable" {
         log_event!(Warn, "deprecated path", "path" => "/v1/timetable", "use" => "/v1/configuration");
@@ -155,7 +157,7 @@
             }
             (&Method::DELETE, ["v1", "replicas", id]) => self.change_replica(id, ReplicaChange::Remove).await,
             (&Method::POST, ["v1", "members", node, "down"]) => self.confirm_down(node).await,
-            _ => Ok(error(StatusCode::NOT_FOUND, "no such call; see the operators' page")),
+            _ => Ok(error(StatusCode::NOT_FOUND, "no such method and path; see the operators' page")),
         }
     }
 
--- a/crates/control-plane/src/operator/api/status.rs
+++ b/crates/control-plane/src/operator/api/status.rs
@@ -1,4 +1,4 @@
-//! What a control node shows of itself: readiness, metrics, status.
+//! Readiness, metrics and status of a control node.
 
 use super::{ApiResponse, Call};
 use crate::{
@@ -40,7 +40,7 @@
     pub(super) fn status(&self) -> Value {
         let status = self.node.status();
         let state = &status.cluster_state;
-        // Renewals go to the leader: only it knows which revision is in force where.
+        // Members renew their leases at the leader, so only the leader knows which revision is active on each.
         let leads = status.leader.as_ref().is_some_and(|leader| leader.node == status.me.node);
         let members: Vec<Value> =
             state.members.values().map(|member| show_member(&status, member, leads)).collect();
--- a/crates/control-plane/src/operator/mod.rs
+++ b/crates/control-plane/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' access to a control node (design 4): changes of the document, evacuations and replicas.
+//! Operations for operators at a control node (design 4): changes of the document, evacuations and replicas.
 
 pub mod api;
 pub mod outcome;
--- a/crates/control-plane/src/operator/outcome.rs
+++ b/crates/control-plane/src/operator/outcome.rs
@@ -1,27 +1,27 @@
-//! What became of an operator's operation.
+//! Outcomes and errors of operators' operations.
 
 use crate::control_node::ReadError;
 use configuration::Diagnostic;
 use std::fmt;
 
-/// What became of an operation.
+/// Outcome of an operation.
 #[derive(Clone, Debug, PartialEq)]
 #[must_use]
 pub enum OperationOutcome {
-    /// It is in force.
+    /// The operation took effect.
     Accepted,
-    /// Built on another version than the current one; it never takes effect.
+    /// The operation is based on another version than the current one; it never takes effect.
     Conflict {
-        /// The current version, if it is known.
+        /// Current version, if it is known.
         current: Option<u64>,
     },
-    /// Nothing was logged, and sending it again would not help.
+    /// Nothing was logged, and a retry would fail the same way.
     Invalid(Vec<Diagnostic>),
-    /// The body or the document is too long.
+    /// The body or the resulting document is too long.
     TooLarge,
-    /// Nothing was logged; it may be sent again.
+    /// Nothing was logged; a retry may succeed.
     Unavailable(String),
-    /// It may take effect or not; sending it again tells.
+    /// The operation may have taken effect or not; a retry returns the outcome.
     Undetermined,
 }
 
@@ -32,7 +32,7 @@
     Read(ReadError),
     /// No leader answered in time.
     TimedOut,
-    /// The document in force can't be parsed.
+    /// The current document can't be parsed.
     Unparsable(Vec<Diagnostic>),
 }
 
@@ -42,7 +42,7 @@
             ServiceError::Read(why) => why.fmt(f),
             ServiceError::TimedOut => f.write_str("no leader answered in time"),
             ServiceError::Unparsable(diagnostics) => {
-                write!(f, "the current document can't be read: {diagnostics:?}")
+                write!(f, "the current document can't be parsed: {diagnostics:?}")
             }
         }
     }
--- a/crates/control-plane/src/operator/patch.rs
+++ b/crates/control-plane/src/operator/patch.rs
@@ -1,28 +1,28 @@
-//! Small changes to a document (design 4.7): everything that is not named stays byte for byte.
+//! Patches of a document (design 4.7): everything that a patch does not name stays byte for byte.
 
 use serde::Deserialize;
 use std::{collections::BTreeMap, fmt};
 use toml_edit::{DocumentMut, Item, Value};
 
-/// Named changes of a document.
+/// Changes of named parts of a document.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// Dotted path to new value, such as `"tuning.lend_share": 0.4`.
+    /// New values by dotted path, such as `"tuning.lend_share": 0.4`.
     #[serde(default)]
     pub set: BTreeMap<String, serde_json::Value>,
-    /// Pieces of text, and what replaces them.
+    /// Replacements of pieces of text; they come before `set`.
     #[serde(default)]
     pub replace: Vec<Replacement>,
 }
 
-/// A piece of text that occurs exactly once, and what replaces it.
+/// Replacement of a piece of text that must occur exactly once.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replacement {
-    /// The piece.
+    /// The text to replace.
     pub find: String,
-    /// What replaces it.
+    /// The new text.
     pub with: String,
 }
 
@@ -31,20 +31,20 @@
 pub enum PatchError {
     /// A piece of text does not occur exactly once.
     NotUnique {
-        /// The piece.
+        /// The text to replace.
         find: String,
-        /// How often it occurs.
+        /// Number of occurrences.
         count: usize,
     },
-    /// The document is no TOML.
+    /// The document is not valid TOML.
     Syntax(toml_edit::TomlError),
-    /// A path leads nowhere.
+    /// An array position on the path does not exist, or a part of the path is neither a table nor an array.
     NoSuchPath(String),
     /// A value can't be written into a document.
     Value {
-        /// Where it was to be set.
+        /// Path of the value.
         path: String,
-        /// What is allowed.
+        /// Why it can't be written.
         why: ValueError,
     },
 }
@@ -52,9 +52,9 @@
 /// Why a value can't be written into a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueError {
-    /// The number has no TOML form.
+    /// The number can't be represented in TOML.
     OutOfRange,
-    /// Null or an object.
+    /// The value is null or an object.
     Kind,
 }
 
@@ -71,10 +71,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PatchError::NotUnique { find, count } => {
-                write!(f, "replace: {find:?} stands {count} times; allowed: exactly once")
+                write!(f, "replace: {find:?} occurs {count} times; allowed: exactly once")
             }
             PatchError::Syntax(e) => write!(f, "the patched document: {e}"),
-            PatchError::NoSuchPath(path) => write!(f, "set: {path}: no such place"),
+            PatchError::NoSuchPath(path) => write!(f, "set: {path}: no such path in the document"),
             PatchError::Value { path, why } => write!(f, "set: {path}: {why}"),
         }
     }
@@ -82,10 +82,10 @@
 
 impl std::error::Error for PatchError {}
 
-/// A document with the patch applied.
+/// Returns the document with the patch applied.
 ///
 /// # Errors
-/// See [`PatchError`]; then nothing was changed.
+/// See [`PatchError`]. A patch is applied as a whole or not at all.
 pub fn apply(text: &str, patch: &Patch) -> Result<String, PatchError> {
     let mut text = text.to_string();
     for Replacement { find, with } in &patch.replace {
--- a/crates/control-plane/src/operator/service.rs
+++ b/crates/control-plane/src/operator/service.rs
@@ -1,10 +1,10 @@
-//! Operations on the document and on zones, in any notation (design 4.9): replaced, amended, read back,
-//! evacuated. Each may be sent again, to any control node.
+//! Operations on the document, in any format, and on zones (design 4.9): replace, amend, read and evacuate. Each may be
+//! retried, at any control node.
 //!
-//! A document carries its own version; a change names the version that it builds on. The name of an operation is the
-//! hash of what was sent, so the same sent again has the outcome of the first. The version is compared with the
-//! newest committed state, and the change is logged on top of that state's revision, so that applying it decides
-//! between two that were compared with the same state.
+//! A document contains its own version; a change names the version that it is based on. The operation's id is a hash of
+//! the request, so a retry has the outcome of the first try. The base version is compared with the newest committed
+//! state, and the change is logged with that state's revision as its base: of two changes that were compared with the
+//! same state, only one can be applied.
 
 use super::{
     api::random_operation_id,
@@ -22,16 +22,16 @@
 use std::{collections::BTreeSet, hash::Hasher, sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// Callers ask another node after a second, or somewhat more where they sent much.
+/// Time-out of an operation, in milliseconds. Callers try another node after a second, or later after a long request.
 const TIMEOUT_MS: u64 = 800;
-/// Bytes of a body for which a call has a millisecond more.
+/// The time-out is a millisecond longer for each of these many bytes of the body.
 const BYTES_PER_MS: u64 = 2_048;
 
-/// Carries out operators' operations at one control node.
+/// Handles operators' operations at one control node.
 pub struct OperatorService {
     node: Arc<ControlNode>,
     document_format: Arc<dyn DocumentFormat>,
-    /// Zones that exist whether or not a node is in them now.
+    /// Zones that are known even if no node is in them now.
     zones: BTreeSet<Zone>,
 }
 
@@ -43,8 +43,8 @@
     OperationOutcome::Invalid(vec![Diagnostic { line: 1, column: 1, message: message.into() }])
 }
 
-/// The operation's name: the same for the same call on each node and in each version.
-fn name_operation(kind: &str, base_version: u64, body: &str) -> OpId {
+/// Id of the operation: the same for the same request at each node and in each version of the program.
+fn operation_id(kind: &str, base_version: u64, body: &str) -> OpId {
     let mut hasher = SipHasher13::new();
     hasher.write(kind.as_bytes());
     hasher.write(&base_version.to_le_bytes());
@@ -57,7 +57,7 @@
 }
 
 impl OperatorService {
-    /// The service of one node, for documents in one notation.
+    /// The service at `node`, for documents in this format.
     pub fn new(
         node: Arc<ControlNode>,
         document_format: Arc<dyn DocumentFormat>,
@@ -66,19 +66,19 @@
         Self { node, document_format, zones }
     }
 
-    /// Replaces the document, which is kept byte for byte. `base_version` is 0 where there is none yet.
+    /// Replaces the document; the text is stored byte for byte. `base_version` is 0 if there is no document yet.
     pub async fn replace(&self, base_version: u64, text: &str) -> OperationOutcome {
-        let op = name_operation("replace", base_version, text);
+        let op = operation_id("replace", base_version, text);
         self.submit(op, base_version, text, |_| Ok(text.into())).await
     }
 
     /// Changes named items of the document.
     pub async fn amend(&self, base_version: u64, change: &str) -> OperationOutcome {
-        let op = name_operation("amend", base_version, change);
+        let op = operation_id("amend", base_version, change);
         self.submit(op, base_version, change, |current| self.document_format.amend(current, change)).await
     }
 
-    /// The newest committed document and its version.
+    /// Returns the newest committed document and its version.
     ///
     /// # Errors
     /// See [`ServiceError`].
@@ -88,7 +88,7 @@
         Ok(state.text.map(|text| (version, text)))
     }
 
-    /// Begins or ends the evacuation of a zone: nothing new goes to its replicas.
+    /// Begins or ends the evacuation of a zone, during which its replicas get no new requests.
     pub async fn evacuate(&self, zone: &str, on: bool) -> OperationOutcome {
         if !is_valid_name(zone) {
             return invalid(format!("area: {NAME_RULE}"));
@@ -98,7 +98,7 @@
         before(deadline, async {
             loop {
                 let outcome = self.evacuate_once(&zone, on, deadline).await;
-                // Another operator's order came between: this one is decided anew.
+                // Another evacuation was committed in between: retry on top of the newer state.
                 if !matches!(outcome, OperationOutcome::Conflict { .. }) {
                     return outcome;
                 }
@@ -107,7 +107,7 @@
         .await
     }
 
-    /// On top of the newest state: an order that is late on its way does not undo what came after it.
+    /// Proposes the evacuation on top of the newest state, so that a delayed proposal can't undo a later one.
     async fn evacuate_once(&self, zone: &Zone, on: bool, deadline: Instant) -> OperationOutcome {
         let state = match self.newest_state(deadline).await {
             Ok(state) => state,
@@ -164,18 +164,18 @@
         })
     }
 
-    /// Logs an accepted operation once more with nothing in it: its outcome stays, and it is acknowledged again only
-    /// once most of the members hold it (design 3.7).
+    /// Confirms an accepted operation that is retried: logs it again without content, which keeps its outcome, so that
+    /// it is acknowledged only once a majority of the members have it (design 3.7).
     async fn confirm(&self, op: OpId, deadline: Instant) -> OperationOutcome {
-        let nothing = Change::Apply { op, base: Revision(u64::MAX), text: "".into() };
-        match self.propose(nothing, deadline).await {
-            // Its outcome was forgotten on the way.
+        let empty_change = Change::Apply { op, base: Revision(u64::MAX), text: "".into() };
+        match self.propose(empty_change, deadline).await {
+            // The outcome of the first try was dropped in the meantime.
             OperationOutcome::Conflict { .. } => OperationOutcome::Undetermined,
             outcome => outcome,
         }
     }
 
-    /// The document to be logged on top of this state.
+    /// Makes the document to log on top of this state.
     fn new_document(
         &self,
         state: &ClusterState,
@@ -194,16 +194,16 @@
         Ok(text)
     }
 
-    /// The version of the document in force; 0 where there is none yet.
+    /// Version of the current document; 0 if there is none yet.
     fn version(&self, state: &ClusterState) -> Result<u64, ServiceError> {
         let Some(text) = &state.text else { return Ok(0) };
         self.document_format.read(text).map(|routes| routes.version).map_err(ServiceError::Unparsable)
     }
 
     async fn propose(&self, change: Change, deadline: Instant) -> OperationOutcome {
-        // The process may have stood still since the state was read.
+        // The process may have been suspended since the state was read.
         if Instant::now() >= deadline {
-            return OperationOutcome::Unavailable("the time for this call is over".into());
+            return OperationOutcome::Unavailable("the call timed out before anything was proposed".into());
         }
         let timeout_ms = deadline.duration_since(Instant::now()).as_millis() as u64;
         match self.node.propose(change, timeout_ms).await {
@@ -224,7 +224,8 @@
         }
     }
 
-    /// Nothing is proposed before the newest state is known: without it, nothing was.
+    /// Reads the newest state. Each operation does so before it proposes anything, so an error means that nothing was
+    /// logged.
     async fn newest_state(&self, deadline: Instant) -> Result<ClusterState, ServiceError> {
         match tokio::time::timeout_at(deadline, self.node.newest_state()).await {
             Ok(state) => state.map_err(ServiceError::Read),
