--- a/crates/control-plane/src/daemon.rs
+++ b/crates/control-plane/src/daemon.rs
@@ -1,5 +1,5 @@
-//! A control node from its start to its planned stop (design 1.1): the same in the program and under virtual
-//! time.
+//! Runs a control node from its start to its planned stop (design 1.1). Programs and tests under virtual time use the
+//! same code.
 
 use crate::{
     control_node::{self, Bootstrap, ControlNode, LogWriterFactory, Start},
@@ -19,14 +19,15 @@
 };
 use tokio::sync::watch;
 
-/// RPC time-outs for which a stop waits for open requests.
+/// Longest time that a stop waits for open requests, in RPC time-outs.
 const STOP_TIMEOUTS: u64 = 4;
-/// How often a stop looks whether requests are still open.
+/// Interval at which a stop checks for open requests.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Runs a control node until `stop` ends, then stops it in good order.
+/// Runs a control node until `stop` completes, then stops it gracefully: gives up its lease and leadership, and waits
+/// for open requests.
 ///
-/// `handler` answers on the HTTP address: the product's own API is [`crate::operator::api::handle`].
+/// `handler` handles HTTP requests; the standard API is [`crate::operator::api::handle`].
 pub async fn run<F, Fut>(
     settings: Settings,
     bootstrap: Bootstrap,
@@ -48,25 +49,26 @@
     member.start();
     spawn(control_node::listen(listeners.rpc, settings.me(), node.clone()));
     let (stop_serving, stopped) = watch::channel(false);
-    let open = Arc::new(http::OpenCount::default());
+    let open_requests = Arc::new(http::OpenCount::default());
     let handler_node = node.clone();
     let handle = move |peer, request| handler(handler_node.clone(), peer, request);
-    let serving = spawn(http::serve(listeners.http, open.clone(), stopped, handle));
+    let serving = spawn(http::serve(listeners.http, open_requests.clone(), stopped, handle));
     log_event!(Info, "started", "rpc" => settings.rpc_addr, "http" => settings.http);
     stop.await;
     log_event!(Info, "stopping");
     member.leave().await;
     node.hand_over_leadership().await;
-    // Connections that wait to be accepted are accepted, and answered, before the end.
+    // The server still accepts the connections that are waiting, and answers their requests.
     let _ = stop_serving.send(true);
     let _ = serving.await;
     let end = node.clock.now() + settings.timing.rpc_timeout_ms * STOP_TIMEOUTS;
-    while open.open() > 0 && node.clock.now() < end {
+    while open_requests.open() > 0 && node.clock.now() < end {
         tokio::time::sleep(STOP_POLL).await;
     }
 }
 
-/// A control node follows its own state, so that its lease reports the revision that is in force here.
+/// Marks each revision as active once this node's copy of the state has it: a control node has no compiled form
+/// to wait for, and its renewals report this revision to the leader.
 async fn report_revision(member: Arc<LocalMember>) {
     let mut applied = member.applied.subscribe();
     while applied.changed().await.is_ok() {
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,16 +1,16 @@
-//! The control plane (design 2 and 3): one replicated order of changes, the cluster state that they make, and the
-//! nodes that keep, lease and change it.
+//! The control plane (design 2 and 3): a replicated log of changes, the cluster state that results from them, and the
+//! nodes that replicate, follow and change that state.
 //!
 //! Layers, each depending only on those above it:
 //!
 //! - [`types`]: changes, nodes, documents, log entries, size limits
-//! - [`state_machine`]: the cluster state and pure questions about it
-//! - [`consensus`]: the replicated log, without input or output
+//! - [`state_machine`]: the cluster state, and pure functions of it
+//! - [`consensus`]: the replicated log, without I/O
 //! - [`storage`]: a voter's disk
-//! - [`rpc`]: requests to a control node
+//! - [`rpc`]: requests to a control node, and its responses
 //! - [`membership`]: leases, and a node's own side of its membership
 //! - [`control_node`]: the running node; [`daemon`] starts and stops it
-//! - [`operator`]: the operators' service and HTTP API
+//! - [`operator`]: operations for operators, and the HTTP API
 
 #![warn(missing_docs)]
 
--- a/crates/control-plane/src/rpc.rs
+++ b/crates/control-plane/src/rpc.rs
@@ -1,4 +1,4 @@
-//! What a control node is asked by other processes (design 3.4).
+//! Requests from other processes to a control node, and its responses (design 3.4).
 
 use crate::{
     consensus::Message,
@@ -12,7 +12,7 @@
 /// Name of the service in a connection's handshake.
 pub const SERVICE: &str = "signal";
 
-/// A client of control nodes.
+/// Client for requests to control nodes.
 pub type ControlClient = RpcClient<ControlRequest, ControlResponse>;
 
 /// A request to a control node.
@@ -25,105 +25,105 @@
         /// The message.
         msg: Box<Message>,
     },
-    /// Renewal of a lease.
+    /// A node asks to renew its lease, or to join.
     Renew {
         /// The node that renews.
         info: NodeInfo,
-        /// Up to where it holds the cluster state.
+        /// Index of the node's copy of the cluster state.
         #[serde(rename = "idx")]
         index: Index,
-        /// The revision that is in force there.
+        /// Revision of the document that is active on the node.
         revision: Revision,
     },
-    /// A node gives its lease back.
+    /// A node gives up its lease.
     Leave {
         /// The node.
         info: NodeInfo,
     },
-    /// Asks for changes after an index, and waits for one if there is none.
+    /// Asks for the changes after an index, and waits for one if there is none yet (a long poll).
     #[serde(rename = "News")]
     WatchState {
-        /// The last index that the asker has; 0 asks for a snapshot.
+        /// Last index that the caller has; 0 asks for a snapshot.
         have: Index,
-        /// Longest wait in milliseconds.
+        /// Longest wait, in milliseconds.
         wait_ms: u64,
     },
-    /// A change to be logged, at the leader only.
+    /// Proposes a change; only the leader logs it.
     Propose {
         /// The change.
         change: Change,
     },
-    /// The newest committed state, from the leader only.
+    /// Asks for the newest committed state; only the leader answers with it.
     State,
-    /// Asks for a sign of life.
+    /// Checks that the node responds.
     #[serde(rename = "Hail")]
     Heartbeat {
-        /// Up to where the asker holds the cluster state.
+        /// Index of the caller's copy of the cluster state.
         #[serde(rename = "idx")]
         index: Index,
     },
 }
 
-/// A control node's answer.
+/// A control node's response.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ControlResponse {
-    /// Received.
+    /// The request was handled; there is no result.
     Done,
     /// The lease is extended.
     Renewed {
-        /// Number of the membership.
+        /// Epoch of the membership.
         epoch: Epoch,
-        /// Index of the newest committed change, so that a node knows when it lags.
+        /// Index of the newest committed change, so that a node can detect that it lags behind.
         #[serde(rename = "idx")]
         index: Index,
     },
-    /// A change of the membership was proposed: ask again with the next renewal.
+    /// The lease is not granted yet: ask again with the next renewal.
     #[serde(rename = "NotYet")]
     Pending,
-    /// Another node leads, or none is known to.
+    /// This node is not the leader, or can't confirm that it is.
     #[serde(rename = "Elsewhere")]
     NotLeader {
-        /// The leader, as far as it is known.
+        /// The leader, if it is known.
         leader: Option<VoterInfo>,
     },
-    /// What the asker lacks.
+    /// The changes that the caller lacks.
     #[serde(rename = "News")]
     StateUpdate(StateUpdate),
-    /// What became of a proposal.
+    /// Outcome of a proposal.
     Proposed(ProposalOutcome),
     /// The newest committed state.
     State(Box<ClusterState>),
-    /// A sign of life.
+    /// The node responds.
     #[serde(rename = "Hailed")]
     HeartbeatAck {
-        /// Up to where the node can tell of changes; 0 if it learns of none.
+        /// Index up to which the node can offer changes; 0 if none reach it.
         #[serde(rename = "idx")]
         index: Index,
     },
 }
 
-/// What is known of a proposal (design 4.6).
+/// Outcome of a proposal, as far as it is known (design 4.6).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[must_use]
 pub enum ProposalOutcome {
-    /// It was committed and applied.
+    /// The change was committed and applied.
     #[serde(rename = "Settled")]
     Committed {
-        /// Its index.
+        /// Index of its entry.
         #[serde(rename = "idx")]
         index: Index,
-        /// What came of applying it.
+        /// Outcome of applying it.
         #[serde(rename = "verdict")]
         outcome: ApplyOutcome,
     },
-    /// It was not logged and never will be.
+    /// The change was not logged and never will be.
     NotLogged {
-        /// The leader, as far as it is known.
+        /// The leader, if it is known.
         leader: Option<VoterInfo>,
-        /// For the operator.
+        /// Why, in words for the operator.
         why: String,
     },
-    /// It may take effect or not.
+    /// The change may take effect or not.
     Undetermined,
 }
 
