--- a/crates/control-plane/tests/compatibility/main.rs
+++ b/crates/control-plane/tests/compatibility/main.rs
@@ -1,4 +1,4 @@
-//! Stored data and messages of the control plane keep the form in which an earlier version wrote them.
+//! Stored data and messages of the control plane keep the encoding of earlier versions, which `fixtures/` holds.
 
 mod samples;
 
@@ -16,7 +16,7 @@
 use std::{fs, path::Path};
 use test_fixtures::Fixtures;
 
-/// Files of a store, and their full lengths in bytes.
+/// Files of a store and their lengths in bytes.
 const STORE_FILES: [(&str, u64); 4] =
     [("slot-0", SLOT_BYTES), ("slot-1", SLOT_BYTES), ("log-0", SHORT_LOG_BYTES), ("log-1", SHORT_LOG_BYTES)];
 
@@ -68,11 +68,11 @@
 }
 
 #[test]
-fn compatibility_of_replies() {
+fn compatibility_of_responses() {
     let (_, outcome) = samples::outcomes().remove(0);
     let leader = || Some(samples::voter(1));
     let why = "not the leader".to_string();
-    let replies = [
+    let responses = [
         ("done", ControlResponse::Done),
         ("renewed", ControlResponse::Renewed { epoch: Epoch(4), index: Index(5) }),
         ("not-yet", ControlResponse::Pending),
@@ -86,42 +86,42 @@
         ("state", ControlResponse::State(Box::new(samples::state()))),
         ("heartbeat", ControlResponse::HeartbeatAck { index: Index(5) }),
     ];
-    for (name, reply) in replies {
-        fixtures().assert_wire(&format!("reply-{name}"), &reply);
+    for (name, response) in responses {
+        fixtures().assert_wire(&format!("reply-{name}"), &response);
     }
 }
 
-/// Parts of the state that `/v1/status` and `/v1/replicas` show.
+/// Parts of the state that `/v1/status` and `/v1/replicas` return as JSON.
 #[test]
 fn compatibility_of_json() {
     let state = samples::state();
-    let shown = [
+    let parts = [
         ("voters", serde_json::to_string(&state.voters)),
         ("replicas", serde_json::to_string(&state.replicas)),
         ("members", serde_json::to_string(&state.members)),
         ("lost", serde_json::to_string(&state.lost)),
         ("evacuated", serde_json::to_string(&state.evacuated)),
     ];
-    for (name, json) in shown {
+    for (name, json) in parts {
         fixtures().assert_json(&format!("status-{name}"), &json.unwrap());
     }
 }
 
-/// Writes a folder as a voter does: a blank identity, what `write` adds.
+/// Writes a data folder as a voter does: a blank identity, and then what `write` adds.
 fn write_store(folder: &Path, write: impl FnOnce(&mut FileStore)) {
     let mut store = FileStore::open(folder, &DurableState::blank(&samples::voter(1))).unwrap();
     write(&mut store);
 }
 
-/// The file without the zeros at its end: a store reserves the full length of each file.
-fn without_reserve(path: &Path) -> Vec<u8> {
+/// Contents of a file without the zeros at its end, since a store allocates the full length of each file.
+fn without_padding(path: &Path) -> Vec<u8> {
     let mut bytes = fs::read(path).unwrap();
     let end = bytes.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
     bytes.truncate(end);
     bytes
 }
 
-/// The folder as an earlier version left it.
+/// Writes the data folder that an earlier version left, from its fixture.
 fn restore(name: &str, folder: &Path) {
     for (file, length) in STORE_FILES {
         let mut bytes = fixtures().read(&format!("store-{name}/{file}"));
@@ -158,17 +158,17 @@
     let folder = tempfile::tempdir().unwrap();
     write_store(folder.path(), write);
     for (file, _) in STORE_FILES {
-        let bytes = without_reserve(&folder.path().join(file));
+        let bytes = without_padding(&folder.path().join(file));
         fixtures().assert_bytes(&format!("store-{name}/{file}"), &bytes);
     }
     let old = tempfile::tempdir().unwrap();
     restore(name, old.path());
-    let found = FileStore::load(old.path()).unwrap();
-    assert!(matches!(found, LoadResult::State(_)), "{name}: {found:?}");
-    assert_eq!(found, FileStore::load(folder.path()).unwrap());
+    let loaded = FileStore::load(old.path()).unwrap();
+    assert!(matches!(loaded, LoadResult::State(_)), "{name}: {loaded:?}");
+    assert_eq!(loaded, FileStore::load(folder.path()).unwrap());
 }
 
-/// One flipped bit in the newest slot of a stored folder: refused, and the damage is named.
+/// A data folder with one flipped bit in its newest slot is refused, and the error names the damaged slot.
 #[test]
 fn compatibility_of_damage_reports() {
     let folder = tempfile::tempdir().unwrap();
@@ -177,6 +177,8 @@
     let mut bytes = fs::read(&path).unwrap();
     bytes[100] ^= 1;
     fs::write(&path, bytes).unwrap();
-    let LoadResult::Corrupt(why) = FileStore::load(folder.path()).unwrap() else { panic!("taken as whole") };
+    let LoadResult::Corrupt(why) = FileStore::load(folder.path()).unwrap() else {
+        panic!("the damage was not detected")
+    };
     assert_eq!(why.to_string(), "slot 2 was synced and is damaged");
 }
--- a/crates/control-plane/tests/compatibility/samples.rs
+++ b/crates/control-plane/tests/compatibility/samples.rs
@@ -1,4 +1,4 @@
-//! Values of each kind that is stored or sent, with every field set.
+//! Sample values of each type that is stored or sent, with every field set.
 
 use common::{Epoch, Incarnation, Index, NodeId, OpId, ReplicaId, Revision, Service, Term, Tick, Zone};
 use control_plane::{
@@ -28,7 +28,8 @@
     }
 }
 
-pub fn id(n: u8) -> VoterId {
+/// Id of the voter with this number.
+pub fn voter_id(n: u8) -> VoterId {
     VoterId { number: n, incarnation: Incarnation(10 + u64::from(n)) }
 }
 
@@ -44,7 +45,7 @@
     }
 }
 
-/// Each kind of change, by name.
+/// Each kind of change, by name. The names are those of the fixtures.
 pub fn changes() -> Vec<(&'static str, Change)> {
     let op = || OpId::new("op-1");
     let long = "limits = 4096\n".repeat(64);
@@ -65,6 +66,7 @@
     ]
 }
 
+/// Log entries with each kind of change.
 pub fn entries() -> Vec<LogEntry> {
     changes()
         .into_iter()
@@ -73,6 +75,7 @@
         .collect()
 }
 
+/// Each outcome of a change, by name.
 pub fn outcomes() -> Vec<(&'static str, ApplyOutcome)> {
     vec![
         ("accepted", ApplyOutcome::Accepted { revision: Revision(8) }),
@@ -104,7 +107,7 @@
         lost: vec![LostMember { node: NodeId::new("p4"), members_before: 12 }],
         recent_operations: outcomes()
             .into_iter()
-            .map(|(name, v)| (OpId::new(name), v))
+            .map(|(name, outcome)| (OpId::new(name), outcome))
             .collect::<VecDeque<_>>(),
         accepted_operations,
     }
@@ -134,7 +137,7 @@
 /// Each kind of message between voters.
 pub fn messages() -> Vec<(&'static str, Message)> {
     let append = |body| Message::Append {
-        by: id(1),
+        by: voter_id(1),
         to: 2,
         term: Term(25),
         commit_index: Index(40),
@@ -167,11 +170,11 @@
         ("join-request", Message::JoinRequest { voter: voter(2) }),
         ("leader-query", Message::LeaderQuery(Tick(7))),
         ("not-leading", Message::NotLeading(Tick(7))),
-        ("step-down", Message::StepDown { by: id(1), term: Term(25) }),
-        ("pre-vote", Message::PreVote { by: id(1), term: Term(25) }),
-        ("pre-vote-granted", Message::PreVoteGranted { by: id(2), term: Term(25) }),
-        ("vote-request", Message::VoteRequest { by: id(1), term: Term(25), commit_index: Index(40) }),
-        ("vote", Message::Vote { by: id(2), term: Term(25), tail }),
+        ("step-down", Message::StepDown { by: voter_id(1), term: Term(25) }),
+        ("pre-vote", Message::PreVote { by: voter_id(1), term: Term(25) }),
+        ("pre-vote-granted", Message::PreVoteGranted { by: voter_id(2), term: Term(25) }),
+        ("vote-request", Message::VoteRequest { by: voter_id(1), term: Term(25), commit_index: Index(40) }),
+        ("vote", Message::Vote { by: voter_id(2), term: Term(25), tail }),
         ("heartbeat", append(Body::Heartbeat)),
         ("append", append(Body::Append { prev: Index(40), entries: entries() })),
         (
@@ -181,7 +184,7 @@
         (
             "append-reply",
             Message::AppendReply {
-                by: id(2),
+                by: voter_id(2),
                 term: Term(25),
                 installed: true,
                 last: Index(50),
--- a/crates/control-plane/tests/document.rs
+++ b/crates/control-plane/tests/document.rs
@@ -1,5 +1,5 @@
-//! Documents on disk and on the wire (design 2.8): packed where that is shorter, back byte for byte,
-//! and never longer than they are weighed.
+//! Documents on disk and on the wire (design 2.8): compressed if that is shorter, decoded byte for byte, and encoded in
+//! no more bytes than their size limit counts.
 
 use common::wire;
 use control_plane::{Document, MAX_DOCUMENT_BYTES, types::SizeLimits};
@@ -8,35 +8,37 @@
 mod noise;
 use noise::noise;
 
-fn back(d: &Document) -> Document {
-    wire::decode(&wire::encode(d).unwrap()).unwrap()
+fn encode_and_decode(document: &Document) -> Document {
+    wire::decode(&wire::encode(document).unwrap()).unwrap()
 }
 
 #[rstest]
 #[case::none("")]
 #[case::short("a")]
 #[case::letters(&"ñandú 东 \u{1F682} \u{0} ".repeat(50))]
-#[case::alike(&"x".repeat(MAX_DOCUMENT_BYTES))]
-#[case::unlike(&noise(3, 1 << 20))]
+#[case::repetitive(&"x".repeat(MAX_DOCUMENT_BYTES))]
+#[case::incompressible(&noise(3, 1 << 20))]
 #[case::half_and_half(&(noise(4, 70_000) + &"y".repeat(70_000)))]
-fn texts_come_back_as_they_were(#[case] text: &str) {
-    let d = Document::from(text);
-    let told = wire::encode(&d).unwrap();
-    assert!(told.len() <= d.packed_len() + 16 && d.packed_len() <= text.len());
-    let b = back(&d);
-    assert_eq!((&*b, b.packed_len()), (text, d.packed_len()));
-    assert_eq!(wire::encode(&b).unwrap(), told, "what is passed on is what was taken");
-    assert_eq!(b, d);
+fn documents_decode_to_the_same_text(#[case] text: &str) {
+    let document = Document::from(text);
+    let encoded = wire::encode(&document).unwrap();
+    assert!(encoded.len() <= document.packed_len() + 16 && document.packed_len() <= text.len());
+    let decoded = encode_and_decode(&document);
+    assert_eq!((&*decoded, decoded.packed_len()), (text, document.packed_len()));
+    assert_eq!(wire::encode(&decoded).unwrap(), encoded, "a decoded document is encoded to the same bytes");
+    assert_eq!(decoded, document);
 }
 
-/// Routes as operators write them: names and numbers differ, the words around them do not.
+/// Text like that of operators' routes, `len` bytes long: names and numbers differ, the rest repeats.
 fn routes(len: usize) -> String {
-    let name = |n: usize, k: usize| format!("{:016x}", (n * 31 + k).wrapping_mul(0x9E37_79B9_7F4A_7C15));
-    let mut out = String::new();
+    let name = |route: usize, field: usize| {
+        format!("{:016x}", (route * 31 + field).wrapping_mul(0x9E37_79B9_7F4A_7C15))
+    };
+    let mut text = String::new();
     let mut n = 0;
-    while out.len() < len {
+    while text.len() < len {
         n += 1;
-        out += &format!(
+        text += &format!(
             r#"{{"name":"r-{}","host":"{}.example","path-start":"/{}/","kind":"streaming","give-up-ms":{},"service":"{}","tries":2}},"#,
             &name(n, 1)[..7],
             &name(n / 50, 2)[..6],
@@ -45,39 +47,44 @@
             &name(n % 7, 4)[..7]
         );
     }
-    out.truncate(len);
-    out
+    text.truncate(len);
+    text
 }
 
-/// The longest document of routes takes no more room than the log has for one.
+/// A document of routes of the longest length fits the limit on compressed documents.
 #[test]
 fn four_mebibytes_of_routes_fit() {
-    let d = Document::from(routes(MAX_DOCUMENT_BYTES));
-    assert!(d.fits() && d.packed_len() < SizeLimits::default().document(), "{}", d.packed_len());
+    let document = Document::from(routes(MAX_DOCUMENT_BYTES));
+    assert!(
+        document.fits() && document.packed_len() < SizeLimits::default().document(),
+        "{}",
+        document.packed_len()
+    );
     assert!(!Document::from(routes(MAX_DOCUMENT_BYTES + 1)).fits());
 }
 
+/// A document that can't be compressed has to be shorter.
 #[rstest]
 #[case(SizeLimits::default().document(), true)]
 #[case(SizeLimits::default().document() + 1, false)]
-fn what_can_not_be_packed_has_less_room(#[case] len: usize, #[case] fits: bool) {
+fn incompressible_documents_have_a_lower_limit(#[case] len: usize, #[case] fits: bool) {
     assert_eq!(Document::from(noise(5, len)).fits(), fits);
 }
 
-/// Broken bytes are an error, and reserve no more memory than a document may take.
+/// Corrupt bytes are an error, and no more memory is reserved for them than for the longest document.
 #[rstest]
-#[case::longer_than_any(0, &[0xff, 0xff, 0xff, 0x7f], "allowed: 4194304")]
-#[case::longer_than_it_is(0, &[0x59, 2, 0, 0], "601 were announced")]
-#[case::shorter_than_it_is(0, &[1, 0, 0, 0], "")]
-#[case::no_text(5, &[0xff], "utf-8")]
-fn what_is_broken_is_an_error(#[case] at: usize, #[case] bytes: &[u8], #[case] why: &str) {
-    let d = Document::from("z".repeat(600));
-    let mut told = wire::encode(&d).unwrap();
-    // The packed bytes stand at the end: the text's length, then one block.
-    let packed = told.len() - d.packed_len();
-    assert_eq!(told[packed..packed + 4], [0x58, 2, 0, 0]);
-    told[packed + at..][..bytes.len()].copy_from_slice(bytes);
-    let e = wire::decode::<Document>(&told).unwrap_err().to_string();
-    assert!(e.contains(why), "{e}");
-    assert!(wire::decode::<Document>(&told[..told.len() - 1]).is_err());
+#[case::longer_than_the_limit(0, &[0xff, 0xff, 0xff, 0x7f], "allowed: 4194304")]
+#[case::claimed_longer_than_the_text(0, &[0x59, 2, 0, 0], "601 were announced")]
+#[case::claimed_shorter_than_the_text(0, &[1, 0, 0, 0], "")]
+#[case::invalid_utf8(5, &[0xff], "utf-8")]
+fn corrupt_bytes_are_an_error(#[case] at: usize, #[case] bytes: &[u8], #[case] why: &str) {
+    let document = Document::from("z".repeat(600));
+    let mut encoded = wire::encode(&document).unwrap();
+    // The compressed bytes are at the end: the length of the text, then one block.
+    let packed_at = encoded.len() - document.packed_len();
+    assert_eq!(encoded[packed_at..packed_at + 4], [0x58, 2, 0, 0]);
+    encoded[packed_at + at..][..bytes.len()].copy_from_slice(bytes);
+    let error = wire::decode::<Document>(&encoded).unwrap_err().to_string();
+    assert!(error.contains(why), "{error}");
+    assert!(wire::decode::<Document>(&encoded[..encoded.len() - 1]).is_err());
 }
--- a/crates/control-plane/tests/modules/lease.rs
+++ b/crates/control-plane/tests/modules/lease.rs
@@ -7,10 +7,11 @@
     types::NodeInfo,
 };
 
-/// Found by the simulator (seed 53): an expiry waited in the log behind a slow disk while the
-/// node, thawed, had its lease renewed; the expiry then took effect under a valid lease.
+/// Guards against a fault that the simulator found (seed 53): the expiry of a suspended node's lease was logged and
+/// waited for a slow disk. The node resumed and renewed its lease before the expiry was committed, and so was expired
+/// while its lease was valid.
 #[test]
-fn a_lapsed_tenure_is_not_renewed() {
+fn an_expired_lease_is_not_renewed() {
     let addr = "127.0.0.1:1".parse().unwrap();
     let incarnation = Incarnation(1);
     let info = NodeInfo {
@@ -22,16 +23,19 @@
         rpc_addr: addr,
         http: addr,
     };
-    let mut l = ClusterState::bootstrapped("c", vec![]);
-    let _ = l.apply(Index(1), &Change::Join(info.clone()));
-    let t = Timing::default();
-    let mut ten = Leases::new_leader(Tick(0));
-    assert_eq!(ten.renew(&l, &t, &info, Tick(100)), Renewal::Extended(Epoch(1)));
-    let late = Tick(101 + t.lease_ms + t.lease_margin_ms());
-    assert_eq!(ten.expired_members(&l, &t, late).len(), 1);
-    assert_eq!(ten.renew(&l, &t, &info, late + 1), Renewal::Pending(None));
-    let _ = l.apply(Index(2), &Change::Expire { node: "n".into(), incarnation, left: false });
-    assert_eq!(ten.renew(&l, &t, &info, late + 600), Renewal::Pending(Some(Change::Join(info.clone()))));
-    let _ = l.apply(Index(3), &Change::Join(info.clone()));
-    assert_eq!(ten.renew(&l, &t, &info, late + 1100), Renewal::Extended(Epoch(3)));
+    let mut state = ClusterState::bootstrapped("c", vec![]);
+    let _ = state.apply(Index(1), &Change::Join(info.clone()));
+    let timing = Timing::default();
+    let mut leases = Leases::new_leader(Tick(0));
+    assert_eq!(leases.renew(&state, &timing, &info, Tick(100)), Renewal::Extended(Epoch(1)));
+    let expired_at = Tick(101 + timing.lease_ms + timing.lease_margin_ms());
+    assert_eq!(leases.expired_members(&state, &timing, expired_at).len(), 1);
+    assert_eq!(leases.renew(&state, &timing, &info, expired_at + 1), Renewal::Pending(None));
+    let _ = state.apply(Index(2), &Change::Expire { node: "n".into(), incarnation, left: false });
+    assert_eq!(
+        leases.renew(&state, &timing, &info, expired_at + 600),
+        Renewal::Pending(Some(Change::Join(info.clone())))
+    );
+    let _ = state.apply(Index(3), &Change::Join(info.clone()));
+    assert_eq!(leases.renew(&state, &timing, &info, expired_at + 1100), Renewal::Extended(Epoch(3)));
 }
--- a/crates/control-plane/tests/modules/main.rs
+++ b/crates/control-plane/tests/modules/main.rs
@@ -1,4 +1,4 @@
-//! One binary for the tests of single modules: linking is what takes the time.
+//! Tests of single modules, in one binary since linking takes most of the build time.
 
 mod cluster_state;
 mod lease;
--- a/crates/control-plane/tests/operator/mod.rs
+++ b/crates/control-plane/tests/operator/mod.rs
@@ -1,4 +1,4 @@
-//! What operators may rely on at any control node, by subject.
+//! Guarantees for operators at any control node, by subject.
 
-mod cut_off;
-mod orders;
+mod isolated_node;
+mod retries;
--- a/crates/control-plane/tests/samples/mod.rs
+++ b/crates/control-plane/tests/samples/mod.rs
@@ -1,4 +1,4 @@
-//! Values that several test programs of the control plane begin with.
+//! Sample values that several test programs of the control plane share.
 
 #![allow(dead_code)]
 
@@ -10,7 +10,7 @@
 };
 use std::net::SocketAddr;
 
-/// Voter 1 at those addresses.
+/// Voter 1 with these addresses.
 pub fn voter_at(rpc_addr: SocketAddr, http: SocketAddr) -> VoterInfo {
     VoterInfo { number: 1, incarnation: Incarnation(5), node: "s1".into(), zone: "a".into(), rpc_addr, http }
 }
@@ -24,13 +24,13 @@
     }
 }
 
-/// The same for a voter whose addresses don't matter.
+/// The same state for a voter whose addresses don't matter.
 pub fn one_voter() -> DurableState {
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
     bootstrapped(&voter_at(addr, addr))
 }
 
-/// An entry that evacuates a zone.
+/// A log entry that evacuates a zone.
 pub fn entry(n: u64) -> LogEntry {
     let change = Change::Evacuate {
         op: format!("o{n}").as_str().into(),
