--- a/crates/control-plane/src/control_node/learner.rs
+++ b/crates/control-plane/src/control_node/learner.rs
@@ -66,7 +66,7 @@
         let received = !cluster_state.cluster.is_empty();
         if received && known != (cluster_state.index, leader) {
             let cluster_state = Box::new(crate::ClusterState::clone(&cluster_state));
-            self.step(Event::Followed { cluster_state, leader });
+            self.step(Event::CommittedState { cluster_state, leader });
         }
     }
 
--- a/crates/control-plane/tests/document.rs
+++ b/crates/control-plane/tests/document.rs
@@ -5,8 +5,8 @@
 use control_plane::{Document, MAX_DOCUMENT_BYTES, types::SizeLimits};
 use rstest::rstest;
 
-mod noise;
-use noise::noise;
+mod random_text;
+use random_text::random_text;
 
 fn encode_and_decode(document: &Document) -> Document {
     wire::decode(&wire::encode(document).unwrap()).unwrap()
@@ -17,8 +17,8 @@
 #[case::short("a")]
 #[case::letters(&"ñandú 东 \u{1F682} \u{0} ".repeat(50))]
 #[case::repetitive(&"x".repeat(MAX_DOCUMENT_BYTES))]
-#[case::incompressible(&noise(3, 1 << 20))]
-#[case::half_and_half(&(noise(4, 70_000) + &"y".repeat(70_000)))]
+#[case::incompressible(&random_text(3, 1 << 20))]
+#[case::half_and_half(&(random_text(4, 70_000) + &"y".repeat(70_000)))]
 fn documents_decode_to_the_same_text(#[case] text: &str) {
     let document = Document::from(text);
     let encoded = wire::encode(&document).unwrap();
@@ -68,7 +68,7 @@
 #[case(SizeLimits::default().document(), true)]
 #[case(SizeLimits::default().document() + 1, false)]
 fn incompressible_documents_have_a_lower_limit(#[case] len: usize, #[case] fits: bool) {
-    assert_eq!(Document::from(noise(5, len)).fits(), fits);
+    assert_eq!(Document::from(random_text(5, len)).fits(), fits);
 }
 
 /// Corrupt bytes are an error, and no more memory is reserved for them than for the longest document.
--- a/crates/control-plane/tests/operator/isolated_node.rs
+++ b/crates/control-plane/tests/operator/isolated_node.rs
@@ -1,6 +1,6 @@
 //! Operators' calls at a control node that is cut off from the others (design 2.3, 4.9).
 
-use crate::cluster::{Cluster, Stand};
+use crate::cluster::{Cluster, ClusterNode};
 use common::runtime::Simulation;
 use control_plane::operator::OperationOutcome;
 use rstest::rstest;
@@ -41,25 +41,25 @@
     }
 }
 
-async fn version_at(stand: &Stand) -> u64 {
+async fn version_at(stand: &ClusterNode) -> u64 {
     stand.read().await.unwrap().unwrap().0
 }
 
 fn inject_fault(cluster: &Cluster, node: usize, fault: Fault) {
     match fault {
-        Fault::BothWays => cluster.cut_off(node),
-        Fault::Outward => cluster.cut_outward(node),
-        Fault::Inward => cluster.cut_inward(node),
-        Fault::Frozen => cluster.at[node].freeze(),
+        Fault::BothWays => cluster.isolate(node),
+        Fault::Outward => cluster.drop_outgoing(node),
+        Fault::Inward => cluster.drop_incoming(node),
+        Fault::Frozen => cluster.nodes[node].freeze(),
     }
 }
 
 fn clear_fault(cluster: &Cluster, node: usize, fault: Fault) {
-    if fault == Fault::Frozen { cluster.at[node].thaw() } else { cluster.mend(node) }
+    if fault == Fault::Frozen { cluster.nodes[node].thaw() } else { cluster.heal(node) }
 }
 
 /// Sends a new version, on top of the current one, until it is accepted.
-async fn accept(stand: &Stand, version: u64) {
+async fn accept(stand: &ClusterNode, version: u64) {
     let base = stand.read().await.ok().flatten().map_or(version - 1, |read| read.0);
     for _ in 0..100 {
         let outcome = stand.replace(base, &format!("{version}\n")).await;
@@ -86,7 +86,7 @@
 ) {
     Simulation::run(seed, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation.clone(), voters).await;
-        accept(&cluster.at[0], 1).await;
+        accept(&cluster.nodes[0], 1).await;
         let leader = cluster.leader();
         let node = if target == Target::Leader { leader } else { (leader + 1) % voters };
         let other = (leader + 2) % voters;
@@ -98,7 +98,7 @@
         let mut acknowledged = 0;
         while simulation.ms() < began + CUT_MS {
             let asked = simulation.ms();
-            let read = cluster.at[node].read().await;
+            let read = cluster.nodes[node].read().await;
             let read_ms = simulation.ms() - asked;
             assert!(
                 read_ms <= CALLER_TIMEOUT_MS,
@@ -109,7 +109,7 @@
             let possible = |candidate: u64| candidate == version || undetermined.contains(&candidate);
             assert!(read_version.is_none_or(possible), "read {read_version:?}; {version} is accepted");
             let change_began = simulation.ms();
-            let outcome = cluster.at[node].replace(version, &format!("{}\nx", version + 1_000)).await;
+            let outcome = cluster.nodes[node].replace(version, &format!("{}\nx", version + 1_000)).await;
             undetermined.push(version + 1_000);
             let change_ms = simulation.ms() - change_began;
             assert!(change_ms <= CALLER_TIMEOUT_MS, "a change took {change_ms} ms");
@@ -124,8 +124,8 @@
                 );
                 let at_once = read_ms == 0 && change_ms == 0;
                 assert!(at_once, "{read_ms} ms and {change_ms} ms, {} ms after the cut", asked - began);
-                version = version_at(&cluster.at[other]).await + 1;
-                accept(&cluster.at[other], version).await;
+                version = version_at(&cluster.nodes[other]).await + 1;
+                accept(&cluster.nodes[other], version).await;
                 undetermined.clear();
                 acknowledged += 1;
             }
@@ -134,9 +134,9 @@
         assert!(acknowledged > 10, "changes accepted by the others: {acknowledged}");
         clear_fault(&cluster, node, fault);
         sleep(Duration::from_millis(CALLER_TIMEOUT_MS)).await;
-        let read = cluster.at[node].read().await.unwrap().unwrap();
+        let read = cluster.nodes[node].read().await.unwrap().unwrap();
         assert_eq!(read.0, version, "the newest version within a second of the return");
-        accept(&cluster.at[node], version + 1).await;
+        accept(&cluster.nodes[node], version + 1).await;
     });
 }
 
@@ -148,17 +148,17 @@
 ) {
     Simulation::run(seed, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation.clone(), 3).await;
-        accept(&cluster.at[0], 1).await;
+        accept(&cluster.nodes[0], 1).await;
         let leader = cluster.leader();
         let node = if target == Target::Leader { leader } else { (leader + 1) % 3 };
         inject_fault(&cluster, node, Fault::Frozen);
         sleep(Duration::from_millis(CUT_MS / 2)).await;
-        accept(&cluster.at[(leader + 2) % 3], 2).await;
+        accept(&cluster.nodes[(leader + 2) % 3], 2).await;
         sleep(Duration::from_millis(CUT_MS / 2)).await;
         clear_fault(&cluster, node, Fault::Frozen);
         let mut served = None;
         for _ in 0..10 {
-            if let Ok(read) = cluster.at[node].read().await {
+            if let Ok(read) = cluster.nodes[node].read().await {
                 assert_eq!(read, Some((2, "2\n".into())));
                 served = read;
             }
@@ -174,14 +174,14 @@
 fn reads_between_two_leaders_end_in_time(#[values(1, 2, 3)] seed: u64) {
     Simulation::run(seed, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation.clone(), 3).await;
-        accept(&cluster.at[0], 1).await;
+        accept(&cluster.nodes[0], 1).await;
         let leader = cluster.leader();
-        cluster.cut_off(leader);
+        cluster.isolate(leader);
         let began = simulation.ms();
         let mut refused = 0;
         loop {
             let asked = simulation.ms();
-            let read = cluster.at[(leader + 1) % 3].read().await;
+            let read = cluster.nodes[(leader + 1) % 3].read().await;
             assert!(
                 simulation.ms() - asked <= CALLER_TIMEOUT_MS,
                 "a read took {} ms",
@@ -202,13 +202,13 @@
 fn read_while_cut_off(target: Target, mutation: Option<&str>) -> Result<Option<(u64, String)>, String> {
     Simulation::run(5, mutation.map(Into::into), |simulation| async move {
         let cluster = Cluster::initialized(simulation, 3).await;
-        accept(&cluster.at[0], 1).await;
+        accept(&cluster.nodes[0], 1).await;
         let leader = cluster.leader();
         let node = if target == Target::Leader { leader } else { (leader + 1) % 3 };
-        cluster.cut_off(node);
+        cluster.isolate(node);
         sleep(Duration::from_millis(Fault::BothWays.detection_ms())).await;
-        assert_eq!(cluster.at[(leader + 2) % 3].replace(1, "2\n").await, OperationOutcome::Accepted);
-        cluster.at[node].read().await
+        assert_eq!(cluster.nodes[(leader + 2) % 3].replace(1, "2\n").await, OperationOutcome::Accepted);
+        cluster.nodes[node].read().await
     })
 }
 
--- a/crates/control-plane/tests/operator/retries.rs
+++ b/crates/control-plane/tests/operator/retries.rs
@@ -1,6 +1,6 @@
 //! Retries of operations (design 4.9): a retry of an accepted one is accepted at each node and at any later time.
 
-use crate::cluster::{Cluster, Stand};
+use crate::cluster::{Cluster, ClusterNode};
 use common::{Index, OpId, Revision, runtime::Simulation, wire};
 use control_plane::{
     ApplyOutcome, Change, ClusterState,
@@ -14,7 +14,7 @@
 };
 use rstest::rstest;
 
-async fn send(node: &Stand, kind: &str, base_version: u64, text: &str) -> OperationOutcome {
+async fn send(node: &ClusterNode, kind: &str, base_version: u64, text: &str) -> OperationOutcome {
     match kind {
         "replace" => node.replace(base_version, text).await,
         _ => node.amend(base_version, text).await,
@@ -26,23 +26,23 @@
 fn retry_after_hundreds_of_changes(kind: &'static str, mutation: Option<&str>) -> Vec<OperationOutcome> {
     Simulation::run(12, mutation.map(Into::into), |simulation| async move {
         let cluster = Cluster::initialized(simulation, 3).await;
-        assert_eq!(cluster.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
-        assert_eq!(send(&cluster.at[1], kind, 1, "2\nb").await, OperationOutcome::Accepted);
+        assert_eq!(cluster.nodes[0].replace(0, "1\na").await, OperationOutcome::Accepted);
+        assert_eq!(send(&cluster.nodes[1], kind, 1, "2\nb").await, OperationOutcome::Accepted);
         let mut outcomes = Vec::new();
         for n in 0..RECENT_OPERATIONS_KEPT {
-            assert_eq!(cluster.at[n % 3].evacuate("far", n % 2 == 0).await, OperationOutcome::Accepted);
+            assert_eq!(cluster.nodes[n % 3].evacuate("far", n % 2 == 0).await, OperationOutcome::Accepted);
         }
-        for node in &cluster.at {
+        for node in &cluster.nodes {
             outcomes.push(send(node, kind, 1, "2\nb").await);
         }
         for version in 2..RECENT_OPERATIONS_KEPT as u64 + 20 {
             let text = format!("{}\n{version}", version + 1);
             assert_eq!(
-                cluster.at[version as usize % 3].replace(version, &text).await,
+                cluster.nodes[version as usize % 3].replace(version, &text).await,
                 OperationOutcome::Accepted
             );
         }
-        for node in &cluster.at {
+        for node in &cluster.nodes {
             outcomes.push(send(node, kind, 1, "2\nb").await);
         }
         outcomes
@@ -74,13 +74,13 @@
 ) {
     Simulation::run(seed, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation, 3).await;
-        assert_eq!(cluster.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
-        let all = (0..8).map(|n| send(&cluster.at[n % 3], kind, 1, "2\nb"));
+        assert_eq!(cluster.nodes[0].replace(0, "1\na").await, OperationOutcome::Accepted);
+        let all = (0..8).map(|n| send(&cluster.nodes[n % 3], kind, 1, "2\nb"));
         let outcomes = futures::future::join_all(all).await;
         assert!(outcomes.iter().all(|outcome| *outcome == OperationOutcome::Accepted), "{outcomes:?}");
-        assert_eq!(cluster.at[0].read().await.unwrap().unwrap().0, 2);
+        assert_eq!(cluster.nodes[0].read().await.unwrap().unwrap().0, 2);
         assert_eq!(
-            cluster.at[cluster.leader()].core.status().cluster_state.revision,
+            cluster.nodes[cluster.leader()].control_node.status().cluster_state.revision,
             Revision(2),
             "the change took effect once"
         );
@@ -92,9 +92,9 @@
 fn a_different_operation_is_not_a_retry() {
     Simulation::run(5, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation, 3).await;
-        assert_eq!(cluster.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
-        assert_eq!(cluster.at[0].replace(1, "2\nb").await, OperationOutcome::Accepted);
-        for node in &cluster.at {
+        assert_eq!(cluster.nodes[0].replace(0, "1\na").await, OperationOutcome::Accepted);
+        assert_eq!(cluster.nodes[0].replace(1, "2\nb").await, OperationOutcome::Accepted);
+        for node in &cluster.nodes {
             assert_eq!(node.replace(1, "2\nb ").await, OperationOutcome::Conflict { current: Some(2) });
             assert_eq!(node.replace(0, "2\nb").await, OperationOutcome::Conflict { current: Some(2) });
             assert!(
@@ -166,13 +166,13 @@
 fn evacuated_after_a_late_proposal(mutation: Option<&str>) -> Vec<String> {
     Simulation::run(3, mutation.map(Into::into), |simulation| async move {
         let cluster = Cluster::initialized(simulation, 3).await;
-        let node = &cluster.at[cluster.leader()];
-        let seen = node.core.status().cluster_state.index;
+        let node = &cluster.nodes[cluster.leader()];
+        let seen = node.control_node.status().cluster_state.index;
         let delayed_change = Change::Evacuate { op: "late".into(), zone: "far".into(), on: true, seen };
-        assert_eq!(cluster.at[0].evacuate("far", true).await, OperationOutcome::Accepted);
-        assert_eq!(cluster.at[1].evacuate("far", false).await, OperationOutcome::Accepted);
+        assert_eq!(cluster.nodes[0].evacuate("far", true).await, OperationOutcome::Accepted);
+        assert_eq!(cluster.nodes[1].evacuate("far", false).await, OperationOutcome::Accepted);
         assert!(matches!(node.propose(delayed_change).await, ProposalOutcome::Committed { .. }));
-        cluster.at[2].evacuated().await
+        cluster.nodes[2].evacuated_zones().await
     })
 }
 
@@ -189,10 +189,10 @@
 fn concurrent_evacuations_are_all_accepted(#[values(1, 2, 3, 4)] seed: u64) {
     Simulation::run(seed, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation, 3).await;
-        let all = (0..8).map(|n| cluster.at[n % 3].evacuate("far", n % 2 == 0));
+        let all = (0..8).map(|n| cluster.nodes[n % 3].evacuate("far", n % 2 == 0));
         let outcomes = futures::future::join_all(all).await;
         assert!(outcomes.iter().all(|outcome| *outcome == OperationOutcome::Accepted), "{outcomes:?}");
-        assert_eq!(cluster.at[0].evacuate("far", false).await, OperationOutcome::Accepted);
-        assert!(cluster.at[1].evacuated().await.is_empty());
+        assert_eq!(cluster.nodes[0].evacuate("far", false).await, OperationOutcome::Accepted);
+        assert!(cluster.nodes[1].evacuated_zones().await.is_empty());
     });
 }
--- a/crates/control-plane/tests/operator_service.rs
+++ b/crates/control-plane/tests/operator_service.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 mod cluster;
-mod noise;
 mod operator;
+mod random_text;
 use cluster::Cluster;
-use noise::noise;
+use random_text::random_text;
 
 /// Result of a read that returns this document.
 fn document(version: u64, text: &str) -> Result<Option<(u64, String)>, String> {
@@ -32,12 +32,12 @@
 fn clusters_of_any_size_bootstrap_and_accept(#[values(1, 2, 3, 5, 6, 7)] voters: usize) {
     Simulation::run(7, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation, voters).await;
-        for node in &cluster.at {
-            assert_eq!(node.core.status().cluster_state.voters.len(), voters);
+        for node in &cluster.nodes {
+            assert_eq!(node.control_node.status().cluster_state.voters.len(), voters);
             assert_eq!(node.read().await, Ok(None));
         }
-        assert_eq!(cluster.at[voters - 1].replace(0, "3\nfirst").await, OperationOutcome::Accepted);
-        for node in &cluster.at {
+        assert_eq!(cluster.nodes[voters - 1].replace(0, "3\nfirst").await, OperationOutcome::Accepted);
+        for node in &cluster.nodes {
             assert_eq!(node.read().await, document(3, "3\nfirst"));
         }
     });
@@ -49,7 +49,7 @@
     Simulation::run(8, None, |simulation| async move {
         let cluster = Cluster::start(simulation, voters, false).await;
         tokio::time::sleep(Duration::from_secs(60)).await;
-        assert!(cluster.at.iter().all(|node| !node.core.status().initialized));
+        assert!(cluster.nodes.iter().all(|node| !node.control_node.status().initialized));
     });
 }
 
@@ -59,13 +59,17 @@
     Simulation::run(9, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation, 2).await;
         let leader = cluster.leader();
-        cluster.cut_off(1 - leader);
-        assert_ne!(cluster.at[leader].replace(0, "1\nalone").await, OperationOutcome::Accepted);
-        assert_eq!(cluster.at[leader].core.status().cluster_state.revision.0, 0, "nothing took effect");
-        cluster.mend(1 - leader);
+        cluster.isolate(1 - leader);
+        assert_ne!(cluster.nodes[leader].replace(0, "1\nalone").await, OperationOutcome::Accepted);
+        assert_eq!(
+            cluster.nodes[leader].control_node.status().cluster_state.revision.0,
+            0,
+            "nothing took effect"
+        );
+        cluster.heal(1 - leader);
         cluster
-            .until("both know a leader again", |cluster| {
-                cluster.at.iter().all(|node| node.core.status().leader.is_some())
+            .wait_until("both know a leader again", |cluster| {
+                cluster.nodes.iter().all(|node| node.control_node.status().leader.is_some())
             })
             .await;
     });
@@ -78,7 +82,7 @@
 }
 
 async fn send(
-    node: &cluster::Stand,
+    node: &cluster::ClusterNode,
     operation: Operation,
     base_version: u64,
     text: &str,
@@ -100,8 +104,8 @@
 ) {
     Simulation::run(seed, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation, 3).await;
-        assert_eq!(cluster.at[0].replace(0, "2\nbase").await, OperationOutcome::Accepted);
-        let (first_node, second_node) = (&cluster.at[at.0], &cluster.at[at.1]);
+        assert_eq!(cluster.nodes[0].replace(0, "2\nbase").await, OperationOutcome::Accepted);
+        let (first_node, second_node) = (&cluster.nodes[at.0], &cluster.nodes[at.1]);
         let (texts, operations) = (["5\n, one", "6\n, two"], [first, second]);
         let outcomes = tokio::join!(
             send(first_node, operations[0], 2, texts[0]),
@@ -122,7 +126,7 @@
             Operation::Replace => texts[winner].to_string(),
             Operation::Amend => texts[winner].replacen('\n', "\nbase", 1),
         };
-        for node in &cluster.at {
+        for node in &cluster.nodes {
             assert_eq!(node.read().await, document(version, &text));
             let again = send(node, operations[1 - winner], 2, texts[1 - winner]).await;
             assert_eq!(again, OperationOutcome::Conflict { current: Some(version) });
@@ -137,11 +141,11 @@
         let cluster = Cluster::initialized(simulation, 3).await;
         let all = [(0, "1\na"), (1, "4\nb"), (4, "9\nc")];
         for (n, (base_version, text)) in all.iter().enumerate() {
-            assert_eq!(cluster.at[n].replace(*base_version, text).await, OperationOutcome::Accepted);
-            assert_eq!(cluster.at[n].replace(*base_version, text).await, OperationOutcome::Accepted);
+            assert_eq!(cluster.nodes[n].replace(*base_version, text).await, OperationOutcome::Accepted);
+            assert_eq!(cluster.nodes[n].replace(*base_version, text).await, OperationOutcome::Accepted);
         }
-        assert_eq!(cluster.at[1].amend(9, "10\n, d").await, OperationOutcome::Accepted);
-        for node in &cluster.at {
+        assert_eq!(cluster.nodes[1].amend(9, "10\n, d").await, OperationOutcome::Accepted);
+        for node in &cluster.nodes {
             for (base_version, text) in all {
                 assert_eq!(node.replace(base_version, text).await, OperationOutcome::Accepted);
             }
@@ -158,12 +162,12 @@
 fn accepted_outcomes_outlast_later_operations() {
     Simulation::run(12, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation, 1).await;
-        let node = &cluster.at[0];
+        let node = &cluster.nodes[0];
         assert_eq!(node.replace(0, "1\na").await, OperationOutcome::Accepted);
         for n in 0..RECENT_OPERATIONS_KEPT + 1 {
             assert_eq!(node.evacuate("far", n % 2 == 0).await, OperationOutcome::Accepted);
         }
-        assert_eq!(node.outcomes(), RECENT_OPERATIONS_KEPT);
+        assert_eq!(node.recorded_operations(), RECENT_OPERATIONS_KEPT);
         assert_eq!(node.replace(0, "1\na").await, OperationOutcome::Accepted);
         assert_eq!(node.replace(1, "2\nb").await, OperationOutcome::Accepted);
         assert_eq!(node.replace(0, "1\na").await, OperationOutcome::Accepted);
@@ -175,7 +179,7 @@
 fn invalid_changes_are_refused_without_effect() {
     Simulation::run(13, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation, 3).await;
-        let node = &cluster.at[1];
+        let node = &cluster.nodes[1];
         assert_eq!(node.replace(3, "4\n").await, OperationOutcome::Conflict { current: Some(0) });
         assert!(invalid_message(&node.replace(0, "0\n").await).contains("allowed: above 0"));
         assert_eq!(node.replace(0, "6\nkept").await, OperationOutcome::Accepted);
@@ -189,7 +193,7 @@
         let long = |n: usize| format!("7\n{}", "x".repeat(n - 2));
         assert_eq!(node.replace(6, &long(MAX_DOCUMENT_BYTES + 1)).await, OperationOutcome::TooLarge);
         assert_eq!(
-            node.replace(6, &format!("7\n{}", noise(1, MAX_DOCUMENT_BYTES / 4))).await,
+            node.replace(6, &format!("7\n{}", random_text(1, MAX_DOCUMENT_BYTES / 4))).await,
             OperationOutcome::TooLarge
         );
         assert_eq!(
@@ -201,7 +205,7 @@
         // The longest document is accepted at a node that has to forward it to the leader.
         let follower = (cluster.leader() + 1) % 3;
         assert_eq!(
-            cluster.at[follower].replace(6, &long(MAX_DOCUMENT_BYTES)).await,
+            cluster.nodes[follower].replace(6, &long(MAX_DOCUMENT_BYTES)).await,
             OperationOutcome::Accepted
         );
         assert_eq!(node.read().await, document(7, &long(MAX_DOCUMENT_BYTES)));
@@ -215,23 +219,23 @@
     Simulation::run(seed, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation, 3).await;
         let old_leader = cluster.leader();
-        assert_eq!(cluster.at[old_leader].replace(0, "1\na").await, OperationOutcome::Accepted);
-        cluster.cut_off(old_leader);
-        assert_eq!(cluster.at[old_leader].replace(1, "2\nb").await, OperationOutcome::Undetermined);
+        assert_eq!(cluster.nodes[old_leader].replace(0, "1\na").await, OperationOutcome::Accepted);
+        cluster.isolate(old_leader);
+        assert_eq!(cluster.nodes[old_leader].replace(1, "2\nb").await, OperationOutcome::Undetermined);
         assert!(matches!(
-            cluster.at[old_leader].replace(1, "2\nb").await,
+            cluster.nodes[old_leader].replace(1, "2\nb").await,
             OperationOutcome::Undetermined | OperationOutcome::Unavailable(_)
         ));
         cluster
-            .until("another node leads", |cluster| {
-                let status = cluster.at[(old_leader + 1) % 3].core.status();
+            .wait_until("another node leads", |cluster| {
+                let status = cluster.nodes[(old_leader + 1) % 3].control_node.status();
                 status.leader.is_some_and(|leader| leader.node.as_str() != format!("s{old_leader}"))
             })
             .await;
-        cluster.mend(old_leader);
+        cluster.heal(old_leader);
         let mut outcome = OperationOutcome::Undetermined;
         for _ in 0..100 {
-            outcome = cluster.at[old_leader].replace(1, "2\nb").await;
+            outcome = cluster.nodes[old_leader].replace(1, "2\nb").await;
             if outcome == OperationOutcome::Accepted {
                 break;
             }
@@ -242,10 +246,14 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         assert_eq!(outcome, OperationOutcome::Accepted);
-        for node in &cluster.at {
+        for node in &cluster.nodes {
             assert_eq!(node.replace(1, "2\nb").await, OperationOutcome::Accepted);
             assert_eq!(node.read().await, document(2, "2\nb"));
-            assert_eq!(node.core.status().cluster_state.revision.0, 2, "each change took effect once");
+            assert_eq!(
+                node.control_node.status().cluster_state.revision.0,
+                2,
+                "each change took effect once"
+            );
         }
     });
 }
@@ -259,8 +267,8 @@
     let text = text.to_string();
     Simulation::run(21, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation, 3).await;
-        assert_eq!(cluster.at[2].replace(0, &text).await, OperationOutcome::Accepted);
-        for node in &cluster.at {
+        assert_eq!(cluster.nodes[2].replace(0, &text).await, OperationOutcome::Accepted);
+        for node in &cluster.nodes {
             assert_eq!(node.read().await, document(1, &text));
         }
     });
@@ -271,21 +279,23 @@
 fn zones_are_evacuated_and_readmitted() {
     Simulation::run(31, None, |simulation| async move {
         let cluster = Cluster::initialized(simulation, 3).await;
-        assert_eq!(cluster.at[0].replace(0, "1\na").await, OperationOutcome::Accepted);
+        assert_eq!(cluster.nodes[0].replace(0, "1\na").await, OperationOutcome::Accepted);
         // "far" is only a configured name; "a2" is the zone of a voter.
         for (at, zone) in [(0, "far"), (1, "a2"), (2, "a2")] {
-            assert_eq!(cluster.at[at].evacuate(zone, true).await, OperationOutcome::Accepted);
+            assert_eq!(cluster.nodes[at].evacuate(zone, true).await, OperationOutcome::Accepted);
         }
-        assert_eq!(cluster.at[2].evacuated().await, ["a2", "far"]);
+        assert_eq!(cluster.nodes[2].evacuated_zones().await, ["a2", "far"]);
         // A new document does not end an evacuation.
-        assert_eq!(cluster.at[1].replace(1, "2\nb").await, OperationOutcome::Accepted);
-        assert_eq!(cluster.at[0].evacuated().await, ["a2", "far"]);
+        assert_eq!(cluster.nodes[1].replace(1, "2\nb").await, OperationOutcome::Accepted);
+        assert_eq!(cluster.nodes[0].evacuated_zones().await, ["a2", "far"]);
         for at in 0..2 {
-            assert_eq!(cluster.at[at].evacuate("far", false).await, OperationOutcome::Accepted);
+            assert_eq!(cluster.nodes[at].evacuate("far", false).await, OperationOutcome::Accepted);
         }
-        assert_eq!(cluster.at[0].evacuated().await, ["a2"]);
-        assert!(invalid_message(&cluster.at[0].evacuate("nowhere", true).await).contains("known to no node"));
-        assert!(invalid_message(&cluster.at[0].evacuate("no name", true).await).contains("allowed"));
-        assert_eq!(cluster.at[1].evacuated().await, ["a2"]);
+        assert_eq!(cluster.nodes[0].evacuated_zones().await, ["a2"]);
+        assert!(
+            invalid_message(&cluster.nodes[0].evacuate("nowhere", true).await).contains("known to no node")
+        );
+        assert!(invalid_message(&cluster.nodes[0].evacuate("no name", true).await).contains("allowed"));
+        assert_eq!(cluster.nodes[1].evacuated_zones().await, ["a2"]);
     });
 }
--- a/crates/data-plane/tests/serving/usage_world.rs
+++ b/crates/data-plane/tests/serving/usage_world.rs
@@ -2,8 +2,8 @@
 //! leases as their leader does, and one for the platform that judges what it is told.
 
 use crate::{
-    kit::{bounds, names, zones},
-    stage::{Unread, Wire},
+    router_fixture::{TestProtocol, UnreadableDocuments},
+    test_data::{bounds, header_names, zones},
     usage_platform::{PLATFORM, Platform},
 };
 use common::{
@@ -83,13 +83,13 @@
     Site {
         region: Region::new("north"),
         zones: zones(),
-        readiness: None,
-        directory: None,
-        list: PLATFORM.into(),
-        list_per_s: 100.0,
+        readiness_addr: None,
+        directory_addr: None,
+        list_addr: PLATFORM.into(),
+        list_calls_per_s: 100.0,
         list_lag_ms: 0,
         bounds: bounds(),
-        usage: Some(duty(n)),
+        usage_duty: Some(duty(n)),
     }
 }
 
@@ -251,7 +251,12 @@
     let info = NodeInfo::of(&set, Role::Router, incarnation);
     let member = LocalMember::new(set.clone(), info, clock.clone());
     let router = Router::new(set.clone(), member.clone(), clock);
-    let serving = Serving::new(router.clone(), Arc::new(Wire(names())), Arc::new(Unread), site(n));
+    let serving = Serving::new(
+        router.clone(),
+        Arc::new(TestProtocol(header_names())),
+        Arc::new(UnreadableDocuments),
+        site(n),
+    );
     spawn(keep_lease(n, member.clone(), simulation.clone(), core.clone()));
     spawn(keep_state(n, member, core));
     let listener = loop {
