--- a/crates/control-plane/src/membership/lease.rs
+++ b/crates/control-plane/src/membership/lease.rs
@@ -81,6 +81,7 @@
         due
     }
 
+    /// When this incarnation of the node last renewed its lease.
     fn last_renewal(&self, info: &NodeInfo) -> Option<Tick> {
         let renewal = self.last_renewals.get(&info.node)?;
         (renewal.incarnation == info.incarnation).then_some(renewal.at)
@@ -92,6 +93,7 @@
         old.rpc_addr == new.rpc_addr && self.last_renewal(old).is_none_or(silent)
     }
 
+    /// Whether the lease must have ended on the holder's clock as well.
     fn expired(&self, info: &NodeInfo, timing: &Timing, now: Tick) -> bool {
         let last = self.last_renewal(info).unwrap_or(self.elected_at).max(self.elected_at);
         now.since(last) > timing.lease_ms + timing.lease_margin_ms()
--- a/crates/control-plane/src/membership/state_follower.rs
+++ b/crates/control-plane/src/membership/state_follower.rs
@@ -16,6 +16,7 @@
 };
 
 impl LocalMember {
+    /// Follows the cluster state for as long as the node runs; pauses for a heartbeat when no voter answered.
     pub(super) async fn keep_following(self: Arc<Self>) {
         loop {
             if !self.fetch_update().await {
