--- a/crates/data-plane/tests/serving/placement.rs
+++ b/crates/data-plane/tests/serving/placement.rs
@@ -62,9 +62,9 @@
 fn tell(serving: &Serving, north: u32, west: u32) {
     let mut store = ReportStore::default();
     let now = serving.now();
-    assert!(store.take(replica_report("n1", 1, vec![replica_row(1, north)]), now));
-    assert!(store.take(replica_report("w1", 1, vec![replica_row(2, west)]), now));
-    serving.replica_view.store(Arc::new(store.fleet(&regions_of_zones(), 3_000, LIST_MAX_AGE_MS)));
+    assert!(store.accept(replica_report("n1", 1, vec![replica_row(1, north)]), now));
+    assert!(store.accept(replica_report("w1", 1, vec![replica_row(2, west)]), now));
+    serving.replica_view.store(Arc::new(store.build_view(&regions_of_zones(), 3_000, LIST_MAX_AGE_MS)));
 }
 
 /// The region to which each user's request would go first, at one router.
--- a/crates/data-plane/tests/serving/router_fixture.rs
+++ b/crates/data-plane/tests/serving/router_fixture.rs
@@ -421,8 +421,8 @@
         }
         {
             let mut reports = lock(&s.reports);
-            boards.into_iter().for_each(|b| assert!(reports.take(b, s.now())));
-            s.replica_view.store(Arc::new(reports.fleet(&zones(), 3_000, LIST_MAX_AGE_MS)));
+            boards.into_iter().for_each(|b| assert!(reports.accept(b, s.now())));
+            s.replica_view.store(Arc::new(reports.build_view(&zones(), 3_000, LIST_MAX_AGE_MS)));
         }
         let share = BudgetShare { capacity: 64.0, per_ms: 0.0 };
         s.retries.earn(&"chat".into(), cast.tries / 0.8, share, s.now());
@@ -540,7 +540,7 @@
     /// Begins to read the platform's list, and to probe what stands there.
     pub fn watch_replicas(&self) {
         let s = self.s.clone();
-        spawn_at(IpAddr::from(ROUTER), async move { s.watch_all() });
+        spawn_at(IpAddr::from(ROUTER), async move { s.spawn_report_tasks() });
     }
 
     /// The time of the world, and for how long from then this router takes a replica for cold.
@@ -572,7 +572,7 @@
     /// Whether a replica is taken for well.
     pub fn is_healthy(&self, id: &str) -> bool {
         let fleet = self.s.replica_view.load();
-        fleet.by_service.values().flatten().any(|c| c.id.as_str() == id && c.well)
+        fleet.by_service.values().flatten().any(|c| c.id.as_str() == id && c.healthy)
     }
 
     /// From now on these limits are in force; routes and services stay as they are.
@@ -595,7 +595,8 @@
     pub async fn assert_idle(&self) {
         sleep(Duration::from_secs(1)).await;
         let fleet = self.s.replica_view.load();
-        let open: i64 = fleet.by_service.values().flatten().map(|c| c.own.open.load(Ordering::Relaxed)).sum();
+        let open: i64 =
+            fleet.by_service.values().flatten().map(|c| c.local.open.load(Ordering::Relaxed)).sum();
         let forwarded_open: i64 = lock(&self.s.forwarded_open).values().sum();
         assert_eq!((open, forwarded_open, self.s.router.open_count.open()), (0, 0, 0), "all was given back");
     }
