--- a/crates/simulator/src/fault.rs
+++ b/crates/simulator/src/fault.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-/// A fault, or what an operator or the platform does to the fleet. The name on the command line is in [`NAMES`].
+/// A fault, or what an operator or the platform does to the fleet. `NAMES` has the name of each on the command line.
 ///
 /// The order matters: from `Evacuate` on, the kinds concern replicas, zones and documents; those before it concern
 /// machines, links and disks.
