--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -1,22 +1,22 @@
 //! Deterministic simulator (design 7.1): runs the daemons' own state machines under virtual time, with network
 //! and disk faults drawn from a seed. The same seed replays the same run exactly.
 
+pub mod capacity_grants;
 pub mod catch_up;
 pub mod client_calls;
 pub mod clients;
-pub mod data;
 mod data_event;
+pub mod data_world;
 pub mod disk;
 pub mod disk_refusals;
 pub mod event;
 pub mod faults;
 pub mod invariants;
-pub mod lending;
 pub mod nodes;
 pub mod operators;
+pub mod placement;
 pub mod routers;
 pub mod sweep;
-pub mod table;
 pub mod transport;
 pub mod world;
 
--- a/crates/simulator/src/sim/sweep.rs
+++ b/crates/simulator/src/sim/sweep.rs
@@ -1,6 +1,6 @@
 //! Runs many seeds, on all cores (design 7.1).
 
-use super::{Broken, Stats, Violation, data::Data, run_with_refusals, run_with_voters};
+use super::{Broken, Stats, Violation, data_world::DataWorld, run_with_refusals, run_with_voters};
 use eyre::{Result, bail};
 use std::sync::{
     Mutex,
@@ -109,17 +109,17 @@
 
 /// Runs placement and capacity grants over many seeds, and prints the totals.
 pub fn sweep_data(from: u64, seeds: u64) -> Result<()> {
-    let (mut settled, mut redeemed) = (0, 0);
+    let (mut resolved, mut redeemed) = (0, 0);
     for seed in from..from + seeds {
-        let mut world = Data::new(seed, None);
+        let mut world = DataWorld::new(seed, None);
         if let Err(violation) = world.run() {
             bail!("violation\n{violation}replay: simulator sim-data --from {} --seeds 1", violation.seed);
         }
-        settled += world.settled;
+        resolved += world.resolved;
         redeemed += world.redeemed;
     }
     println!(
-        "seeds {from} to {}: {settled} placements resolved, {redeemed} grants redeemed",
+        "seeds {from} to {}: {resolved} placements resolved, {redeemed} grants redeemed",
         from + seeds - 1
     );
     Ok(())
--- a/crates/simulator/tests/sim.rs
+++ b/crates/simulator/tests/sim.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use simulator::sim::{
     BROKEN, Broken,
-    data::{BrokenData, Data},
+    data_world::{BrokenData, DataWorld},
     run, run_with_clients, run_with_refusals, run_with_voters,
 };
 
@@ -109,24 +109,24 @@
 
 #[test]
 fn placement_and_capacity_grants_hold_all_invariants() {
-    let (mut settled, mut redeemed) = (0, 0);
+    let (mut resolved, mut redeemed) = (0, 0);
     for seed in 1..=60 {
-        let mut d = Data::new(seed, None);
-        if let Err(v) = d.run() {
+        let mut world = DataWorld::new(seed, None);
+        if let Err(v) = world.run() {
             panic!("{v}");
         }
-        settled += d.settled;
-        redeemed += d.redeemed;
+        resolved += world.resolved;
+        redeemed += world.redeemed;
     }
-    assert!(settled > 100_000 && redeemed > 1_000, "{settled} {redeemed}");
+    assert!(resolved > 100_000 && redeemed > 1_000, "{resolved} {redeemed}");
 }
 
 #[rstest]
-#[case(BrokenData::LastWriter, &["without a cause"])]
-#[case(BrokenData::NoFence, &["another", "at its follower", "within the life of one", "after the region was unwell"])]
-#[case(BrokenData::LendsCold, &["after the region was unwell", "a pass of an unwell region", "within the life of one"])]
+#[case(BrokenData::LastWriterWins, &["without a cause"])]
+#[case(BrokenData::NoFencing, &["another", "at its follower", "within the lifetime of one", "after the region was unhealthy"])]
+#[case(BrokenData::GrantsBeforeHealthy, &["after the region was unhealthy", "a grant of an unhealthy region", "within the lifetime of one"])]
 fn broken_data_planes_are_caught(#[case] variant: BrokenData, #[case] expected: &[&str]) {
-    let found = (1..200).find_map(|seed| Data::new(seed, Some(variant)).run().err());
+    let found = (1..200).find_map(|seed| DataWorld::new(seed, Some(variant)).run().err());
     let what = found.map(|v| v.what).unwrap_or_default();
     assert!(expected.iter().any(|text| what.contains(text)), "{variant:?}: {what:?}");
 }
