--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -1,11 +1,11 @@
-//! The three voters, their lines, the changes, and the invariants looked at on the way.
+//! The simulated cluster: three voters, their links and the changes, with the invariants checked after each event.
 
 use super::{
     Absence, BrokenCatchUp, Case, Measured,
-    line::{Line, LineSpeed},
+    link::{Link, LinkSpeed},
     member::{Member, VOTERS, address},
     timing,
-    traffic::documents,
+    traffic::generate_documents,
 };
 use common::{Index, Tick};
 use control_plane::{
@@ -16,86 +16,105 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The clock of all voters at the start of a run.
-const CLOCK: u64 = 1_000_000;
+/// The clocks of all voters at the start of a run.
+const CLOCK_START_MS: u64 = 1_000_000;
 
+/// An event in the queue. Members are named by their index.
 pub(super) enum ClusterEvent {
-    Wakeup(usize),
+    /// Periodic timer of a voter.
+    Timer(usize),
+    /// A message arrives.
     Message { from: usize, to: usize, msg: Box<Message> },
+    /// The oldest pending write of a voter's disk completes.
     Synced { voter: usize, starts: u64 },
 }
 
-/// The run of one case.
+/// State of one run.
 pub struct Cluster {
-    pub t: u64,
+    /// Virtual time in milliseconds.
+    pub time_ms: u64,
+    /// What was measured so far.
     pub measured: Measured,
     pub(super) members: Vec<Member>,
-    pub(super) lines: BTreeMap<(usize, usize), Line>,
-    pub(super) speed: LineSpeed,
+    /// Links by sender and receiver.
+    pub(super) links: BTreeMap<(usize, usize), Link>,
+    /// Delay and bandwidth of all links.
+    pub(super) link_speed: LinkSpeed,
     pub(super) rng: SmallRng,
+    /// Due time and id of each queued event.
     pub(super) queue: BTreeSet<(u64, u64)>,
     pub(super) events: BTreeMap<u64, ClusterEvent>,
-    pub(super) serial: u64,
+    pub(super) last_id: u64,
     pub(super) broken: Option<BrokenCatchUp>,
+    /// Documents that the changes go through.
     pub(super) documents: Vec<Document>,
+    /// Changes accepted while the member is away.
     pub(super) changes: u64,
+    /// Number of changes proposed so far.
     pub(super) proposed: u64,
-    pub(super) propose_until: u64,
-    /// The change that waits for its acceptance.
-    pub(super) waiting: Option<Index>,
-    /// Places of accepted changes, by any voter.
-    pub(super) accepted: BTreeSet<Index>,
-    pub(super) highest: Index,
+    /// Number of accepted changes at which proposals end.
+    pub(super) proposal_target: u64,
+    /// Log index of the change that is proposed and not yet accepted.
+    pub(super) pending_change: Option<Index>,
+    /// Log indexes of accepted changes.
+    pub(super) accepted_indexes: BTreeSet<Index>,
+    /// The highest committed log index.
+    pub(super) highest_committed: Index,
     /// The member whose return is measured.
-    pub(super) watched: Option<usize>,
+    pub(super) measured_member: Option<usize>,
 }
 
 impl Cluster {
+    /// Starts a cluster in which all members hold the same empty state.
     pub fn new(case: &Case, broken: Option<BrokenCatchUp>) -> Self {
         let mut rng = SmallRng::seed_from_u64(case.seed);
-        let unbounded = broken == Some(BrokenCatchUp::NeverTrimmed);
-        let room = if unbounded { SizeLimits { log: usize::MAX / 64 } } else { SizeLimits::default() };
-        let documents = documents(case.documents, &mut rng);
+        let unlimited = broken == Some(BrokenCatchUp::NeverTrimmed);
+        let size_limits = if unlimited { SizeLimits { log: usize::MAX / 64 } } else { SizeLimits::default() };
+        let documents = generate_documents(case.documents, &mut rng);
         let mut cluster = Self {
-            t: 0,
+            time_ms: 0,
             measured: Measured::default(),
-            members: (0..VOTERS).map(|n| Member::bootstrapped(n, room)).collect(),
-            lines: BTreeMap::new(),
-            speed: LineSpeed { delay_ms: case.delay_ms, mbit_s: case.mbit_s },
+            members: (0..VOTERS).map(|n| Member::bootstrapped(n, size_limits)).collect(),
+            links: BTreeMap::new(),
+            link_speed: LinkSpeed { delay_ms: case.delay_ms, mbit_s: case.mbit_s },
             rng,
             queue: BTreeSet::new(),
             events: BTreeMap::new(),
-            serial: 0,
+            last_id: 0,
             broken,
             documents,
             changes: case.changes,
             proposed: 0,
-            propose_until: 0,
-            waiting: None,
-            accepted: BTreeSet::new(),
-            highest: Index(0),
-            watched: None,
+            proposal_target: 0,
+            pending_change: None,
+            accepted_indexes: BTreeSet::new(),
+            highest_committed: Index(0),
+            measured_member: None,
         };
         for n in 0..VOTERS {
-            cluster.members[n].start(Tick(CLOCK));
+            cluster.members[n].start(Tick(CLOCK_START_MS));
             let first = cluster.rng.random_range(0..timing().heartbeat_ms());
-            cluster.push(first, ClusterEvent::Wakeup(n));
+            cluster.push_at(first, ClusterEvent::Timer(n));
         }
         cluster
     }
 
+    /// The current reading of all voters' clocks.
     pub fn now(&self) -> Tick {
-        Tick(CLOCK + self.t)
+        Tick(CLOCK_START_MS + self.time_ms)
     }
 
-    pub fn accepted(&self) -> Index {
-        self.highest
+    /// The highest committed log index.
+    pub fn highest_committed(&self) -> Index {
+        self.highest_committed
     }
 
+    /// Number of accepted changes.
     pub fn accepted_changes(&self) -> u64 {
-        self.accepted.len() as u64
+        self.accepted_indexes.len() as u64
     }
 
+    /// The leader that can serve reads, if any.
     pub fn leader(&self) -> Option<&Voter> {
         let now = self.now();
         self.members
@@ -105,76 +124,79 @@
             .find(|s| s.can_serve_reads(now))
     }
 
-    pub fn shown(&self, n: usize) -> String {
-        let shown = |s: &Voter| {
-            let last = s.last_index();
+    /// Describes a member's state, for error messages.
+    pub fn describe(&self, member: usize) -> String {
+        let shown = |voter: &Voter| {
+            let last = voter.last_index();
             format!(
-                "formed {} promised {} accepted {} last {last} {:?}",
-                s.initialized,
-                s.current_term,
-                s.commit_index(),
-                s.role
+                "initialized {} term {} committed {} last {last} {:?}",
+                voter.initialized,
+                voter.current_term,
+                voter.commit_index(),
+                voter.role
             )
         };
-        self.members[n].voter.as_ref().map_or("stopped".into(), shown)
+        self.members[member].voter.as_ref().map_or("stopped".into(), shown)
     }
 
-    /// Changes are proposed one after the other until so many are.
+    /// Proposes changes, one after the other, until that many are accepted.
     pub fn propose_until(&mut self, changes: u64) {
-        self.propose_until = changes;
+        self.proposal_target = changes;
     }
 
-    pub fn take_away(&mut self, n: usize, absence: Absence) {
+    /// Makes the member go away.
+    pub fn take_away(&mut self, member: usize, absence: Absence) {
         match absence {
-            Absence::Lag => self.members[n].cut = true,
-            Absence::Restart | Absence::Wipe => self.members[n].stop(),
+            Absence::Lag => self.members[member].cut = true,
+            Absence::Restart | Absence::Wipe => self.members[member].stop(),
         }
     }
 
-    /// The member is back; from here on its bytes are counted.
-    pub fn bring_back(&mut self, n: usize, absence: Absence) {
+    /// Makes the member return. From then on, the bytes sent to it are counted.
+    pub fn bring_back(&mut self, member: usize, absence: Absence) {
         let now = self.now();
-        let member = &mut self.members[n];
-        member.cut = false;
+        let returning = &mut self.members[member];
+        returning.cut = false;
         if absence == Absence::Wipe {
-            member.wipe(n);
+            returning.wipe(member);
         }
         if absence != Absence::Lag {
-            member.start(now);
+            returning.start(now);
         }
-        self.watched = Some(n);
-        self.measured.needed = self.leader().map_or(0, |l| l.cluster_state.weight());
+        self.measured_member = Some(member);
+        self.measured.needed_bytes = self.leader().map_or(0, |leader| leader.cluster_state.weight());
     }
 
-    /// Runs to a moment, or until what is waited for has come.
-    pub fn run_until(&mut self, until: u64, done: impl Fn(&Self) -> bool) -> Result<(), String> {
+    /// Runs until the given time, or until `done` holds.
+    pub fn run_until(&mut self, until_ms: u64, done: impl Fn(&Self) -> bool) -> Result<(), String> {
         while !done(self) {
-            let Some((t, id)) = self.queue.first().copied().filter(|e| e.0 <= until) else { break };
-            self.queue.remove(&(t, id));
-            self.t = t;
+            let Some((due_ms, id)) = self.queue.first().copied().filter(|e| e.0 <= until_ms) else { break };
+            self.queue.remove(&(due_ms, id));
+            self.time_ms = due_ms;
             if let Some(event) = self.events.remove(&id) {
-                self.one(event)?;
+                self.handle(event)?;
                 self.propose()?;
-                self.check().map_err(|e| format!("at {t} ms: {e}"))?;
+                self.check().map_err(|e| format!("at {due_ms} ms: {e}"))?;
             }
         }
         Ok(())
     }
 
-    pub(super) fn push(&mut self, at: u64, event: ClusterEvent) {
-        self.serial += 1;
-        self.queue.insert((at, self.serial));
-        self.events.insert(self.serial, event);
+    /// Schedules an event at the given time.
+    pub(super) fn push_at(&mut self, time_ms: u64, event: ClusterEvent) {
+        self.last_id += 1;
+        self.queue.insert((time_ms, self.last_id));
+        self.events.insert(self.last_id, event);
     }
 
-    fn one(&mut self, event: ClusterEvent) -> Result<(), String> {
+    fn handle(&mut self, event: ClusterEvent) -> Result<(), String> {
         match event {
-            ClusterEvent::Wakeup(n) => {
-                self.push(self.t + timing().heartbeat_ms() / 2, ClusterEvent::Wakeup(n));
+            ClusterEvent::Timer(voter) => {
+                self.push_at(self.time_ms + timing().heartbeat_ms() / 2, ClusterEvent::Timer(voter));
                 if self.broken == Some(BrokenCatchUp::FedAnew) {
-                    self.forget_feeds(n);
+                    self.forget_in_flight(voter);
                 }
-                self.step(n, Event::Timer)
+                self.step(voter, Event::Timer)
             }
             ClusterEvent::Message { from, to, msg } if !self.members[from].cut && !self.members[to].cut => {
                 self.step(to, Event::Msg(address(from), *msg))
@@ -190,36 +212,37 @@
         }
     }
 
-    pub(super) fn step(&mut self, n: usize, event: Event) -> Result<(), String> {
+    /// Passes an event to a member's voter and carries out the effects.
+    pub(super) fn step(&mut self, member: usize, event: Event) -> Result<(), String> {
         let now = self.now();
-        let Some(voter) = self.members[n].voter.as_mut() else { return Ok(()) };
+        let Some(voter) = self.members[member].voter.as_mut() else { return Ok(()) };
         let effects = voter.step(event, now);
-        effects.into_iter().try_for_each(|f| self.effect(n, f))
+        effects.into_iter().try_for_each(|effect| self.effect(member, effect))
     }
 
-    fn effect(&mut self, n: usize, effect: Effect) -> Result<(), String> {
+    fn effect(&mut self, voter: usize, effect: Effect) -> Result<(), String> {
         match effect {
-            Effect::Send { to, msg } => self.send(n, usize::from(to.port() - 7000), msg),
+            Effect::Send { to, msg } => self.send(voter, usize::from(to.port() - 7000), msg),
             Effect::Persist { token, record } => {
-                let at = self.members[n].write(token, record, self.t)?;
-                let starts = self.members[n].starts;
-                self.push(at, ClusterEvent::Synced { voter: n, starts });
+                let synced_at_ms = self.members[voter].write(token, record, self.time_ms)?;
+                let starts = self.members[voter].starts;
+                self.push_at(synced_at_ms, ClusterEvent::Synced { voter, starts });
                 Ok(())
             }
             Effect::Committed { entry, .. } => {
-                if self.watched.is_some() && entry.index > self.highest {
-                    self.measured.needed += entry.max_encoded_len();
+                if self.measured_member.is_some() && entry.index > self.highest_committed {
+                    self.measured.needed_bytes += entry.max_encoded_len();
                 }
-                self.highest = self.highest.max(entry.index);
+                self.highest_committed = self.highest_committed.max(entry.index);
                 if let Change::Apply { .. } = entry.change {
-                    self.accepted.insert(entry.index);
+                    self.accepted_indexes.insert(entry.index);
                 }
-                if self.waiting.is_some_and(|w| w <= entry.index) {
-                    self.waiting = None;
+                if self.pending_change.is_some_and(|w| w <= entry.index) {
+                    self.pending_change = None;
                 }
                 Ok(())
             }
-            Effect::Refused { from, why } => Err(format!("s{n} refuses a message of {from}: {why}")),
+            Effect::Refused { from, why } => Err(format!("s{voter} refuses a message from {from}: {why}")),
             _ => Ok(()),
         }
     }
--- a/crates/simulator/src/sim/catch_up/member.rs
+++ b/crates/simulator/src/sim/catch_up/member.rs
@@ -1,4 +1,4 @@
-//! One voter with its disk: what a start finds is what was synced, and nothing else.
+//! A voter with its disk. A start finds exactly what was synced.
 
 use super::timing;
 use common::{Incarnation, Index, Tick};
@@ -10,17 +10,22 @@
 };
 use std::{collections::VecDeque, net::SocketAddr};
 
+/// Number of voters.
 pub const VOTERS: usize = 3;
+/// Name of the cluster.
 pub const CLUSTER: &str = "c";
-/// Time of one sync, and bytes written in a millisecond.
+/// Time of a sync, besides that of the write.
 const SYNC_MS: u64 = 2;
-const DISK_BYTES_A_MS: usize = 50_000;
+/// Bytes that a disk writes in a millisecond.
+const DISK_BYTES_PER_MS: usize = 50_000;
 
+/// Address of a member.
 pub fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7000 + n as u16))
 }
 
-pub fn holder(n: usize, incarnation: u64) -> VoterInfo {
+/// Identity of a member.
+pub fn voter_info(n: usize, incarnation: u64) -> VoterInfo {
     VoterInfo {
         number: n as u8,
         incarnation: Incarnation(incarnation),
@@ -31,113 +36,122 @@
     }
 }
 
+/// A member of the cluster.
 pub struct Member {
+    /// The running process, if any.
     pub voter: Option<Voter>,
-    /// What a start would find.
-    pub kept: DurableState,
-    /// Written and not yet synced.
+    /// What a start finds on the disk.
+    pub durable: DurableState,
+    /// Writes not yet synced, oldest first, with their tokens.
     pub pending: VecDeque<(u64, Record)>,
-    /// Until when the disk writes.
-    writes_until: u64,
-    /// Bytes in the short log.
+    /// Virtual time at which the disk has completed all writes.
+    busy_until_ms: u64,
+    /// Bytes written to the log file since the last snapshot.
     log_bytes: usize,
-    /// Rises with each start: syncs of an earlier life are dropped.
+    /// Number of starts so far; a sync of an earlier process is dropped.
     pub starts: u64,
-    /// Its lines are cut.
+    /// Whether its links are cut.
     pub cut: bool,
-    pub room: SizeLimits,
+    /// Size limits of its voter.
+    pub size_limits: SizeLimits,
 }
 
 impl Member {
-    /// A member of a cluster that was founded and holds nothing yet.
-    pub fn bootstrapped(n: usize, room: SizeLimits) -> Self {
-        let voters = (0..VOTERS).map(|n| holder(n, 10 + n as u64)).collect();
+    /// A member of a bootstrapped cluster whose log is empty.
+    pub fn bootstrapped(n: usize, size_limits: SizeLimits) -> Self {
+        let voters = (0..VOTERS).map(|n| voter_info(n, 10 + n as u64)).collect();
         let cluster_state = ClusterState::bootstrapped(CLUSTER, voters);
-        let kept = DurableState {
+        let durable = DurableState {
             initialized: true,
             cluster_state,
-            ..DurableState::blank(&holder(n, 10 + n as u64))
+            ..DurableState::blank(&voter_info(n, 10 + n as u64))
         };
         let mut member = Self {
             voter: None,
-            kept,
+            durable,
             pending: VecDeque::new(),
-            writes_until: 0,
+            busy_until_ms: 0,
             log_bytes: 0,
             starts: 0,
             cut: false,
-            room,
+            size_limits,
         };
         member.start(Tick(0));
         member
     }
 
+    /// Starts a process from the durable state.
     pub fn start(&mut self, now: Tick) {
-        let image = self.kept.clone();
+        let state = self.durable.clone();
         let seeds = (0..VOTERS).map(address).collect();
-        let mut voter = Voter::new(image.me.clone(), CLUSTER, seeds, timing(), Some(image), now);
-        voter.size_limits = self.room;
+        let mut voter = Voter::new(state.me.clone(), CLUSTER, seeds, timing(), Some(state), now);
+        voter.size_limits = self.size_limits;
         self.voter = Some(voter);
         self.starts += 1;
         self.log_bytes = 0;
     }
 
+    /// Ends the process; writes not yet synced are lost.
     pub fn stop(&mut self) {
         self.voter = None;
         self.pending.clear();
     }
 
-    /// Its disk is blank from here on: it starts as another holder.
+    /// Replaces the disk by a blank one, so that the member starts with a new identity.
     pub fn wipe(&mut self, n: usize) {
-        let blank = VoterInfo { number: u8::MAX, ..holder(n, 100 + self.starts) };
-        self.kept = DurableState::blank(&blank);
+        let blank = VoterInfo { number: u8::MAX, ..voter_info(n, 100 + self.starts) };
+        self.durable = DurableState::blank(&blank);
     }
 
-    /// Takes a record, and says when it will be synced; an error where it does not fit (design 2.8).
+    /// Accepts a record, and returns when it will be synced. Fails if it does not fit into its file (design 2.8).
     pub fn write(&mut self, token: u64, record: Record, now: u64) -> Result<u64, String> {
-        let bytes = match &record {
+        let length = match &record {
             Record::DurableState(image) => {
                 self.log_bytes = 0;
                 let entries: usize = image.entries.iter().map(LogEntry::max_encoded_len).sum();
-                let bytes = image.cluster_state.weight() + entries;
-                fits("a slot", bytes, SizeLimits::default().slot())?;
-                bytes + SHORT_LOG_BYTES as usize
+                let length = image.cluster_state.weight() + entries;
+                check_fits("a snapshot", length, SizeLimits::default().slot())?;
+                length + SHORT_LOG_BYTES as usize
             }
             record => {
                 self.log_bytes += record.max_encoded_len();
-                fits("the short log", self.log_bytes, SHORT_LOG_BYTES as usize)?;
+                check_fits("the log", self.log_bytes, SHORT_LOG_BYTES as usize)?;
                 record.max_encoded_len()
             }
         };
         self.pending.push_back((token, record));
-        self.writes_until = self.writes_until.max(now) + SYNC_MS + (bytes / DISK_BYTES_A_MS) as u64;
-        Ok(self.writes_until)
+        self.busy_until_ms = self.busy_until_ms.max(now) + SYNC_MS + (length / DISK_BYTES_PER_MS) as u64;
+        Ok(self.busy_until_ms)
     }
 
-    /// The oldest write is synced; its token.
+    /// Syncs the oldest pending write, and returns its token.
     pub fn sync(&mut self) -> Option<u64> {
         let (token, record) = self.pending.pop_front()?;
-        self.kept.replay(record);
+        self.durable.replay(record);
         Some(token)
     }
 
-    /// Up to where its disk holds the log.
-    pub fn durable(&self) -> Index {
-        self.kept.entries.last().map_or(self.kept.cluster_state.index, |e| e.index)
+    /// The last log entry that its disk holds.
+    pub fn durable_index(&self) -> Index {
+        self.durable.entries.last().map_or(self.durable.cluster_state.index, |e| e.index)
     }
 
-    /// Bytes of the log that it keeps in memory.
+    /// Bytes of log entries that it keeps in memory.
     pub fn log_weight(&self) -> usize {
         self.voter.as_ref().map_or(0, |s| s.log.iter().map(LogEntry::max_encoded_len).sum())
     }
 }
 
-fn fits(what: &str, bytes: usize, most: usize) -> Result<(), String> {
-    if bytes <= most { Ok(()) } else { Err(format!("{what} of {bytes} bytes does not fit into {most}")) }
+fn check_fits(what: &str, bytes: usize, max_bytes: usize) -> Result<(), String> {
+    if bytes <= max_bytes {
+        Ok(())
+    } else {
+        Err(format!("{what} of {bytes} bytes does not fit into {max_bytes}"))
+    }
 }
 
-/// What a leader counts each other voter for: those that hold its term, and up to where.
-pub fn counted(leader: &Voter) -> Vec<(u8, Index)> {
+/// The last entry that each other voter has acknowledged, for voters that have installed the leader's log.
+pub fn acknowledged(leader: &Voter) -> Vec<(u8, Index)> {
     let VoterRole::Leader { peers, .. } = &leader.role else { return Vec::new() };
     peers.iter().filter(|(_, p)| p.installed).map(|(voter, p)| (*voter, p.last)).collect()
 }
--- a/crates/simulator/src/sim/catch_up/table.rs
+++ b/crates/simulator/src/sim/catch_up/report.rs
@@ -1,22 +1,24 @@
-//! The measurement as a table (docs/control/catch-up.md).
+//! Prints the measurements as a table (see docs/control/catch-up.md).
 
-use super::{Absence, BrokenCatchUp, CATCH_UP_MS, Case, Documents, Measured, measure};
+use super::{Absence, BrokenCatchUp, CATCH_UP_LIMIT_MS, Case, Documents, Measured, measure};
 use bpaf::Bpaf;
 use eyre::{Result, bail, eyre};
 
+/// One-way delays of the links.
 const DELAYS_MS: [u64; 3] = [1, 35, 150];
+/// Numbers of changes that the member misses.
 const CHANGES: [u64; 3] = [50, 500, 5_000];
 
-/// What to measure.
+/// Which cases to measure.
 #[derive(Clone, Debug, Bpaf)]
 pub struct CatchUpPlan {
-    /// Seeds of each row; the worst of them is told
+    /// Seeds of each row, of which the worst figures are printed
     #[bpaf(argument("N"), fallback(3))]
     pub seeds: u64,
-    /// Rate of each line, in Mbit/s
+    /// Bandwidth of each link, in Mbit/s
     #[bpaf(argument("N"), fallback(1_000))]
     pub mbit: u64,
-    /// Only this many changes
+    /// Measures only the rows with this many changes
     #[bpaf(argument("N"))]
     pub changes: Option<u64>,
     /// Runs a deliberately broken variant, which a check must catch
@@ -24,19 +26,19 @@
     pub broken: Option<BrokenCatchUp>,
 }
 
-/// Prints one row for each case, and fails where one breaks an invariant.
+/// Prints a row for each case. Fails if a run breaks an invariant.
 pub fn print_table(plan: &CatchUpPlan) -> Result<()> {
     println!(
         "| return | changes | documents | delay ms | going on | ms | level ms | KiB sent | KiB needed | snapshots | longest KiB | log kept KiB |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|");
-    let mut over = 0;
+    let mut over_limit = 0;
     for case in cases(plan) {
         let worst = worst(&case, plan)?;
-        over += u64::from(worst.ms > CATCH_UP_MS);
+        over_limit += u64::from(worst.catch_up_ms > CATCH_UP_LIMIT_MS);
         println!("{}", row(&case, &worst));
     }
-    println!("rows over {CATCH_UP_MS} ms: {over}");
+    println!("rows over {CATCH_UP_LIMIT_MS} ms: {over_limit}");
     Ok(())
 }
 
@@ -48,7 +50,7 @@
         .collect();
     for handle in handles {
         match handle.join().map_err(|_| eyre!("a run panicked"))? {
-            Ok(one) => worst = worst.worst(one),
+            Ok(measured) => worst = worst.worst(measured),
             Err((case, e)) => bail!("{case:?}: {e}"),
         }
     }
@@ -72,7 +74,7 @@
     cases
 }
 
-fn row(case: &Case, m: &Measured) -> String {
+fn row(case: &Case, measured: &Measured) -> String {
     let kib = |bytes: usize| bytes.div_ceil(1024);
     format!(
         "| {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
@@ -81,12 +83,12 @@
         case.documents,
         case.delay_ms,
         if case.ongoing { "yes" } else { "no" },
-        m.ms,
-        m.level_ms,
-        kib(m.bytes),
-        kib(m.needed),
-        m.snapshots,
-        kib(m.longest),
-        kib(m.kept),
+        measured.catch_up_ms,
+        measured.level_ms,
+        kib(measured.sent_bytes),
+        kib(measured.needed_bytes),
+        measured.snapshots,
+        kib(measured.longest_message_bytes),
+        kib(measured.log_bytes),
     )
 }
