--- a/crates/simulator/src/sim/capacity_grants.rs
+++ b/crates/simulator/src/sim/capacity_grants.rs
@@ -1,9 +1,10 @@
 //! Capacity grants in the simulated data plane (design 5.5), and the check of the placement tables at the end of a
 //! run.
 
-use super::data_world::{
-    BrokenData, DataEvent, DataWorld, FREE_CAPACITY, GRANT_LIFETIME_MS, MIN_HEALTHY_MS, ROUTERS, region,
-    router_index, service,
+use super::{
+    data_event::DataEvent,
+    data_node::{ROUTERS, region, router_index, service},
+    data_world::{BrokenData, DataWorld, FREE_CAPACITY, GRANT_LIFETIME_MS, MIN_HEALTHY_MS},
 };
 use common::{FencingToken, NodeId, Tick};
 use control_plane::state_machine::singleton;
--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -24,9 +24,21 @@
     /// Periodic timer of a voter.
     Timer(usize),
     /// A message arrives.
-    Message { from: usize, to: usize, msg: Box<Message> },
+    Message {
+        /// The sender.
+        from: usize,
+        /// The receiver.
+        to: usize,
+        /// The message.
+        msg: Box<Message>,
+    },
     /// The oldest pending write of a voter's disk completes.
-    Synced { voter: usize, starts: u64 },
+    Synced {
+        /// The voter.
+        voter: usize,
+        /// Its number of starts when it wrote.
+        starts: u64,
+    },
 }
 
 /// State of one run.
--- a/crates/simulator/src/sim/catch_up/mod.rs
+++ b/crates/simulator/src/sim/catch_up/mod.rs
@@ -103,8 +103,8 @@
 }
 
 impl Measured {
-    /// The worst of both, figure by figure. `needed_bytes` is taken from the one with the higher ratio of sent to needed
-    /// bytes.
+    /// The worst of both, figure by figure. `needed_bytes` is taken from the one with the higher ratio of sent to
+    /// needed bytes.
     pub fn worst(self, other: Self) -> Self {
         let higher_ratio =
             self.sent_bytes * other.needed_bytes.max(1) >= other.sent_bytes * self.needed_bytes.max(1);
--- a/crates/simulator/src/sim/data_world.rs
+++ b/crates/simulator/src/sim/data_world.rs
@@ -1,9 +1,13 @@
 //! Placement and capacity grants under virtual time (design 5.3, 5.5, 7.1): the routers' own placement tables, grant
 //! issuers and held grants, with delayed state updates, lost answers and shards that change their owner.
 
-use super::Violation;
-use common::{NodeId, Region, Service, Tick};
-use control_plane::{Change, ClusterState, Role, types::NodeInfo};
+use super::{
+    Violation,
+    data_event::DataEvent,
+    data_node::{Node, ROUTERS, node_info, region, service},
+};
+use common::{Region, Tick};
+use control_plane::{Change, ClusterState};
 use data_plane::{
     capacity_grant::{GrantIssuer, HeldGrants},
     placement_table::{PlacementTable, UserKey},
@@ -11,8 +15,6 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, HashMap};
 
-/// Routers; the second half is in the region that grants capacity.
-pub(super) const ROUTERS: usize = 6;
 /// Virtual time at which a run ends.
 const END_MS: u64 = 60_000;
 /// Virtual time after which nothing fails or restarts any more.
@@ -37,23 +39,6 @@
     GrantsBeforeHealthy,
 }
 
-/// A simulated router.
-pub(super) struct Node {
-    info: NodeInfo,
-    /// The newest state that the router has.
-    pub cluster_state: ClusterState,
-    /// Its placement table.
-    pub table: PlacementTable,
-    /// Issues grants while the router is the grant issuer of its region.
-    pub issuer: GrantIssuer,
-    /// Grants that it holds.
-    pub grants: HeldGrants,
-    /// Whether it owns each shard, by its own state.
-    pub owned_shards: BTreeMap<u16, bool>,
-}
-
-pub(super) use super::data_event::DataEvent;
-
 /// State of one run.
 pub struct DataWorld {
     seed: u64,
@@ -87,35 +72,6 @@
     trace: Vec<String>,
 }
 
-/// The service that all grants and placements are for.
-pub(super) fn service() -> Service {
-    Service::new("m")
-}
-
-/// The region of a router. Only `quiet`, the region of routers 3 to 5, grants capacity.
-pub(super) fn region(n: usize) -> Region {
-    Region::new(if n < ROUTERS / 2 { "busy" } else { "quiet" })
-}
-
-fn node_info(n: usize, incarnation: u64) -> NodeInfo {
-    let addr = ([127, 0, 0, 1], 7000 + n as u16).into();
-    let (node, zone) = (format!("p{n}").as_str().into(), region(n).as_str().into());
-    NodeInfo {
-        node,
-        incarnation: common::Incarnation(incarnation),
-        role: Role::Router,
-        lang: 1,
-        zone,
-        rpc_addr: addr,
-        http: addr,
-    }
-}
-
-/// The number of a router, from its name.
-pub(super) fn router_index(node: &NodeId) -> usize {
-    node.as_str()[1..].parse().unwrap_or(0)
-}
-
 impl DataWorld {
     /// Creates a world with all routers joined.
     pub fn new(seed: u64, broken: Option<BrokenData>) -> Self {
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether one more machine may be lost: each voter of the newest committed set runs with a complete state on a
-    /// working disk, and none of them knows of another voter set.
+    /// working disk, and knows of no voter outside that set.
     pub fn can_lose_a_voter(&self) -> bool {
         let initialized =
             self.voters.iter().filter_map(|node| node.voter.as_ref()).find(|node| node.initialized);
@@ -168,6 +168,7 @@
         self.lose_one_disk(voter_id, duration_ms);
     }
 
+    /// Replaces a voter's disk by a blank one while its process is down.
     fn lose_one_disk(&mut self, voter_id: usize, duration_ms: u64) {
         self.trace_line(format!("s{voter_id} loses its disk"));
         self.voters[voter_id].disk_lost = true;
@@ -234,7 +235,7 @@
                     self.voters[voter_id].disk.condition = DiskCondition::Healthy;
                     self.start(voter_id);
                 }
-                self.routers.iter_mut().for_each(|router_id| router_id.frozen_until_ms = 0);
+                self.routers.iter_mut().for_each(|router| router.frozen_until_ms = 0);
                 self.faults_ended_at_ms = Some(self.time_ms);
             }
         }
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -6,6 +6,7 @@
 pub mod client_calls;
 pub mod clients;
 mod data_event;
+mod data_node;
 pub mod data_world;
 pub mod disk;
 pub mod disk_refusals;
@@ -73,8 +74,8 @@
 impl std::str::FromStr for Broken {
     type Err = String;
     fn from_str(s: &str) -> Result<Self, String> {
-        BROKEN.iter().find(|b| b.0 == s).map(|b| b.1).ok_or_else(|| {
-            let all: Vec<&str> = BROKEN.iter().map(|b| b.0).collect();
+        BROKEN.iter().find(|variant| variant.0 == s).map(|variant| variant.1).ok_or_else(|| {
+            let all: Vec<&str> = BROKEN.iter().map(|variant| variant.0).collect();
             format!("{s:?}; allowed: {}", all.join(", "))
         })
     }
@@ -83,6 +84,7 @@
 /// An invariant that did not hold, and the events that led to it.
 #[derive(Clone, Debug)]
 pub struct Violation {
+    /// Seed of the run.
     pub seed: u64,
     /// Virtual time of the violation.
     pub at_ms: u64,
@@ -139,27 +141,27 @@
 
 /// Runs one seed in which, besides the usual faults, disks refuse writes for a while, one after the other.
 pub fn run_with_refusals(seed: u64, broken: Option<Broken>, voters: usize) -> Result<Stats, Violation> {
-    let mut w = world::World::new(seed, broken, voters);
-    w.schedule_refusals();
-    w.run()?;
-    Ok(w.stats)
+    let mut world = world::World::new(seed, broken, voters);
+    world.schedule_refusals();
+    world.run()?;
+    Ok(world.stats)
 }
 
 /// Runs one seed with the given number of voters.
 pub fn run_with_voters(seed: u64, broken: Option<Broken>, voters: usize) -> Result<Stats, Violation> {
-    let mut w = world::World::new(seed, broken, voters);
-    w.run()?;
-    Ok(w.stats)
+    let mut world = world::World::new(seed, broken, voters);
+    world.run()?;
+    Ok(world.stats)
 }
 
 /// Runs one seed with clients that read and resend operations at any member.
 pub fn run_with_clients(seed: u64, broken: Option<Broken>, voters: usize) -> Result<Stats, Violation> {
-    let mut w = world::World::new(seed, broken, voters).with_clients();
-    w.run()?;
-    if let Some(clients) = &w.clients {
-        w.stats.reads = clients.reads;
-        w.stats.unavailable = clients.unavailable;
-        w.stats.reacknowledged = clients.reacknowledged;
+    let mut world = world::World::new(seed, broken, voters).with_clients();
+    world.run()?;
+    if let Some(clients) = &world.clients {
+        world.stats.reads = clients.reads;
+        world.stats.unavailable = clients.unavailable;
+        world.stats.reacknowledged = clients.reacknowledged;
     }
-    Ok(w.stats)
+    Ok(world.stats)
 }
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -48,7 +48,7 @@
     /// Whether the machine exists; the spare one does only once it replaces another.
     pub deployed: bool,
     /// Number of voters of the cluster.
-    core: usize,
+    voter_count: usize,
     /// Its disk was lost before, so this is no first start and it must not bootstrap the cluster.
     pub disk_lost: bool,
     /// Ignores the size limits, for a broken variant.
@@ -83,7 +83,7 @@
 /// Longest message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = SIZE_LIMITS.log * 4;
 
-/// Fails if the encoded value is longer than `most` bytes (design 2.8).
+/// Fails if the encoded value is longer than `max_bytes` (design 2.8).
 pub fn check_fits(what: &str, value: &impl serde::Serialize, max_bytes: usize) -> Result<(), String> {
     let len = common::wire::encode(value).map_err(|e| e.to_string())?.len() + 32;
     if len <= max_bytes {
@@ -100,7 +100,7 @@
 
 impl SimVoter {
     /// Creates a machine without a process, with a blank disk.
-    pub fn new(n: usize, core: usize, clock: SimClock) -> Self {
+    pub fn new(n: usize, voter_count: usize, clock: SimClock) -> Self {
         let me = VoterInfo {
             number: u8::MAX,
             incarnation: Incarnation(0),
@@ -117,8 +117,8 @@
             leases: Leases::default(),
             starts: 0,
             frozen_until_ms: 0,
-            deployed: n < core,
-            core,
+            deployed: n < voter_count,
+            voter_count,
             disk_lost: false,
             unlimited_size: false,
         }
@@ -139,11 +139,11 @@
         let seeds = (0..3).map(addr).collect();
         let me = VoterInfo { number: image.me.number, incarnation: image.me.incarnation, ..self.me.clone() };
         let mut voter = Voter::new(me, "sim", seeds, timing(), Some(image), self.clock.at(time_ms));
-        voter.expected_voters = self.core;
+        voter.expected_voters = self.voter_count;
         // Where there are more voters than seed nodes, only a voter of the first start may bootstrap the cluster
         // (design 2.5).
-        voter.may_bootstrap =
-            self.core == 3 || (self.deployed && !self.disk_lost && self.me.rpc_addr != addr(self.core));
+        voter.may_bootstrap = self.voter_count == 3
+            || (self.deployed && !self.disk_lost && self.me.rpc_addr != addr(self.voter_count));
         voter.size_limits =
             if self.unlimited_size { SizeLimits { log: usize::MAX / 64 } } else { SIZE_LIMITS };
         self.voter = Some(voter);
--- a/crates/simulator/src/sim/placement.rs
+++ b/crates/simulator/src/sim/placement.rs
@@ -1,7 +1,9 @@
 //! The placement table in the simulated data plane (design 5.3).
 
-use super::data_world::{
-    BrokenData, CHURN_END_MS, DataEvent, DataWorld, PLACEMENT_TTL_MS, ROUTERS, region, router_index, service,
+use super::{
+    data_event::DataEvent,
+    data_node::{ROUTERS, region, router_index, service},
+    data_world::{BrokenData, CHURN_END_MS, DataWorld, PLACEMENT_TTL_MS},
 };
 use common::{FencingToken, Region, Tick};
 use control_plane::state_machine::singleton;
--- a/crates/simulator/src/sim/routers.rs
+++ b/crates/simulator/src/sim/routers.rs
@@ -28,9 +28,9 @@
         entry: &LogEntry,
         outcome: &ApplyOutcome,
     ) -> Result<(), String> {
-        let first = self.history.record_commit(entry, outcome)?;
+        let is_first_commit = self.history.record_commit(entry, outcome)?;
         self.client_outcome(voter_id, entry, outcome)?;
-        if first {
+        if is_first_commit {
             self.stats.accepted += 1;
             if self.time_ms + PROPAGATION_LIMIT_MS <= END_MS {
                 self.required_revision = self.history.newest_document.0;
@@ -56,10 +56,10 @@
                 }
                 _ => {}
             }
-            if let Some(calm) =
+            if let Some(faults_ended_at_ms) =
                 self.faults_ended_at_ms.filter(|_| self.stats.recovery_ms == 0 && entry.change.op().is_some())
             {
-                self.stats.recovery_ms = (self.time_ms - calm).max(1);
+                self.stats.recovery_ms = (self.time_ms - faults_ended_at_ms).max(1);
             }
         }
         if let Some(proposal) = self.proposals.remove(&(voter_id, entry.index))
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -70,8 +70,8 @@
 }
 
 impl World {
-    /// Creates a world with `core` voters and one spare machine. The first three voters are seed nodes.
-    pub fn new(seed: u64, broken: Option<Broken>, core: usize) -> Self {
+    /// Creates a world with `voter_count` voters and one spare machine. The first three voters are seed nodes.
+    pub fn new(seed: u64, broken: Option<Broken>, voter_count: usize) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut clock = |n: usize| SimClock {
             offset: 1_000_000 + rng.random_range(0..1_000_000),
@@ -81,7 +81,7 @@
                 rng.random_range(0.99..1.01)
             },
         };
-        let voters = (0..=core).map(|n| SimVoter::new(n, core, clock(n))).collect();
+        let voters = (0..=voter_count).map(|n| SimVoter::new(n, voter_count, clock(n))).collect();
         let routers = (0..ROUTERS).map(|n| SimRouter::new(n, 100 + n as u64, clock(9))).collect();
         let mut world = World {
             seed,
@@ -104,11 +104,11 @@
             required_revision: Revision(0),
         };
         world.voters.iter_mut().for_each(|s| s.unlimited_size = broken == Some(Broken::Boundless));
-        for n in 0..core {
+        for n in 0..voter_count {
             let incarnation = world.next_id();
             world.voters[n].start(0, incarnation);
         }
-        (0..=core).for_each(|n| world.push(n as u64, SimEvent::VoterTimer(n)));
+        (0..=voter_count).for_each(|n| world.push(n as u64, SimEvent::VoterTimer(n)));
         (0..ROUTERS).for_each(|n| world.push(10 + n as u64, SimEvent::RouterTimer(n)));
         world.push(2_500, SimEvent::OperatorCall);
         world.push(4_000, SimEvent::InjectFault);
