--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -2,6 +2,7 @@
 
 use super::{
     Absence, BrokenCatchUp, Case, Measured,
+    event::ClusterEvent,
     link::{Link, LinkSpeed},
     member::{Member, VOTERS, address},
     timing,
@@ -10,7 +11,7 @@
 use common::{Index, Tick};
 use control_plane::{
     Change, Document,
-    consensus::{Effect, Event, Message, Voter},
+    consensus::{Effect, Event, Voter},
     types::SizeLimits,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -19,28 +20,6 @@
 /// The clocks of all voters at the start of a run.
 const CLOCK_START_MS: u64 = 1_000_000;
 
-/// An event in the queue. Members are named by their index.
-pub(super) enum ClusterEvent {
-    /// Periodic timer of a voter.
-    Timer(usize),
-    /// A message arrives.
-    Message {
-        /// The sender.
-        from: usize,
-        /// The receiver.
-        to: usize,
-        /// The message.
-        msg: Box<Message>,
-    },
-    /// The oldest pending write of a voter's disk completes.
-    Synced {
-        /// The voter.
-        voter: usize,
-        /// Its number of starts when it wrote.
-        starts: u64,
-    },
-}
-
 /// State of one run.
 pub struct Cluster {
     /// Virtual time in milliseconds.
--- a/crates/simulator/src/sim/catch_up/mod.rs
+++ b/crates/simulator/src/sim/catch_up/mod.rs
@@ -5,6 +5,7 @@
 //! and it returns: it restarts with its disk, restarts with a blank disk, or is connected again after a partition.
 
 mod cluster;
+mod event;
 mod invariants;
 mod link;
 mod member;
--- a/crates/simulator/src/sim/catch_up/traffic.rs
+++ b/crates/simulator/src/sim/catch_up/traffic.rs
@@ -2,7 +2,8 @@
 
 use super::{
     BrokenCatchUp, Documents,
-    cluster::{Cluster, ClusterEvent},
+    cluster::Cluster,
+    event::ClusterEvent,
     member::{Member, VOTERS},
 };
 use crate::sim::invariants::check_blank_voter_message;
