--- a/crates/data-plane/tests/serving/client_limits.rs
+++ b/crates/data-plane/tests/serving/client_limits.rs
@@ -13,8 +13,12 @@
     time::{Instant, sleep, timeout},
 };
 
-const LIMITS: RequestLimits =
-    RequestLimits { max_header_bytes: 1_000, max_body_bytes: 64, header_wait_ms: 3_000, idle_ms: 15_000 };
+const LIMITS: RequestLimits = RequestLimits {
+    max_header_bytes: 1_000,
+    max_body_bytes: 64,
+    header_timeout_ms: 3_000,
+    idle_timeout_ms: 15_000,
+};
 /// A client may measure a span shorter by this much, since the answer was in transit at its start.
 const TRANSIT_MS: u64 = 5;
 /// How much later than at its limit something may happen.
@@ -111,9 +115,9 @@
 #[rstest]
 #[case::first_request(false)]
 #[case::later_request(true)]
-fn slow_heads_are_limited(#[case] later: bool, #[values(500, 3_000, 40_000)] header_wait_ms: u64) {
+fn slow_heads_are_limited(#[case] later: bool, #[values(500, 3_000, 40_000)] header_timeout_ms: u64) {
     run_scenario(1, Setup::default(), vec![read()], &[], move |fixture| async move {
-        fixture.set_limits(RequestLimits { header_wait_ms, ..LIMITS });
+        fixture.set_limits(RequestLimits { header_timeout_ms, ..LIMITS });
         let open = || async {
             let mut stream = fixture.raw_connection().await;
             if later {
@@ -125,7 +129,7 @@
         let mut stream = open().await;
         let (first, rest) = ("POST /read/1 HTTP/1.1\r\nhost: exam", "ple.org\r\ncontent-length: 0\r\n\r\n");
         stream.write_all(first.as_bytes()).await.expect("sent");
-        sleep(Duration::from_millis(header_wait_ms * 9 / 10)).await;
+        sleep(Duration::from_millis(header_timeout_ms * 9 / 10)).await;
         stream.write_all(rest.as_bytes()).await.expect("sent");
         assert_eq!(read_answer(&mut stream).await.expect("an answer").0, 200);
 
@@ -139,26 +143,26 @@
         });
         let began = Instant::now();
         while matches!(reader.read(&mut [0u8; 512]).await, Ok(n) if n > 0) {}
-        assert_took(began.elapsed().as_millis() as u64, header_wait_ms);
+        assert_took(began.elapsed().as_millis() as u64, header_timeout_ms);
     });
 }
 
 /// An idle connection stays open for exactly `idle_ms`, and each answer announces that time.
 #[rstest]
-fn idle_connections_are_limited(#[values(2_000, 15_000, 60_000, 240_000)] idle_ms: u64) {
+fn idle_connections_are_limited(#[values(2_000, 15_000, 60_000, 240_000)] idle_timeout_ms: u64) {
     run_scenario(1, Setup::default(), vec![read()], &[], move |fixture| async move {
-        fixture.set_limits(RequestLimits { idle_ms, ..LIMITS });
+        fixture.set_limits(RequestLimits { idle_timeout_ms, ..LIMITS });
         let mut stream = fixture.raw_connection().await;
         for _ in 0..3 {
             let (code, head) = ask(&mut stream).await.expect("an answer");
             assert_eq!(code, 200);
-            assert!(head.contains(&format!("keep-alive: timeout={}\r\n", idle_ms / 1_000)), "{head}");
-            sleep(Duration::from_millis(idle_ms * 9 / 10)).await;
+            assert!(head.contains(&format!("keep-alive: timeout={}\r\n", idle_timeout_ms / 1_000)), "{head}");
+            sleep(Duration::from_millis(idle_timeout_ms * 9 / 10)).await;
         }
         ask(&mut stream).await.expect("an answer");
-        assert_took(closed_after(&mut stream).await, idle_ms);
+        assert_took(closed_after(&mut stream).await, idle_timeout_ms);
         let mut fresh = fixture.raw_connection().await;
-        assert_took(closed_after(&mut fresh).await, idle_ms);
+        assert_took(closed_after(&mut fresh).await, idle_timeout_ms);
     });
 }
 
@@ -169,13 +173,13 @@
 #[case::longer(5_000, 60_000, 60_000)]
 fn an_announced_idle_time_is_kept(#[case] announced: u64, #[case] then: u64, #[case] kept: u64) {
     run_scenario(1, Setup::default(), vec![read()], &[], move |fixture| async move {
-        fixture.set_limits(RequestLimits { idle_ms: announced, ..LIMITS });
+        fixture.set_limits(RequestLimits { idle_timeout_ms: announced, ..LIMITS });
         let mut stream = fixture.raw_connection().await;
         ask(&mut stream).await.expect("an answer");
         let (mut again, began) = (fixture.raw_connection().await, Instant::now());
         ask(&mut again).await.expect("an answer");
         sleep(Duration::from_millis(1_000)).await;
-        fixture.set_limits(RequestLimits { idle_ms: then, ..LIMITS });
+        fixture.set_limits(RequestLimits { idle_timeout_ms: then, ..LIMITS });
         ask(&mut again).await.expect("an answer");
         assert_took(closed_after(&mut again).await, then);
         let left = kept.saturating_sub(began.elapsed().as_millis() as u64);
@@ -188,9 +192,9 @@
 fn an_answer_may_take_longer_than_the_idle_time() {
     use crate::router_fixture::ReplicaBehavior::PausesStreamAfter;
     let talk = Route { max_event_gap_ms: Some(100_000), ..route("talk", RouteKind::Streaming) };
-    let talk = Route { hold_ms: 300_000, resumable: false, ..talk };
+    let talk = Route { request_timeout_ms: 300_000, resumable: false, ..talk };
     run_scenario(1, Setup::default(), vec![talk], &[PausesStreamAfter(3, 20_000)], |fixture| async move {
-        fixture.set_limits(RequestLimits { idle_ms: 2_000, header_wait_ms: 500, ..LIMITS });
+        fixture.set_limits(RequestLimits { idle_timeout_ms: 2_000, header_timeout_ms: 500, ..LIMITS });
         let response = fixture.post("/talk/1").await;
         assert!(response.complete && response.status == 200, "{response:?}");
     });
@@ -227,7 +231,7 @@
             fixture.set_limits(LIMITS);
             let response = fixture.post_withholding_body("/read/1", 10).await;
             assert_eq!(response.status, 408, "{response:?}");
-            assert_took(response.elapsed_ms, read().hold_ms);
+            assert_took(response.elapsed_ms, read().request_timeout_ms);
             assert!(fixture.received_requests().is_empty());
         },
     );
--- a/crates/data-plane/tests/serving/request_handling.rs
+++ b/crates/data-plane/tests/serving/request_handling.rs
@@ -81,8 +81,8 @@
 #[case::declined_with_other_statuses(write(), &[Declines(400, 0), Declines(408, 0)], 20.0, 200, 3)]
 #[case::other_incarnation(write(), &[OtherIncarnation], 20.0, 200, 2)]
 #[case::declined_by_all(write(), &[Declines(503, 0); 3], 20.0, 503, 3)]
-#[case::tries_used_up(Route { tries: 2, ..write() }, &[Declines(503, 0); 3], 20.0, 503, 2)]
-#[case::one_try(Route { tries: 1, ..write() }, &[OtherIncarnation], 20.0, 503, 1)]
+#[case::tries_used_up(Route { max_attempts: 2, ..write() }, &[Declines(503, 0); 3], 20.0, 503, 2)]
+#[case::one_try(Route { max_attempts: 1, ..write() }, &[OtherIncarnation], 20.0, 503, 1)]
 #[case::budget_used_up(write(), &[Declines(503, 0); 3], 1.0, 503, 2)]
 #[case::declined_then_closed(write(), &[Declines(503, 0), ClosesConnection], 20.0, 502, 2)]
 #[case::read_again(read(), &[ClosesConnection], 20.0, 200, 2)]
@@ -124,7 +124,7 @@
 #[rstest]
 fn a_refused_connection_is_no_try(#[values(1, 2, 3)] seed: u64) {
     let setup = Setup { gone: vec![0, 1], retry_tokens: 1.0, ..Setup::default() };
-    run_scenario(seed, setup, vec![Route { tries: 1, ..write() }], &[], |fixture| async move {
+    run_scenario(seed, setup, vec![Route { max_attempts: 1, ..write() }], &[], |fixture| async move {
         for _ in 0..5 {
             let response = fixture.post("/write/1").await;
             assert_eq!((response.status.as_u16(), response.body.as_str()), (200, "from r3"));
@@ -165,7 +165,7 @@
 #[rstest]
 #[case::tries(talk(), 20.0, 3)]
 #[case::budget(talk(), 1.0, 2)]
-#[case::one_try(Route { tries: 1, ..talk() }, 20.0, 1)]
+#[case::one_try(Route { max_attempts: 1, ..talk() }, 20.0, 1)]
 fn a_stream_cut_too_often_ends_as_cut_off(
     #[case] route: Route,
     #[case] retry_tokens: f64,
@@ -195,7 +195,7 @@
 #[rstest]
 #[case::no_other(one_replica(), talk(), &[PausesStreamAfter(3, 8_000)], 1)]
 #[case::past_hold_ms(one_replica(), talk(), &[PausesStreamAfter(3, 30_000)], 1)]
-#[case::no_try_left(Setup::default(), Route { tries: 1, ..talk() }, &[PausesStreamAfter(3, 8_000)], 1)]
+#[case::no_try_left(Setup::default(), Route { max_attempts: 1, ..talk() }, &[PausesStreamAfter(3, 8_000)], 1)]
 #[case::not_resumable(Setup::default(), Route { resumable: false, ..talk() }, &[PausesStreamAfter(3, 8_000)], 1)]
 #[case::declined_elsewhere(Setup::default(), talk(), &[PausesStreamAfter(3, 8_000), Declines(503, 0), Declines(503, 0)], 3)]
 #[case::others_not_listening(Setup { gone: vec![1, 2], ..Setup::default() }, talk(), &[PausesStreamAfter(3, 8_000)], 1)]
--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -155,7 +155,7 @@
             returning.start(now);
         }
         self.measured_member = Some(member);
-        self.measured.needed_bytes = self.leader().map_or(0, |leader| leader.cluster_state.weight());
+        self.measured.needed_bytes = self.leader().map_or(0, |leader| leader.cluster_state.max_encoded_len());
     }
 
     /// Runs until the given time, or until `done` holds.
--- a/crates/simulator/src/sim/catch_up/member.rs
+++ b/crates/simulator/src/sim/catch_up/member.rs
@@ -109,7 +109,7 @@
             Record::DurableState(image) => {
                 self.log_bytes = 0;
                 let entries: usize = image.entries.iter().map(LogEntry::max_encoded_len).sum();
-                let length = image.cluster_state.weight() + entries;
+                let length = image.cluster_state.max_encoded_len() + entries;
                 check_fits("a snapshot", length, SizeLimits::default().slot())?;
                 length + SHORT_LOG_BYTES as usize
             }
