--- a/crates/control-plane/src/state_machine/cluster_state.rs
+++ b/crates/control-plane/src/state_machine/cluster_state.rs
@@ -1,4 +1,4 @@
-//! The cluster state: committed changes applied in their order, alike on every node (design 2.1).
+//! The cluster state: the result of all committed changes, applied in the same order on every node (design 2.1).
 
 use super::AcceptedOperations;
 use crate::types::{
@@ -8,16 +8,16 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Outcomes retained of operations other than accepted documents, so that a repeated one is answered as it
-/// was at first.
+/// Number of outcomes that are kept of operations other than accepted documents. A repeated operation is answered
+/// with its first outcome while that is kept.
 pub const MAX_RECENT_OPERATIONS: usize = 512;
 
-/// Everything that the nodes of a cluster agree on.
+/// The state that the nodes of a cluster agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClusterState {
     /// Name of the cluster.
     pub cluster: String,
-    /// Known to members only: signs requests that one router forwards to another (design 5.6).
+    /// Key that only members know; it signs requests that one router forwards to another (design 5.6).
     pub secret: u128,
     /// Index of the last change that was applied.
     #[serde(rename = "idx")]
@@ -26,30 +26,30 @@
     pub revision: Revision,
     /// The document in force.
     pub text: Option<Document>,
-    /// Zones that get nothing new.
+    /// Evacuated zones: they get no new work.
     pub evacuated: BTreeSet<Zone>,
-    /// Where each zone's evacuation was last begun or ended.
+    /// Index of the change that last began or ended the evacuation of each zone.
     pub evacuation_changes: BTreeMap<Zone, Index>,
-    /// The listed replicas.
+    /// The replicas that are listed.
     pub replicas: BTreeMap<ReplicaId, Replica>,
     /// Nodes that hold a membership.
     pub members: BTreeMap<NodeId, Member>,
-    /// Index of the last join or expiry: the fencing token of every singleton role (design 3.2).
+    /// Index of the last join or expiry. It is the fencing token of all singleton roles (design 3.2).
     pub epoch: Epoch,
     /// The voter set.
     pub voters: Vec<VoterInfo>,
-    /// Lost members that may be serving on, in the order of their loss (design 3.7).
+    /// Lost members that may still be serving, in the order of their loss (design 3.7).
     pub lost: Vec<LostMember>,
-    /// Outcomes of the newest operations other than accepted documents.
+    /// Outcomes of the newest operations other than accepted documents, oldest first.
     #[serde(rename = "ops")]
     pub recent_operations: VecDeque<(OpId, ApplyOutcome)>,
-    /// Operations of accepted documents, kept apart so that nothing else pushes them out.
+    /// Operations of accepted documents, kept separately so that other operations don't evict them.
     #[serde(rename = "accepted")]
     pub accepted_operations: AcceptedOperations,
 }
 
 impl ClusterState {
-    /// The state of a cluster in which nothing was changed yet.
+    /// The state of a new cluster, before any change.
     pub fn bootstrapped(cluster: &str, voters: Vec<VoterInfo>) -> Self {
         Self { cluster: cluster.into(), voters, ..Self::default() }
     }
@@ -57,11 +57,13 @@
     /// The outcome of an operation, if it is known.
     pub fn outcome(&self, op: &OpId) -> Option<ApplyOutcome> {
         let accepted = self.accepted_operations.revision_of(op, self.revision);
-        let other = || self.recent_operations.iter().find(|(known, _)| known == op).map(|(_, o)| o.clone());
+        let other = || {
+            self.recent_operations.iter().find(|(known, _)| known == op).map(|(_, outcome)| outcome.clone())
+        };
         accepted.map(|revision| ApplyOutcome::Accepted { revision }).or_else(other)
     }
 
-    /// Applies a committed change. An operation whose outcome is known changes nothing again.
+    /// Applies a committed change. An operation whose outcome is already known is not applied again.
     pub fn apply(&mut self, index: Index, change: &Change) -> ApplyOutcome {
         self.index = index;
         if let Some(outcome) = change.op().and_then(|op| self.outcome(op)) {
@@ -116,7 +118,8 @@
         self.accepted()
     }
 
-    /// One that changes nothing is accepted; one that is overtaken by a newer one is not.
+    /// Begins or ends the evacuation of a zone. A request that changes nothing is accepted. One that is based on an older
+    /// state than the zone's last such change is not: it may have been delayed on its way.
     fn evacuate(&mut self, index: Index, zone: &Zone, on: bool, seen: Index) -> ApplyOutcome {
         if self.evacuated.contains(zone) == on {
             return self.accepted();
@@ -179,12 +182,12 @@
         self.epoch = Epoch(index.0);
     }
 
-    /// Members that carry traffic.
+    /// The members that are routers: those that carry traffic.
     pub fn routers(&self) -> Vec<&Member> {
         self.members.values().filter(|member| member.info.role == Role::Router).collect()
     }
 
-    /// Whether anything that the cluster knows of is in a zone.
+    /// Whether a member, voter or replica is in the zone, or the zone is evacuated.
     pub fn knows_zone(&self, zone: &Zone) -> bool {
         self.members.values().any(|member| member.info.zone == *zone)
             || self.voters.iter().any(|voter| voter.zone == *zone)
@@ -192,16 +195,17 @@
             || self.evacuated.contains(zone)
     }
 
-    /// Upper bound on its encoded length, in bytes.
+    /// Upper bound on the encoded length of the state, in bytes.
     pub fn max_encoded_len(&self) -> usize {
         let length = |name: &str, overhead: usize| name.len() + overhead;
         let text = self.text.as_ref().map_or(0, Document::packed_len);
         let evacuated: usize = self.evacuated.iter().map(|zone| length(zone.as_str(), 16)).sum();
         let changes: usize = self.evacuation_changes.keys().map(|zone| length(zone.as_str(), 24)).sum();
-        let replica = |(id, r): (&ReplicaId, &Replica)| {
-            id.as_str().len() + r.service.as_str().len() + r.zone.as_str().len() + 96
+        let replica = |(id, replica): (&ReplicaId, &Replica)| {
+            id.as_str().len() + replica.service.as_str().len() + replica.zone.as_str().len() + 96
         };
-        let member = |m: &Member| 2 * m.info.node.as_str().len() + m.info.zone.as_str().len() + 160;
+        let member =
+            |member: &Member| 2 * member.info.node.as_str().len() + member.info.zone.as_str().len() + 160;
         let operation =
             |(op, outcome): &(OpId, ApplyOutcome)| length(op.as_str(), 16) + outcome.max_encoded_len();
         256 + self.cluster.len()
@@ -218,6 +222,7 @@
 }
 
 impl ApplyOutcome {
+    /// Upper bound on the encoded length of the outcome, in bytes.
     fn max_encoded_len(&self) -> usize {
         match self {
             ApplyOutcome::Rejected { reason } => reason.len() + 32,
@@ -226,7 +231,7 @@
     }
 }
 
-/// Puts a new holder in the place of the one that has the same number.
+/// Replaces the voter that has the same number as `replacement`.
 pub fn replace_voter(voters: &mut [VoterInfo], replacement: &VoterInfo) {
     for voter in voters.iter_mut().filter(|voter| voter.number == replacement.number) {
         *voter = replacement.clone();
--- a/crates/control-plane/src/state_machine/mod.rs
+++ b/crates/control-plane/src/state_machine/mod.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine (design 2.1): the cluster state, what is known of operators' operations,
-//! and pure questions about the state. No input or output.
+//! The replicated state machine: the cluster state, the outcomes of operators' operations, and functions that derive
+//! answers from the state. It does no input or output (design 2.1).
 
 pub mod cluster_state;
 pub mod operation_status;
--- a/crates/control-plane/src/state_machine/partition_risk.rs
+++ b/crates/control-plane/src/state_machine/partition_risk.rs
@@ -1,14 +1,15 @@
-//! Whether routers that are out of reach may be serving on by an older state (design 3.7).
+//! Detects whether unreachable routers may keep serving with an outdated state, as a majority on the other side of a
+//! network partition would (design 3.7).
 
 use super::ClusterState;
 use crate::types::LostMember;
 use common::NodeId;
 
-/// The unreachable members that could be a majority of the members that they knew last, without one among
-/// them that knows of newer changes. `silent` members count as lost now.
+/// The unreachable members that could be a majority of the members that they last knew of, while none of them knows of
+/// newer changes. `None` if they can't be a majority. Members in `silent` count as lost now.
 ///
-/// A group that was partitioned off began with its first loss; whatever was lost from there on may be part
-/// of it.
+/// The members that a partition separates are lost one after the other. From the first of them on, each lost member may
+/// belong to the group, so each start of the list of losses is tried.
 pub fn stale_majority(state: &ClusterState, silent: &[NodeId]) -> Option<Vec<NodeId>> {
     let members_before = state.members.len() as u32;
     let silent = silent.iter().map(|node| LostMember { node: node.clone(), members_before });
--- a/crates/control-plane/src/state_machine/state_update.rs
+++ b/crates/control-plane/src/state_machine/state_update.rs
@@ -1,5 +1,5 @@
-//! State updates for nodes that follow the cluster state (design 3.3): a snapshot, then changes by index. A
-//! gap leads to a new snapshot, and nothing older than what was seen is ever installed.
+//! State updates for nodes that follow the cluster state: a snapshot, then changes in the order of their indices. A gap
+//! leads to a new snapshot, and a follower never installs a state older than its own (design 3.3).
 
 use super::ClusterState;
 use crate::types::{LogEntry, SizeLimits};
@@ -7,19 +7,20 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::VecDeque, fmt};
 
-/// What a follower is sent.
+/// An update for a follower.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StateUpdate {
-    /// It has everything.
+    /// The follower is up to date.
     #[serde(rename = "Same")]
     Unchanged,
     /// The whole state.
     Snapshot(Box<ClusterState>),
-    /// The committed changes that it lacks.
+    /// The committed changes that the follower lacks.
     Changes(Vec<LogEntry>),
 }
 
-/// The update for a follower that has applied `have`, from a state and the log that follows `snapshot_index`.
+/// The update for a follower that has applied the changes up to `have`. `log` holds the entries after
+/// `snapshot_index`.
 pub fn update_since(
     have: Index,
     state: &ClusterState,
@@ -35,22 +36,22 @@
         return StateUpdate::Snapshot(Box::new(state.clone()));
     }
     let missing = || log.iter().filter(|entry| entry.index > have && entry.index <= state.index);
-    // Where the changes weigh more than one message should, a snapshot is shorter.
+    // If the changes are longer than one message may be, a snapshot is shorter.
     if missing().map(LogEntry::max_encoded_len).sum::<usize>() > limits.batch() {
         return StateUpdate::Snapshot(Box::new(state.clone()));
     }
     StateUpdate::Changes(missing().cloned().collect())
 }
 
-/// What came of installing an update.
+/// The result of installing an update.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub enum InstallResult {
-    /// The copy is newer than before.
+    /// The follower's state is newer than before.
     Advanced,
-    /// The copy had all of it.
+    /// The follower's state already included the update.
     Unchanged,
-    /// Changes are missing in between: a snapshot must be requested.
+    /// Changes before these are missing: the follower must request a snapshot.
     Gap,
     /// The update was refused.
     Rejected(RejectedUpdate),
@@ -59,9 +60,9 @@
 /// Why an update was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectedUpdate {
-    /// It is the state of another cluster.
+    /// It is a state of another cluster.
     ForeignCluster,
-    /// It is older than what was seen.
+    /// It is older than the follower's state.
     Older,
 }
 
@@ -74,34 +75,34 @@
     }
 }
 
-/// Brings a follower's copy forward; never back.
-pub fn install(own: &mut ClusterState, cluster: &str, update: StateUpdate) -> InstallResult {
+/// Installs an update into a follower's state, which never becomes older by it.
+pub fn install(local: &mut ClusterState, cluster: &str, update: StateUpdate) -> InstallResult {
     match update {
         StateUpdate::Unchanged => InstallResult::Unchanged,
-        StateUpdate::Snapshot(state) => install_snapshot(own, cluster, *state),
-        StateUpdate::Changes(entries) => apply_changes(own, entries),
+        StateUpdate::Snapshot(state) => install_snapshot(local, cluster, *state),
+        StateUpdate::Changes(entries) => apply_changes(local, entries),
     }
 }
 
-fn install_snapshot(own: &mut ClusterState, cluster: &str, state: ClusterState) -> InstallResult {
+fn install_snapshot(local: &mut ClusterState, cluster: &str, state: ClusterState) -> InstallResult {
     if state.cluster != cluster {
         return InstallResult::Rejected(RejectedUpdate::ForeignCluster);
     }
-    if state.index < own.index {
+    if state.index < local.index {
         return InstallResult::Rejected(RejectedUpdate::Older);
     }
-    let newer = state.index > own.index || own.cluster.is_empty();
-    *own = state;
+    let newer = state.index > local.index || local.cluster.is_empty();
+    *local = state;
     if newer { InstallResult::Advanced } else { InstallResult::Unchanged }
 }
 
-fn apply_changes(own: &mut ClusterState, entries: Vec<LogEntry>) -> InstallResult {
-    let had = own.index;
+fn apply_changes(local: &mut ClusterState, entries: Vec<LogEntry>) -> InstallResult {
+    let had = local.index;
     for entry in entries.into_iter().filter(|entry| entry.index > had) {
-        if entry.index != own.index.next() {
+        if entry.index != local.index.next() {
             return InstallResult::Gap;
         }
-        let _ = own.apply(entry.index, &entry.change);
+        let _ = local.apply(entry.index, &entry.change);
     }
-    if own.index > had { InstallResult::Advanced } else { InstallResult::Unchanged }
+    if local.index > had { InstallResult::Advanced } else { InstallResult::Unchanged }
 }
--- a/crates/control-plane/src/storage/data_folder.rs
+++ b/crates/control-plane/src/storage/data_folder.rs
@@ -1,4 +1,4 @@
-//! The data folder of a control node (design 2.6).
+//! The data folder of a control node: who owns it, and what happens to a damaged one (design 2.6).
 
 use super::{
     Corruption, FileStore, LoadResult, Medium, OpenError, OpenedStorage, StateStorage, SystemMedium,
@@ -7,7 +7,7 @@
 use common::{Incarnation, log_event, settings::Settings};
 use std::{io, path::PathBuf, sync::Arc};
 
-/// The identity that a blank folder begins with. Its incarnation is drawn, so that no two are alike.
+/// The identity of a voter with a blank data folder. Its incarnation is random, so that no two are equal.
 pub fn blank_voter(settings: &Settings) -> VoterInfo {
     VoterInfo {
         number: u8::MAX,
@@ -19,27 +19,27 @@
     }
 }
 
-/// The data folder of a control node.
+/// The data folder of a control node, as the storage of its voter.
 pub struct DataFolder {
     settings: Settings,
     path: PathBuf,
     medium: Arc<dyn Medium>,
 }
 
-fn refused(step: &'static str) -> impl Fn(io::Error) -> OpenError {
+fn io_error(step: &'static str) -> impl Fn(io::Error) -> OpenError {
     move |error| OpenError::Io { step, error }
 }
 
 impl DataFolder {
-    /// The folder that the settings name.
+    /// The data folder that is set in the settings.
     ///
     /// # Errors
-    /// The settings name none.
+    /// The settings have no data folder.
     pub fn new(settings: &Settings) -> eyre::Result<Self> {
         Self::with_medium(settings, Arc::new(SystemMedium))
     }
 
-    /// The same with writes through `medium`.
+    /// Like [`DataFolder::new`], with all writes and syncs done by `medium`.
     ///
     /// # Errors
     /// As for [`DataFolder::new`].
@@ -49,56 +49,56 @@
         Ok(Self { settings: settings.clone(), path, medium })
     }
 
-    /// What is whole in the folder; a damaged one is moved aside, never written over.
+    /// Reads the state in the folder. A damaged folder is moved aside rather than overwritten, and the voter is
+    /// then blank.
     fn read(&self) -> Result<DurableState, OpenError> {
         let blank = DurableState::blank(&blank_voter(&self.settings));
-        match FileStore::load(&self.path).map_err(refused("read"))? {
+        match FileStore::load(&self.path).map_err(io_error("read"))? {
             LoadResult::Empty => Ok(blank),
             LoadResult::State(state) => self.check_owner(*state),
             LoadResult::IncompatibleFormat => {
-                Err(self
-                    .not_ours("was written in another format", "a folder of this version, or a blank one"))
+                Err(self.foreign("was written in another format", "a folder of this version, or a blank one"))
             }
-            LoadResult::Corrupt(why) => {
-                self.move_aside(&why).map_err(refused("move aside"))?;
+            LoadResult::Corrupt(corruption) => {
+                self.move_aside(&corruption).map_err(io_error("move aside"))?;
                 Ok(blank)
             }
         }
     }
 
-    fn not_ours(&self, what: &str, allowed: &str) -> OpenError {
+    fn foreign(&self, what: &str, allowed: &str) -> OpenError {
         OpenError::Foreign(format!("data: {:?} {what}; allowed: {allowed}", self.path))
     }
 
-    /// The state under the addresses that this node has now, if it belongs to this node.
+    /// Checks that the state belongs to this node, and gives it the zone and addresses of the current settings.
     fn check_owner(&self, state: DurableState) -> Result<DurableState, OpenError> {
         let settings = &self.settings;
         let cluster = &state.cluster_state.cluster;
         if state.initialized && *cluster != settings.cluster {
             let what = format!("belongs to cluster {cluster:?}");
-            return Err(self.not_ours(&what, &format!("one of {:?}", settings.cluster)));
+            return Err(self.foreign(&what, &format!("one of {:?}", settings.cluster)));
         }
         if state.me.node.as_str() != settings.node {
             let what = format!("belongs to node {}", state.me.node);
-            return Err(self.not_ours(&what, &format!("one of {}", settings.node)));
+            return Err(self.foreign(&what, &format!("one of {}", settings.node)));
         }
         let VoterInfo { number, incarnation, .. } = state.me;
         let me = VoterInfo { number, incarnation, ..blank_voter(settings) };
         Ok(DurableState { me, ..state })
     }
 
-    fn move_aside(&self, why: &Corruption) -> io::Result<()> {
-        let aside = self.path.with_extension(format!("damaged-{}", common::clock::wall_ms()));
-        log_event!(Error, "data folder", "cause" => why.to_string(), "moved_to" => aside.display().to_string());
-        std::fs::rename(&self.path, &aside)
+    fn move_aside(&self, corruption: &Corruption) -> io::Result<()> {
+        let moved_to = self.path.with_extension(format!("damaged-{}", common::clock::wall_ms()));
+        log_event!(Error, "data folder", "cause" => corruption.to_string(), "moved_to" => moved_to.display().to_string());
+        std::fs::rename(&self.path, &moved_to)
     }
 }
 
 impl StateStorage for DataFolder {
     fn open(&mut self) -> Result<OpenedStorage, OpenError> {
         let state = self.read()?;
-        let store =
-            FileStore::open_with_medium(&self.path, &state, self.medium.clone()).map_err(refused("write"))?;
+        let store = FileStore::open_with_medium(&self.path, &state, self.medium.clone())
+            .map_err(io_error("write"))?;
         Ok(OpenedStorage { state, writer: Box::new(store) })
     }
 }
--- a/crates/control-plane/src/storage/file_store.rs
+++ b/crates/control-plane/src/storage/file_store.rs
@@ -1,9 +1,14 @@
-//! A voter's files (design 2.6): two slots written in turn, each with a snapshot, and a short log after each.
+//! A voter's files: two slots that are written alternately, each with a snapshot, and a short log after each
+//! slot (design 2.6).
 //!
-//! Each file is filled to its full length at the start, so that a disk filled by others stops no write; a disk
-//! may refuse all the same. A log starts with a header that names the slot it follows and the records that were
-//! last known to be synced. It is begun once that slot is synced, so a slot whose log is begun is durable, and
-//! only the file that holds no such slot is ever written over.
+//! Slots have increasing sequence numbers; the parity of the number decides which of the two files holds the slot.
+//!
+//! All files are filled to their full length when they are created, so that writes succeed even when other
+//! programs fill the disk. Writes can still fail for other reasons.
+//!
+//! A log starts with a header that names the slot that it follows, and how many of its records are known to be
+//! synced. The header is written only after that slot is synced. A slot whose log has been started is therefore
+//! durable, and a snapshot is only ever written to the other file.
 
 use super::{
     Corruption, LoadResult, Medium, RecordWriter, SystemMedium,
@@ -26,32 +31,32 @@
     sync::Arc,
 };
 
-/// An open data folder.
+/// A voter's files, open for writing.
 pub struct FileStore {
     folder: PathBuf,
     medium: Arc<dyn Medium>,
     /// Sequence number of the newest slot.
     slot: u64,
     log: File,
-    /// Where the next record goes.
+    /// Offset in the log at which the next record is written, in bytes.
     end: u64,
-    /// Records in the log.
+    /// Number of records in the log.
     records: u64,
 }
 
-/// Why a slot or record that is there can't be used.
+/// Why a slot or record that is present can't be used.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Unreadable {
-    /// A checksum does not hold.
+    /// A checksum does not match.
     Damaged,
-    /// Its checksums hold, but this version can't decode what they guard.
+    /// Its checksums match, but this version can't decode its content.
     IncompatibleFormat,
 }
 
-/// A slot as it was read: its sequence number and snapshot.
+/// A slot that was read: its sequence number and snapshot.
 type Slot = Result<(u64, DurableState), Unreadable>;
 
-/// Reads the slot with sequence numbers of that parity; `None` where it is blank.
+/// Reads the slot file for sequence numbers of this parity; `None` if no slot was written to it.
 fn read_slot(path: &Path, parity: u64) -> io::Result<Option<Slot>> {
     let Some(file) = open_if_present(path)? else { return Ok(None) };
     let bytes = read_piece(&file, 0, HEADER_BYTES)?;
@@ -74,10 +79,11 @@
 }
 
 impl FileStore {
-    /// Reads what a folder holds. A torn end of the log is cut off; damage before the synced end is reported.
+    /// Reads the state in a folder. A last record that was written only in part is ignored; damage to synced
+    /// data is reported.
     ///
     /// # Errors
-    /// What the system answered, where a file can't be read.
+    /// The operating system can't read a file.
     pub fn load(folder: &Path) -> io::Result<LoadResult> {
         let (mut blank, mut newest) = (true, None::<(u64, DurableState)>);
         for parity in 0..2 {
@@ -104,30 +110,30 @@
         if let Some(short) = find_short_file(folder)? {
             return Ok(LoadResult::Corrupt(short));
         }
-        // A log that follows a slot is begun only once that slot is synced.
+        // A log is started only after its slot is synced: the next slot was synced and can't be read any more.
         let next = slot + 1;
         if log_follows(&path_of(folder, "log", next), next)? {
             return Ok(LoadResult::Corrupt(Corruption::DamagedSlot(next)));
         }
         let path = path_of(folder, "log", slot);
         match log_state(&path, slot)? {
-            LogState::Begun { synced_records } => replay_log(&path, slot, synced_records, state),
-            LogState::NotBegun => Ok(LoadResult::State(Box::new(state))),
+            LogState::Started { synced_records } => replay_log(&path, slot, synced_records, state),
+            LogState::NotStarted => Ok(LoadResult::State(Box::new(state))),
             LogState::FollowsLaterSlot(later) => Ok(LoadResult::Corrupt(Corruption::MissingSlot(later))),
             LogState::Damaged => Ok(LoadResult::Corrupt(Corruption::DamagedLogHeader(slot))),
         }
     }
 
-    /// Opens a folder for writing. The state goes into a slot of its own, so that no write ever follows a torn
-    /// one.
+    /// Opens a folder for writing. The state is written to a new slot, so that no record is ever appended after a
+    /// partly written one.
     ///
     /// # Errors
-    /// What the system answered, where a file can't be made, written or synced.
+    /// A file can't be created, written or synced.
     pub fn open(folder: &Path, state: &DurableState) -> io::Result<Self> {
         Self::open_with_medium(folder, state, Arc::new(SystemMedium))
     }
 
-    /// The same with writes through `medium`.
+    /// Like [`FileStore::open`], with all writes and syncs done by `medium`.
     ///
     /// # Errors
     /// As for [`FileStore::open`].
@@ -150,8 +156,8 @@
         Ok(store)
     }
 
-    /// The newest slot that is known to be synced: its log was begun. What another slot holds may be whole in
-    /// memory only, where its sync failed.
+    /// Sequence number of the newest slot that is known to be synced, because its log was started. A slot without
+    /// a log may be readable from the page cache although its sync failed. 0 if there is none.
     fn newest_durable_slot(folder: &Path) -> io::Result<u64> {
         let mut newest = 0;
         for parity in 0..2 {
@@ -177,12 +183,13 @@
         self.medium.write(&file, 0, &Header::new(slot, body.len() as u64, &body).to_bytes())?;
         self.medium.write(&file, HEADER_BYTES as u64, &body)?;
         self.medium.sync(&file)?;
-        self.begin_log(slot)
+        self.start_log(slot)
     }
 
-    fn begin_log(&mut self, slot: u64) -> io::Result<()> {
+    fn start_log(&mut self, slot: u64) -> io::Result<()> {
         let log = open_for_writing(&path_of(&self.folder, "log", slot))?;
-        // Blank before it names this slot: records of an earlier one must not be taken for its own.
+        // Cleared and synced before the header names this slot: records of an older log in this file must not be
+        // taken for records of this one.
         fill_with_zeros(&*self.medium, &log, HEADER_BYTES as u64, SHORT_LOG_BYTES)?;
         self.medium.sync(&log)?;
         self.medium.write(&log, 0, &Header::new(slot, 0, &[]).to_bytes())?;
@@ -198,7 +205,7 @@
             return Err(io::Error::other("the short log is full"));
         }
         let number = record_number(self.slot, self.records);
-        // The count of synced records travels with the next write.
+        // The number of synced records is updated together with the next write, without a sync of its own.
         self.medium.write(&self.log, 0, &Header::new(self.slot, self.records, &[]).to_bytes())?;
         let header = Header::new(number, body.len() as u64, &body);
         self.medium.write(&self.log, self.end, &header.to_bytes())?;
--- a/crates/control-plane/src/storage/layout.rs
+++ b/crates/control-plane/src/storage/layout.rs
@@ -1,5 +1,5 @@
-//! The layout of the store's files: headers, bodies, and how they are read and reserved. At most one piece of
-//! a file is held in memory beyond what is read for use.
+//! The layout of the store's files: headers and bodies, reading them, and reserving space on disk. Files are
+//! cleared and searched in pieces, so that memory use stays low.
 
 use super::{Corruption, LoadResult, Medium};
 use crate::types::{SHORT_LOG_BYTES, SLOT_BYTES};
@@ -11,24 +11,24 @@
     path::Path,
 };
 
-/// Begins every header; its last two digits are the version of the format.
+/// First bytes of every header; the last two digits are the version of the format.
 pub(super) const MAGIC: &[u8; 8] = b"fshunt06";
-/// Length of [`MAGIC`] without the version.
+/// Length of [`MAGIC`] without the version, in bytes.
 pub(super) const MAGIC_NAME_BYTES: usize = 6;
 /// Length of a header, in bytes.
 pub(super) const HEADER_BYTES: usize = 32;
-/// Most that is filled or searched at once, in bytes: a process's memory at its peak counts.
+/// Length of the pieces in which files are cleared and searched, in bytes. It bounds the peak memory use.
 pub(super) const PIECE_BYTES: usize = 64 << 10;
 
-/// Stands before a snapshot, a log or a record: the magic, two numbers, and a checksum of the body and of the
-/// header itself.
+/// Precedes a snapshot, a log or a record: the magic bytes, two numbers, and checksums of the body and of the header
+/// itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Header {
-    /// Sequence number of a slot, of the slot that a log follows, or the number of a record.
+    /// Sequence number of the slot, of the slot that the log follows, or the record's number ([`record_number`]).
     pub sequence: u64,
-    /// Length of a slot's or record's body; synced records of a log.
+    /// Length of the slot's or record's body, in bytes; for a log, how many of its records are known to be synced.
     pub number: u64,
-    /// Checksum of the body.
+    /// CRC-32 of the body.
     pub body_crc: u32,
 }
 
@@ -53,7 +53,7 @@
         bytes
     }
 
-    /// The header in these bytes, if it is whole.
+    /// Decodes a header; `None` if the magic bytes or the header's checksum don't match.
     pub fn parse(bytes: &[u8]) -> Option<Self> {
         let number = |range: Range<usize>| bytes.get(range)?.try_into().ok().map(u64::from_le_bytes);
         let checksum = |range: Range<usize>| bytes.get(range)?.try_into().ok().map(u32::from_le_bytes);
@@ -65,17 +65,17 @@
     }
 }
 
-/// Bits of a record's number for its position in the log; the rest names the slot that the log follows.
+/// The low bits of a record's number are its position in the log; the others are those of the slot's sequence number.
 const POSITION_BITS: u32 = 32;
 
-/// The number of a log's record. What an older log left in the file has another one, however the two were
-/// mixed by a crash while the log was begun.
+/// The number of a record: the sequence number of the slot that its log follows, and its position in the log. Records
+/// of an older log in the same file have other numbers, so they are recognized if a crash left some of them there.
 pub(super) fn record_number(slot: u64, position: u64) -> u64 {
     (slot << POSITION_BITS) | position
 }
 
-/// The position of a record by its number, if it belongs to the log of that slot. Numbers without a slot are of
-/// an earlier release.
+/// The position of the record with this number, if it belongs to the log of that slot. An earlier release wrote numbers
+/// without a slot.
 pub(super) fn record_position(slot: u64, number: u64) -> Option<u64> {
     let named_slot = number >> POSITION_BITS;
     let position = number & ((1 << POSITION_BITS) - 1);
@@ -86,7 +86,7 @@
     OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)
 }
 
-/// Opens a file for reading; `None` where there is none.
+/// Opens a file for reading; `None` if it doesn't exist.
 pub(super) fn open_if_present(path: &Path) -> io::Result<Option<File>> {
     match File::open(path) {
         Ok(file) => Ok(Some(file)),
@@ -107,7 +107,7 @@
     Ok(())
 }
 
-/// Makes a file as long as it will ever be.
+/// Extends a file with zeros to its full length and syncs it, so that later writes need no more space.
 pub(super) fn reserve(medium: &dyn Medium, path: &Path, length: u64) -> io::Result<()> {
     let file = open_for_writing(path)?;
     let present = file.metadata()?.len();
@@ -118,7 +118,7 @@
     Ok(())
 }
 
-/// Up to `length` bytes from an offset on; fewer where the file ends.
+/// Reads `length` bytes from an offset, or fewer if the file ends before.
 pub(super) fn read_piece(file: &File, offset: u64, length: usize) -> io::Result<Vec<u8>> {
     let mut bytes = vec![0u8; length];
     let mut have = 0;
@@ -132,13 +132,13 @@
     Ok(bytes)
 }
 
-/// The header at the start of a file; `None` without a whole one.
+/// Reads the header of a file; `None` if the file doesn't exist or its header is not valid.
 pub(super) fn read_header(path: &Path) -> io::Result<Option<Header>> {
     let Some(file) = open_if_present(path)? else { return Ok(None) };
     Ok(Header::parse(&read_piece(&file, 0, HEADER_BYTES)?))
 }
 
-/// The body that follows a header at `offset`, if it is whole.
+/// Reads the body after the header at `offset`; `None` if it is cut short or its checksum doesn't match.
 pub(super) fn read_body(file: &File, offset: u64, header: &Header) -> io::Result<Option<Vec<u8>>> {
     if header.number > SLOT_BYTES {
         return Ok(None);
@@ -148,21 +148,21 @@
     Ok(whole.then_some(body))
 }
 
-/// What the header of a log says of the slot beside it.
+/// What the header of a log says about the slot with the same file number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LogState {
-    /// It follows the slot; so many records were known to be synced.
-    Begun { synced_records: u64 },
-    /// It still follows an older slot, or none: the process ended before it was begun.
-    NotBegun,
-    /// It follows a newer slot of the same file, which is gone.
+    /// The log follows the slot, and at least this many of its records were synced.
+    Started { synced_records: u64 },
+    /// The log still follows an older slot, or none: the process ended before it was started for this slot.
+    NotStarted,
+    /// The log follows a newer slot, with this sequence number, which is missing.
     FollowsLaterSlot(u64),
-    /// Its header can't be read.
+    /// The header is not valid.
     Damaged,
 }
 
-/// The synced records by the header of a log, if it follows that slot. A header that was torn while its count was
-/// brought forward leaves the slot's number whole.
+/// How many records of a log are known to be synced by its header, if the log follows that slot. A crash while the count
+/// is updated can leave the header's checksum wrong, but not its slot, so such a header counts with 0 records.
 fn synced_records(header: &[u8], slot: u64) -> Option<u64> {
     match Header::parse(header) {
         Some(parsed) => (parsed.sequence == slot).then_some(parsed.number),
@@ -170,36 +170,36 @@
     }
 }
 
-/// Whether a header, whole or not, names this slot.
+/// Whether a header names this slot, whatever its checksum.
 fn names_slot(header: &[u8], slot: u64) -> bool {
     header.starts_with(MAGIC) && header.get(SEQUENCE) == Some(&slot.to_le_bytes()[..])
 }
 
-/// Whether the log in a file was begun behind that slot.
+/// Whether the log in a file was started for that slot.
 pub(super) fn log_follows(path: &Path, slot: u64) -> io::Result<bool> {
     let Some(file) = open_if_present(path)? else { return Ok(false) };
     Ok(synced_records(&read_piece(&file, 0, HEADER_BYTES)?, slot).is_some())
 }
 
-/// What the header of a log says of the slot beside it. One that can't be read is damage, but for the two ways in
-/// which a write that was cut short may leave it.
+/// Compares the header of a log with the slot that should precede it. A header that is not valid means damage, except
+/// in the two forms that an interrupted write can leave: an update of the count, and the first header of a log.
 pub(super) fn log_state(path: &Path, slot: u64) -> io::Result<LogState> {
     let log = File::open(path)?;
     let bytes = read_piece(&log, 0, HEADER_BYTES)?;
     if let Some(synced_records) = synced_records(&bytes, slot) {
-        return Ok(LogState::Begun { synced_records });
+        return Ok(LogState::Started { synced_records });
     }
     Ok(match Header::parse(&bytes) {
         Some(header) if header.sequence > slot => LogState::FollowsLaterSlot(header.sequence),
-        Some(header) if header.sequence % 2 == slot % 2 => LogState::NotBegun,
+        Some(header) if header.sequence % 2 == slot % 2 => LogState::NotStarted,
         Some(_) => LogState::Damaged,
-        // A header that was torn as the log was begun is followed by nothing but zeros.
-        None if !has_data(&log, HEADER_BYTES as u64)? => LogState::NotBegun,
+        // A log is cleared before its first header is written, so only zeros follow an interrupted one.
+        None if !has_data(&log, HEADER_BYTES as u64)? => LogState::NotStarted,
         None => LogState::Damaged,
     })
 }
 
-/// Whether anything but zeros follows an offset.
+/// Whether a file has a byte other than zero at or after an offset.
 fn has_data(file: &File, from: u64) -> io::Result<bool> {
     let mut offset = from;
     loop {
@@ -214,10 +214,10 @@
     }
 }
 
-/// Kinds of files, two of each, and the lengths that they are made with.
+/// The kinds of files, of which there are two each, and their lengths in bytes.
 pub(super) const FILE_KINDS: [(&str, u64); 2] = [("slot", SLOT_BYTES), ("log", SHORT_LOG_BYTES)];
 
-/// A file that is gone or short. All four are whole before the first slot is written.
+/// Finds a file that is missing or too short. All four have their full length before the first slot is written.
 pub(super) fn find_short_file(folder: &Path) -> io::Result<Option<Corruption>> {
     for (kind, expected) in FILE_KINDS {
         for parity in 0..2 {
@@ -235,7 +235,8 @@
     Ok(None)
 }
 
-/// A folder without a slot is empty, unless a log was begun: that follows a slot which was synced.
+/// The result for a folder without slots. It is empty, unless a log has content: a log is started only after its slot
+/// was synced, so a slot was lost.
 pub(super) fn load_without_slots(folder: &Path) -> io::Result<LoadResult> {
     for parity in 0..2 {
         let file = format!("log-{parity}");
--- a/crates/control-plane/src/storage/log_reader.rs
+++ b/crates/control-plane/src/storage/log_reader.rs
@@ -1,4 +1,4 @@
-//! Reading the short log that follows a snapshot (design 2.6).
+//! Reads the short log that follows a snapshot (design 2.6).
 
 use super::{
     Corruption, LoadResult,
@@ -9,17 +9,17 @@
 use common::wire;
 use std::{fs::File, io, path::Path};
 
-/// Furthest that a leftover header may be ahead and still count as one of the same log.
+/// A header counts as one of a later record of the same log if its position is ahead by less than this.
 const MAX_POSITION_JUMP: u64 = 1 << 20;
 
-/// A record that is whole, and where it ends.
+/// A record with valid checksums, and the offset of its end.
 struct ReadRecord {
     record: Result<Record, Unreadable>,
     end: u64,
 }
 
-/// Reads the record with that position of a slot's log; `None` where it is not whole, or is left over from an
-/// older log.
+/// Reads the record with that position in a slot's log; `None` if a checksum doesn't match or the record is left over
+/// from an older log.
 fn read_record(log: &File, offset: u64, slot: u64, position: u64) -> io::Result<Option<ReadRecord>> {
     let Some(header) = Header::parse(&read_piece(log, offset, HEADER_BYTES)?) else { return Ok(None) };
     if record_position(slot, header.sequence) != Some(position) {
@@ -30,7 +30,7 @@
     Ok(Some(ReadRecord { record, end: offset + HEADER_BYTES as u64 + header.number }))
 }
 
-/// Brings a snapshot forward by the log that follows it.
+/// Applies the records of a log to the snapshot that it follows.
 pub(super) fn replay_log(
     path: &Path,
     slot: u64,
@@ -53,7 +53,8 @@
     Ok(LoadResult::State(Box::new(state)))
 }
 
-/// Whether the header of a record behind that position is found anywhere from an offset on.
+/// Whether the header of a record with a position after `position` is found anywhere from an offset on. Then the record
+/// at `position` is damaged, rather than the last one and written in part.
 fn has_later_record(log: &File, from: u64, slot: u64, position: u64) -> io::Result<bool> {
     let later = |bytes: &[u8]| {
         let header = bytes.starts_with(MAGIC).then(|| Header::parse(bytes)).flatten();
@@ -67,7 +68,7 @@
         if found || piece.len() < PIECE_BYTES {
             return Ok(found);
         }
-        // A header may lie across the end of a piece.
+        // A header may extend across the end of a piece, so the pieces overlap.
         offset += (PIECE_BYTES - HEADER_BYTES + 1) as u64;
     }
 }
--- a/crates/control-plane/src/storage/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -1,5 +1,5 @@
-//! Durable storage of a voter (design 2.4, 2.6): interfaces that the data folder and the simulators implement,
-//! and the data folder itself.
+//! Durable storage of a voter: the traits that the data folder implements, and the data folder itself
+//! (design 2.4, 2.6).
 
 mod data_folder;
 mod file_store;
@@ -21,39 +21,39 @@
     /// Writes a record and syncs it.
     ///
     /// # Errors
-    /// After an error the voter may no longer trust what was written since the last sync.
+    /// The record can't be written or synced. What was written since the last successful sync may be lost.
     fn write(&mut self, record: &Record) -> io::Result<()>;
 }
 
-/// Where a voter's state is kept: opened at the start of the process, and again after a write failed.
+/// The storage of a voter's state. It is opened at the start of the process, and again after a failed write.
 pub trait StateStorage: Send {
-    /// Reads what is whole and writes it anew, apart from what was written before; it is synced when this
-    /// returns.
+    /// Reads the state and writes a new copy of it, without overwriting the newest durable one. The copy is synced
+    /// when this returns.
     ///
     /// # Errors
     /// See [`OpenError`].
     fn open(&mut self) -> Result<OpenedStorage, OpenError>;
 }
 
-/// Opened storage: what it holds, and what writes to it from there on.
+/// Opened storage: its state, and the writer for the records that follow.
 pub struct OpenedStorage {
-    /// The voter's state, synced.
+    /// The voter's state, which is synced.
     pub state: DurableState,
-    /// Takes the next records.
+    /// Writes the next records.
     pub writer: Box<dyn RecordWriter>,
 }
 
-/// Why storage could not be opened.
+/// Why storage can't be opened.
 #[derive(Debug)]
 pub enum OpenError {
-    /// It can't be read or written now; opening it may succeed later.
+    /// It can't be read or written now; a later attempt may succeed.
     Io {
-        /// What was tried.
+        /// The operation that failed.
         step: &'static str,
-        /// What the system answered.
+        /// The operating system's error.
         error: io::Error,
     },
-    /// It belongs to another node, cluster or version: it is never written over.
+    /// It belongs to another node, cluster or version, and is never overwritten. Holds the message for the operator.
     Foreign(String),
 }
 
@@ -61,7 +61,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             OpenError::Io { step, error } => write!(f, "{step}: {error}"),
-            OpenError::Foreign(why) => f.write_str(why),
+            OpenError::Foreign(message) => f.write_str(message),
         }
     }
 }
@@ -75,7 +75,7 @@
     }
 }
 
-/// What a data folder holds.
+/// The content of a data folder.
 #[derive(Debug, PartialEq)]
 #[must_use]
 pub enum LoadResult {
@@ -83,47 +83,47 @@
     Empty,
     /// A voter's state.
     State(Box<DurableState>),
-    /// Whole, but in a format that this version can't read: it is never written over.
+    /// Undamaged data in a format that this version can't read. It is never overwritten.
     IncompatibleFormat,
-    /// Synced data is damaged: the voter counts as blank and must be admitted again.
+    /// Synced data is damaged: the voter starts blank and must be admitted again.
     Corrupt(Corruption),
 }
 
-/// What is damaged in a data folder. Slots are named by their sequence number.
+/// What is damaged in a data folder. Slots are identified by their sequence numbers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Corruption {
     /// Neither slot can be read.
     NoReadableSlot,
     /// A slot that was synced can't be read.
     DamagedSlot(u64),
-    /// A slot that was synced is not there; its log is.
+    /// A slot that was synced is missing, although its log is there.
     MissingSlot(u64),
     /// The header of the log that follows a slot can't be read.
     DamagedLogHeader(u64),
-    /// A record can't have been written behind the state before it.
+    /// A record of a log doesn't follow the state before it.
     Gap {
         /// Position of the record in the log.
         record: u64,
         /// The slot that the log follows.
         slot: u64,
     },
-    /// The log ends before its synced end.
+    /// A record that was synced, or that later records follow, can't be read.
     DamagedLog {
         /// Position of the first record that can't be read.
         record: u64,
         /// The slot that the log follows.
         slot: u64,
     },
-    /// A file is gone or shorter than it was made.
+    /// A file is missing or shorter than when it was created.
     ShortFile {
-        /// Its name.
+        /// The file's name.
         file: String,
-        /// Its length in bytes.
+        /// Its length in bytes, 0 if it is missing.
         length: u64,
-        /// The length that it was made with.
+        /// The length that it was created with, in bytes.
         expected: u64,
     },
-    /// A log was begun, and there is no slot that it could follow.
+    /// A log has content, but there is no slot that it could follow.
     LogWithoutSlot {
         /// The log's file name.
         file: String,
@@ -133,20 +133,22 @@
 impl fmt::Display for Corruption {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Corruption::NoReadableSlot => write!(f, "no slot is whole"),
+            Corruption::NoReadableSlot => write!(f, "no slot can be read"),
             Corruption::DamagedSlot(slot) => write!(f, "slot {slot} was synced and is damaged"),
-            Corruption::MissingSlot(slot) => write!(f, "slot {slot} was synced and is lost"),
+            Corruption::MissingSlot(slot) => write!(f, "slot {slot} was synced and is missing"),
             Corruption::DamagedLogHeader(slot) => write!(f, "the header of log {slot} is damaged"),
             Corruption::Gap { record, slot } => {
-                write!(f, "record {record} of log {slot} does not follow its slot")
+                write!(f, "record {record} of log {slot} does not follow the state before it")
             }
             Corruption::DamagedLog { record, slot } => {
-                write!(f, "log {slot} is damaged after record {record}, before its synced end")
+                write!(f, "log {slot} is damaged at record {record}, before its synced end")
             }
             Corruption::ShortFile { file, length, expected } => {
                 write!(f, "{file} has {length} bytes of {expected}")
             }
-            Corruption::LogWithoutSlot { file } => write!(f, "{file} was begun and no slot is there"),
+            Corruption::LogWithoutSlot { file } => {
+                write!(f, "{file} has content, but there is no slot before it")
+            }
         }
     }
 }
