--- a/crates/control-plane/src/state_machine/cluster_state.rs
+++ b/crates/control-plane/src/state_machine/cluster_state.rs
@@ -118,8 +118,8 @@
         self.accepted()
     }
 
-    /// Begins or ends the evacuation of a zone. A request that changes nothing is accepted. One that is based on an older
-    /// state than the zone's last such change is not: it may have been delayed on its way.
+    /// Begins or ends the evacuation of a zone. A request that changes nothing is accepted. One that is based on an
+    /// older state than the zone's last such change is not: it may have been delayed on its way.
     fn evacuate(&mut self, index: Index, zone: &Zone, on: bool, seen: Index) -> ApplyOutcome {
         if self.evacuated.contains(zone) == on {
             return self.accepted();
--- a/crates/control-plane/src/state_machine/operations.rs
+++ b/crates/control-plane/src/state_machine/operations.rs
@@ -53,8 +53,8 @@
     }
 
     /// Whether an operation based on version `base_version` may have been accepted and dropped since. Each accepted
-    /// document has a higher version than the one before it. So if an operation was dropped, its base is older than the
-    /// current version by more than the number of operations that are kept.
+    /// document has a higher version than the one before it. So if an operation was dropped, its base is older than
+    /// the current version by more than the number of operations that are kept.
     pub(super) fn may_have_forgotten(&self, base_version: u64, current: u64) -> bool {
         self.hashes.len() == MAX_ACCEPTED_OPERATIONS
             && current.saturating_sub(base_version) > MAX_ACCEPTED_OPERATIONS as u64
--- a/crates/control-plane/src/state_machine/partition_risk.rs
+++ b/crates/control-plane/src/state_machine/partition_risk.rs
@@ -5,11 +5,11 @@
 use crate::types::LostMember;
 use common::NodeId;
 
-/// The unreachable members that could be a majority of the members that they last knew of, while none of them knows of
-/// newer changes. `None` if they can't be a majority. Members in `silent` count as lost now.
+/// The unreachable members that could be a majority of the members that they last knew of, while none of them knows
+/// of newer changes. `None` if they can't be a majority. Members in `silent` count as lost now.
 ///
-/// The members that a partition separates are lost one after the other. From the first of them on, each lost member may
-/// belong to the group, so each start of the list of losses is tried.
+/// The members that a partition separates are lost one after the other. From the first of them on, each lost member
+/// may belong to the group, so each start of the list of losses is tried.
 pub fn stale_majority(state: &ClusterState, silent: &[NodeId]) -> Option<Vec<NodeId>> {
     let members_before = state.members.len() as u32;
     let silent = silent.iter().map(|node| LostMember { node: node.clone(), members_before });
--- a/crates/control-plane/src/state_machine/singleton.rs
+++ b/crates/control-plane/src/state_machine/singleton.rs
@@ -15,8 +15,8 @@
     pub fencing_token: FencingToken,
 }
 
-/// The holder of the role `key` among all routers, or among those of `zone`. The token is the epoch of the membership,
-/// which any join or expiry raises.
+/// The holder of the role `key` among all routers, or among those of `zone`. The token is the epoch of the
+/// membership, which any join or expiry raises.
 pub fn holder_of(state: &ClusterState, key: &str, zone: Option<&Zone>) -> Option<SingletonRole> {
     let holder = ranked_holders(state, key, zone).into_iter().next()?;
     Some(SingletonRole { holder, fencing_token: FencingToken(state.epoch.0) })
--- a/crates/control-plane/src/state_machine/state_update.rs
+++ b/crates/control-plane/src/state_machine/state_update.rs
@@ -1,5 +1,5 @@
-//! State updates for nodes that follow the cluster state: a snapshot, then changes in the order of their indices. A gap
-//! leads to a new snapshot, and a follower never installs a state older than its own (design 3.3).
+//! State updates for nodes that follow the cluster state: a snapshot, then changes in the order of their indices. A
+//! gap leads to a new snapshot, and a follower never installs a state older than its own (design 3.3).
 
 use super::ClusterState;
 use crate::types::{LogEntry, SizeLimits};
--- a/crates/control-plane/src/storage/layout.rs
+++ b/crates/control-plane/src/storage/layout.rs
@@ -74,8 +74,8 @@
     (slot << POSITION_BITS) | position
 }
 
-/// The position of the record with this number, if it belongs to the log of that slot. An earlier release wrote numbers
-/// without a slot.
+/// The position of the record with this number, if it belongs to the log of that slot. An earlier release wrote
+/// numbers without a slot.
 pub(super) fn record_position(slot: u64, number: u64) -> Option<u64> {
     let named_slot = number >> POSITION_BITS;
     let position = number & ((1 << POSITION_BITS) - 1);
@@ -161,8 +161,9 @@
     Damaged,
 }
 
-/// How many records of a log are known to be synced by its header, if the log follows that slot. A crash while the count
-/// is updated can leave the header's checksum wrong, but not its slot, so such a header counts with 0 records.
+/// How many records of a log are known to be synced by its header, if the log follows that slot. A crash while the
+/// count is updated can leave the header's checksum wrong, but not its slot, so such a header counts with 0
+/// records.
 fn synced_records(header: &[u8], slot: u64) -> Option<u64> {
     match Header::parse(header) {
         Some(parsed) => (parsed.sequence == slot).then_some(parsed.number),
--- a/crates/control-plane/src/storage/log_reader.rs
+++ b/crates/control-plane/src/storage/log_reader.rs
@@ -53,8 +53,8 @@
     Ok(LoadResult::State(Box::new(state)))
 }
 
-/// Whether the header of a record with a position after `position` is found anywhere from an offset on. Then the record
-/// at `position` is damaged, rather than the last one and written in part.
+/// Whether the header of a record with a position after `position` is found anywhere from an offset on. Then the
+/// record at `position` is damaged, rather than the last one and written in part.
 fn has_later_record(log: &File, from: u64, slot: u64, position: u64) -> io::Result<bool> {
     let later = |bytes: &[u8]| {
         let header = bytes.starts_with(MAGIC).then(|| Header::parse(bytes)).flatten();
--- a/crates/control-plane/tests/disk_faults.rs
+++ b/crates/control-plane/tests/disk_faults.rs
@@ -1,5 +1,5 @@
-//! The recorder on real files that fail at every operation: a record that was told as synced is never
-//! lost, and no failed write makes a folder look damaged (design 2.4, 2.6).
+//! The recorder with real files on a disk that fails at each operation in turn. A record that was reported as synced
+//! is never lost, and a failed write never makes the folder look damaged (design 2.4, 2.6).
 
 mod medium;
 mod samples;
@@ -11,16 +11,16 @@
     storage::{DataFolder, Recorder, RecoveryBackoff},
     storage::{LoadResult, OpenError, RecordWriter},
 };
-use medium::{FaultyMedium, Plan, Trouble};
+use medium::{DiskFault, FaultPlan, FaultyMedium};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
 use samples::{bootstrapped, entry, voter_at};
 use std::{fs, path::Path, sync::Arc, time::Duration};
 use tempfile::{TempDir, tempdir};
 
-/// Records of one run; every third one is a whole image, so that slots are begun often.
+/// Number of records that a run writes. Every third one is a snapshot, so that new slots are written often.
 const RECORDS: u64 = 8;
-/// No plan reaches so far.
+/// An operation that no run reaches.
 const NEVER: usize = usize::MAX / 2;
 
 fn settings(dir: &Path) -> Settings {
@@ -41,43 +41,45 @@
     }
 }
 
-fn image() -> DurableState {
-    let set = settings(Path::new("/"));
-    bootstrapped(&voter_at(set.rpc_addr, set.http))
+fn initial_state() -> DurableState {
+    let settings = settings(Path::new("/"));
+    bootstrapped(&voter_at(settings.rpc_addr, settings.http))
 }
 
-/// A folder with three synced records.
-fn folder() -> TempDir {
-    let d = tempdir().unwrap();
-    let mut store = FileStore::open(&d.path().join("data"), &image()).unwrap();
-    let mut held = image();
-    for n in 1..=3 {
-        let next = record(&held, n);
+/// A folder whose data folder has three synced records.
+fn folder_with_records() -> TempDir {
+    let dir = tempdir().unwrap();
+    let mut store = FileStore::open(&dir.path().join("data"), &initial_state()).unwrap();
+    let mut state = initial_state();
+    for index in 1..=3 {
+        let next = next_record(&state, index);
         store.write(&next).unwrap();
-        held.replay(next);
+        state.replay(next);
     }
-    d
+    dir
 }
 
-fn last(image: &DurableState) -> u64 {
-    image.entries.last().map_or(0, |e| e.index.0)
+fn last_index(state: &DurableState) -> u64 {
+    state.entries.last().map_or(0, |entry| entry.index.0)
 }
 
-fn record(held: &DurableState, n: u64) -> Record {
-    if n.is_multiple_of(3) {
-        let mut whole = held.clone();
-        whole.replay(Record::Append { commit_index: Index(0), entries: vec![entry(n)] });
-        return Record::DurableState(Box::new(whole));
+/// The record with this index, to be written after `state`.
+fn next_record(state: &DurableState, index: u64) -> Record {
+    if index.is_multiple_of(3) {
+        let mut snapshot = state.clone();
+        snapshot.replay(Record::Append { commit_index: Index(0), entries: vec![entry(index)] });
+        return Record::DurableState(Box::new(snapshot));
     }
-    Record::Append { commit_index: Index(0), entries: vec![entry(n)] }
+    Record::Append { commit_index: Index(0), entries: vec![entry(index)] }
 }
 
+/// A recorder with real files and a faulty medium.
 struct Run {
     dir: TempDir,
     medium: Arc<FaultyMedium>,
     recorder: Recorder,
-    /// What the voter believes: what it recovered, and what it was told of as synced since.
-    held: DurableState,
+    /// The voter's state: what it recovered, and the records that were reported as synced since.
+    state: DurableState,
 }
 
 impl Run {
@@ -86,154 +88,165 @@
     }
 
     fn new(seed: u64) -> Self {
-        let dir = folder();
+        let dir = folder_with_records();
         let data = dir.path().join("data");
         let medium = Arc::new(FaultyMedium::new(&data, seed));
         let folder = DataFolder::with_medium(&settings(&data), medium.clone()).unwrap();
         let mut recorder = Recorder::new(Box::new(folder));
-        let held = recorder.recover().unwrap();
-        assert_eq!(last(&held), 3);
-        Run { dir, medium, recorder, held }
+        let state = recorder.recover().unwrap();
+        assert_eq!(last_index(&state), 3);
+        Run { dir, medium, recorder, state }
     }
 
-    /// Writes, and recovers as often as it takes, until all is written or power is lost. Whatever is
-    /// recovered holds all that was told as synced, under the same incarnation.
-    fn play(&mut self) -> Result<(), String> {
-        while last(&self.held) < 3 + RECORDS && !self.medium.power_is_lost() {
+    /// Writes all records, with as many recoveries as it takes, or until power is lost. Checks that each recovered
+    /// state has all records that were reported as synced, and the same incarnation.
+    fn write_all(&mut self) -> Result<(), String> {
+        while last_index(&self.state) < 3 + RECORDS && !self.medium.power_is_lost() {
             if self.recorder.failed() {
                 match self.recorder.recover() {
-                    Ok(image) => self.take(image)?,
+                    Ok(state) => self.take(state)?,
                     Err(OpenError::Io { .. }) => continue,
                     Err(e) => return Err(e.to_string()),
                 }
             }
-            let next = record(&self.held, last(&self.held) + 1);
+            let next = next_record(&self.state, last_index(&self.state) + 1);
             if self.recorder.write(&next).is_ok() {
-                self.held.replay(next);
+                self.state.replay(next);
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, image: DurableState) -> Result<(), String> {
-        holds(&image, &self.held)?;
-        self.held = image;
+    fn take(&mut self, recovered: DurableState) -> Result<(), String> {
+        check_records(&recovered, &self.state)?;
+        self.state = recovered;
         Ok(())
     }
 }
 
-/// Whether an image holds all of another, and at most one record more: the one that was under way.
-fn holds(image: &DurableState, told: &DurableState) -> Result<(), String> {
-    if image.me.incarnation != told.me.incarnation {
-        return Err("it came up blank".into());
+/// Checks that a recovered state has all records of `synced`, and at most one more: the one that was being written.
+fn check_records(recovered: &DurableState, synced: &DurableState) -> Result<(), String> {
+    if recovered.me.incarnation != synced.me.incarnation {
+        return Err("the voter is blank".into());
     }
-    let (has, want) = (last(image), last(told));
-    if has < want || has > want + 1 || image.current_term < told.current_term {
-        return Err(format!("it holds {has}, where {want} was told as synced"));
+    let (has, expected) = (last_index(recovered), last_index(synced));
+    if has < expected || has > expected + 1 || recovered.current_term < synced.current_term {
+        return Err(format!("the state ends at record {has}, but {expected} was reported as synced"));
     }
-    let whole = image.entries.iter().map(|e| e.index.0).eq(1..=has);
-    if whole { Ok(()) } else { Err(format!("it has gaps up to {has}")) }
+    let has_all = recovered.entries.iter().map(|entry| entry.index.0).eq(1..=has);
+    if has_all { Ok(()) } else { Err(format!("records before {has} are missing")) }
 }
 
-fn starts_with(path: &Path, told: &DurableState) -> Result<(), String> {
+/// Checks that a start from a folder has all records of `synced`.
+fn check_start(path: &Path, synced: &DurableState) -> Result<(), String> {
     match FileStore::load(path).map_err(|e| e.to_string())? {
-        LoadResult::State(image) => holds(&image, told),
+        LoadResult::State(loaded) => check_records(&loaded, synced),
         other => Err(format!("{other:?}")),
     }
 }
 
-/// What a start finds after power was lost under a plan.
-fn outcome(seed: u64, plan: Plan) -> Result<(), String> {
+/// Runs a plan, and checks starts after the process and after the machine went down.
+fn check_plan(seed: u64, plan: FaultPlan) -> Result<(), String> {
     let mut run = Run::new(seed);
-    run.medium.plan(plan);
-    run.play()?;
-    // The process alone ends: all that was written is there.
-    starts_with(&run.path(), &run.held).map_err(|e| format!("after an end of the process: {e}"))?;
+    run.medium.set_plan(plan);
+    run.write_all()?;
+    // Only the process ends: all that was written remains.
+    check_start(&run.path(), &run.state).map_err(|e| format!("after the end of the process: {e}"))?;
     let after = run.dir.path().join("after");
     run.medium.after_power_loss(&run.path(), &after);
-    starts_with(&after, &run.held).map_err(|e| format!("after a loss of power: {e}"))
+    check_start(&after, &run.state).map_err(|e| format!("after a power loss: {e}"))
 }
 
-fn operations_of_a_whole_run() -> usize {
+/// Number of operations in a run without faults.
+fn operations_of_a_full_run() -> usize {
     let mut run = Run::new(0);
-    run.medium.plan(Plan { trouble: Trouble::Refuses, from: NEVER, for_operations: 0, power_lost_at: NEVER });
-    run.play().unwrap();
+    run.medium.set_plan(FaultPlan {
+        fault: DiskFault::Fails,
+        from: NEVER,
+        for_operations: 0,
+        power_lost_at: NEVER,
+    });
+    run.write_all().unwrap();
     run.medium.operations()
 }
 
-/// Trouble that begins at each operation in turn, and lasts for one or a few; all is written in the end.
+/// Faults that begin at each operation in turn, and last for one or more operations. All records are written in the
+/// end.
 #[rstest]
-fn trouble_at_each_operation_loses_nothing(
-    #[values(Trouble::Refuses, Trouble::Tears, Trouble::ForgetsAtSync)] trouble: Trouble,
+fn a_fault_at_each_operation_loses_nothing(
+    #[values(DiskFault::Fails, DiskFault::WritesPartly, DiskFault::DropsAtSync)] fault: DiskFault,
 ) {
-    let operations = operations_of_a_whole_run();
+    let operations = operations_of_a_full_run();
     for from in 0..operations {
         let for_operations = 1 + from % 40;
-        let plan = Plan { trouble, from, for_operations, power_lost_at: NEVER };
-        outcome(from as u64, plan).unwrap_or_else(|e| panic!("{plan:?}: {e}"));
+        let plan = FaultPlan { fault, from, for_operations, power_lost_at: NEVER };
+        check_plan(from as u64, plan).unwrap_or_else(|e| panic!("{plan:?}: {e}"));
     }
 }
 
-/// Power is lost at any operation during or after the trouble, the recovery's own writes among them.
+/// Power is lost at a random operation during or after the fault, also during the writes of the recovery.
 #[rstest]
-fn power_lost_while_it_recovers_loses_nothing(
-    #[values(Trouble::Refuses, Trouble::Tears, Trouble::ForgetsAtSync)] trouble: Trouble,
+fn a_power_loss_during_recovery_loses_nothing(
+    #[values(DiskFault::Fails, DiskFault::WritesPartly, DiskFault::DropsAtSync)] fault: DiskFault,
 ) {
-    let operations = operations_of_a_whole_run();
+    let operations = operations_of_a_full_run();
     for seed in 0..100 {
-        let mut drawn = SmallRng::seed_from_u64(seed);
-        let from = drawn.random_range(0..operations);
-        let for_operations = drawn.random_range(1..45);
-        let power_lost_at = from + drawn.random_range(0..110);
-        let plan = Plan { trouble, from, for_operations, power_lost_at };
-        outcome(seed, plan).unwrap_or_else(|e| panic!("seed {seed}, {plan:?}: {e}"));
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let from = rng.random_range(0..operations);
+        let for_operations = rng.random_range(1..45);
+        let power_lost_at = from + rng.random_range(0..110);
+        let plan = FaultPlan { fault, from, for_operations, power_lost_at };
+        check_plan(seed, plan).unwrap_or_else(|e| panic!("seed {seed}, {plan:?}: {e}"));
     }
 }
 
-/// Power is lost without any other trouble: the mark in a log's header may be torn.
+/// Power is lost without any other fault. The update of the log's header may then be written only in part.
 #[test]
-fn power_lost_at_each_operation_loses_nothing() {
-    for power_lost_at in 0..operations_of_a_whole_run() {
-        let plan = Plan { trouble: Trouble::Refuses, from: NEVER, for_operations: 0, power_lost_at };
-        outcome(power_lost_at as u64, plan).unwrap_or_else(|e| panic!("{plan:?}: {e}"));
+fn a_power_loss_at_each_operation_loses_nothing() {
+    for power_lost_at in 0..operations_of_a_full_run() {
+        let plan = FaultPlan { fault: DiskFault::Fails, from: NEVER, for_operations: 0, power_lost_at };
+        check_plan(power_lost_at as u64, plan).unwrap_or_else(|e| panic!("{plan:?}: {e}"));
     }
 }
 
-/// A failed write is the last one to the files as they are open.
+/// After a failed write, nothing is written until the recovery has opened the files again.
 #[test]
 fn nothing_is_written_between_a_failure_and_the_recovery() {
     let mut run = Run::new(1);
-    let plan = Plan { trouble: Trouble::Refuses, from: 0, for_operations: 1, power_lost_at: NEVER };
-    run.medium.plan(plan);
+    let plan = FaultPlan { fault: DiskFault::Fails, from: 0, for_operations: 1, power_lost_at: NEVER };
+    run.medium.set_plan(plan);
     assert!(run.recorder.write(&Record::Promise(Term(9))).is_err());
     let before = run.medium.operations();
-    assert!(run.recorder.write(&Record::Promise(Term(10))).is_err(), "the disk works, and was not read anew");
+    assert!(
+        run.recorder.write(&Record::Promise(Term(10))).is_err(),
+        "the disk works, but the folder was not read again"
+    );
     assert_eq!(run.medium.operations(), before);
     assert_eq!(run.recorder.recover().unwrap().current_term, Term(0));
     assert!(run.recorder.write(&Record::Promise(Term(10))).is_ok());
 }
 
-/// A disk that refuses from the start: nothing of it is told to anyone, and the next attempt starts blank.
+/// A disk that fails from the start: each attempt reports the error, and the first one that succeeds starts blank.
 #[test]
-fn a_blank_folder_on_a_disk_that_refuses_is_tried_again() {
-    let d = tempdir().unwrap();
-    let data = d.path().join("data");
+fn opening_an_empty_folder_on_a_failing_disk_is_retried() {
+    let dir = tempdir().unwrap();
+    let data = dir.path().join("data");
     let medium = Arc::new(FaultyMedium::new(&data, 1));
     let mut recorder =
         Recorder::new(Box::new(DataFolder::with_medium(&settings(&data), medium.clone()).unwrap()));
-    medium.plan(Plan { trouble: Trouble::Refuses, from: 0, for_operations: 3, power_lost_at: NEVER });
+    medium.set_plan(FaultPlan { fault: DiskFault::Fails, from: 0, for_operations: 3, power_lost_at: NEVER });
     for _ in 0..3 {
         assert!(matches!(recorder.recover(), Err(OpenError::Io { step: "write", .. })));
         assert!(recorder.failed());
     }
-    let image = recorder.recover().unwrap();
-    assert!(!image.initialized);
-    assert_eq!(FileStore::load(&data).unwrap(), LoadResult::State(Box::new(image)));
+    let state = recorder.recover().unwrap();
+    assert!(!state.initialized);
+    assert_eq!(FileStore::load(&data).unwrap(), LoadResult::State(Box::new(state)));
 }
 
-/// A folder that turns out damaged is moved aside, and the voter comes up blank under another name.
+/// A folder that turns out to be damaged is moved aside, and the voter is blank, with a new incarnation.
 #[test]
-fn a_damaged_folder_comes_up_blank_in_the_same_process() {
+fn a_damaged_folder_is_replaced_without_a_restart() {
     let mut run = Run::new(1);
     for n in 0..2 {
         let path = run.path().join(format!("slot-{n}"));
@@ -241,34 +254,34 @@
         bytes[..64].fill(9);
         fs::write(&path, bytes).unwrap();
     }
-    let plan = Plan { trouble: Trouble::Refuses, from: 0, for_operations: 1, power_lost_at: NEVER };
-    run.medium.plan(plan);
+    let plan = FaultPlan { fault: DiskFault::Fails, from: 0, for_operations: 1, power_lost_at: NEVER };
+    run.medium.set_plan(plan);
     assert!(run.recorder.write(&Record::Promise(Term(9))).is_err());
-    let image = run.recorder.recover().unwrap();
-    assert!(!image.initialized && image.me.incarnation != Incarnation(5));
-    let aside = fs::read_dir(run.dir.path()).unwrap().map(|e| e.unwrap().file_name());
-    assert_eq!(aside.filter(|n| n.to_string_lossy().starts_with("data.damaged-")).count(), 1);
+    let state = run.recorder.recover().unwrap();
+    assert!(!state.initialized && state.me.incarnation != Incarnation(5));
+    let names = fs::read_dir(run.dir.path()).unwrap().map(|e| e.unwrap().file_name());
+    assert_eq!(names.filter(|name| name.to_string_lossy().starts_with("data.damaged-")).count(), 1);
 }
 
 #[test]
-fn another_nodes_folder_is_never_written_over() {
-    let d = folder();
-    let data = d.path().join("data");
+fn a_folder_of_another_node_is_never_overwritten() {
+    let dir = folder_with_records();
+    let data = dir.path().join("data");
     let before = fs::read(data.join("slot-0")).unwrap();
-    let set = Settings { node: "s2".into(), ..settings(&data) };
-    let mut recorder = Recorder::new(Box::new(DataFolder::new(&set).unwrap()));
+    let settings = Settings { node: "s2".into(), ..settings(&data) };
+    let mut recorder = Recorder::new(Box::new(DataFolder::new(&settings).unwrap()));
     assert!(matches!(recorder.recover(), Err(OpenError::Foreign(_))));
     assert_eq!(fs::read(data.join("slot-0")).unwrap(), before);
 }
 
-/// The waits grow from a heartbeat to a renewal, and of many failures few are told.
+/// The waits grow from a heartbeat interval to a renewal interval, and of many failures few are to be logged.
 #[test]
-fn attempts_are_spread_and_few_are_told() {
+fn attempts_back_off_and_few_are_logged() {
     let timing = Timing::default();
-    let mut retry = RecoveryBackoff::new(&timing);
-    let mut waits = vec![retry.wait()];
-    let told = (0..1_000).filter(|_| retry.record_failure()).count();
-    waits.push(retry.wait());
+    let mut backoff = RecoveryBackoff::new(&timing);
+    let mut waits = vec![backoff.wait()];
+    let logged = (0..1_000).filter(|_| backoff.record_failure()).count();
+    waits.push(backoff.wait());
     assert_eq!(waits, [timing.heartbeat_ms(), timing.renew_interval_ms()].map(Duration::from_millis));
-    assert_eq!(told, 10);
+    assert_eq!(logged, 10);
 }
--- a/crates/control-plane/tests/modules/cluster_state.rs
+++ b/crates/control-plane/tests/modules/cluster_state.rs
@@ -1,4 +1,4 @@
-//! Tests of `control_plane::cluster_state`.
+//! Tests of `control_plane::state_machine::cluster_state`.
 
 use common::{Incarnation, Index, OpId, Revision, wire};
 use control_plane::{ApplyOutcome, Change, ClusterState, ReplicaChange, types::NodeInfo};
@@ -7,22 +7,23 @@
     Change::Apply { op: OpId::new(op), base: Revision(base), text: text.into() }
 }
 
-/// Design 4.6: one racer wins, the loser never takes effect, a repeat answers as at first.
+/// Of two documents on the same base, the first is accepted and the second is a conflict without effect. A repeated
+/// operation is answered with its first outcome (design 4.6).
 #[test]
-fn racing_writers_and_repeats() {
-    let mut l = ClusterState::bootstrapped("c", vec![]);
-    let one = ApplyOutcome::Accepted { revision: Revision(1) };
-    assert_eq!(l.apply(Index(1), &apply("a", 0, "x")), one);
-    assert_eq!(l.apply(Index(2), &apply("b", 0, "y")), ApplyOutcome::Conflict { current: Revision(1) });
-    assert_eq!(l.apply(Index(3), &apply("c", 1, "z")), ApplyOutcome::Accepted { revision: Revision(2) });
-    assert_eq!(l.apply(Index(4), &apply("a", 0, "x")), one);
-    assert_eq!((l.text.as_deref(), l.revision), (Some("z"), Revision(2)));
+fn concurrent_documents_and_repeated_operations() {
+    let mut state = ClusterState::bootstrapped("c", vec![]);
+    let accepted = ApplyOutcome::Accepted { revision: Revision(1) };
+    assert_eq!(state.apply(Index(1), &apply("a", 0, "x")), accepted);
+    assert_eq!(state.apply(Index(2), &apply("b", 0, "y")), ApplyOutcome::Conflict { current: Revision(1) });
+    assert_eq!(state.apply(Index(3), &apply("c", 1, "z")), ApplyOutcome::Accepted { revision: Revision(2) });
+    assert_eq!(state.apply(Index(4), &apply("a", 0, "x")), accepted);
+    assert_eq!((state.text.as_deref(), state.revision), (Some("z"), Revision(2)));
 }
 
-/// Found by the first cluster: a outcome in a form that only JSON can read back broke every
-/// snapshot and slot that held one.
+/// A state with every kind of outcome can be decoded again. An outcome with a serde form that only JSON can read
+/// once made every snapshot that contained it unreadable.
 #[test]
-fn a_full_ledger_survives_the_wire() {
+fn a_state_with_all_outcomes_can_be_decoded() {
     let addr = "127.0.0.1:1".parse().unwrap();
     let info = NodeInfo {
         node: "n".into(),
@@ -34,8 +35,8 @@
         http: addr,
     };
     let list = ReplicaChange::List { service: "s".into(), zone: "a".into(), addr };
-    let mut l = ClusterState::bootstrapped("c", vec![]);
-    for (n, ch) in [
+    let mut state = ClusterState::bootstrapped("c", vec![]);
+    for (n, change) in [
         apply("a", 0, "x"),
         apply("b", 0, "y"),
         Change::Join(info),
@@ -46,30 +47,29 @@
     .iter()
     .enumerate()
     {
-        let _ = l.apply(Index(n as u64 + 1), ch);
+        let _ = state.apply(Index(n as u64 + 1), change);
     }
-    assert_eq!((l.recent_operations.len(), l.accepted_operations.len()), (4, 1));
-    assert_eq!(wire::decode::<ClusterState>(&wire::encode(&l).unwrap()).unwrap(), l);
+    assert_eq!((state.recent_operations.len(), state.accepted_operations.len()), (4, 1));
+    assert_eq!(wire::decode::<ClusterState>(&wire::encode(&state).unwrap()).unwrap(), state);
 }
 
-/// An evacuation that is late on its way does not undo what was decided after it; one that changes
-/// nothing is accepted.
+/// An evacuation request that arrives late doesn't undo a later decision. A request that changes nothing is accepted.
 #[test]
-fn a_late_evacuation_does_not_come_back() {
-    let mut l = ClusterState::bootstrapped("c", vec![]);
-    let mut fold = |index: u64, on: bool, seen: u64| {
+fn a_late_evacuation_request_has_no_effect() {
+    let mut state = ClusterState::bootstrapped("c", vec![]);
+    let mut evacuate = |index: u64, on: bool, seen: u64| {
         let op = OpId::new(format!("e{index}"));
         let outcome =
-            l.apply(Index(index), &Change::Evacuate { op, zone: "a".into(), on, seen: Index(seen) });
-        (outcome, l.evacuated.len())
+            state.apply(Index(index), &Change::Evacuate { op, zone: "a".into(), on, seen: Index(seen) });
+        (outcome, state.evacuated.len())
     };
-    let taken = ApplyOutcome::Accepted { revision: Revision(0) };
-    let overtaken = ApplyOutcome::Conflict { current: Revision(0) };
-    assert_eq!(fold(1, true, 0), (taken.clone(), 1));
-    assert_eq!(fold(2, true, 0), (taken.clone(), 1), "sent again");
-    assert_eq!(fold(3, false, 2), (taken.clone(), 0));
-    assert_eq!(fold(4, true, 0), (overtaken.clone(), 0), "the first one, late");
-    assert_eq!(fold(5, true, 4), (taken.clone(), 1), "a new one");
-    assert_eq!(fold(6, false, 2), (overtaken, 1), "the first end, late");
-    assert_eq!(fold(7, false, 6), (taken, 0));
+    let accepted = ApplyOutcome::Accepted { revision: Revision(0) };
+    let conflict = ApplyOutcome::Conflict { current: Revision(0) };
+    assert_eq!(evacuate(1, true, 0), (accepted.clone(), 1));
+    assert_eq!(evacuate(2, true, 0), (accepted.clone(), 1), "sent again");
+    assert_eq!(evacuate(3, false, 2), (accepted.clone(), 0));
+    assert_eq!(evacuate(4, true, 0), (conflict.clone(), 0), "the first request, late");
+    assert_eq!(evacuate(5, true, 4), (accepted.clone(), 1), "a new request");
+    assert_eq!(evacuate(6, false, 2), (conflict, 1), "the first end of the evacuation, late");
+    assert_eq!(evacuate(7, false, 6), (accepted, 0));
 }
--- a/crates/control-plane/tests/modules/partition_risk.rs
+++ b/crates/control-plane/tests/modules/partition_risk.rs
@@ -1,4 +1,4 @@
-//! Tests of `control_plane::partition_risk`.
+//! Tests of `control_plane::state_machine::partition_risk`.
 
 use common::{Epoch, Incarnation, NodeId};
 use control_plane::{
@@ -7,6 +7,7 @@
 };
 use rstest::rstest;
 
+/// A state with so many members. `lost` has the number of members before each loss.
 fn cluster_state(members: usize, lost: &[u32]) -> ClusterState {
     let addr = "127.0.0.1:1".parse().unwrap();
     let info = |n: usize| NodeInfo {
@@ -18,35 +19,38 @@
         rpc_addr: addr,
         http: addr,
     };
-    let mut l = ClusterState::bootstrapped("c", vec![]);
+    let mut state = ClusterState::bootstrapped("c", vec![]);
     for n in 0..members {
-        l.members.insert(info(n).node, Member { info: info(n), epoch: Epoch(1) });
+        state.members.insert(info(n).node, Member { info: info(n), epoch: Epoch(1) });
     }
-    l.lost = lost
+    state.lost = lost
         .iter()
         .enumerate()
-        .map(|(n, of)| LostMember { node: format!("x{n}").as_str().into(), members_before: *of })
+        .map(|(n, members_before)| LostMember {
+            node: format!("x{n}").as_str().into(),
+            members_before: *members_before,
+        })
         .collect();
-    l
+    state
 }
 
-/// Conformance, design 3.7: twelve members; who is lost, how many there were before each loss,
-/// and how many are silent.
+/// Of twelve members, some are lost and some are silent: how many may form a majority with an outdated state, if any
+/// (design 3.7).
 #[rstest]
-#[case::all_there(12, &[], 0, None)]
-#[case::half_of_twelve_is_no_majority(12, &[], 6, None)]
-#[case::seven_of_twelve_are(12, &[], 7, Some(7))]
-#[case::an_area_is_not(8, &[12, 11, 10, 9], 0, None)]
-#[case::an_area_and_three_more_are(5, &[12, 11, 10, 9, 8, 7, 6], 0, Some(7))]
+#[case::all_reachable(12, &[], 0, None)]
+#[case::half_of_twelve_are_no_majority(12, &[], 6, None)]
+#[case::seven_of_twelve_are_a_majority(12, &[], 7, Some(7))]
+#[case::a_lost_zone_is_no_majority(8, &[12, 11, 10, 9], 0, None)]
+#[case::a_lost_zone_and_three_more_are_a_majority(5, &[12, 11, 10, 9, 8, 7, 6], 0, Some(7))]
 #[case::old_losses_do_not_hide_a_later_group(4, &[12, 11, 10, 9, 8, 7, 6, 5], 0, Some(8))]
-#[case::later_joins_do_not_outvote_them(12, &[12, 11, 10, 9, 8, 7, 6], 0, Some(7))]
-#[case::five_of_nine_after_a_lost_area(4, &[12, 11, 10], 5, Some(8))]
-fn who_may_serve_on(
+#[case::later_joins_do_not_reduce_the_risk(12, &[12, 11, 10, 9, 8, 7, 6], 0, Some(7))]
+#[case::five_of_nine_after_a_lost_zone(4, &[12, 11, 10], 5, Some(8))]
+fn members_that_may_form_a_stale_majority(
     #[case] members: usize,
     #[case] lost: &[u32],
     #[case] silent: usize,
-    #[case] found: Option<usize>,
+    #[case] expected: Option<usize>,
 ) {
     let silent: Vec<NodeId> = (0..silent).map(|n| format!("p{n}").as_str().into()).collect();
-    assert_eq!(stale_majority(&cluster_state(members, lost), &silent).map(|v| v.len()), found);
+    assert_eq!(stale_majority(&cluster_state(members, lost), &silent).map(|members| members.len()), expected);
 }
--- a/crates/control-plane/tests/modules/state_update.rs
+++ b/crates/control-plane/tests/modules/state_update.rs
@@ -7,28 +7,28 @@
     types::LogEntry,
 };
 
-fn evac(n: u64) -> LogEntry {
+fn evacuation(index: u64) -> LogEntry {
     let change = Change::Evacuate {
-        op: OpId::new(format!("o{n}")),
-        zone: Zone::new(format!("a{n}")),
+        op: OpId::new(format!("o{index}")),
+        zone: Zone::new(format!("a{index}")),
         on: true,
         seen: Index(u64::MAX),
     };
-    LogEntry { index: Index(n), change }
+    LogEntry { index: Index(index), change }
 }
 
 #[test]
-fn a_gap_is_told_and_older_frames_bounce() {
-    let mut own = ClusterState::bootstrapped("c", vec![]);
-    assert_eq!(install(&mut own, "c", StateUpdate::Changes(vec![evac(1), evac(2)])), InstallResult::Advanced);
-    assert_eq!(install(&mut own, "c", StateUpdate::Changes(vec![evac(4)])), InstallResult::Gap);
-    let old = StateUpdate::Snapshot(Box::new(ClusterState::bootstrapped("c", vec![])));
-    assert_eq!(install(&mut own, "c", old), InstallResult::Rejected(RejectedUpdate::Older));
-    let saw_other_cluster = ClusterState { index: Index(9), ..ClusterState::bootstrapped("d", vec![]) };
-    let saw_other_cluster = StateUpdate::Snapshot(Box::new(saw_other_cluster));
+fn a_gap_is_reported_and_older_or_foreign_snapshots_are_rejected() {
+    let mut state = ClusterState::bootstrapped("c", vec![]);
     assert_eq!(
-        install(&mut own, "c", saw_other_cluster),
-        InstallResult::Rejected(RejectedUpdate::ForeignCluster)
+        install(&mut state, "c", StateUpdate::Changes(vec![evacuation(1), evacuation(2)])),
+        InstallResult::Advanced
     );
-    assert_eq!((own.index, own.evacuated.len()), (Index(2), 2));
+    assert_eq!(install(&mut state, "c", StateUpdate::Changes(vec![evacuation(4)])), InstallResult::Gap);
+    let old = StateUpdate::Snapshot(Box::new(ClusterState::bootstrapped("c", vec![])));
+    assert_eq!(install(&mut state, "c", old), InstallResult::Rejected(RejectedUpdate::Older));
+    let foreign = ClusterState { index: Index(9), ..ClusterState::bootstrapped("d", vec![]) };
+    let foreign = StateUpdate::Snapshot(Box::new(foreign));
+    assert_eq!(install(&mut state, "c", foreign), InstallResult::Rejected(RejectedUpdate::ForeignCluster));
+    assert_eq!((state.index, state.evacuated.len()), (Index(2), 2));
 }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! A voter whose disk refuses a write steps aside at once, and recovers in its own process by what its
-//! disk holds (design 2.4).
+//! A voter whose disk fails a write stops taking part at once. When the disk works again, it continues without a
+//! restart from the state on its disk (design 2.4).
 
 mod file_cluster;
 mod samples;
@@ -14,16 +14,17 @@
 use tempfile::tempdir;
 
 /// Three voters with a leader and one accepted document.
-fn settled(dir: &std::path::Path) -> file_cluster::FileCluster {
-    let mut r = file_cluster::start(dir);
-    r.run(6_000);
-    r.propose_document(1, 200);
-    r.run(500);
-    r.assert_consistent();
-    r
+fn started_cluster(dir: &std::path::Path) -> file_cluster::FileCluster {
+    let mut cluster = file_cluster::start(dir);
+    cluster.run(6_000);
+    cluster.propose_document(1, 200);
+    cluster.run(500);
+    cluster.assert_consistent();
+    cluster
 }
 
-fn stop(voter: &Voter, by: VoterId) -> Event {
+/// A vote request of `by` for a term far above that of `voter`.
+fn vote_request(voter: &Voter, by: VoterId) -> Event {
     let term = Term(voter.current_term.0 + 80);
     Event::Msg(
         file_cluster::addr(usize::from(by.number)),
@@ -31,45 +32,49 @@
     )
 }
 
-/// Before: a leader whose write failed said nothing, and the others waited out its silence.
+/// A leader whose write fails tells the others that it steps down; otherwise they would wait for their election
+/// timeout.
 #[test]
-fn a_leader_gives_up_its_view_with_the_failed_write() {
+fn a_leader_steps_down_when_a_write_fails() {
     let dir = tempdir().unwrap();
-    let mut r = settled(dir.path());
-    let (lead, now) = (r.leader(), r.now);
-    let term = r.voters[lead].current_term;
-    let effects = r.voters[lead].step(Event::SyncFailed, now);
-    let yields = sent(&effects)
+    let mut cluster = started_cluster(dir.path());
+    let (leader, now) = (cluster.leader(), cluster.now);
+    let term = cluster.voters[leader].current_term;
+    let effects = cluster.voters[leader].step(Event::SyncFailed, now);
+    let step_downs = sent(&effects)
         .iter()
-        .filter(|m| matches!(m, Message::StepDown { term: v, .. } if *v == term))
+        .filter(|message| matches!(message, Message::StepDown { term: own, .. } if *own == term))
         .count();
-    assert_eq!(yields, 2);
-    assert!(effects.iter().any(|f| matches!(f, Effect::Interrupted)), "what waits here is told at once");
-    assert!(!r.voters[lead].is_leader() && r.voters[lead].leader().is_none());
+    assert_eq!(step_downs, 2);
+    assert!(
+        effects.iter().any(|effect| matches!(effect, Effect::Interrupted)),
+        "waiting proposals end at once"
+    );
+    assert!(!cluster.voters[leader].is_leader() && cluster.voters[leader].leader().is_none());
 }
 
-/// Neither a vote nor a promise, an answer, a question or a write; and an order is refused at once.
+/// A voter with a failed disk sends no vote, answer or question, and writes nothing. A proposal is refused at once.
 #[test]
-fn a_seat_whose_disk_refuses_takes_part_in_nothing() {
+fn a_voter_with_a_failed_disk_takes_part_in_nothing() {
     let dir = tempdir().unwrap();
-    let mut r = settled(dir.path());
-    let lead = r.leader();
-    let at = (lead + 1) % 3;
-    r.voters[at].step(Event::SyncFailed, r.now);
-    let (by, term) = (r.voters[lead].id(), r.voters[lead].current_term);
-    let send_append = Message::Append {
+    let mut cluster = started_cluster(dir.path());
+    let leader = cluster.leader();
+    let follower = (leader + 1) % 3;
+    cluster.voters[follower].step(Event::SyncFailed, cluster.now);
+    let (by, term) = (cluster.voters[leader].id(), cluster.voters[leader].current_term);
+    let append = Message::Append {
         by,
-        to: at as u8,
+        to: follower as u8,
         term,
         commit_index: Index(1),
-        sent_at: r.now,
+        sent_at: cluster.now,
         body: AppendBody::Heartbeat,
     };
-    let from = file_cluster::addr(lead);
-    let late = r.now + 20 * Timing::default().election_timeout_ms();
+    let from = file_cluster::addr(leader);
+    let late = cluster.now + 20 * Timing::default().election_timeout_ms();
     let events = [
-        stop(&r.voters[at], by),
-        Event::Msg(from, send_append),
+        vote_request(&cluster.voters[follower], by),
+        Event::Msg(from, append),
         Event::Msg(from, Message::PreVote { by, term: Term(term.0 + 80) }),
         Event::Msg(from, Message::LeaderQuery(Tick(1))),
         Event::Timer,
@@ -78,141 +83,150 @@
         Event::SyncFailed,
     ];
     for event in events {
-        let shown = format!("{event:?}");
-        assert!(r.voters[at].step(event, late).is_empty(), "{shown}");
+        let description = format!("{event:?}");
+        assert!(cluster.voters[follower].step(event, late).is_empty(), "{description}");
     }
     let change = Change::Evacuate { op: "o9".into(), zone: "a".into(), on: true, seen: Index(u64::MAX) };
-    let effects = r.voters[at].step(Event::Propose(change), late);
+    let effects = cluster.voters[follower].step(Event::Propose(change), late);
     assert!(matches!(effects.as_slice(), [Effect::NotLogged { .. }]), "{effects:?}");
 }
 
-/// What waited for a write that was refused is never said, not even when a later sync is told of.
+/// Messages that waited for a write that failed are never sent, not even when a later sync is reported.
 #[test]
-fn words_that_waited_for_the_disk_are_never_said() {
+fn messages_that_waited_for_a_failed_write_are_never_sent() {
     let dir = tempdir().unwrap();
-    let mut r = settled(dir.path());
-    let lead = r.leader();
-    let at = (lead + 1) % 3;
-    let late = r.now + 2 * Timing::default().election_timeout_ms();
-    let (by, current_term) = (r.voters[lead].id(), r.voters[at].current_term);
-    let image = r.durable_state(at);
-    let event = stop(&r.voters[at], by);
-    let effects = r.voters[at].step(event, late);
-    let token =
-        effects.iter().find_map(|f| if let Effect::Persist { token, .. } = f { Some(*token) } else { None });
-    let token = token.expect("a promise is written");
-    assert!(r.voters[at].current_term > current_term);
-    r.voters[at].step(Event::SyncFailed, late);
-    r.voters[at].step(Event::Recovered(Box::new(image)), late);
-    assert_eq!(r.voters[at].current_term, current_term, "it believes its disk");
-    assert!(sent(&r.voters[at].step(Event::Synced(token), late)).is_empty());
-    // Its next write is told of by a token of its own.
+    let mut cluster = started_cluster(dir.path());
+    let leader = cluster.leader();
+    let follower = (leader + 1) % 3;
+    let late = cluster.now + 2 * Timing::default().election_timeout_ms();
+    let (by, current_term) = (cluster.voters[leader].id(), cluster.voters[follower].current_term);
+    let state = cluster.durable_state(follower);
+    let event = vote_request(&cluster.voters[follower], by);
+    let effects = cluster.voters[follower].step(event, late);
+    let token = effects
+        .iter()
+        .find_map(|effect| if let Effect::Persist { token, .. } = effect { Some(*token) } else { None });
+    let token = token.expect("a promised term is written");
+    assert!(cluster.voters[follower].current_term > current_term);
+    cluster.voters[follower].step(Event::SyncFailed, late);
+    cluster.voters[follower].step(Event::Recovered(Box::new(state)), late);
+    assert_eq!(cluster.voters[follower].current_term, current_term, "the term on its disk");
+    assert!(sent(&cluster.voters[follower].step(Event::Synced(token), late)).is_empty());
+    // Its next write has a new token, and the old one doesn't complete it.
     let later = late + Timing::default().election_timeout_ms();
-    let event = stop(&r.voters[at], by);
-    let effects = r.voters[at].step(event, later);
-    let next =
-        effects.iter().find_map(|f| if let Effect::Persist { token, .. } = f { Some(*token) } else { None });
-    assert!(next.is_some_and(|t| t > token));
-    assert!(sent(&r.voters[at].step(Event::Synced(token), later)).is_empty());
+    let event = vote_request(&cluster.voters[follower], by);
+    let effects = cluster.voters[follower].step(event, later);
+    let next = effects
+        .iter()
+        .find_map(|effect| if let Effect::Persist { token, .. } = effect { Some(*token) } else { None });
+    assert!(next.is_some_and(|next| next > token));
+    assert!(sent(&cluster.voters[follower].step(Event::Synced(token), later)).is_empty());
 }
 
-/// It may have answered a leader before its disk failed: it promises nothing until that lead is over.
+/// A recovered voter may have answered a leader before its disk failed. It grants no vote until that leader's lease
+/// must have ended.
 #[test]
-fn a_recovered_seat_waits_before_it_promises() {
+fn a_recovered_voter_waits_before_it_votes() {
     let dir = tempdir().unwrap();
-    let mut r = settled(dir.path());
-    let lead = r.leader();
-    let at = (lead + 1) % 3;
-    let by = r.voters[lead].id();
-    let image = r.durable_state(at);
-    let now = r.now + 5 * Timing::default().election_timeout_ms();
-    r.voters[at].step(Event::SyncFailed, now);
-    r.voters[at].step(Event::Recovered(Box::new(image)), now);
-    let event = stop(&r.voters[at], by);
-    assert!(r.voters[at].step(event, now).is_empty());
+    let mut cluster = started_cluster(dir.path());
+    let leader = cluster.leader();
+    let follower = (leader + 1) % 3;
+    let by = cluster.voters[leader].id();
+    let state = cluster.durable_state(follower);
+    let now = cluster.now + 5 * Timing::default().election_timeout_ms();
+    cluster.voters[follower].step(Event::SyncFailed, now);
+    cluster.voters[follower].step(Event::Recovered(Box::new(state)), now);
+    let event = vote_request(&cluster.voters[follower], by);
+    assert!(cluster.voters[follower].step(event, now).is_empty());
     let wait = Timing::default().election_timeout_ms();
-    let event = stop(&r.voters[at], by);
-    assert!(r.voters[at].step(event, now + wait - 1).is_empty());
-    let event = stop(&r.voters[at], by);
-    assert!(!r.voters[at].step(event, now + wait).is_empty());
+    let event = vote_request(&cluster.voters[follower], by);
+    assert!(cluster.voters[follower].step(event, now + wait - 1).is_empty());
+    let event = vote_request(&cluster.voters[follower], by);
+    assert!(!cluster.voters[follower].step(event, now + wait).is_empty());
 }
 
 #[test]
 fn only_a_failed_disk_recovers() {
     let dir = tempdir().unwrap();
-    let mut r = settled(dir.path());
-    let image = r.durable_state(0);
-    let older = DurableState { current_term: Term(0), ..image };
-    let current_term = r.voters[0].current_term;
-    assert!(r.voters[0].step(Event::Recovered(Box::new(older)), r.now).is_empty());
-    assert_eq!(r.voters[0].current_term, current_term);
+    let mut cluster = started_cluster(dir.path());
+    let state = cluster.durable_state(0);
+    let older = DurableState { current_term: Term(0), ..state };
+    let current_term = cluster.voters[0].current_term;
+    assert!(cluster.voters[0].step(Event::Recovered(Box::new(older)), cluster.now).is_empty());
+    assert_eq!(cluster.voters[0].current_term, current_term);
 }
 
-/// A voter that was formed and lost its folder knows of a cluster: it must not found another. One whose
-/// founding was refused may found again.
+/// A voter that was initialized and lost its folder must not bootstrap another cluster. One whose write failed
+/// during the bootstrap may try again.
 #[rstest]
-#[case::the_folder_was_damaged(77, false)]
-#[case::the_founding_was_refused(10, true)]
-fn who_may_found_after_a_recovery(#[case] incarnation: u64, #[case] may_bootstrap: bool) {
+#[case::damaged_folder(77, false)]
+#[case::failed_bootstrap(10, true)]
+fn who_may_bootstrap_after_a_recovery(#[case] incarnation: u64, #[case] may_bootstrap: bool) {
     let dir = tempdir().unwrap();
-    let mut r = settled(dir.path());
-    let me =
-        control_plane::types::VoterInfo { incarnation: Incarnation(incarnation), ..r.voters[0].me.clone() };
-    r.voters[0].step(Event::SyncFailed, r.now);
-    r.voters[0].step(Event::Recovered(Box::new(DurableState::blank(&me))), r.now);
-    assert_eq!(r.voters[0].may_bootstrap, may_bootstrap);
-    assert!(!r.voters[0].initialized);
+    let mut cluster = started_cluster(dir.path());
+    let me = control_plane::types::VoterInfo {
+        incarnation: Incarnation(incarnation),
+        ..cluster.voters[0].me.clone()
+    };
+    cluster.voters[0].step(Event::SyncFailed, cluster.now);
+    cluster.voters[0].step(Event::Recovered(Box::new(DurableState::blank(&me))), cluster.now);
+    assert_eq!(cluster.voters[0].may_bootstrap, may_bootstrap);
+    assert!(!cluster.voters[0].initialized);
 }
 
-/// Found on the users' platform (`disk-refuses-writes-once`): one short refusal cost a vote for ever, and
-/// a second one elsewhere the majority. Before: nobody led after the second.
+/// A voter whose disk failed for a short time must get its vote back. Otherwise a second such failure at another
+/// voter leaves no majority, and so no leader (seen in the platform's scenario `disk-refuses-writes-once`).
 #[rstest]
-fn two_refusals_one_after_the_other_leave_a_lead(
+fn successive_disk_failures_of_two_voters_leave_a_leader(
     #[values(0, 1, 2)] first: usize,
-    #[values(1, 2)] apart: usize,
+    #[values(1, 2)] distance: usize,
 ) {
     let dir = tempdir().unwrap();
-    let mut r = settled(dir.path());
-    let second = (first + apart) % 3;
-    for (n, at) in [first, second].into_iter().enumerate() {
-        r.set_disk_failing(at, true);
-        let doc = 10 * (n as u64 + 1);
-        if r.serving_leader().is_some() {
-            r.propose_document(doc, 200);
+    let mut cluster = started_cluster(dir.path());
+    let second = (first + distance) % 3;
+    for (n, failing) in [first, second].into_iter().enumerate() {
+        cluster.set_disk_failing(failing, true);
+        let document = 10 * (n as u64 + 1);
+        if cluster.serving_leader().is_some() {
+            cluster.propose_document(document, 200);
         }
-        r.run(4_000);
-        r.set_disk_failing(at, false);
-        r.run(4_000);
-        r.propose_document(doc + 1, 200);
-        r.run(1_000);
-        r.assert_consistent();
-        assert!(r.voters.iter().all(|s| !s.disk_failed));
+        cluster.run(4_000);
+        cluster.set_disk_failing(failing, false);
+        cluster.run(4_000);
+        cluster.propose_document(document + 1, 200);
+        cluster.run(1_000);
+        cluster.assert_consistent();
+        assert!(cluster.voters.iter().all(|voter| !voter.disk_failed));
     }
 }
 
-/// A late feed of an older term is answered with what is held, so not before that is synced.
+/// The answer to a late append of an older term states the voter's own term, so it waits until that is synced.
 #[test]
-fn an_answer_to_an_older_view_waits_for_the_disk() {
+fn an_answer_to_an_older_term_waits_for_the_disk() {
     let dir = tempdir().unwrap();
-    let mut r = settled(dir.path());
-    let lead = r.leader();
-    let at = (lead + 1) % 3;
-    let late = r.now + 2 * Timing::default().election_timeout_ms();
-    let (by, term) = (r.voters[lead].id(), r.voters[lead].current_term);
-    let event = stop(&r.voters[at], by);
-    let effects = r.voters[at].step(event, late);
-    let token =
-        effects.iter().find_map(|f| if let Effect::Persist { token, .. } = f { Some(*token) } else { None });
-    let send_append = Message::Append {
+    let mut cluster = started_cluster(dir.path());
+    let leader = cluster.leader();
+    let follower = (leader + 1) % 3;
+    let late = cluster.now + 2 * Timing::default().election_timeout_ms();
+    let (by, term) = (cluster.voters[leader].id(), cluster.voters[leader].current_term);
+    let event = vote_request(&cluster.voters[follower], by);
+    let effects = cluster.voters[follower].step(event, late);
+    let token = effects
+        .iter()
+        .find_map(|effect| if let Effect::Persist { token, .. } = effect { Some(*token) } else { None });
+    let append = Message::Append {
         by,
-        to: at as u8,
+        to: follower as u8,
         term,
         commit_index: Index(1),
         sent_at: late,
         body: AppendBody::Heartbeat,
     };
-    assert!(sent(&r.voters[at].step(Event::Msg(file_cluster::addr(lead), send_append), late)).is_empty());
-    let said = r.voters[at].step(Event::Synced(token.unwrap()), late);
-    let held = |m: &&&Message| matches!(m, Message::AppendReply { term: v, .. } if *v > term);
-    assert_eq!(sent(&said).iter().filter(held).count(), 1);
+    assert!(
+        sent(&cluster.voters[follower].step(Event::Msg(file_cluster::addr(leader), append), late)).is_empty()
+    );
+    let effects = cluster.voters[follower].step(Event::Synced(token.unwrap()), late);
+    let has_newer_term =
+        |message: &&&Message| matches!(message, Message::AppendReply { term: own, .. } if *own > term);
+    assert_eq!(sent(&effects).iter().filter(has_newer_term).count(), 1);
 }
--- a/crates/control-plane/tests/size.rs
+++ b/crates/control-plane/tests/size.rs
@@ -1,5 +1,5 @@
-//! Whatever is accepted for logging fits the short log, the slot and the wire, in every
-//! interleaving (design 2.8): three voters on real files, with documents near their limit.
+//! Every change that is logged fits into the short log, a slot and a message, also when changes, failures and
+//! elections overlap (design 2.8). Three voters with real files get documents near the size limit.
 
 use common::{Incarnation, Index, Revision, Term, wire};
 use control_plane::{
@@ -16,100 +16,107 @@
 mod file_cluster;
 use file_cluster::{DOCUMENT_BYTES, addr, random_text::random_text, start};
 
-/// Documents in quick succession, while a follower is cut off, slow, or neither.
+/// Documents in quick succession, while one follower is isolated, has a slow disk, or neither.
 #[rstest]
-#[case::all_there(false, false, DOCUMENT_BYTES, 12)]
-#[case::one_cut_off(true, false, DOCUMENT_BYTES, 12)]
+#[case::all_reachable(false, false, DOCUMENT_BYTES, 12)]
+#[case::one_isolated(true, false, DOCUMENT_BYTES, 12)]
 #[case::one_slow(false, true, DOCUMENT_BYTES, 6)]
-#[case::many_small_ones(true, false, 60_000, 100)]
-fn quick_documents_fit(#[case] cut: bool, #[case] slow: bool, #[case] len: usize, #[case] count: u64) {
+#[case::many_small_documents(true, false, 60_000, 100)]
+fn documents_in_quick_succession_fit(
+    #[case] isolated: bool,
+    #[case] slow: bool,
+    #[case] length: usize,
+    #[case] count: u64,
+) {
     let dir = tempfile::tempdir().unwrap();
-    let mut r = start(dir.path());
-    r.run(5_000);
-    let far = (r.leader() + 1) % 3;
-    r.isolated = cut.then_some(far);
-    r.slow_disk = slow.then(|| (far, VecDeque::new()));
+    let mut cluster = start(dir.path());
+    cluster.run(5_000);
+    let follower = (cluster.leader() + 1) % 3;
+    cluster.isolated = isolated.then_some(follower);
+    cluster.slow_disk = slow.then(|| (follower, VecDeque::new()));
     for n in 0..count {
-        r.propose_document(n, len);
-        r.run(400);
+        cluster.propose_document(n, length);
+        cluster.run(400);
     }
-    r.isolated = None;
-    r.slow_disk = None;
-    r.run(5_000);
-    r.assert_consistent();
-    let at = r.leader();
-    let s = &r.voters[at];
-    assert_eq!(s.cluster_state.revision, Revision(count), "each was accepted");
-    for have in [1, s.cluster_state.index.0 / 2, s.cluster_state.index.0 - 1] {
-        let told = wire::encode(&state_update::update_since(
+    cluster.isolated = None;
+    cluster.slow_disk = None;
+    cluster.run(5_000);
+    cluster.assert_consistent();
+    let leader = cluster.leader();
+    let voter = &cluster.voters[leader];
+    assert_eq!(voter.cluster_state.revision, Revision(count), "each document is accepted");
+    for have in [1, voter.cluster_state.index.0 / 2, voter.cluster_state.index.0 - 1] {
+        let update = wire::encode(&state_update::update_since(
             Index(have),
-            &s.cluster_state,
-            &s.log,
-            s.snapshot_index,
-            s.size_limits,
+            &voter.cluster_state,
+            &voter.log,
+            voter.snapshot_index,
+            voter.size_limits,
         ))
         .unwrap();
-        assert!(told.len() < wire::MAX_FRAME, "news of {} bytes after {have}", told.len());
+        assert!(update.len() < wire::MAX_FRAME, "update of {} bytes after {have}", update.len());
     }
-    let kept: usize = s.log.iter().map(|e| wire::encode(e).unwrap().len()).sum();
-    assert!(kept <= 3 * DOCUMENT_BYTES, "{kept} bytes of entries are kept in memory");
+    let log_bytes: usize = voter.log.iter().map(|entry| wire::encode(entry).unwrap().len()).sum();
+    assert!(log_bytes <= 3 * DOCUMENT_BYTES, "{log_bytes} bytes of entries are kept in memory");
 }
 
-/// Racing documents, all at once: what does not fit now is not logged, and nothing dies of it.
+/// Several documents are proposed at once. Those that don't fit are not logged, and no voter fails.
 #[rstest]
-#[case::one_cut_off(true)]
-#[case::all_there(false)]
-fn racing_documents_fit(#[case] cut: bool) {
+#[case::one_isolated(true)]
+#[case::all_reachable(false)]
+fn concurrent_documents_fit(#[case] isolated: bool) {
     let dir = tempfile::tempdir().unwrap();
-    let mut r = start(dir.path());
-    r.run(5_000);
-    r.isolated = cut.then_some((r.leader() + 1) % 3);
+    let mut cluster = start(dir.path());
+    cluster.run(5_000);
+    cluster.isolated = isolated.then_some((cluster.leader() + 1) % 3);
     for round in 0..3 {
-        (0..6).for_each(|n| r.propose_document(round * 10 + n, DOCUMENT_BYTES));
-        r.run(1_000);
+        (0..6).for_each(|n| cluster.propose_document(round * 10 + n, DOCUMENT_BYTES));
+        cluster.run(1_000);
     }
-    r.isolated = None;
-    r.run(5_000);
-    r.assert_consistent();
+    cluster.isolated = None;
+    cluster.run(5_000);
+    cluster.assert_consistent();
     assert!(
-        r.logged_proposals >= 3 && r.rejected_proposals >= 1,
-        "{} logged, {} not",
-        r.logged_proposals,
-        r.rejected_proposals
+        cluster.logged_proposals >= 3 && cluster.rejected_proposals >= 1,
+        "{} logged, {} rejected",
+        cluster.logged_proposals,
+        cluster.rejected_proposals
     );
 }
 
-/// A new leader with long tails to take over, and a voter that comes back to them.
+/// A new leader takes over a long log, and a voter that was isolated catches up with it.
 #[test]
-fn a_change_of_view_fits() {
+fn a_change_of_leader_fits() {
     let dir = tempfile::tempdir().unwrap();
-    let mut r = start(dir.path());
-    r.run(5_000);
-    let old = r.leader();
-    r.isolated = Some((old + 1) % 3);
+    let mut cluster = start(dir.path());
+    cluster.run(5_000);
+    let old_leader = cluster.leader();
+    cluster.isolated = Some((old_leader + 1) % 3);
     for n in 0..6 {
-        r.propose_document(n, DOCUMENT_BYTES);
-        r.run(400);
+        cluster.propose_document(n, DOCUMENT_BYTES);
+        cluster.run(400);
     }
-    // The leader goes away with changes on their way; the one that was cut off helps to elect.
-    r.propose_document(90, DOCUMENT_BYTES);
-    r.isolated = Some(old);
-    r.run(6_000);
-    assert_ne!(r.leader(), old);
+    // The leader is isolated while a change is being replicated; the voter that was isolated takes part in the
+    // election.
+    cluster.propose_document(90, DOCUMENT_BYTES);
+    cluster.isolated = Some(old_leader);
+    cluster.run(6_000);
+    assert_ne!(cluster.leader(), old_leader);
     for n in 10..13 {
-        r.propose_document(n, DOCUMENT_BYTES);
-        r.run(400);
+        cluster.propose_document(n, DOCUMENT_BYTES);
+        cluster.run(400);
     }
-    r.isolated = None;
-    r.run(6_000);
-    r.assert_consistent();
+    cluster.isolated = None;
+    cluster.run(6_000);
+    cluster.assert_consistent();
 }
 
-fn named(op: &str, id: &str, what: ReplicaChange) -> Change {
+fn replica_change(op: &str, id: &str, what: ReplicaChange) -> Change {
     Change::Replica { op: op.into(), id: id.into(), what }
 }
 
-fn list() -> ReplicaChange {
+/// Lists a replica whose service and zone have long names.
+fn list_replica() -> ReplicaChange {
     ReplicaChange::List {
         service: "s".repeat(60).as_str().into(),
         zone: "a".repeat(60).as_str().into(),
@@ -117,46 +124,48 @@
     }
 }
 
-/// Names from a path are as long as a caller likes, and outcomes name them: neither may fill the
-/// state. A state that is full still takes what makes it smaller.
+/// Callers choose the length of ids in request paths, and outcomes contain these ids: neither may fill the state. A
+/// full state still accepts changes that make it smaller.
 #[test]
-fn the_whole_state_stays_within_its_slot() {
+fn the_state_stays_within_its_slot() {
     let dir = tempfile::tempdir().unwrap();
-    let mut r = start(dir.path());
-    r.run(5_000);
-    r.propose_document(0, DOCUMENT_BYTES);
-    r.run(500);
-    let at = r.leader();
-    let before = r.rejected_proposals;
+    let mut cluster = start(dir.path());
+    cluster.run(5_000);
+    cluster.propose_document(0, DOCUMENT_BYTES);
+    cluster.run(500);
+    let leader = cluster.leader();
+    let before = cluster.rejected_proposals;
     for n in 0..3 {
-        let long = format!("{n}{}", "r".repeat(50_000));
-        r.step(at, Event::Propose(named(&format!("x{n}"), &long, ReplicaChange::Drain)));
+        let long_id = format!("{n}{}", "r".repeat(50_000));
+        cluster
+            .step(leader, Event::Propose(replica_change(&format!("x{n}"), &long_id, ReplicaChange::Drain)));
     }
-    assert_eq!(r.rejected_proposals, before + 3, "such names are not logged");
+    assert_eq!(cluster.rejected_proposals, before + 3, "changes with such ids are not logged");
     let mut n = 0;
-    while r.rejected_proposals == before + 3 && n < 20_000 {
+    while cluster.rejected_proposals == before + 3 && n < 20_000 {
         n += 1;
         let id = format!("{n:0>60}");
-        r.step(at, Event::Propose(named(&format!("l{n:0>60}"), &id, list())));
+        cluster.step(leader, Event::Propose(replica_change(&format!("l{n:0>60}"), &id, list_replica())));
         if n % 50 == 0 {
-            r.run(50);
+            cluster.run(50);
         }
     }
     assert!((1_000..20_000).contains(&n), "{n} replicas fill a slot");
-    r.run(3_000);
-    let (at, rejected) = (r.leader(), r.rejected_proposals);
-    r.step(at, Event::Propose(named("gone", &format!("{:0>60}", 1), ReplicaChange::Remove)));
-    assert_eq!(r.rejected_proposals, rejected);
-    r.run(3_000);
-    r.assert_consistent();
-    // What is on disk is read back whole.
-    let back = FileStore::load(&dir.path().join("s0")).unwrap();
-    assert!(matches!(back, LoadResult::State(i) if i.cluster_state.replicas.len() > 900));
+    cluster.run(3_000);
+    let (leader, rejected) = (cluster.leader(), cluster.rejected_proposals);
+    cluster
+        .step(leader, Event::Propose(replica_change("gone", &format!("{:0>60}", 1), ReplicaChange::Remove)));
+    assert_eq!(cluster.rejected_proposals, rejected);
+    cluster.run(3_000);
+    cluster.assert_consistent();
+    // The whole state can be loaded from disk.
+    let loaded = FileStore::load(&dir.path().join("s0")).unwrap();
+    assert!(matches!(loaded, LoadResult::State(state) if state.cluster_state.replicas.len() > 900));
 }
 
-/// Weights bound the real lengths: all room is reckoned by them.
+/// Nothing is longer than its `max_encoded_len`, by which all limits are computed.
 #[test]
-fn nothing_is_longer_than_its_weight() {
+fn nothing_is_longer_than_its_maximum_length() {
     let info = NodeInfo {
         node: "n".repeat(64).as_str().into(),
         incarnation: Incarnation(u64::MAX),
@@ -166,7 +175,7 @@
         rpc_addr: "[2001:db8::1:2:3:4]:65535".parse().unwrap(),
         http: "[2001:db8::1:2:3:4]:65535".parse().unwrap(),
     };
-    let holder = VoterInfo {
+    let voter = VoterInfo {
         number: 255,
         incarnation: info.incarnation,
         node: info.node.clone(),
@@ -183,20 +192,20 @@
         Change::Join(info.clone()),
         Change::Expire { node: info.node.clone(), incarnation: info.incarnation, left: false },
         Change::ConfirmDown { op: op(), node: info.node.clone() },
-        Change::ReplaceVoter(holder.clone()),
-        named(&"p".repeat(64), &"r".repeat(64), list()),
-        named(&"q".repeat(64), &"w".repeat(64), ReplicaChange::Drain),
+        Change::ReplaceVoter(voter.clone()),
+        replica_change(&"p".repeat(64), &"r".repeat(64), list_replica()),
+        replica_change(&"q".repeat(64), &"w".repeat(64), ReplicaChange::Drain),
         Change::Apply { op: "z".into(), base: Revision(0), text: "".into() },
     ];
-    let mut l = ClusterState::bootstrapped(&"c".repeat(64), vec![holder.clone(), holder.clone(), holder]);
-    let mut told = vec![];
+    let mut state = ClusterState::bootstrapped(&"c".repeat(64), vec![voter.clone(), voter.clone(), voter]);
+    let mut entries = vec![];
     for (n, change) in all.into_iter().enumerate() {
-        let e = LogEntry { index: Index(u64::MAX - 100 + n as u64), change };
-        assert!(wire::encode(&e).unwrap().len() <= e.max_encoded_len(), "{e:?}");
-        let _ = l.apply(e.index, &e.change);
-        assert!(wire::encode(&l).unwrap().len() <= l.max_encoded_len(), "{l:?}");
-        told.push(e);
+        let entry = LogEntry { index: Index(u64::MAX - 100 + n as u64), change };
+        assert!(wire::encode(&entry).unwrap().len() <= entry.max_encoded_len(), "{entry:?}");
+        let _ = state.apply(entry.index, &entry.change);
+        assert!(wire::encode(&state).unwrap().len() <= state.max_encoded_len(), "{state:?}");
+        entries.push(entry);
     }
-    let record = Record::Install { term: Term(u64::MAX), truncate_to: Index(u64::MAX), entries: told };
+    let record = Record::Install { term: Term(u64::MAX), truncate_to: Index(u64::MAX), entries };
     assert!(wire::encode(&record).unwrap().len() + 32 <= record.max_encoded_len());
 }
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -194,8 +194,8 @@
     assert!(matches!(FileStore::load(dir.path()).unwrap(), LoadResult::Corrupt(_)));
 }
 
-/// The count of synced records in the log's header is overwritten with each record. A crash can leave any part of that
-/// write; the header then has a wrong checksum, and the records after it must still be read.
+/// The count of synced records in the log's header is overwritten with each record. A crash can leave any part of
+/// that write; the header then has a wrong checksum, and the records after it must still be read.
 #[rstest]
 fn a_partly_written_log_header_keeps_the_records(#[values(16, 17, 20, 24, 25, 28, 30, 31)] written: usize) {
     let dir = tempfile::tempdir().unwrap();
@@ -275,8 +275,8 @@
     }
 }
 
-/// A slot is synced before its log is changed, and the log is cleared and synced before its header names the slot. This
-/// holds when a folder is opened and when a snapshot replaces an older one (claim D5 a).
+/// A slot is synced before its log is changed, and the log is cleared and synced before its header names the slot.
+/// This holds when a folder is opened and when a snapshot replaces an older one (claim D5 a).
 #[test]
 fn a_log_is_cleared_and_synced_before_it_names_its_slot() {
     let dir = tempfile::tempdir().unwrap();
