--- a/crates/control-plane/src/storage/layout.rs
+++ b/crates/control-plane/src/storage/layout.rs
@@ -20,8 +20,7 @@
 /// Length of the pieces in which files are cleared and searched, in bytes. It bounds the peak memory use.
 pub(super) const PIECE_BYTES: usize = 64 << 10;
 
-/// Precedes a snapshot, a log or a record: the magic bytes, two numbers, and checksums of the body and of the header
-/// itself.
+/// Precedes a snapshot, log or record: magic bytes, two numbers, and checksums of the body and of the header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Header {
     /// Sequence number of the slot, of the slot that the log follows, or the record's number ([`record_number`]).
@@ -38,10 +37,12 @@
 const HEADER_CRC: Range<usize> = 28..32;
 
 impl Header {
+    /// The header of a body.
     pub fn new(sequence: u64, number: u64, body: &[u8]) -> Self {
         Self { sequence, number, body_crc: crc32fast::hash(body) }
     }
 
+    /// Encodes the header.
     pub fn to_bytes(self) -> [u8; HEADER_BYTES] {
         let mut bytes = [0u8; HEADER_BYTES];
         bytes[..MAGIC.len()].copy_from_slice(MAGIC);
@@ -82,6 +83,7 @@
     (named_slot == 0 || named_slot == slot & (u64::MAX >> POSITION_BITS)).then_some(position)
 }
 
+/// Opens a file for reading and writing, and creates it if necessary.
 pub(super) fn open_for_writing(path: &Path) -> io::Result<File> {
     OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)
 }
@@ -236,8 +238,7 @@
     Ok(None)
 }
 
-/// The result for a folder without slots. It is empty, unless a log has content: a log is started only after its slot
-/// was synced, so a slot was lost.
+/// The result for a folder without slots. It is empty unless a log has content, whose synced slot was then lost.
 pub(super) fn load_without_slots(folder: &Path) -> io::Result<LoadResult> {
     for parity in 0..2 {
         let file = format!("log-{parity}");
--- a/crates/control-plane/tests/medium/mod.rs
+++ b/crates/control-plane/tests/medium/mod.rs
@@ -28,6 +28,7 @@
 /// When operations fail, and when power is lost. Operations are the writes and syncs since the plan was set.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultPlan {
+    /// How operations fail.
     pub fault: DiskFault,
     /// The first operation that fails.
     pub from: usize,
--- a/crates/control-plane/tests/model/digest.rs
+++ b/crates/control-plane/tests/model/digest.rs
@@ -1,11 +1,12 @@
-//! Canonical digests of model states: two states with the same digest are explored once.
+//! Digests of model states. States with the same digest count as one state, which is explored once.
 
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::{fmt, hash::Hasher};
 
-/// 128 bits: with the few million states of a run a collision is out of the question.
+/// 128 bits make a collision among the few million states of a run negligible.
 pub type Digest = u128;
 
+/// Hashes the text that is written to it.
 struct DebugHasher(SipHasher13);
 
 impl fmt::Write for DebugHasher {
@@ -15,11 +16,12 @@
     }
 }
 
-/// Digest of all that a value's derived `Debug` shows, private fields included.
+/// Digest of a value's derived `Debug` text, which includes private fields. The names of types and fields are part
+/// of it: renaming one changes which states are sampled for the recovery check.
 pub fn digest(value: &impl fmt::Debug) -> Digest {
     let mut hasher = DebugHasher(SipHasher13::new());
-    let shown = fmt::write(&mut hasher, format_args!("{value:?}"));
-    assert!(shown.is_ok(), "a derived Debug does not fail");
+    let result = fmt::write(&mut hasher, format_args!("{value:?}"));
+    assert!(result.is_ok(), "a derived Debug does not fail");
     hasher.0.finish128().as_u128()
 }
 
--- a/crates/control-plane/tests/model/history.rs
+++ b/crates/control-plane/tests/model/history.rs
@@ -1,4 +1,5 @@
-//! What was accepted and told so far, seen from outside, and the invariants over it.
+//! The externally visible history of a run, such as committed changes and answers to operators, and the invariants
+//! that it must satisfy.
 
 use super::digest::{Digest, digest};
 use common::{Incarnation, Index, OpId, Revision, Term};
@@ -9,38 +10,42 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An invariant that does not hold, in words.
-pub type Broken = String;
+/// Describes a violated invariant; begins with the invariant's name.
+pub type Violation = String;
 
-/// Grows with each step of a run; part of the state, since the invariants speak of the past.
+/// The history of a run. It is part of the model's state, since invariants refer to the past.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// The one order of changes: the first acceptance at each index decides.
+    /// The committed change and its outcome at each index, as first committed by any voter.
     pub order: BTreeMap<Index, (Change, ApplyOutcome)>,
-    /// Digest of the replicated state after each accepted index.
+    /// Digest of the replicated state after each committed index.
     states: BTreeMap<Index, Digest>,
+    /// The leader of each term.
     leaders: BTreeMap<Term, Incarnation>,
+    /// Operations that operators were told are accepted, and their indices.
     pub told_accepted: BTreeMap<OpId, Index>,
+    /// Operations that operators were told are conflicts.
     told_conflict: BTreeSet<OpId>,
-    /// Changes that some leader logged; all others were told as not logged, or were not answered.
+    /// Operations that some leader logged. All others were reported as not logged, or not answered.
     logged: BTreeSet<OpId>,
-    /// Revision that each change was sent on by its operator.
+    /// The base revision that the operator gave for each document.
     pub sent_on: BTreeMap<OpId, Revision>,
-    /// Voters by the newest accepted state.
+    /// The voters by the newest committed state.
     pub voters: Vec<VoterInfo>,
-    /// Highest term for which each voter's vote was sent.
+    /// The highest term for which each voter sent a vote.
     pub voted: BTreeMap<Incarnation, Term>,
-    /// What was on the disks that are gone.
+    /// The durable states of disks that were lost.
     pub lost: BTreeMap<Incarnation, DurableState>,
 }
 
 impl History {
+    /// The newest committed index.
     pub fn newest(&self) -> Index {
         self.order.keys().next_back().copied().unwrap_or_default()
     }
 
-    /// Invariant `one-leader-per-term`.
-    pub fn has_leadership(&mut self, term: Term, leader: Incarnation) -> Result<(), Broken> {
+    /// Records a leader. Checks the invariant `one-leader-per-term`.
+    pub fn record_leader(&mut self, term: Term, leader: Incarnation) -> Result<(), Violation> {
         match self.leaders.insert(term, leader) {
             Some(other) if other != leader => {
                 Err(format!("one-leader-per-term: {other} and {leader} both lead term {term}"))
@@ -49,17 +54,18 @@
         }
     }
 
-    /// Invariant `votes-of-voters`: the votes are a majority of the newest accepted voter set.
-    pub fn elected_by(&self, voters: &[Incarnation]) -> Result<(), Broken> {
-        let counted = self.voters.iter().filter(|holder| voters.contains(&holder.incarnation)).count();
+    /// Checks the invariant `votes-of-voters`: a leader's votes are a majority of the newest committed voter set.
+    pub fn check_election(&self, voters: &[Incarnation]) -> Result<(), Violation> {
+        let counted = self.voters.iter().filter(|info| voters.contains(&info.incarnation)).count();
         if counted > self.voters.len() / 2 {
             return Ok(());
         }
         Err(format!("votes-of-voters: {voters:?} elected a leader, {counted} of them are voters"))
     }
 
-    /// Invariants `one-order` and `not-logged-is-final`; true where the entry is accepted first.
-    pub fn accepts(&mut self, entry: &LogEntry, outcome: &ApplyOutcome) -> Result<bool, Broken> {
+    /// Records a committed entry, and returns whether it is the first at its index. Checks the invariants
+    /// `one-order` and `not-logged-is-final`.
+    pub fn record_commit(&mut self, entry: &LogEntry, outcome: &ApplyOutcome) -> Result<bool, Violation> {
         if let Some((change, known)) = self.order.get(&entry.index) {
             if *change != entry.change || known != outcome {
                 let (at, other) = (entry.index, &entry.change);
@@ -68,23 +74,24 @@
             return Ok(false);
         }
         if entry.index != self.newest().next() {
-            return Err(format!("one-order: {} accepted after {}", entry.index, self.newest()));
+            return Err(format!("one-order: {} committed after {}", entry.index, self.newest()));
         }
         if let Some(op) = entry.change.op().filter(|op| !self.logged.contains(*op)) {
-            return Err(format!("not-logged-is-final: {op} was told as not logged and is accepted"));
+            return Err(format!("not-logged-is-final: {op} was reported as not logged and is committed"));
         }
         self.order.insert(entry.index, (entry.change.clone(), outcome.clone()));
         Ok(true)
     }
 
-    /// Invariant `one-state`: at one index all voters hold the same replicated state.
-    pub fn holds(&mut self, cluster_state: &ClusterState) -> Result<(), Broken> {
+    /// Records the replicated state of a voter. Checks the invariant `one-state`: at the same index all voters have
+    /// the same state.
+    pub fn record_state(&mut self, cluster_state: &ClusterState) -> Result<(), Violation> {
         if cluster_state.index > self.newest() {
-            return Err(format!("one-state: state at {} before it was accepted", cluster_state.index));
+            return Err(format!("one-state: state at {} before it was committed", cluster_state.index));
         }
         let state = digest(cluster_state);
         if *self.states.entry(cluster_state.index).or_insert(state) != state {
-            return Err(format!("one-state: two states at {}", cluster_state.index));
+            return Err(format!("one-state: two different states at {}", cluster_state.index));
         }
         if cluster_state.index == self.newest() {
             self.voters = cluster_state.voters.clone();
@@ -92,26 +99,28 @@
         Ok(())
     }
 
-    pub fn logged(&mut self, change: &Change) {
+    /// Records that a leader logged a change.
+    pub fn record_logged(&mut self, change: &Change) {
         self.logged.extend(change.op().cloned());
     }
 
-    /// Invariant `not-logged-is-final`, for a leader that took back what it had logged.
-    pub fn unlogged(&mut self, op: &OpId) -> Result<(), Broken> {
+    /// Records that a leader reported a logged operation as not logged. Checks the invariant `not-logged-is-final`.
+    pub fn record_not_logged(&mut self, op: &OpId) -> Result<(), Violation> {
         self.logged.remove(op);
         match self.order.values().any(|(change, _)| change.op() == Some(op)) {
-            true => Err(format!("not-logged-is-final: {op} is accepted and told as not logged")),
+            true => Err(format!("not-logged-is-final: {op} is committed and reported as not logged")),
             false => Ok(()),
         }
     }
 
-    /// Invariants `told-is-kept` and `one-change-per-base`.
-    pub fn told(&mut self, op: &OpId, at: Index, outcome: &ApplyOutcome) -> Result<(), Broken> {
+    /// Records an answer to an operator. Checks the invariants `told-is-kept` (an answer stays true) and
+    /// `one-change-per-base`.
+    pub fn record_answer(&mut self, op: &OpId, at: Index, outcome: &ApplyOutcome) -> Result<(), Violation> {
         match outcome {
             ApplyOutcome::Accepted { .. } => {
                 if self.order.get(&at).is_none_or(|(change, _)| change.op() != Some(op)) {
                     return Err(format!(
-                        "told-is-kept: {op} told as accepted at {at}, where it does not stand"
+                        "told-is-kept: {op} reported as accepted at {at}, where it is not committed"
                     ));
                 }
                 self.told_accepted.insert(op.clone(), at);
@@ -121,53 +130,58 @@
             }
         }
         if let Some(op) = self.told_conflict.iter().find(|op| self.told_accepted.contains_key(*op)) {
-            return Err(format!("told-is-kept: {op} told as accepted and as a conflict"));
+            return Err(format!("told-is-kept: {op} reported as accepted and as a conflict"));
         }
         let base = |op: &OpId| self.sent_on.get(op).copied();
-        let rivals: Vec<&OpId> =
+        let same_base: Vec<&OpId> =
             self.told_accepted.keys().filter(|other| base(other) == base(op) && base(op).is_some()).collect();
-        if rivals.len() > 1 {
-            return Err(format!("one-change-per-base: {rivals:?} were all told as accepted on one base"));
+        if same_base.len() > 1 {
+            return Err(format!(
+                "one-change-per-base: {same_base:?} were all reported as accepted on one base"
+            ));
         }
         Ok(())
     }
 
-    /// Invariants `promise-is-kept` and `blank-never-votes`, at the moment of sending; true for a vote.
-    pub fn sends(&self, message: &Message, disk_formed: bool) -> Result<bool, Broken> {
+    /// Checks a message that is sent against the invariants `promise-is-kept` and `blank-never-votes`. Returns
+    /// whether it is a vote. `initialized`: whether the sender's disk has the state of a cluster.
+    pub fn check_sent(&self, message: &Message, initialized: bool) -> Result<bool, Violation> {
         let (by, term, vote) = match message {
-            Message::Vote { by, term, tail } if !disk_formed => {
-                self.votes_while_blank(by, tail)?;
+            Message::Vote { by, term, tail } if !initialized => {
+                self.check_blank_vote(by, tail)?;
                 (by, *term, true)
             }
             Message::Vote { by, term, .. } => (by, *term, true),
             Message::AppendReply { by, term, installed: true, .. } => (by, *term, false),
-            // A pre-vote promises nothing, so it need not rest on the disk; a lost voter gives none.
-            Message::PreVoteGranted { by, .. } => return self.votes_by_right(by, true).map(|()| false),
+            // A pre-vote promises nothing, so it needs no durable state. Only a voter whose disk was lost must not
+            // grant it.
+            Message::PreVoteGranted { by, .. } => return self.check_has_state(by, true).map(|()| false),
             _ => return Ok(false),
         };
-        self.votes_by_right(by, disk_formed || vote)?;
+        self.check_has_state(by, initialized || vote)?;
         let current_term = self.voted.get(&by.incarnation).copied().unwrap_or_default();
         if term < current_term {
             return Err(format!(
-                "promise-is-kept: {} promised {current_term} and answers in {term}",
+                "promise-is-kept: {} promised term {current_term} and answers in term {term}",
                 by.incarnation
             ));
         }
         Ok(vote)
     }
 
-    /// A blank voter votes only once its admission is committed, and says that it holds nothing.
-    fn votes_while_blank(&self, by: &VoterId, tail: &LogTail) -> Result<(), Broken> {
+    /// A blank voter votes only after its admission is committed, and its vote has no log or snapshot.
+    fn check_blank_vote(&self, by: &VoterId, tail: &LogTail) -> Result<(), Violation> {
         let admitted = self.voters.iter().any(|voter| voter.incarnation == by.incarnation);
-        let holds_nothing = tail.last == Index(0) && tail.snapshot.is_none() && tail.entries.is_empty();
-        if !(admitted && holds_nothing) {
+        let is_empty = tail.last == Index(0) && tail.snapshot.is_none() && tail.entries.is_empty();
+        if !(admitted && is_empty) {
             return Err(format!("blank-never-votes: {} votes without a state ({tail:?})", by.incarnation));
         }
         Ok(())
     }
 
-    fn votes_by_right(&self, by: &VoterId, disk_formed: bool) -> Result<(), Broken> {
-        if self.lost.contains_key(&by.incarnation) || !disk_formed {
+    /// A voter whose disk was lost or never initialized sends no answers that rely on its state.
+    fn check_has_state(&self, by: &VoterId, initialized: bool) -> Result<(), Violation> {
+        if self.lost.contains_key(&by.incarnation) || !initialized {
             return Err(format!("blank-never-votes: {} answers without its state", by.incarnation));
         }
         Ok(())
--- a/crates/control-plane/tests/model/main.rs
+++ b/crates/control-plane/tests/model/main.rs
@@ -1,9 +1,9 @@
-//! Model test of the core's consensus: an exhaustive search over the product's own state machine,
-//! `control_plane::consensus::Voter`, up to stated bounds. `docs/control/consensus.md` names the invariants
-//! and what the bounds leave unproved.
+//! Model test of the consensus: an exhaustive search, up to stated bounds, over the production state machine
+//! `control_plane::consensus::Voter`. `docs/control/consensus.md` lists the invariants and what the bounds leave
+//! unproved.
 //!
 //! For a deeper search: `FOLDSHUNT_MODEL_STATES=N` bounds the states of each search, and
-//! `FOLDSHUNT_MODEL_DEVIATIONS=N` sets the deviations of the scheduled ones.
+//! `FOLDSHUNT_MODEL_DEVIATIONS=N` sets the number of deviations in the scheduled searches.
 
 mod describe;
 mod digest;
@@ -24,73 +24,74 @@
 use variant::Variant;
 use world::World;
 
-/// States of each search that is not carried to its end in CI.
-const STATES: usize = 10_000;
-/// States of all interleavings in which a broken machine is looked for first.
-const STATES_OF_A_VARIANT: usize = 20_000;
-/// A search that is carried to its end has fewer states than this.
-const STATES_OF_A_WHOLE_SEARCH: usize = 160_000;
-/// Deviations of the scheduled searches that are cut off in CI.
-const DEVIATIONS: u8 = 2;
-/// Length of a scheduled run, in times of a follower's election time-out.
-const HORIZON: u64 = 3;
-/// One in so many states is run on undisturbed.
-const SAMPLE: u128 = 997;
+/// Default maximum number of states of the searches that are not run to completion.
+const DEFAULT_MAX_STATES: usize = 10_000;
+/// Maximum number of states in the search over all interleavings for the fault of a variant.
+const MAX_STATES_OF_A_VARIANT: usize = 20_000;
+/// Maximum number of states of a search that is run to completion.
+const MAX_STATES_OF_A_COMPLETE_SEARCH: usize = 160_000;
+/// Number of deviations in scheduled searches that are not run to completion.
+const DEFAULT_DEVIATIONS: u8 = 2;
+/// Length of a scheduled run, in election timeouts.
+const HORIZON_ELECTION_TIMEOUTS: u64 = 3;
+/// One in so many states is checked for recovery.
+const SAMPLE_INTERVAL: u128 = 997;
 
+/// The number in an environment variable, if it is set.
 fn setting(name: &str) -> Option<usize> {
     let value = std::env::var(name).ok()?;
     Some(value.parse().unwrap_or_else(|error| panic!("{name}={value}: {error}")))
 }
 
-fn most_states() -> usize {
-    setting("FOLDSHUNT_MODEL_STATES").unwrap_or(STATES)
+fn max_states() -> usize {
+    setting("FOLDSHUNT_MODEL_STATES").unwrap_or(DEFAULT_MAX_STATES)
 }
 
 fn start_of(scenario: Scenario, variant: Option<Variant>) -> Result<World, Counterexample> {
-    scenario.start(variant).map_err(|what| Counterexample { what, trace: Vec::new() })
+    scenario.start(variant).map_err(|violation| Counterexample { violation, trace: Vec::new() })
 }
 
 /// All interleavings within the scenario's budget.
 fn interleavings(
     scenario: Scenario,
     variant: Option<Variant>,
-    most: usize,
+    max_states: usize,
 ) -> Result<Report, Counterexample> {
     let start = start_of(scenario, variant)?;
-    let report = explore(&start, most, |_| {})?;
+    let report = explore(&start, max_states, |_| {})?;
     println!("{scenario:?}, all interleavings: {report}");
     Ok(report)
 }
 
-/// A start from which only so many deviations from the ordinary schedule lead.
+/// Restricts a start to runs with at most `deviations` deviations from the ordinary schedule.
 fn scheduled(mut start: World, scenario: Scenario, deviations: u8) -> World {
-    let horizon = start.now + HORIZON * start.timing().election_timeout_ms();
-    let gone = (0..start.size).find(|machine| start.voter(*machine).is_none());
-    start.schedule = Some(Schedule::new(deviations, horizon, gone));
+    let horizon = start.now + HORIZON_ELECTION_TIMEOUTS * start.timing().election_timeout_ms();
+    let initially_down = (0..start.size).find(|machine| start.voter(*machine).is_none());
+    start.schedule = Some(Schedule::new(deviations, horizon, initially_down));
     start.budget = scenario.budget_of_deviations();
     start
 }
 
-/// All runs with so many deviations from the ordinary schedule.
+/// All runs with at most `deviations` deviations from the ordinary schedule.
 fn deviations(
     scenario: Scenario,
     variant: Option<Variant>,
     deviations: u8,
-    most: usize,
+    max_states: usize,
     visit: impl FnMut(&World),
 ) -> Result<Report, Counterexample> {
     let start = scheduled(start_of(scenario, variant)?, scenario, deviations);
-    let report = explore(&start, most, visit)?;
+    let report = explore(&start, max_states, visit)?;
     println!("{scenario:?}, {deviations} deviations: {report}");
     Ok(report)
 }
 
-fn holds(found: Result<Report, Counterexample>) -> Report {
+fn expect_no_violation(found: Result<Report, Counterexample>) -> Report {
     found.unwrap_or_else(|counterexample| panic!("{counterexample}"))
 }
 
 #[rstest]
-#[case::bootstrap_messages(Scenario::Founding)]
+#[case::bootstrap(Scenario::Bootstrap)]
 #[case::first_election(Scenario::FirstElection)]
 #[case::racing_changes(Scenario::RacingChanges)]
 #[case::logged_only_by_leader(Scenario::LoggedOnlyByLeader)]
@@ -101,22 +102,22 @@
 #[case::replacement_logged(Scenario::ReplacementLogged)]
 #[case::spare_takes_place(Scenario::SpareTakesPlace)]
 #[case::replaced_voter_returns(Scenario::ReplacedVoterReturns)]
-#[case::replaced_voter_stands(Scenario::ReplacedVoterStands)]
+#[case::replaced_voter_campaigns(Scenario::ReplacedVoterCampaigns)]
 #[case::second_loss(Scenario::SecondLoss)]
 #[case::loss_during_replacement(Scenario::LossDuringReplacement)]
 #[case::loss_after_admission(Scenario::LossAfterAdmission)]
-#[case::follower_out_of_touch(Scenario::FollowerOutOfTouch)]
+#[case::follower_out_of_contact(Scenario::FollowerOutOfContact)]
 #[case::old_term_messages(Scenario::OldTermMessages)]
-fn no_interleaving_breaks_an_invariant(#[case] scenario: Scenario) {
-    let report = holds(interleavings(scenario, None, most_states()));
-    assert!(report.complete || report.states >= most_states(), "{report}");
+fn no_interleaving_violates_an_invariant(#[case] scenario: Scenario) {
+    let report = expect_no_violation(interleavings(scenario, None, max_states()));
+    assert!(report.complete || report.states >= max_states(), "{report}");
 }
 
-/// Each run with one deviation, to its end: elections, acceptances and replacements are all reached.
-/// Of the states a sample is run on undisturbed: once the trouble ends, the core reads its newest
-/// accepted state, and each voter has a state of its own again.
+/// Explores all runs with one deviation to completion. They must reach elections, commits and replacements. A
+/// sample of the states is then run without faults: the leader must serve the newest committed state, and each
+/// voter must have a state again.
 #[rstest]
-#[case::bootstrap_messages(Scenario::Founding)]
+#[case::bootstrap(Scenario::Bootstrap)]
 #[case::first_election(Scenario::FirstElection)]
 #[case::racing_changes(Scenario::RacingChanges)]
 #[case::logged_only_by_leader(Scenario::LoggedOnlyByLeader)]
@@ -127,33 +128,36 @@
 #[case::replacement_logged(Scenario::ReplacementLogged)]
 #[case::spare_takes_place(Scenario::SpareTakesPlace)]
 #[case::replaced_voter_returns(Scenario::ReplacedVoterReturns)]
-#[case::replaced_voter_stands(Scenario::ReplacedVoterStands)]
+#[case::replaced_voter_campaigns(Scenario::ReplacedVoterCampaigns)]
 #[case::second_loss(Scenario::SecondLoss)]
 #[case::loss_during_replacement(Scenario::LossDuringReplacement)]
 #[case::loss_after_admission(Scenario::LossAfterAdmission)]
-#[case::follower_out_of_touch(Scenario::FollowerOutOfTouch)]
+#[case::follower_out_of_contact(Scenario::FollowerOutOfContact)]
 #[case::old_term_messages(Scenario::OldTermMessages)]
-fn no_single_deviation_breaks_an_invariant(#[case] scenario: Scenario) {
+fn no_single_deviation_violates_an_invariant(#[case] scenario: Scenario) {
     let (mut runs, mut longest) = (0, 0);
-    let found = deviations(scenario, None, 1, STATES_OF_A_WHOLE_SEARCH, |world| {
-        if world.digest() % SAMPLE != 0 {
+    let found = deviations(scenario, None, 1, MAX_STATES_OF_A_COMPLETE_SEARCH, |world| {
+        if world.digest() % SAMPLE_INTERVAL != 0 {
             return;
         }
         runs += 1;
-        match world.comes_back() {
+        match world.recovers() {
             Ok(after) => longest = longest.max(after.0),
-            Err(what) => panic!("{what}\nfrom {:#?}", world.summary()),
+            Err(violation) => panic!("{violation}\nfrom {:#?}", world.summary()),
         }
     });
-    let report = holds(found);
-    println!("{scenario:?}: {runs} runs come back, the longest after {longest} ms");
+    let report = expect_no_violation(found);
+    println!("{scenario:?}: {runs} runs recover, the longest after {longest} ms");
     assert!(report.complete && runs >= 10, "{report}, {runs} samples");
     let reached = report.reached;
-    assert!(reached.terms > 8 && reached.committed > 0 && reached.told > 0 && reached.replaced, "{report}");
+    assert!(
+        reached.terms > 8 && reached.committed > 0 && reached.acknowledged > 0 && reached.replaced,
+        "{report}"
+    );
 }
 
 #[rstest]
-#[case::bootstrap_messages(Scenario::Founding)]
+#[case::bootstrap(Scenario::Bootstrap)]
 #[case::first_election(Scenario::FirstElection)]
 #[case::racing_changes(Scenario::RacingChanges)]
 #[case::logged_only_by_leader(Scenario::LoggedOnlyByLeader)]
@@ -164,26 +168,26 @@
 #[case::replacement_logged(Scenario::ReplacementLogged)]
 #[case::spare_takes_place(Scenario::SpareTakesPlace)]
 #[case::replaced_voter_returns(Scenario::ReplacedVoterReturns)]
-#[case::replaced_voter_stands(Scenario::ReplacedVoterStands)]
+#[case::replaced_voter_campaigns(Scenario::ReplacedVoterCampaigns)]
 #[case::second_loss(Scenario::SecondLoss)]
 #[case::loss_during_replacement(Scenario::LossDuringReplacement)]
 #[case::loss_after_admission(Scenario::LossAfterAdmission)]
-#[case::follower_out_of_touch(Scenario::FollowerOutOfTouch)]
+#[case::follower_out_of_contact(Scenario::FollowerOutOfContact)]
 #[case::old_term_messages(Scenario::OldTermMessages)]
-fn no_few_deviations_break_an_invariant(#[case] scenario: Scenario) {
-    let most = setting("FOLDSHUNT_MODEL_DEVIATIONS").map_or(DEVIATIONS, |n| n as u8);
-    let report = holds(deviations(scenario, None, most, most_states(), |_| {}));
-    assert!(report.complete || report.states >= most_states(), "{report}");
+fn no_combination_of_deviations_violates_an_invariant(#[case] scenario: Scenario) {
+    let max_deviations = setting("FOLDSHUNT_MODEL_DEVIATIONS").map_or(DEFAULT_DEVIATIONS, |n| n as u8);
+    let report = expect_no_violation(deviations(scenario, None, max_deviations, max_states(), |_| {}));
+    assert!(report.complete || report.states >= max_states(), "{report}");
 }
 
-/// Each broken machine is found out, by the invariant that is meant for it.
+/// The search finds the fault of each variant, as a violation of the invariant that is meant for it.
 #[rstest]
 #[case::early_acknowledgement(
     Variant::AcknowledgesBeforeSync,
     Scenario::ReplacementLogged,
     "acknowledged-is-durable"
 )]
-#[case::blank_vote(Variant::BlankVotesAsFormerSelf, Scenario::LoggedOnlyByLeader, "blank-never-votes")]
+#[case::blank_vote(Variant::BlankVotesWithFormerIdentity, Scenario::LoggedOnlyByLeader, "blank-never-votes")]
 #[case::forgotten_promise(Variant::ForgetsPromise, Scenario::OldTermMessages, "promise-is-kept")]
 #[case::no_lease(Variant::ReadsWithoutLease, Scenario::LoggedOnlyByLeader, "one-lease")]
 #[case::replaced_voter(
@@ -191,66 +195,78 @@
     Scenario::ReplacedVoterReturns,
     "acknowledged-is-durable"
 )]
-#[case::no_wait_after_restart(Variant::VotesRightAfterRestart, Scenario::FollowerOutOfTouch, "one-lease")]
+#[case::no_wait_after_restart(Variant::VotesRightAfterRestart, Scenario::FollowerOutOfContact, "one-lease")]
 #[case::own_log_only(Variant::IgnoresVotersLogsAndReplies, Scenario::HalfReplicated, "reads-are-newest")]
 #[case::own_log_only_after_acceptance(Variant::IgnoresVotersLogs, Scenario::HalfReplicated, "accepted-stays")]
-#[case::voters_by_seat(Variant::KnowsVotersBySeatOnly, Scenario::ReplacedVoterStands, "votes-of-voters")]
-#[case::told_too_early(Variant::AcknowledgesOnceLogged, Scenario::FirstElection, "told-is-kept")]
-#[case::told_as_not_logged(Variant::RefusesWhatWasLogged, Scenario::HalfReplicated, "not-logged-is-final")]
+#[case::voters_by_number(
+    Variant::KnowsVotersByNumberOnly,
+    Scenario::ReplacedVoterCampaigns,
+    "votes-of-voters"
+)]
+#[case::acknowledged_too_early(Variant::AcknowledgesOnceLogged, Scenario::FirstElection, "told-is-kept")]
+#[case::reported_as_not_logged(
+    Variant::ReportsLoggedAsNotLogged,
+    Scenario::HalfReplicated,
+    "not-logged-is-final"
+)]
 #[case::rebased(Variant::RebasesChanges, Scenario::RacingChanges, "one-change-per-base")]
-fn a_broken_machine_is_found_out(
+fn a_faulty_variant_violates_its_invariant(
     #[case] variant: Variant,
     #[case] scenario: Scenario,
     #[case] invariant: &str,
 ) {
-    let found = interleavings(scenario, Some(variant), STATES_OF_A_VARIANT)
-        .and_then(|_| deviations(scenario, Some(variant), 1, STATES_OF_A_WHOLE_SEARCH, |_| {}))
-        .and_then(|_| deviations(scenario, Some(variant), 2, STATES_OF_A_WHOLE_SEARCH, |_| {}));
+    let found = interleavings(scenario, Some(variant), MAX_STATES_OF_A_VARIANT)
+        .and_then(|_| deviations(scenario, Some(variant), 1, MAX_STATES_OF_A_COMPLETE_SEARCH, |_| {}))
+        .and_then(|_| deviations(scenario, Some(variant), 2, MAX_STATES_OF_A_COMPLETE_SEARCH, |_| {}));
     match found {
-        Ok(report) => panic!("{variant:?} passes: {report}"),
+        Ok(report) => panic!("{variant:?} violates no invariant: {report}"),
         Err(counterexample) => {
             println!("{variant:?}: {counterexample}");
-            assert!(counterexample.what.starts_with(invariant), "{counterexample}");
+            assert!(counterexample.violation.starts_with(invariant), "{counterexample}");
         }
     }
 }
 
-/// What the sequence of effects of one machine can't bring about is shown to the checks directly.
+/// Violations that no variant causes are passed to the history's checks directly.
 #[test]
-fn the_checks_over_the_past_can_fail() {
-    let starts_with = |found: Result<(), String>, invariant: &str| {
-        assert!(found.as_ref().is_err_and(|what| what.starts_with(invariant)), "{invariant}: {found:?}");
+fn the_checks_of_the_history_can_fail() {
+    let violates = |result: Result<(), String>, invariant: &str| {
+        assert!(
+            result.as_ref().is_err_and(|violation| violation.starts_with(invariant)),
+            "{invariant}: {result:?}"
+        );
     };
     let mut history = History::default();
-    assert_eq!(history.has_leadership(Term(8), Incarnation(10)), Ok(()));
-    starts_with(history.has_leadership(Term(8), Incarnation(11)), "one-leader-per-term");
+    assert_eq!(history.record_leader(Term(8), Incarnation(10)), Ok(()));
+    violates(history.record_leader(Term(8), Incarnation(11)), "one-leader-per-term");
     let entry = |index, text| LogEntry { index: Index(index), change: world::apply(text, 0, text) };
     let outcome = ApplyOutcome::Accepted { revision: Revision(1) };
-    ["a", "b"].iter().for_each(|text| history.logged(&entry(1, text).change));
-    assert_eq!(history.accepts(&entry(1, "a"), &outcome), Ok(true));
-    assert_eq!(history.accepts(&entry(1, "a"), &outcome), Ok(false));
-    starts_with(history.accepts(&entry(1, "b"), &outcome).map(drop), "one-order");
-    starts_with(history.accepts(&entry(3, "b"), &outcome).map(drop), "one-order");
+    ["a", "b"].iter().for_each(|text| history.record_logged(&entry(1, text).change));
+    assert_eq!(history.record_commit(&entry(1, "a"), &outcome), Ok(true));
+    assert_eq!(history.record_commit(&entry(1, "a"), &outcome), Ok(false));
+    violates(history.record_commit(&entry(1, "b"), &outcome).map(drop), "one-order");
+    violates(history.record_commit(&entry(3, "b"), &outcome).map(drop), "one-order");
     let state =
         |cluster: &str| ClusterState { cluster: cluster.into(), index: Index(1), ..ClusterState::default() };
-    assert_eq!(history.holds(&state("a")), Ok(()));
-    starts_with(history.holds(&state("b")), "one-state");
+    assert_eq!(history.record_state(&state("a")), Ok(()));
+    violates(history.record_state(&state("b")), "one-state");
 }
 
-/// Two losses overlap with a replacement, and two disks hold everything: the core comes back. Seen to fail for both: the
-/// leader barred the returned voter for good, and the newcomer that was admitted could not vote.
+/// Two losses overlap with a replacement, and two disks have the newest state: the cluster must recover. Both cases
+/// once failed: the leader excluded the returned voter for good, or the admitted voter without a state could not
+/// vote.
 #[rstest]
 #[case::replacement_logged_only(Scenario::LossDuringReplacement)]
-#[case::newcomer_without_a_state(Scenario::LossAfterAdmission)]
-fn a_core_comes_back_from_overlapping_losses(#[case] scenario: Scenario) {
+#[case::admitted_voter_without_a_state(Scenario::LossAfterAdmission)]
+fn a_cluster_recovers_from_overlapping_losses(#[case] scenario: Scenario) {
     let start = start_of(scenario, None).unwrap_or_else(|e| panic!("{e}"));
-    if let Err(what) = start.comes_back() {
-        panic!("{what}\nfrom {:#?}", start.summary());
+    if let Err(violation) = start.recovers() {
+        panic!("{violation}\nfrom {:#?}", start.summary());
     }
 }
 
-/// Six voters, of whom four are a majority: no interleaving and no single deviation breaks an invariant, up to the bound
-/// of states.
+/// Six voters, of whom four are a majority: no interleaving and no single deviation violates an invariant, up to the
+/// bound of states.
 #[rstest]
 #[case::half_replicated(Scenario::HalfReplicated)]
 #[case::wiped_voter_joins(Scenario::WipedVoterJoins)]
@@ -259,17 +275,17 @@
 #[case::second_loss(Scenario::SecondLoss)]
 #[case::old_term_messages(Scenario::OldTermMessages)]
 fn an_even_number_of_voters_keeps_the_invariants(#[case] scenario: Scenario) {
-    const EVEN: usize = 6;
-    let start = scenario.start_with(EVEN, None).unwrap_or_else(|what| panic!("{what}"));
-    let free = holds(explore(&start, most_states(), |_| {}));
-    let report = holds(explore(&scheduled(start, scenario, 1), most_states(), |_| {}));
-    println!("{scenario:?}, six voters: {free}; one deviation: {report}");
+    const EVEN_SIZE: usize = 6;
+    let start = scenario.start_with(EVEN_SIZE, None).unwrap_or_else(|violation| panic!("{violation}"));
+    let interleavings = expect_no_violation(explore(&start, max_states(), |_| {}));
+    let report = expect_no_violation(explore(&scheduled(start, scenario, 1), max_states(), |_| {}));
+    println!("{scenario:?}, six voters: {interleavings}; one deviation: {report}");
 }
 
-/// A control node without a disk beside three voters: it is told of any committed state at any time, late ones too, and
-/// neither votes, nor founds, nor goes back.
+/// A learner, which is a control node without a disk, beside three voters: it receives any committed state at any
+/// time, also late. It must neither vote, nor bootstrap a cluster, nor return to an older state.
 #[rstest]
-#[case::bootstrap_messages(Scenario::Founding)]
+#[case::bootstrap(Scenario::Bootstrap)]
 #[case::half_replicated(Scenario::HalfReplicated)]
 #[case::replacement_logged(Scenario::ReplacementLogged)]
 #[case::replaced_voter_returns(Scenario::ReplacedVoterReturns)]
@@ -278,18 +294,18 @@
 fn a_learner_keeps_the_invariants(#[case] scenario: Scenario) {
     let mut start = start_of(scenario, None).unwrap_or_else(|e| panic!("{e}"));
     start.add_learner();
-    let report = holds(explore(&start, most_states(), |world| {
+    let report = expect_no_violation(explore(&start, max_states(), |world| {
         let learner = world.learner.and_then(|machine| world.voter(machine));
         assert!(learner.is_none_or(|learner| !learner.is_leader() && learner.last_index() <= world.newest()));
     }));
     println!("{scenario:?}, with a learner: {report}");
 }
 
-/// The liveness sample finds a core that doesn't readmit a wiped voter.
+/// The check for recovery fails for a cluster that doesn't readmit a wiped voter.
 #[test]
-fn a_core_that_does_not_come_back_is_found_out() {
+fn a_cluster_that_does_not_recover_is_detected() {
     let start = |variant| start_of(Scenario::WipedVoterJoins, variant).unwrap_or_else(|e| panic!("{e}"));
-    assert!(start(None).comes_back().is_ok());
-    let found = start(Some(Variant::IgnoresJoinRequests)).comes_back();
-    assert!(found.is_err_and(|what| what.starts_with("comes-back")));
+    assert!(start(None).recovers().is_ok());
+    let found = start(Some(Variant::IgnoresJoinRequests)).recovers();
+    assert!(found.is_err_and(|violation| violation.starts_with("comes-back")));
 }
--- a/crates/control-plane/tests/model/scenario.rs
+++ b/crates/control-plane/tests/model/scenario.rs
@@ -1,106 +1,110 @@
-//! States from which the search starts, each brought about by an undisturbed run, and their budgets.
+//! The states from which searches start, each produced by a run without faults, and their budgets.
 
 use super::{
-    history::Broken,
+    history::Violation,
     variant::Variant,
-    world::{Action, Budget, VOTERS, World},
+    world::{Action, Budget, Packet, VOTERS, World},
 };
 use common::{Tick, settings::Timing};
 use control_plane::consensus::{Message, VoterRole};
 
-/// A quiet run advances the clock by this much at a time.
+/// How much a run without faults advances the clock in each step, in milliseconds.
 const STEP_MS: u64 = 50;
-/// No quiet run of a scenario or of a recovery may take longer.
-pub const MOST_QUIET_MS: u64 = 20_000;
+/// Maximum duration of a run without faults, in milliseconds of virtual time.
+pub const MAX_RUN_MS: u64 = 20_000;
 
+/// A state from which a search starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Three blank machines that found a core.
-    Founding,
-    /// Three voters, no leader yet, all election timeouts near.
+    /// Three blank machines that bootstrap a cluster.
+    Bootstrap,
+    /// Three voters without a leader, shortly before their election timeouts.
     FirstElection,
-    /// A leader with one accepted change; two more race for the same base.
+    /// A leader with one committed change; two more changes have the same base.
     RacingChanges,
-    /// The leader has logged a change that no other has; elections follow.
+    /// Only the leader has logged a change; elections follow.
     LoggedOnlyByLeader,
-    /// A follower has logged a change that its leader has not accepted yet; a voter may be lost.
+    /// A follower has logged a change that the leader has not committed yet; a voter may be lost.
     HalfReplicated,
-    /// The followers' answers to the leader are as old as the lease: it is about to end.
+    /// The followers' last replies to the leader are so old that its lease is about to end.
     LeaseEnds,
-    /// A voter restarts right after it answered the leader.
+    /// A voter restarts right after it replied to the leader.
     Restart,
     /// A voter's disk was wiped; its join request has reached the leader.
     WipedVoterJoins,
-    /// The wiped voter's replacement is logged, with nothing else to be done than to accept it.
+    /// The replacement of the wiped voter is logged, but not committed.
     ReplacementLogged,
-    /// A voter is silent for good, the spare asks for its place.
+    /// A voter stays silent, and the spare asks to take its place.
     SpareTakesPlace,
-    /// The same, and the silent voter is back: its answer to the leader is in flight.
+    /// Like `SpareTakesPlace`, but the silent voter has returned: its reply to the leader is in flight.
     ReplacedVoterReturns,
-    /// The spare has the place of a silent voter; that one is back, knows nothing of it, and stands.
-    ReplacedVoterStands,
-    /// The wiped voter is a voter again; the next loss comes right then.
+    /// The spare has replaced a silent voter, which returns, doesn't know of it, and starts an election.
+    ReplacedVoterCampaigns,
+    /// The wiped voter has become a voter again; another loss follows immediately.
     SecondLoss,
-    /// A replacement is logged by the leader alone; then the third voter's disk is lost, and the silent voter is back.
+    /// Only the leader has logged a replacement. Then the third voter's disk is lost, and the silent voter returns.
     LossDuringReplacement,
-    /// A replacement is committed, the newcomer has not taken a state; then the third voter's disk is lost, and the
-    /// leader has lost contact with all.
+    /// A replacement is committed, but the new voter has no state yet. Then the third voter's disk is lost, and the
+    /// leader has lost contact with all others.
     LossAfterAdmission,
-    /// A follower heard no leader for longer than its election time-out and stands, while the others go on.
-    FollowerOutOfTouch,
-    /// The votes for a new leader are given; what the old leader sent before is still in flight.
+    /// A follower has not heard from the leader for its election timeout and starts an election, while the others
+    /// have a leader.
+    FollowerOutOfContact,
+    /// The votes for a new leader are sent, while messages of the old leader are still in flight.
     OldTermMessages,
 }
 
 impl Scenario {
+    /// The budget of a search over all interleavings.
     pub fn budget(self) -> Budget {
         let none = Budget::default();
         match self {
-            Self::Founding => Budget { beats: 2, wipes: 1, ..none },
+            Self::Bootstrap => Budget { heartbeats: 2, wipes: 1, ..none },
             Self::FirstElection => Budget { deadlines: 3, slow_writes: 1, crashes: 1, ..none },
-            Self::RacingChanges => Budget { deadlines: 3, proposals: 3, yields: 1, ..none },
+            Self::RacingChanges => Budget { deadlines: 3, proposals: 3, step_downs: 1, ..none },
             Self::LoggedOnlyByLeader => {
                 Budget { deadlines: 4, proposals: 1, crashes: 1, duplicates: 1, ..none }
             }
             Self::HalfReplicated => Budget { deadlines: 4, wipes: 1, slow_writes: 1, ..none },
-            Self::LeaseEnds => Budget { deadlines: 6, beats: 1, proposals: 1, ..none },
-            Self::Restart => Budget { deadlines: 4, crashes: 2, beats: 1, ..none },
+            Self::LeaseEnds => Budget { deadlines: 6, heartbeats: 1, proposals: 1, ..none },
+            Self::Restart => Budget { deadlines: 4, crashes: 2, heartbeats: 1, ..none },
             Self::WipedVoterJoins => Budget { deadlines: 3, crashes: 1, proposals: 1, ..none },
             Self::ReplacementLogged => Budget { deadlines: 4, crashes: 1, slow_writes: 1, ..none },
-            Self::SpareTakesPlace => Budget { deadlines: 4, crashes: 1, beats: 1, ..none },
-            Self::ReplacedVoterReturns => Budget { deadlines: 1, beats: 1, ..none },
+            Self::SpareTakesPlace => Budget { deadlines: 4, crashes: 1, heartbeats: 1, ..none },
+            Self::ReplacedVoterReturns => Budget { deadlines: 1, heartbeats: 1, ..none },
             Self::LossDuringReplacement => Budget { deadlines: 4, duplicates: 1, ..none },
             Self::LossAfterAdmission => Budget { deadlines: 4, duplicates: 1, slow_writes: 1, ..none },
-            Self::FollowerOutOfTouch => Budget { deadlines: 1, crashes: 1, ..none },
+            Self::FollowerOutOfContact => Budget { deadlines: 1, crashes: 1, ..none },
             Self::OldTermMessages => Budget { deadlines: 1, crashes: 1, duplicates: 1, ..none },
-            Self::ReplacedVoterStands => Budget { deadlines: 2, ..none },
+            Self::ReplacedVoterCampaigns => Budget { deadlines: 2, ..none },
             Self::SecondLoss => Budget { deadlines: 4, wipes: 1, proposals: 1, ..none },
         }
     }
 
-    /// What may be deviated from in a scheduled run. Where two losses are there from the start, none is added.
+    /// The budget of a scheduled run. A scenario that starts with two losses gets no more.
     pub fn budget_of_deviations(self) -> Budget {
-        let twice_lost = matches!(self, Self::LossDuringReplacement | Self::LossAfterAdmission);
+        let has_two_losses = matches!(self, Self::LossDuringReplacement | Self::LossAfterAdmission);
         Budget {
-            crashes: if twice_lost { 0 } else { 2 },
-            wipes: u8::from(!twice_lost),
+            crashes: if has_two_losses { 0 } else { 2 },
+            wipes: u8::from(!has_two_losses),
             slow_writes: 1,
             duplicates: 1,
-            yields: 1,
+            step_downs: 1,
             proposals: 2,
             ..Budget::default()
         }
     }
 
-    /// The start, with its budget.
-    pub fn start(self, variant: Option<Variant>) -> Result<World, Broken> {
+    /// The start of a cluster with three voters.
+    pub fn start(self, variant: Option<Variant>) -> Result<World, Violation> {
         self.start_with(VOTERS, variant)
     }
 
-    /// The start of a cluster of so many voters; one that is founded has the usual ones.
-    pub fn start_with(self, size: usize, variant: Option<Variant>) -> Result<World, Broken> {
+    /// The start of a cluster with `size` voters, with its budget. A cluster that is to be bootstrapped always has
+    /// three.
+    pub fn start_with(self, size: usize, variant: Option<Variant>) -> Result<World, Violation> {
         let mut world = match self {
-            Self::Founding => World::blank(variant),
+            Self::Bootstrap => World::blank(variant),
             _ => World::bootstrapped(size, variant),
         };
         self.prepare(&mut world)?;
@@ -108,35 +112,36 @@
         Ok(world)
     }
 
-    fn prepare(self, world: &mut World) -> Result<(), Broken> {
+    /// Runs a new cluster up to the scenario's start.
+    fn prepare(self, world: &mut World) -> Result<(), Violation> {
         let election_timeout = Timing::default().election_timeout_ms();
-        if self == Self::Founding {
+        if self == Self::Bootstrap {
             return Ok(());
         }
         if self == Self::FirstElection {
             world.now = world.now + election_timeout;
             return Ok(());
         }
-        world.quiet(&[], |w| w.leader().is_some())?;
-        world.order(0)?;
-        world.quiet(&[], |w| w.all_accepted(&w.first_voters()))?;
+        world.run_until_idle(&[], |world| world.leader().is_some())?;
+        world.propose_to_leader(0)?;
+        world.run_until_idle(&[], |world| world.all_committed(&world.first_voters()))?;
         world.packets.clear();
         let leader = world.leader().ok_or("no leader")?;
         let follower = (leader + 1) % world.size;
         match self {
-            Self::Founding | Self::FirstElection | Self::LeaseEnds => {}
+            Self::Bootstrap | Self::FirstElection | Self::LeaseEnds => {}
             Self::RacingChanges => world.changes = changes(1, &["c", "d"]),
             Self::LoggedOnlyByLeader => {
                 world.changes = changes(1, &["c", "d"]);
-                world.order(0)?;
+                world.propose_to_leader(0)?;
                 world.packets.clear();
                 world.now = world.now + election_timeout;
             }
             Self::HalfReplicated => {
                 world.changes = changes(1, &["c", "d"]);
-                world.order(0)?;
-                world.deliver_first(follower, |m| matches!(m, Message::Append { .. }))?;
-                world.packets.retain(|p| p.value.to == leader);
+                world.propose_to_leader(0)?;
+                world.deliver_first(follower, |message| matches!(message, Message::Append { .. }))?;
+                world.packets.retain(|packet| packet.value.to == leader);
             }
             Self::Restart => {
                 world.crash(follower, 0);
@@ -146,14 +151,18 @@
                 world.changes = changes(1, &["c", "d"]);
                 world.wipe(follower);
                 world.restart(follower);
-                let logged = |w: &World| w.voter(leader).is_some_and(|s| s.last_index() > s.commit_index());
+                let logged = |world: &World| {
+                    world.voter(leader).is_some_and(|voter| voter.last_index() > voter.commit_index())
+                };
                 match self {
-                    Self::WipedVoterJoins => world.quiet_until_join(leader)?,
+                    Self::WipedVoterJoins => world.run_until_join_request(leader)?,
                     Self::ReplacementLogged => {
-                        world.quiet_to(&[], logged)?;
+                        world.run_until(&[], logged)?;
                     }
                     _ => {
-                        world.quiet(&[], |w| w.is_whole() && w.all_accepted(&w.first_voters()))?;
+                        world.run_until_idle(&[], |world| {
+                            world.all_voters_have_state() && world.all_committed(&world.first_voters())
+                        })?;
                         world.packets.clear();
                     }
                 }
@@ -161,32 +170,36 @@
             Self::SpareTakesPlace | Self::ReplacedVoterReturns => {
                 world.crash(follower, 0);
                 world.restart(world.size);
-                world.quiet_until_join_of_spare(follower)?;
+                world.run_until_spare_asks_to_join(follower)?;
                 if self == Self::ReplacedVoterReturns {
                     world.restart(follower);
                     world.now = world.now + Timing::default().heartbeat_ms();
                     *world = world.after(Action::Wakeup { machine: leader, slow: false })?;
-                    world.deliver_first(follower, |m| matches!(m, Message::Append { .. }))?;
+                    world.deliver_first(follower, |message| matches!(message, Message::Append { .. }))?;
                 }
             }
-            Self::ReplacedVoterStands => {
-                let last = (leader + 2) % world.size;
+            Self::ReplacedVoterCampaigns => {
+                let other_follower = (leader + 2) % world.size;
                 world.crash(follower, 0);
                 world.restart(world.size);
-                let replaced = |w: &World| w.is_voter(w.size) && w.all_accepted(&[leader, last, w.size]);
-                world.quiet(&[follower], replaced)?;
+                let replaced = |world: &World| {
+                    world.is_voter(world.size) && world.all_committed(&[leader, other_follower, world.size])
+                };
+                world.run_until_idle(&[follower], replaced)?;
                 world.crash(leader, 0);
                 world.crash(world.size, 0);
                 world.restart(follower);
-                world.stands(follower)?;
+                world.run_until_pre_vote(follower)?;
             }
             Self::LossDuringReplacement => {
                 let third = (leader + 2) % world.size;
                 world.crash(follower, 0);
                 world.restart(world.size);
-                world.quiet_until_join_of_spare(follower)?;
-                let logged = |w: &World| w.voter(leader).is_some_and(|s| s.last_index() > s.commit_index());
-                world.quiet_to(&[follower], logged)?;
+                world.run_until_spare_asks_to_join(follower)?;
+                let logged = |world: &World| {
+                    world.voter(leader).is_some_and(|voter| voter.last_index() > voter.commit_index())
+                };
+                world.run_until(&[follower], logged)?;
                 world.packets.clear();
                 world.wipe(third);
                 world.restart(third);
@@ -196,12 +209,12 @@
                 let third = (leader + 2) % world.size;
                 world.crash(follower, 0);
                 world.restart(world.size);
-                world.quiet_until_join_of_spare(follower)?;
-                let admitted = |w: &World| {
-                    let spare = w.machine(w.size).disk.synced.me.incarnation;
-                    w.history.value.voters.iter().any(|voter| voter.incarnation == spare)
+                world.run_until_spare_asks_to_join(follower)?;
+                let admitted = |world: &World| {
+                    let spare = world.machine(world.size).disk.synced.me.incarnation;
+                    world.history.value.voters.iter().any(|voter| voter.incarnation == spare)
                 };
-                world.quiet_to(&[follower], admitted)?;
+                world.run_until(&[follower], admitted)?;
                 world.packets.clear();
                 world.wipe(third);
                 world.restart(third);
@@ -209,16 +222,18 @@
                 *world = world.after(Action::Wakeup { machine: leader, slow: false })?;
                 world.packets.clear();
             }
-            Self::FollowerOutOfTouch => {
-                world.stands((leader + 2) % world.size)?;
+            Self::FollowerOutOfContact => {
+                world.run_until_pre_vote((leader + 2) % world.size)?;
             }
             Self::OldTermMessages => {
                 world.changes = changes(1, &["c", "d"]);
-                world.order(0)?;
-                let old = std::mem::take(&mut world.packets);
-                let vote = |m: &Message| matches!(m, Message::Vote { .. });
-                world.quiet_to(&[leader], |w| w.packets.iter().any(|p| vote(&p.value.message)))?;
-                old.into_iter().for_each(|packet| world.put(packet));
+                world.propose_to_leader(0)?;
+                let old_packets = std::mem::take(&mut world.packets);
+                let is_vote = |message: &Message| matches!(message, Message::Vote { .. });
+                world.run_until(&[leader], |world| {
+                    world.packets.iter().any(|packet| is_vote(&packet.value.message))
+                })?;
+                old_packets.into_iter().for_each(|packet| world.add_packet(packet));
             }
         }
         Ok(())
@@ -227,126 +242,143 @@
 
 fn changes(base: u64, operations: &[&str]) -> std::sync::Arc<Vec<control_plane::Change>> {
     let texts = operations.iter().enumerate();
-    let change = |(n, op): (usize, &&str)| super::world::apply(op, base, &"x".repeat(n + 5));
+    let change = |(n, operation): (usize, &&str)| super::world::apply(operation, base, &"x".repeat(n + 5));
     std::sync::Arc::new(texts.map(change).collect())
 }
 
 impl World {
+    /// The leader that can serve reads, if there is one.
     pub fn leader(&self) -> Option<usize> {
         (0..self.machines.len()).find(|n| self.voter(*n).is_some_and(|voter| voter.can_serve_reads(self.now)))
     }
 
-    /// Machines that are voters at first.
+    /// The machines that are the voters of a new cluster.
     fn first_voters(&self) -> Vec<usize> {
         (0..self.size).collect()
     }
 
-    fn all_accepted(&self, machines: &[usize]) -> bool {
+    /// Whether these machines have committed the newest change, and there is one.
+    fn all_committed(&self, machines: &[usize]) -> bool {
         let newest = self.history.value.newest();
         machines.iter().all(|n| self.voter(*n).is_some_and(|voter| voter.commit_index() == newest))
             && newest.0 > 0
     }
 
-    /// It counts as a voter and has a state of its own.
+    /// Whether a machine is a voter and all voters have their states.
     fn is_voter(&self, machine: usize) -> bool {
         let me = self.machine(machine).disk.synced.me.incarnation;
-        self.is_whole() && self.history.value.voters.iter().any(|holder| holder.incarnation == me)
+        self.all_voters_have_state() && self.history.value.voters.iter().any(|info| info.incarnation == me)
     }
 
-    /// Runs with one machine cut off, until its pre-vote request is in flight.
-    fn stands(&mut self, machine: usize) -> Result<(), Broken> {
-        let requests =
-            |p: &super::world::Packet| matches!(p.message, Message::PreVote { .. }) && p.from == machine;
-        self.quiet_to(&[machine], |w| w.packets.iter().any(|p| requests(&p.value)))
+    /// Runs with one machine cut off until its pre-vote request is in flight.
+    fn run_until_pre_vote(&mut self, machine: usize) -> Result<(), Violation> {
+        let is_request =
+            |packet: &Packet| matches!(packet.message, Message::PreVote { .. }) && packet.from == machine;
+        self.run_until(&[machine], |world| world.packets.iter().any(|packet| is_request(&packet.value)))
     }
 
-    fn order(&mut self, change: usize) -> Result<(), Broken> {
-        let machine = self.leader().ok_or("no leader to take an order")?;
+    /// Sends an operator's change to the leader.
+    fn propose_to_leader(&mut self, change: usize) -> Result<(), Violation> {
+        let machine = self.leader().ok_or("no leader to propose to")?;
         self.budget.proposals += 1;
         *self = self.after(Action::Propose { machine, change, slow: false })?;
         Ok(())
     }
 
-    fn deliver_first(&mut self, to: usize, which: impl Fn(&Message) -> bool) -> Result<(), Broken> {
-        let fits = |p: &super::world::Packet| p.to == to && which(&p.message);
-        let packet = self.packets.iter().position(|p| fits(&p.value)).ok_or("no such message")?;
-        *self = self.after(Action::Deliver { packet, again: false, slow: false })?;
+    /// Delivers the first message to a machine that matches.
+    fn deliver_first(&mut self, to: usize, matching: impl Fn(&Message) -> bool) -> Result<(), Violation> {
+        let fits = |packet: &Packet| packet.to == to && matching(&packet.message);
+        let packet = self
+            .packets
+            .iter()
+            .position(|packet| fits(&packet.value))
+            .ok_or("no such message is in flight")?;
+        *self = self.after(Action::Deliver { packet, duplicate: false, slow: false })?;
         Ok(())
     }
 
-    /// One step of an undisturbed run: all messages arrive, all timers are looked at. Ends early, with
-    /// messages in flight, where `done` holds.
-    fn quiet_step(&mut self, cut_off: &[usize], done: &impl Fn(&World) -> bool) -> Result<bool, Broken> {
+    /// One step of a run without faults: all machines check their timers and all messages arrive, except those from
+    /// and to the machines in `cut_off`. Ends early, with messages in flight, if `done` is true. Returns whether it
+    /// is.
+    fn run_step(&mut self, cut_off: &[usize], done: &impl Fn(&World) -> bool) -> Result<bool, Violation> {
         for machine in 0..self.machines.len() {
             *self = self.after(Action::Wakeup { machine, slow: false })?;
             while !self.packets.is_empty() {
                 if done(self) {
                     return Ok(true);
                 }
-                let ends = (self.packets[0].value.from, self.packets[0].value.to);
-                if cut_off.contains(&ends.0) || cut_off.contains(&ends.1) {
+                let (from, to) = (self.packets[0].value.from, self.packets[0].value.to);
+                if cut_off.contains(&from) || cut_off.contains(&to) {
                     self.packets.remove(0);
                     continue;
                 }
-                *self = self.after(Action::Deliver { packet: 0, again: false, slow: false })?;
+                *self = self.after(Action::Deliver { packet: 0, duplicate: false, slow: false })?;
             }
         }
         self.now = self.now + STEP_MS;
         Ok(done(self))
     }
 
-    /// Runs undisturbed until something holds and no message is in flight.
-    pub fn quiet(&mut self, cut_off: &[usize], done: impl Fn(&World) -> bool) -> Result<(), Broken> {
-        self.quiet_to(cut_off, |w| w.packets.is_empty() && done(w))
+    /// Runs without faults until `done` is true and no message is in flight.
+    pub fn run_until_idle(
+        &mut self,
+        cut_off: &[usize],
+        done: impl Fn(&World) -> bool,
+    ) -> Result<(), Violation> {
+        self.run_until(cut_off, |world| world.packets.is_empty() && done(world))
     }
 
-    /// Runs undisturbed until something holds.
-    pub fn quiet_to(&mut self, cut_off: &[usize], done: impl Fn(&World) -> bool) -> Result<(), Broken> {
-        let until = self.now + MOST_QUIET_MS;
-        while self.now < until {
-            if self.quiet_step(cut_off, &done)? {
+    /// Runs without faults until `done` is true.
+    pub fn run_until(&mut self, cut_off: &[usize], done: impl Fn(&World) -> bool) -> Result<(), Violation> {
+        let deadline = self.now + MAX_RUN_MS;
+        while self.now < deadline {
+            if self.run_step(cut_off, &done)? {
                 return Ok(());
             }
         }
-        Err(format!("comes-back: not after {MOST_QUIET_MS} ms: {:#?}", self.summary()))
+        Err(format!("comes-back: no recovery within {MAX_RUN_MS} ms: {:#?}", self.summary()))
     }
 
-    fn quiet_until_join(&mut self, leader: usize) -> Result<(), Broken> {
-        let asks = |w: &World| {
-            w.packets
-                .iter()
-                .any(|p| p.value.to == leader && matches!(p.value.message, Message::JoinRequest { .. }))
+    /// Runs until a join request to the leader is in flight.
+    fn run_until_join_request(&mut self, leader: usize) -> Result<(), Violation> {
+        let asks_to_join = |world: &World| {
+            world.packets.iter().any(|packet| {
+                packet.value.to == leader && matches!(packet.value.message, Message::JoinRequest { .. })
+            })
         };
-        self.quiet_to(&[], asks)
+        self.run_until(&[], asks_to_join)
     }
 
-    /// The spare's join request is in flight once its leader takes the silent voter as lost.
-    fn quiet_until_join_of_spare(&mut self, silent: usize) -> Result<(), Broken> {
+    /// Runs until the leader considers the silent voter lost and the spare's join request to it is in flight.
+    fn run_until_spare_asks_to_join(&mut self, silent: usize) -> Result<(), Violation> {
         let timing = Timing::default();
         let lost_after = timing.lease_ms + timing.lease_margin_ms();
-        self.quiet_to(&[silent], |w| {
-            let Some(at) = w.leader() else { return false };
-            let asks =
-                |p: &super::world::Packet| p.to == at && matches!(p.message, Message::JoinRequest { .. });
-            let taken_as_lost =
-                w.last_heard(at, silent).is_some_and(|last_contact| w.now.since(last_contact) > lost_after);
-            taken_as_lost && w.packets.iter().any(|p| asks(&p.value))
+        self.run_until(&[silent], |world| {
+            let Some(leader) = world.leader() else { return false };
+            let asks_to_join = |packet: &Packet| {
+                packet.to == leader && matches!(packet.message, Message::JoinRequest { .. })
+            };
+            let considered_lost = world
+                .last_heard(leader, silent)
+                .is_some_and(|last_contact| world.now.since(last_contact) > lost_after);
+            considered_lost && world.packets.iter().any(|packet| asks_to_join(&packet.value))
         })
     }
 
-    /// When a leader sent what it last had an answer to from another voter.
+    /// When a leader sent the message to which it last received another voter's reply.
     fn last_heard(&self, leader: usize, other: usize) -> Option<Tick> {
         let VoterRole::Leader { peers, .. } = &self.voter(leader)?.role else { return None };
         peers.get(&(other as u8)).map(|peer| peer.sent_at)
     }
 
-    /// Liveness sample: with all machines up and the network whole, the core reads its newest state.
-    pub fn comes_back(&self) -> Result<Tick, Broken> {
+    /// Checks liveness: with all machines up and no network faults, a leader must serve the newest committed state,
+    /// and all voters must have their states. Returns how long that takes.
+    pub fn recovers(&self) -> Result<Tick, Violation> {
         let mut world = self.clone();
         world.budget = Budget::default();
-        // Cuts and freezes are over; late messages are lost.
+        // No machine is cut off or frozen any more, and delayed messages are lost.
         world.schedule = None;
-        let begin = world.now;
+        let start = world.now;
         for machine in 0..world.machines.len() {
             world.sync_all(machine)?;
             if world.voter(machine).is_some_and(|voter| voter.disk_failed) {
@@ -357,11 +389,13 @@
             }
         }
         let newest = world.history.value.newest();
-        world.quiet_to(&[], |w| {
-            let reads =
-                w.leader().and_then(|n| w.voter(n)).is_some_and(|voter| voter.commit_index() >= newest);
-            reads && w.is_whole()
+        world.run_until(&[], |world| {
+            let serves_newest = world
+                .leader()
+                .and_then(|n| world.voter(n))
+                .is_some_and(|voter| voter.commit_index() >= newest);
+            serves_newest && world.all_voters_have_state()
         })?;
-        Ok(Tick(world.now.since(begin)))
+        Ok(Tick(world.now.since(start)))
     }
 }
--- a/crates/control-plane/tests/model/search.rs
+++ b/crates/control-plane/tests/model/search.rs
@@ -1,4 +1,4 @@
-//! Breadth-first search over all states within the budget, so that a counterexample is the shortest.
+//! Breadth-first search over all states within the budget, so that a counterexample has as few actions as possible.
 
 use super::{
     digest::Digest,
@@ -6,61 +6,71 @@
 };
 use std::{collections::HashSet, fmt};
 
-/// States of one level that are expanded between two merges into the set of known states.
+/// Number of states that are expanded before their successors are added to the set of known states.
 const BATCH: usize = 2_048;
 
-/// Where a state came from.
+/// How a state was reached first.
 #[derive(Clone, Copy, Debug)]
 struct Origin {
     parent: usize,
     action: Action,
 }
 
-/// What a search saw.
+/// The result of a search without a counterexample.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
+    /// Number of explored states.
     pub states: usize,
+    /// Number of actions performed in them.
     pub transitions: usize,
-    /// Actions of the longest way whose states were all expanded.
+    /// Number of levels that were fully expanded: all runs with up to so many actions were explored.
     pub depth: usize,
-    /// All states within the budget were seen; else the search ended at its bound of states.
+    /// All states within the budget were explored; otherwise the search ended at its maximum number of states.
     pub complete: bool,
-    /// Elections, acceptances and other things that happened in some state.
+    /// What happened in some state.
     pub reached: Reached,
 }
 
-/// What some explored state had gone through: a search that reaches nothing proves nothing.
+/// What happened in some explored state: a search that reaches no elections or commits proves nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reached {
+    /// The highest term of a log.
     pub terms: u64,
+    /// The highest committed index.
     pub committed: u64,
-    pub told: usize,
+    /// The largest number of operations that were reported as accepted.
+    pub acknowledged: usize,
+    /// A voter was replaced.
     pub replaced: bool,
 }
 
+/// A run that violates an invariant.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
-    pub what: String,
+    /// The violated invariant.
+    pub violation: String,
+    /// One line for each action.
     pub trace: Vec<String>,
 }
 
 impl fmt::Display for Counterexample {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{}, after {} actions:", self.what, self.trace.len())?;
+        writeln!(f, "{}, after {} actions:", self.violation, self.trace.len())?;
         self.trace.iter().enumerate().try_for_each(|(n, line)| writeln!(f, "  {:>2}. {line}", n + 1))
     }
 }
 
-struct LoadResult {
+/// The state after an action, or the violation that the action causes.
+struct Successor {
     origin: Origin,
     digest: Digest,
     world: Result<World, String>,
 }
 
-/// Explores from one state, up to so many states; hands each new state to `visit`.
+/// Explores up to `max_states` states from `start`, and calls `visit` with each new one.
 pub fn explore(
     start: &World,
-    most_states: usize,
+    max_states: usize,
     mut visit: impl FnMut(&World),
 ) -> Result<Report, Counterexample> {
     let mut known: HashSet<Digest> = HashSet::from([start.digest()]);
@@ -70,20 +80,22 @@
     'levels: while !level.is_empty() {
         let mut next = Vec::new();
         for batch in level.chunks(BATCH) {
-            for found in expand_all(batch, &known, &mut report.transitions) {
-                let world = match found.world {
+            for successor in expand_all(batch, &known, &mut report.transitions) {
+                let world = match successor.world {
                     Ok(world) => world,
-                    Err(what) => return Err(counterexample(start, &origins, found.origin, what)),
+                    Err(violation) => {
+                        return Err(counterexample(start, &origins, successor.origin, violation));
+                    }
                 };
-                if !known.insert(found.digest) {
+                if !known.insert(successor.digest) {
                     continue;
                 }
                 report.reached.add(&world);
                 visit(&world);
-                origins.push(Some(found.origin));
+                origins.push(Some(successor.origin));
                 next.push((origins.len() - 1, world));
             }
-            if known.len() >= most_states {
+            if known.len() >= max_states {
                 break 'levels;
             }
         }
@@ -109,47 +121,55 @@
         let term = world.voters().map(|voter| voter.log_term.0).max().unwrap_or(0);
         self.terms = self.terms.max(term);
         self.committed = self.committed.max(history.newest().0);
-        self.told = self.told.max(history.told_accepted.len());
-        self.replaced |= history.voters.iter().any(|holder| holder.incarnation.0 > 12);
+        self.acknowledged = self.acknowledged.max(history.told_accepted.len());
+        self.replaced |= history.voters.iter().any(|info| info.incarnation.0 > 12);
     }
 }
 
-/// Expands one batch on a few threads; the order of the results does not depend on them.
-fn expand_all(batch: &[(usize, World)], known: &HashSet<Digest>, transitions: &mut usize) -> Vec<LoadResult> {
+/// Expands one batch on a few threads; the order of the results doesn't depend on their timing.
+fn expand_all(batch: &[(usize, World)], known: &HashSet<Digest>, transitions: &mut usize) -> Vec<Successor> {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get()).min(4);
     let share = batch.len().div_ceil(threads).max(1);
     std::thread::scope(|scope| {
-        let work = |part: &[(usize, World)]| -> (usize, Vec<LoadResult>) {
+        let work = |part: &[(usize, World)]| -> (usize, Vec<Successor>) {
             let mut seen = 0;
             let all = part.iter().flat_map(|(id, world)| expand(*id, world)).inspect(|_| seen += 1);
-            let new = all.filter(|found| found.world.is_err() || !known.contains(&found.digest)).collect();
+            let new = all
+                .filter(|successor| successor.world.is_err() || !known.contains(&successor.digest))
+                .collect();
             (seen, new)
         };
         let workers: Vec<_> = batch.chunks(share).map(|part| scope.spawn(move || work(part))).collect();
         let mut all = Vec::new();
         for worker in workers {
-            let Ok((seen, found)) = worker.join() else { panic!("a search thread panicked") };
+            let Ok((seen, successors)) = worker.join() else { panic!("a search thread panicked") };
             *transitions += seen;
-            all.extend(found);
+            all.extend(successors);
         }
         all
     })
 }
 
-fn expand(parent: usize, world: &World) -> impl Iterator<Item = LoadResult> + '_ {
+fn expand(parent: usize, world: &World) -> impl Iterator<Item = Successor> + '_ {
     world.actions().into_iter().map(move |action| {
         let after = world.after(action);
         let digest = after.as_ref().map_or(0, World::digest);
-        LoadResult { origin: Origin { parent, action }, digest, world: after }
+        Successor { origin: Origin { parent, action }, digest, world: after }
     })
 }
 
-fn counterexample(start: &World, origins: &[Option<Origin>], last: Origin, what: String) -> Counterexample {
+/// Replays the actions that led to a violation and describes them.
+fn counterexample(
+    start: &World,
+    origins: &[Option<Origin>],
+    last: Origin,
+    violation: String,
+) -> Counterexample {
     let mut actions = vec![last.action];
-    let mut at = last.parent;
-    while let Some(origin) = origins[at] {
+    let mut state = last.parent;
+    while let Some(origin) = origins[state] {
         actions.push(origin.action);
-        at = origin.parent;
+        state = origin.parent;
     }
     let mut world = start.clone();
     let mut trace = Vec::new();
@@ -160,5 +180,5 @@
             Err(_) => break,
         }
     }
-    Counterexample { what, trace }
+    Counterexample { violation, trace }
 }
--- a/crates/control-plane/tests/model/variant.rs
+++ b/crates/control-plane/tests/model/variant.rs
@@ -1,33 +1,33 @@
-//! Deliberately broken machines: each wraps the product's state machine in one known fault, and the
+//! Deliberate faults: each variant adds one known fault to the production state machine or its environment, and the
 //! search must find a counterexample for it.
 
+/// A deliberate fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    /// The disk reports each write as synced at once, and loses it with the power.
+    /// The disk reports each write as synced at once, but a power loss can lose it.
     AcknowledgesBeforeSync,
-    /// A voter whose disk was wiped starts with its former identity and the founding state.
-    BlankVotesAsFormerSelf,
-    /// A restart reads back the log but not the promised term.
+    /// A voter whose disk was wiped starts with its former identity and the initial state of the cluster.
+    BlankVotesWithFormerIdentity,
+    /// A restart restores the log but not the promised term.
     ForgetsPromise,
-    /// A leader serves for as long as it takes itself for one, whatever its lease says.
+    /// A leader serves reads as long as it believes that it leads, even if its lease has ended.
     ReadsWithoutLease,
-    /// The answer of a voter that is being replaced counts for its own replacement.
+    /// The reply of a voter that is being replaced counts towards the majority for its own replacement.
     CountsReplacedVoter,
-    /// A voter takes part in elections from its first moment, without waiting or asking.
+    /// A voter takes part in elections right after its start, without waiting.
     VotesRightAfterRestart,
-    /// A candidate goes on with its own log, whatever the voters hold.
+    /// A candidate ignores the logs in the votes and continues with its own.
     IgnoresVotersLogs,
-    /// The same, and what voters hold beyond its own log is not told to it.
+    /// Like `IgnoresVotersLogs`, and the voters' replies don't report entries beyond the leader's log.
     IgnoresVotersLogsAndReplies,
-    /// Operators are told that a change is accepted once the leader has logged it.
+    /// Operators are told that a change is accepted as soon as the leader has logged it.
     AcknowledgesOnceLogged,
-    /// Operators are told that a change was not logged when its leader loses the lead.
-    RefusesWhatWasLogged,
-    /// Voters are told apart by their voter's number alone, and a log's changes of the voter set are not
-    /// looked at.
-    KnowsVotersBySeatOnly,
-    /// Join requests are not heard.
+    /// Operators are told that a logged change was not logged when its leader steps down.
+    ReportsLoggedAsNotLogged,
+    /// Voters are identified by their numbers alone, and changes of the voter set in logs are ignored.
+    KnowsVotersByNumberOnly,
+    /// Join requests are ignored.
     IgnoresJoinRequests,
-    /// A leader puts a change on its own newest revision in place of the one that it names.
+    /// A leader replaces the base revision of a change by its own newest revision.
     RebasesChanges,
 }
--- a/crates/control-plane/tests/model/world.rs
+++ b/crates/control-plane/tests/model/world.rs
@@ -1,9 +1,9 @@
-//! One state of the model: voters, a spare and, where asked for, a learner; their disks, the messages in flight, and
-//! what may happen.
+//! A state of the model and the actions that are possible in it. The state consists of voters, a spare, optionally a
+//! learner, their disks and the messages in flight.
 
 use super::{
     digest::{Digest, combine, digest},
-    history::{Broken, History},
+    history::{History, Violation},
     schedule::Schedule,
     variant::Variant,
 };
@@ -20,23 +20,25 @@
     sync::Arc,
 };
 
-/// Voters of the usual model.
+/// Number of voters, except in the tests of larger clusters.
 pub const VOTERS: usize = 3;
-/// The first machines are the seeds, however many voters there are.
+/// The first machines are the seeds, whatever the number of voters.
 const SEEDS: usize = 3;
 const CLUSTER: &str = "model";
-/// Added to an incarnation each time that a machine's disk is wiped.
+/// Added to a voter's incarnation when it gets a new identity, as after its disk was wiped.
 const NEXT_INCARNATION: u64 = 100;
-/// More messages than this are not in flight at once: those beyond are lost.
-const MOST_IN_FLIGHT: usize = 14;
-/// The same with more voters than the usual ones: each broadcast is as many messages.
-const MOST_IN_FLIGHT_OF_MANY: usize = 32;
+/// Maximum number of messages in flight; more are lost.
+const MAX_IN_FLIGHT: usize = 14;
+/// The same for clusters with more voters, where each broadcast has more messages.
+const MAX_IN_FLIGHT_LARGE_CLUSTER: usize = 32;
 
+/// RPC address of a machine.
 pub fn address(machine: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7000 + machine as u16))
 }
 
-pub fn holder(machine: usize, number: u8, incarnation: u64) -> VoterInfo {
+/// The identity of a machine with this voter number and incarnation.
+pub fn voter_info(machine: usize, number: u8, incarnation: u64) -> VoterInfo {
     VoterInfo {
         number,
         incarnation: Incarnation(incarnation),
@@ -47,20 +49,24 @@
     }
 }
 
-/// What a machine's disk holds: what is synced, and the writes that are not, oldest first.
+/// A simulated disk: its synced state, and the writes that are not synced yet, oldest first.
 #[derive(Clone, Debug)]
 pub struct RecordWriter {
+    /// The state that survives a power loss.
     pub synced: DurableState,
+    /// The writes that are not synced, with their tokens.
     pub unsynced: VecDeque<(u64, Record)>,
 }
 
 impl RecordWriter {
+    /// Syncs the oldest write and returns its token.
     fn sync_oldest(&mut self) -> Option<u64> {
         let (token, record) = self.unsynced.pop_front()?;
         self.synced.replay(record);
         Some(token)
     }
 
+    /// Syncs the first `kept` unsynced writes and drops the others.
     fn lose_unsynced(&mut self, kept: usize) {
         for _ in 0..kept {
             self.sync_oldest();
@@ -69,27 +75,33 @@
     }
 }
 
-/// Whether an accepted change outlives a loss of power with this on disk.
-fn holds(image: &DurableState, index: Index, change: &Change) -> bool {
+/// Whether a committed change survives a power loss with this state on disk.
+fn is_durable(durable: &DurableState, index: Index, change: &Change) -> bool {
     let logged = |entry: &LogEntry| entry.index == index && entry.change == *change;
-    image.initialized && (image.cluster_state.index >= index || image.entries.iter().any(logged))
+    durable.initialized && (durable.cluster_state.index >= index || durable.entries.iter().any(logged))
 }
 
+/// A machine with a control node.
 #[derive(Clone, Debug)]
 pub struct Machine {
+    /// The running process, if there is one.
     pub process: Option<Voter>,
+    /// The machine's disk.
     pub disk: RecordWriter,
-    /// Since when this process runs.
+    /// When the process was started.
     started: Tick,
-    /// Changes that this process logged as a leader, whose operators wait.
+    /// Changes that this process logged as the leader and whose operators wait for an answer.
     waiting: BTreeMap<Index, Change>,
 }
 
-/// A value with its digest, which is computed once for each change.
+/// A value with its digest, which is only computed again after a change.
 #[derive(Clone, Debug)]
 pub struct Digested<T> {
+    /// The value.
     pub value: T,
+    /// Its digest.
     pub digest: Digest,
+    /// The digest is outdated.
     changed: bool,
 }
 
@@ -100,141 +112,135 @@
     }
 
     fn edit(this: &mut Arc<Self>) -> &mut T {
-        let own = Arc::make_mut(this);
-        own.changed = true;
-        &mut own.value
+        let this = Arc::make_mut(this);
+        this.changed = true;
+        &mut this.value
     }
 
-    fn initialize(this: &mut Arc<Self>) {
+    fn update_digest(this: &mut Arc<Self>) {
         if this.changed {
-            let own = Arc::make_mut(this);
-            own.digest = digest(&own.value);
-            own.changed = false;
+            let this = Arc::make_mut(this);
+            this.digest = digest(&this.value);
+            this.changed = false;
         }
     }
 }
 
+/// A message in flight, with the numbers of its machines.
 #[derive(Clone, Debug)]
 pub struct Packet {
+    /// The sender.
     pub from: usize,
+    /// The receiver.
     pub to: usize,
+    /// The message.
     pub message: Message,
 }
 
-/// How often each kind of action may still happen: the bound of the search.
+/// How often each kind of action may still happen. This bounds the search.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Budget {
     /// Advances of the clock to the next deadline.
     pub deadlines: u8,
     /// Advances of the clock by one heartbeat.
-    pub beats: u8,
-    /// Losses of power of one machine.
+    pub heartbeats: u8,
+    /// Power losses and failed syncs of single machines.
     pub crashes: u8,
-    /// Disks wiped.
+    /// Wiped disks.
     pub wipes: u8,
-    /// Steps whose write is not synced at once.
+    /// Steps whose writes are not synced at once.
     pub slow_writes: u8,
-    /// Messages delivered twice.
+    /// Messages that are delivered twice.
     pub duplicates: u8,
-    /// Leaders that hand over before a planned stop.
-    pub yields: u8,
-    /// Sendings of an operator's change.
+    /// Leaders that step down, as before a planned stop.
+    pub step_downs: u8,
+    /// Operators' changes that are sent to a leader.
     pub proposals: u8,
 }
 
+/// A possible transition to another state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    Deliver {
-        packet: usize,
-        again: bool,
-        slow: bool,
-    },
-    Wakeup {
-        machine: usize,
-        slow: bool,
-    },
-    Sync {
-        machine: usize,
-    },
-    Crash {
-        machine: usize,
-        kept: usize,
-    },
-    /// A sync fails: this many of the unsynced writes are on disk all the same.
-    FailSync {
-        machine: usize,
-        kept: usize,
-    },
-    Wipe {
-        machine: usize,
-    },
-    Restart {
-        machine: usize,
-    },
-    Propose {
-        machine: usize,
-        change: usize,
-        slow: bool,
-    },
-    Yield {
-        machine: usize,
-    },
-    ToDeadline,
-    Beat,
-    /// The learner is told of the state that a voter has committed.
-    Follow {
-        voter: usize,
-    },
-    /// The rest happens under a schedule only (`schedule.rs`).
-    GoOn,
-    Delay {
-        packet: usize,
-    },
-    DeliverLate {
-        packet: usize,
-    },
-    CutOff {
-        machine: usize,
-    },
+    /// A message is delivered. `duplicate`: it also stays in flight. `slow`: the resulting write is not synced at
+    /// once.
+    Deliver { packet: usize, duplicate: bool, slow: bool },
+    /// A machine checks its timers.
+    Wakeup { machine: usize, slow: bool },
+    /// The oldest unsynced write of a machine is synced.
+    Sync { machine: usize },
+    /// A machine loses power; the first `kept` unsynced writes are on disk.
+    Crash { machine: usize, kept: usize },
+    /// A sync fails; the first `kept` unsynced writes are on disk nevertheless.
+    FailSync { machine: usize, kept: usize },
+    /// A machine loses its disk.
+    Wipe { machine: usize },
+    /// A machine that is down starts.
+    Restart { machine: usize },
+    /// An operator sends a change to a leader.
+    Propose { machine: usize, change: usize, slow: bool },
+    /// A leader steps down.
+    StepDown { machine: usize },
+    /// Time advances to the next deadline.
+    AdvanceToDeadline,
+    /// Time advances by a heartbeat interval.
+    AdvanceHeartbeat,
+    /// The learner receives the state that a voter has committed.
+    UpdateLearner { voter: usize },
+    /// Time advances to the next round. This and the following actions exist only under a schedule (`schedule.rs`).
+    NextRound,
+    /// A message is delayed.
+    Delay { packet: usize },
+    /// A delayed message is delivered.
+    DeliverLate { packet: usize },
+    /// A machine is cut off from the network.
+    CutOff { machine: usize },
+    /// No machine is cut off any more.
     Heal,
-    Freeze {
-        machine: usize,
-    },
+    /// A machine stops executing.
+    Freeze { machine: usize },
+    /// The frozen machine continues.
     Thaw,
 }
 
+/// A state of the model.
 #[derive(Clone, Debug)]
 pub struct World {
+    /// The time, which is the same on all machines.
     pub now: Tick,
+    /// All machines: voters, the spare, and the learner if there is one.
     pub machines: Vec<Arc<Digested<Machine>>>,
-    /// In the order of their digests: the order of sending does not matter.
+    /// Sorted by digest, since the order in which they were sent doesn't matter.
     pub packets: Vec<Arc<Digested<Packet>>>,
+    /// The actions that are left.
     pub budget: Budget,
+    /// What happened so far.
     pub history: Arc<Digested<History>>,
-    /// Voters of the cluster; the machine with this number is the spare.
+    /// Number of voters in the cluster. The machine with this number is the spare.
     pub size: usize,
-    /// The last machine is a learner.
+    /// The machine that is a learner, if there is one.
     pub learner: Option<usize>,
     /// Operators' changes that may be sent, each any number of times.
     pub changes: Arc<Vec<Change>>,
+    /// The fault that is being tested, if any.
     pub variant: Option<Variant>,
-    /// Runs that deviate from an ordinary schedule only so often; else all interleavings.
+    /// Restricts runs to an ordinary schedule with few deviations. `None` allows all interleavings.
     pub schedule: Option<Schedule>,
 }
 
-/// Of a machine that never lost its disk.
+/// The incarnation of a machine that never lost its disk.
 fn incarnation(machine: usize) -> u64 {
     10 + machine as u64
 }
 
+/// A change that replaces the document of revision `base`.
 pub fn apply(operation: &str, base: u64, text: &str) -> Change {
     Change::Apply { op: operation.into(), base: Revision(base), text: text.into() }
 }
 
 impl World {
-    /// Voters that were just founded, and a blank spare.
+    /// The voters of a new cluster, and a blank spare that is down.
     pub fn bootstrapped(size: usize, variant: Option<Variant>) -> Self {
-        let voters: Vec<VoterInfo> = (0..size).map(|n| holder(n, n as u8, incarnation(n))).collect();
+        let voters: Vec<VoterInfo> = (0..size).map(|n| voter_info(n, n as u8, incarnation(n))).collect();
         let cluster_state = ClusterState::bootstrapped(CLUSTER, voters.clone());
         let voter = |n: usize| DurableState {
             me: voters[n].clone(),
@@ -245,16 +251,17 @@
             entries: Vec::new(),
         };
         let mut history = History::default();
-        assert_eq!(history.holds(&cluster_state), Ok(()));
+        assert_eq!(history.record_state(&cluster_state), Ok(()));
         Self::started(size, (0..size).map(voter), history, variant)
     }
 
-    /// Three blank machines that start together, and a blank spare that is down.
+    /// Three blank machines that have just started, and a blank spare that is down.
     pub fn blank(variant: Option<Variant>) -> Self {
-        let image = |n: usize| DurableState::blank(&holder(n, u8::MAX, incarnation(n)));
-        Self::started(VOTERS, (0..VOTERS).map(image), History::default(), variant)
+        let durable = |n: usize| DurableState::blank(&voter_info(n, u8::MAX, incarnation(n)));
+        Self::started(VOTERS, (0..VOTERS).map(durable), History::default(), variant)
     }
 
+    /// A world in which these voters have just started.
     fn started(
         size: usize,
         voters: impl Iterator<Item = DurableState>,
@@ -262,14 +269,14 @@
         variant: Option<Variant>,
     ) -> Self {
         let now = Tick(100_000);
-        let spare = DurableState::blank(&holder(size, u8::MAX, incarnation(size)));
-        let machine = |image: DurableState| Machine {
+        let spare = DurableState::blank(&voter_info(size, u8::MAX, incarnation(size)));
+        let machine = |durable: DurableState| Machine {
             process: None,
-            disk: RecordWriter { synced: image, unsynced: VecDeque::new() },
+            disk: RecordWriter { synced: durable, unsynced: VecDeque::new() },
             started: now,
             waiting: BTreeMap::new(),
         };
-        let machines = voters.chain([spare]).map(|image| Digested::new(machine(image))).collect();
+        let machines = voters.chain([spare]).map(|durable| Digested::new(machine(durable))).collect();
         let mut world = World {
             now,
             machines,
@@ -285,20 +292,21 @@
         for n in 0..size {
             world.restart(n);
         }
-        world.initialize();
+        world.update_digests();
         world
     }
 
+    /// Digest of the whole state.
     pub fn digest(&self) -> Digest {
         let budget = self.budget;
         let counts = [
             budget.deadlines,
-            budget.beats,
+            budget.heartbeats,
             budget.crashes,
             budget.wipes,
             budget.slow_writes,
             budget.duplicates,
-            budget.yields,
+            budget.step_downs,
             budget.proposals,
         ];
         let counted = counts.iter().fold(0u128, |all, count| all << 8 | u128::from(*count));
@@ -309,19 +317,22 @@
         combine(machines.chain(rest).chain(schedule).chain(packets))
     }
 
+    /// Machine `n`.
     pub fn machine(&self, n: usize) -> &Machine {
         &self.machines[n].value
     }
 
+    /// The process of machine `n`, if it is running.
     pub fn voter(&self, n: usize) -> Option<&Voter> {
         self.machine(n).process.as_ref()
     }
 
+    /// All running processes.
     pub fn voters(&self) -> impl Iterator<Item = &Voter> {
         self.machines.iter().filter_map(|machine| machine.value.process.as_ref())
     }
 
-    /// A leader that takes itself for one that may answer reads.
+    /// Whether a voter would serve reads, by its lease or by the variant's fault.
     pub fn serves(&self, voter: &Voter) -> bool {
         if self.variant != Some(Variant::ReadsWithoutLease) {
             return voter.can_serve_reads(self.now);
@@ -329,11 +340,12 @@
         matches!(&voter.role, VoterRole::Leader { term_start, .. } if voter.commit_index() >= *term_start)
     }
 
+    /// The timing of all machines.
     pub fn timing(&self) -> Timing {
         Timing::default()
     }
 
-    /// All that may happen next, within the budget.
+    /// All actions that are possible next, within the budget.
     pub fn actions(&self) -> Vec<Action> {
         match &self.schedule {
             Some(schedule) => self.scheduled_actions(schedule),
@@ -343,42 +355,42 @@
 
     fn all_actions(&self) -> Vec<Action> {
         let mut all = Vec::new();
-        let slow_too = |n: usize| self.budget.slow_writes > 0 && self.machine(n).disk.unsynced.is_empty();
-        let both = |n: usize| [false, true].into_iter().take(1 + usize::from(slow_too(n)));
+        let may_be_slow = |n: usize| self.budget.slow_writes > 0 && self.machine(n).disk.unsynced.is_empty();
+        let speeds = |n: usize| [false, true].into_iter().take(1 + usize::from(may_be_slow(n)));
         for (packet, envelope) in self.packets.iter().enumerate() {
             let to = envelope.value.to;
             if self.voter(to).is_none() {
                 continue;
             }
-            for slow in both(to) {
-                all.push(Action::Deliver { packet, again: false, slow });
+            for slow in speeds(to) {
+                all.push(Action::Deliver { packet, duplicate: false, slow });
             }
             if self.budget.duplicates > 0 {
-                all.push(Action::Deliver { packet, again: true, slow: false });
+                all.push(Action::Deliver { packet, duplicate: true, slow: false });
             }
         }
         for machine in 0..self.machines.len() {
             self.machine_actions(machine, &mut all);
             let Some(voter) = self.voter(machine) else { continue };
-            all.extend(both(machine).map(|slow| Action::Wakeup { machine, slow }));
+            all.extend(speeds(machine).map(|slow| Action::Wakeup { machine, slow }));
             if !voter.is_leader() {
                 continue;
             }
             if self.budget.proposals > 0 {
-                let changes =
-                    (0..self.changes.len()).flat_map(|change| both(machine).map(move |s| (change, s)));
+                let changes = (0..self.changes.len())
+                    .flat_map(|change| speeds(machine).map(move |slow| (change, slow)));
                 all.extend(changes.map(|(change, slow)| Action::Propose { machine, change, slow }));
             }
-            if self.budget.yields > 0 {
-                all.push(Action::Yield { machine });
+            if self.budget.step_downs > 0 {
+                all.push(Action::StepDown { machine });
             }
         }
-        all.extend(self.followed().into_iter().map(|voter| Action::Follow { voter }));
+        all.extend(self.voters_with_other_state().into_iter().map(|voter| Action::UpdateLearner { voter }));
         if self.budget.deadlines > 0 && self.next_deadline().is_some() {
-            all.push(Action::ToDeadline);
+            all.push(Action::AdvanceToDeadline);
         }
-        if self.budget.beats > 0 {
-            all.push(Action::Beat);
+        if self.budget.heartbeats > 0 {
+            all.push(Action::AdvanceHeartbeat);
         }
         all
     }
@@ -393,17 +405,18 @@
         if !self.machine(machine).disk.unsynced.is_empty() {
             all.push(Action::Sync { machine });
         }
-        self.losses(machine, all);
+        self.add_losses(machine, all);
     }
 
-    /// It is down; a blank spare is put up by the scenario, not by the search.
+    /// Whether a machine is down and the search may start it. A blank spare is started only by the scenario.
     pub fn may_restart(&self, machine: usize) -> bool {
         self.voter(machine).is_none()
             && (machine != self.size || self.machine(machine).disk.synced.initialized)
     }
 
-    /// Losses of power, with each number of unsynced writes kept, and of the disk.
-    pub fn losses(&self, machine: usize, all: &mut Vec<Action>) {
+    /// Adds losses of power, failed syncs and the loss of the disk, with each number of unsynced writes that are on
+    /// disk.
+    pub fn add_losses(&self, machine: usize, all: &mut Vec<Action>) {
         let disk = &self.machine(machine).disk;
         if self.budget.crashes > 0 {
             let kept = 0..=disk.unsynced.len();
@@ -413,34 +426,36 @@
             }
         }
         let votes =
-            self.history.value.voters.iter().any(|holder| holder.incarnation == disk.synced.me.incarnation);
-        if self.budget.wipes > 0 && votes && self.is_whole() && self.all_in_touch() {
+            self.history.value.voters.iter().any(|info| info.incarnation == disk.synced.me.incarnation);
+        if self.budget.wipes > 0 && votes && self.all_voters_have_state() && self.all_reachable() {
             all.push(Action::Wipe { machine });
         }
     }
 
-    /// No loss of a disk waits to be repaired: each voter has its own state.
-    pub fn is_whole(&self) -> bool {
-        // A founder's word may still be on its way to a machine that never lost anything.
-        let first = |holder: &VoterInfo| holder.incarnation.0 < incarnation(self.size);
-        let has_state = |holder: &VoterInfo| {
+    /// Whether each voter has its own state, so that no loss of a disk waits to be repaired.
+    pub fn all_voters_have_state(&self) -> bool {
+        // The bootstrap message may still be on its way to a machine that never lost its disk.
+        let never_lost = |info: &VoterInfo| info.incarnation.0 < incarnation(self.size);
+        let has_state = |info: &VoterInfo| {
             let mut disks = self.machines.iter().map(|machine| &machine.value.disk.synced);
-            disks.any(|image| {
-                image.me.incarnation == holder.incarnation && (image.initialized || first(holder))
+            disks.any(|durable| {
+                durable.me.incarnation == info.incarnation && (durable.initialized || never_lost(info))
             })
         };
         self.history.value.voters.iter().all(has_state)
     }
 
-    /// No machine of a voter is down, cut off or frozen: each counts as lost while it is.
-    fn all_in_touch(&self) -> bool {
-        let out = self.schedule.iter().flat_map(|schedule| [schedule.cut_off, schedule.frozen]).flatten();
+    /// Whether no voter's machine is down, cut off or frozen, as it would count as lost then.
+    fn all_reachable(&self) -> bool {
+        let unreachable =
+            self.schedule.iter().flat_map(|schedule| [schedule.cut_off, schedule.frozen]).flatten();
         let voters = &self.history.value.voters;
-        let runs = |holder: &VoterInfo| self.voters().any(|voter| voter.me.incarnation == holder.incarnation);
-        out.count() == 0 && voters.iter().all(runs)
+        let is_running =
+            |info: &VoterInfo| self.voters().any(|voter| voter.me.incarnation == info.incarnation);
+        unreachable.count() == 0 && voters.iter().all(is_running)
     }
 
-    /// The next moment at which some voter may decide otherwise than now.
+    /// The next time at which some voter may decide differently than now.
     pub fn next_deadline(&self) -> Option<Tick> {
         let timing = self.timing();
         let election_timeout = timing.election_timeout_ms();
@@ -450,16 +465,16 @@
             else {
                 continue;
             };
-            let stands = election_timeout
+            let candidacy_delay = election_timeout
                 + election_timeout * u64::from(voter.me.number) / 4
                 + election_timeout * (voter.current_term.0 % 5) / 10;
             times.push(machine.started + election_timeout);
             match &voter.role {
                 VoterRole::Follower { last_contact, .. } => {
-                    times.extend([*last_contact + election_timeout, *last_contact + stands]);
+                    times.extend([*last_contact + election_timeout, *last_contact + candidacy_delay]);
                 }
                 VoterRole::PreCandidate { since, .. } | VoterRole::Candidate { since, .. } => {
-                    times.push(*since + stands / 2);
+                    times.push(*since + candidacy_delay / 2);
                 }
                 VoterRole::Leader { since, .. } => {
                     times.extend([voter.leadership_until(), *since + 2 * election_timeout + 1]);
@@ -469,23 +484,23 @@
         times.into_iter().filter(|time| *time > self.now).min()
     }
 
-    /// The state after an action, or the invariant that it breaks.
-    pub fn after(&self, action: Action) -> Result<World, Broken> {
+    /// The state after an action, or the invariant that the action violates.
+    pub fn after(&self, action: Action) -> Result<World, Violation> {
         let mut next = self.clone();
-        next.act(action)?;
-        next.act_scheduled(action)?;
-        next.initialize();
-        next.lose_cut_off();
-        next.forget_dead_packets();
+        next.perform(action)?;
+        next.perform_scheduled(action)?;
+        next.update_digests();
+        next.drop_packets_of_cut_off();
+        next.drop_ineffective_packets();
         next.check()?;
         Ok(next)
     }
 
-    fn act(&mut self, action: Action) -> Result<(), Broken> {
+    fn perform(&mut self, action: Action) -> Result<(), Violation> {
         match action {
-            Action::Deliver { packet, again, slow } => {
+            Action::Deliver { packet, duplicate, slow } => {
                 let envelope = self.packets[packet].clone();
-                if again {
+                if duplicate {
                     self.budget.duplicates -= 1;
                 } else {
                     self.packets.remove(packet);
@@ -501,7 +516,7 @@
             }
             Action::FailSync { machine, kept } => {
                 self.budget.crashes -= 1;
-                self.edit(machine, |here| here.disk.lose_unsynced(kept));
+                self.edit(machine, |machine| machine.disk.lose_unsynced(kept));
                 self.step(machine, Event::SyncFailed, false)
             }
             Action::Wipe { machine } => {
@@ -517,21 +532,21 @@
                 self.budget.proposals -= 1;
                 self.propose(machine, self.changes[change].clone(), slow)
             }
-            Action::Yield { machine } => {
-                self.budget.yields -= 1;
+            Action::StepDown { machine } => {
+                self.budget.step_downs -= 1;
                 self.step(machine, Event::StepDown, false)
             }
-            Action::ToDeadline => {
+            Action::AdvanceToDeadline => {
                 self.budget.deadlines -= 1;
                 self.now = self.next_deadline().unwrap_or(self.now);
                 Ok(())
             }
-            Action::Beat => {
-                self.budget.beats -= 1;
+            Action::AdvanceHeartbeat => {
+                self.budget.heartbeats -= 1;
                 self.now = self.now + self.timing().heartbeat_ms();
                 Ok(())
             }
-            Action::Follow { voter } => self.follow(voter),
+            Action::UpdateLearner { voter } => self.update_learner(voter),
             _ => Ok(()),
         }
     }
@@ -544,26 +559,26 @@
     /// Adds a control node without a disk.
     pub fn add_learner(&mut self) {
         let machine = self.machines.len();
-        let image = DurableState::blank(&holder(machine, u8::MAX, incarnation(machine)));
-        let disk = RecordWriter { synced: image, unsynced: VecDeque::new() };
-        let here = Machine { process: None, disk, started: self.now, waiting: BTreeMap::new() };
-        self.machines.push(Digested::new(here));
+        let durable = DurableState::blank(&voter_info(machine, u8::MAX, incarnation(machine)));
+        let disk = RecordWriter { synced: durable, unsynced: VecDeque::new() };
+        let learner = Machine { process: None, disk, started: self.now, waiting: BTreeMap::new() };
+        self.machines.push(Digested::new(learner));
         self.learner = Some(machine);
         self.restart(machine);
-        self.initialize();
+        self.update_digests();
     }
 
-    /// Voters whose committed state the learner does not hold yet: newer ones, or older ones, late on their way.
-    fn followed(&self) -> Vec<usize> {
+    /// Voters whose committed state differs from the learner's. An older state stands for one that arrives late.
+    fn voters_with_other_state(&self) -> Vec<usize> {
         let Some(learner) = self.learner.and_then(|machine| self.voter(machine)) else { return Vec::new() };
         let other = |voter: &Voter| voter.initialized && voter.commit_index() != learner.commit_index();
         (0..=self.size).filter(|machine| self.voter(*machine).is_some_and(other)).collect()
     }
 
-    fn follow(&mut self, voter: usize) -> Result<(), Broken> {
-        let (Some(learner), Some(told)) = (self.learner, self.voter(voter)) else { return Ok(()) };
-        let cluster_state = Box::new(told.cluster_state.clone());
-        let leader = told.leader().map(|leader| leader.rpc_addr);
+    fn update_learner(&mut self, voter: usize) -> Result<(), Violation> {
+        let (Some(learner), Some(source)) = (self.learner, self.voter(voter)) else { return Ok(()) };
+        let cluster_state = Box::new(source.cluster_state.clone());
+        let leader = source.leader().map(|leader| leader.rpc_addr);
         self.raw_step(learner, Event::CommittedState { cluster_state, leader })
     }
 
@@ -575,73 +590,77 @@
         change(Digested::edit(&mut self.history))
     }
 
-    fn initialize(&mut self) {
-        self.machines.iter_mut().for_each(Digested::initialize);
-        Digested::initialize(&mut self.history);
+    fn update_digests(&mut self) {
+        self.machines.iter_mut().for_each(Digested::update_digest);
+        Digested::update_digest(&mut self.history);
     }
 
+    /// Ends a machine's process by a power loss; the first `kept` unsynced writes are on disk.
     pub fn crash(&mut self, machine: usize, kept: usize) {
-        self.edit(machine, |here| {
-            here.disk.lose_unsynced(kept);
-            here.process = None;
-            here.waiting.clear();
+        self.edit(machine, |machine| {
+            machine.disk.lose_unsynced(kept);
+            machine.process = None;
+            machine.waiting.clear();
         });
     }
 
+    /// Ends a machine's process and replaces its disk by a blank one.
     pub fn wipe(&mut self, machine: usize) {
         self.crash(machine, 0);
-        let image = &self.machine(machine).disk.synced;
-        let lost = image.clone();
+        let durable = &self.machine(machine).disk.synced;
+        let lost = durable.clone();
         let fresh = VoterInfo {
             number: u8::MAX,
             incarnation: Incarnation(lost.me.incarnation.0 + NEXT_INCARNATION),
-            ..image.me.clone()
+            ..durable.me.clone()
         };
         let mut blank = DurableState::blank(&fresh);
-        if self.variant == Some(Variant::BlankVotesAsFormerSelf) {
-            let voters = (0..self.size).map(|n| holder(n, n as u8, 10 + n as u64)).collect();
+        if self.variant == Some(Variant::BlankVotesWithFormerIdentity) {
+            let voters = (0..self.size).map(|n| voter_info(n, n as u8, 10 + n as u64)).collect();
             blank = DurableState {
-                me: image.me.clone(),
+                me: durable.me.clone(),
                 initialized: true,
                 cluster_state: ClusterState::bootstrapped(CLUSTER, voters),
                 ..blank
             };
         }
-        self.edit(machine, |here| here.disk.synced = blank);
+        self.edit(machine, |machine| machine.disk.synced = blank);
         self.record(|history| history.lost.insert(lost.me.incarnation, lost));
     }
 
+    /// Starts a machine's process from its disk.
     pub fn restart(&mut self, machine: usize) {
         let mut started = self.now;
         if self.variant == Some(Variant::VotesRightAfterRestart) {
             started = started - self.timing().election_timeout_ms();
         }
-        let mut image = self.machine(machine).disk.synced.clone();
+        let mut durable = self.machine(machine).disk.synced.clone();
         if self.variant == Some(Variant::ForgetsPromise) {
-            image.current_term = image.log_term;
+            durable.current_term = durable.log_term;
         }
         let seeds = (0..SEEDS).map(address).collect();
-        let mut voter = Voter::new(image.me.clone(), CLUSTER, seeds, self.timing(), Some(image), started);
+        let mut voter = Voter::new(durable.me.clone(), CLUSTER, seeds, self.timing(), Some(durable), started);
         voter.learner = self.learner == Some(machine);
-        self.edit(machine, |here| {
-            here.process = Some(voter);
-            here.started = started;
+        self.edit(machine, |machine| {
+            machine.process = Some(voter);
+            machine.started = started;
         });
     }
 
-    fn propose(&mut self, machine: usize, change: Change, slow: bool) -> Result<(), Broken> {
+    fn propose(&mut self, machine: usize, change: Change, slow: bool) -> Result<(), Violation> {
         let mut change = change;
         if let Change::Apply { op, base, .. } = &mut change {
-            let sent_on = *base;
-            self.record(|history| history.sent_on.insert(op.clone(), sent_on));
+            let sent_base = *base;
+            self.record(|history| history.sent_on.insert(op.clone(), sent_base));
             if self.variant == Some(Variant::RebasesChanges) {
-                *base = self.voter(machine).map_or(sent_on, |voter| voter.cluster_state.revision);
+                *base = self.voter(machine).map_or(sent_base, |voter| voter.cluster_state.revision);
             }
         }
         self.step(machine, Event::Propose(change), slow)
     }
 
-    pub fn deliver(&mut self, packet: &Packet, slow: bool) -> Result<(), Broken> {
+    /// Passes a message to its receiver.
+    pub fn deliver(&mut self, packet: &Packet, slow: bool) -> Result<(), Violation> {
         let mut message = packet.message.clone();
         match (self.variant, &mut message) {
             (
@@ -656,7 +675,7 @@
                     entries: Vec::new(),
                 };
             }
-            // A reply that tells of more than the leader logged would be refused as malformed.
+            // The leader would reject a reply that reports more than it has logged.
             (
                 Some(Variant::IgnoresVotersLogsAndReplies),
                 Message::AppendReply { installed: true, last, commit_index, .. },
@@ -666,9 +685,9 @@
                 *commit_index = (*commit_index).min(known);
             }
             (Some(Variant::IgnoresJoinRequests), Message::JoinRequest { .. }) => return Ok(()),
-            (Some(Variant::KnowsVotersBySeatOnly), message) => {
+            (Some(Variant::KnowsVotersByNumberOnly), message) => {
                 if let Some(voter) = self.voter(packet.to) {
-                    take_for_voter(voter, message);
+                    impersonate_known_voter(voter, message);
                 }
             }
             _ => {}
@@ -677,8 +696,8 @@
         self.step(packet.to, event, slow)
     }
 
-    /// Hands one event to a voter, and carries out what it answers.
-    pub fn step(&mut self, machine: usize, event: Event, slow: bool) -> Result<(), Broken> {
+    /// Passes an event to a voter and performs the effects. Its writes are synced at once unless `slow`.
+    pub fn step(&mut self, machine: usize, event: Event, slow: bool) -> Result<(), Violation> {
         let had_unsynced = !self.machine(machine).disk.unsynced.is_empty();
         self.raw_step(machine, event)?;
         if had_unsynced || self.machine(machine).disk.unsynced.is_empty() {
@@ -691,81 +710,88 @@
         self.sync_all(machine)
     }
 
-    pub fn sync_all(&mut self, machine: usize) -> Result<(), Broken> {
+    /// Syncs all writes of a machine.
+    pub fn sync_all(&mut self, machine: usize) -> Result<(), Violation> {
         while !self.machine(machine).disk.unsynced.is_empty() {
             self.sync_oldest(machine)?;
         }
         Ok(())
     }
 
-    fn sync_oldest(&mut self, machine: usize) -> Result<(), Broken> {
-        match self.edit(machine, |here| here.disk.sync_oldest()) {
+    fn sync_oldest(&mut self, machine: usize) -> Result<(), Violation> {
+        match self.edit(machine, |machine| machine.disk.sync_oldest()) {
             Some(token) => self.raw_step(machine, Event::Synced(token)),
             None => Ok(()),
         }
     }
 
-    fn raw_step(&mut self, machine: usize, event: Event) -> Result<(), Broken> {
+    /// Passes an event to a voter and performs the effects, without syncing its writes.
+    fn raw_step(&mut self, machine: usize, event: Event) -> Result<(), Violation> {
         let Some(before) = self.voter(machine) else { return Ok(()) };
-        let (accepted_before, led_before) = (before.commit_index(), before.is_leader());
-        let formed_before = before.initialized;
+        let (committed_before, was_leader) = (before.commit_index(), before.is_leader());
+        let was_initialized = before.initialized;
         let voters = voters_of(before, &event);
         let now = self.now;
         let variant = self.variant;
-        let effects = self.edit(machine, |here| {
-            let Some(voter) = &mut here.process else { return Vec::new() };
+        let effects = self.edit(machine, |machine| {
+            let Some(voter) = &mut machine.process else { return Vec::new() };
             let mut effects = voter.step(event.clone(), now);
             if variant == Some(Variant::CountsReplacedVoter) {
-                accept_on_replaced_answer(voter, &event, &mut effects);
+                commit_on_reply_of_replaced_voter(voter, &event, &mut effects);
             }
             effects
         });
         for effect in effects {
-            self.carry_out(machine, effect, &voters)?;
+            self.perform_effect(machine, effect, &voters)?;
         }
         let Some(voter) = self.voter(machine) else { return Ok(()) };
-        if !formed_before && voter.initialized && self.history.value.newest() == Index(0) {
+        if !was_initialized && voter.initialized && self.history.value.newest() == Index(0) {
             let bootstrapped = voter.cluster_state.voters.clone();
             self.record(|history| history.voters = bootstrapped);
         }
         let Some(voter) = self.voter(machine) else { return Ok(()) };
-        // One that has become a spare holds no state.
-        if voter.initialized && voter.commit_index() != accepted_before {
+        // A voter that has become a spare has no state.
+        if voter.initialized && voter.commit_index() != committed_before {
             let cluster_state = voter.cluster_state.clone();
-            self.record(|history| history.holds(&cluster_state))?;
+            self.record(|history| history.record_state(&cluster_state))?;
         }
-        if variant == Some(Variant::RefusesWhatWasLogged) && led_before && !self.has_leadership(machine) {
+        if variant == Some(Variant::ReportsLoggedAsNotLogged) && was_leader && !self.is_leader(machine) {
             let waiting = self.machine(machine).waiting.clone();
-            self.edit(machine, |here| here.waiting.clear());
+            self.edit(machine, |machine| machine.waiting.clear());
             for op in waiting.values().filter_map(Change::op) {
-                self.record(|history| history.unlogged(op))?;
+                self.record(|history| history.record_not_logged(op))?;
             }
         }
         Ok(())
     }
 
-    fn has_leadership(&self, machine: usize) -> bool {
+    fn is_leader(&self, machine: usize) -> bool {
         self.voter(machine).is_some_and(Voter::is_leader)
     }
 
-    fn carry_out(&mut self, machine: usize, effect: Effect, voters: &[Incarnation]) -> Result<(), Broken> {
+    fn perform_effect(
+        &mut self,
+        machine: usize,
+        effect: Effect,
+        voters: &[Incarnation],
+    ) -> Result<(), Violation> {
         match effect {
             Effect::Send { to, msg } => self.send(machine, to, msg),
             Effect::Persist { token, record } => {
-                self.edit(machine, |here| here.disk.unsynced.push_back((token, record)));
+                self.edit(machine, |machine| machine.disk.unsynced.push_back((token, record)));
                 if self.variant == Some(Variant::AcknowledgesBeforeSync) {
                     return self.raw_step(machine, Event::Synced(token));
                 }
                 Ok(())
             }
             Effect::Logged { index, change } => {
-                self.record(|history| history.logged(&change));
-                self.edit(machine, |here| {
-                    here.waiting.insert(index, change.clone());
+                self.record(|history| history.record_logged(&change));
+                self.edit(machine, |machine| {
+                    machine.waiting.insert(index, change.clone());
                 });
                 match change.op() {
                     Some(op) if self.variant == Some(Variant::AcknowledgesOnceLogged) => {
-                        self.tell(op, index, &ApplyOutcome::Accepted { revision: Revision(0) })
+                        self.answer_operator(op, index, &ApplyOutcome::Accepted { revision: Revision(0) })
                     }
                     _ => Ok(()),
                 }
@@ -773,11 +799,11 @@
             Effect::Committed { entry, outcome } => self.committed(machine, &entry, &outcome),
             Effect::BecameLeader { term } => {
                 let leader = self.machine(machine).disk.synced.me.incarnation;
-                self.record(|history| history.has_leadership(term, leader))?;
-                self.history.value.elected_by(voters)
+                self.record(|history| history.record_leader(term, leader))?;
+                self.history.value.check_election(voters)
             }
             Effect::Interrupted => {
-                self.edit(machine, |here| here.waiting.clear());
+                self.edit(machine, |machine| machine.waiting.clear());
                 Ok(())
             }
             Effect::Removed => self.become_spare(machine),
@@ -788,40 +814,46 @@
         }
     }
 
-    /// A voter that is out is offered a new identity; with it, what its disk held counts as lost.
-    fn become_spare(&mut self, machine: usize) -> Result<(), Broken> {
-        let held = self.machine(machine).disk.synced.clone();
-        let incarnation = Incarnation(held.me.incarnation.0 + NEXT_INCARNATION);
-        let identity = VoterInfo { number: u8::MAX, incarnation, ..held.me.clone() };
+    /// Offers a new identity to a voter that was removed. If it adopts the identity, its old durable state counts as
+    /// lost.
+    fn become_spare(&mut self, machine: usize) -> Result<(), Violation> {
+        let old = self.machine(machine).disk.synced.clone();
+        let incarnation = Incarnation(old.me.incarnation.0 + NEXT_INCARNATION);
+        let identity = VoterInfo { number: u8::MAX, incarnation, ..old.me.clone() };
         self.raw_step(machine, Event::BecomeSpare(Box::new(identity)))?;
         if self.voter(machine).is_some_and(|voter| voter.me.incarnation == incarnation) {
-            self.record(|history| history.lost.insert(held.me.incarnation, held));
+            self.record(|history| history.lost.insert(old.me.incarnation, old));
         }
         Ok(())
     }
 
-    fn send(&mut self, from: usize, to: SocketAddr, message: Message) -> Result<(), Broken> {
+    fn send(&mut self, from: usize, to: SocketAddr, message: Message) -> Result<(), Violation> {
         let initialized = self.machine(from).disk.synced.initialized;
-        if self.history.value.sends(&message, initialized)?
+        if self.history.value.check_sent(&message, initialized)?
             && let Message::Vote { by, term, .. } = &message
         {
             self.record(|history| history.voted.insert(by.incarnation, *term));
         }
         let Some(to) = (0..self.machines.len()).find(|n| address(*n) == to) else { return Ok(()) };
-        self.put(Digested::new(Packet { from, to, message }));
+        self.add_packet(Digested::new(Packet { from, to, message }));
         Ok(())
     }
 
-    /// Puts a message in flight; the same message twice is one.
-    pub fn put(&mut self, packet: Arc<Digested<Packet>>) {
+    /// Adds a message in flight, unless an equal one is there.
+    pub fn add_packet(&mut self, packet: Arc<Digested<Packet>>) {
         if let Err(at) = self.packets.binary_search_by_key(&packet.digest, |other| other.digest) {
             self.packets.insert(at, packet);
         }
     }
 
-    /// Invariant `acknowledged-is-durable`, at the moment of the first acceptance.
-    fn committed(&mut self, machine: usize, entry: &LogEntry, outcome: &ApplyOutcome) -> Result<(), Broken> {
-        let first = self.record(|history| history.accepts(entry, outcome))?;
+    /// Records a commit. Checks the invariant `acknowledged-is-durable` when the entry is first committed.
+    fn committed(
+        &mut self,
+        machine: usize,
+        entry: &LogEntry,
+        outcome: &ApplyOutcome,
+    ) -> Result<(), Violation> {
+        let first = self.record(|history| history.record_commit(entry, outcome))?;
         if first {
             let mut voters = self.history.value.voters.clone();
             if let Change::ReplaceVoter(new) = &entry.change {
@@ -830,64 +862,70 @@
             let copies = self.copies(&voters, entry.index, &entry.change);
             if copies <= voters.len() / 2 {
                 return Err(format!(
-                    "acknowledged-is-durable: {} accepted with {copies} copies",
+                    "acknowledged-is-durable: {} committed with {copies} copies",
                     entry.index
                 ));
             }
         }
-        let waited = self.edit(machine, |here| here.waiting.remove(&entry.index));
-        // Where another change took the place, the operator is told that the outcome is not known.
+        let waited = self.edit(machine, |machine| machine.waiting.remove(&entry.index));
+        // If another change was committed at this index, the operator's outcome is undetermined.
         match waited.filter(|change| *change == entry.change).as_ref().and_then(Change::op) {
-            Some(op) => self.tell(op, entry.index, outcome),
+            Some(op) => self.answer_operator(op, entry.index, outcome),
             None => Ok(()),
         }
     }
 
-    fn tell(&mut self, op: &OpId, at: Index, outcome: &ApplyOutcome) -> Result<(), Broken> {
-        self.record(|history| history.told(op, at, outcome))
+    fn answer_operator(&mut self, op: &OpId, at: Index, outcome: &ApplyOutcome) -> Result<(), Violation> {
+        self.record(|history| history.record_answer(op, at, outcome))
     }
 
-    /// Voters of a voters that hold an accepted change on disk, or held it when their disk was lost:
-    /// an answer in flight outlives the disk that it speaks of.
+    /// Number of voters that have a committed change on disk, or had it when their disk was lost: a reply in flight
+    /// can outlive the disk that it describes.
     fn copies(&self, voters: &[VoterInfo], index: Index, change: &Change) -> usize {
         let disks = self.machines.iter().map(|machine| &machine.value.disk.synced);
-        let images: Vec<&DurableState> = disks.chain(self.history.value.lost.values()).collect();
-        let holds = |holder: &VoterInfo| {
-            images
-                .iter()
-                .any(|image| image.me.incarnation == holder.incarnation && holds(image, index, change))
+        let durable_states: Vec<&DurableState> = disks.chain(self.history.value.lost.values()).collect();
+        let has_change = |info: &VoterInfo| {
+            durable_states.iter().any(|durable| {
+                durable.me.incarnation == info.incarnation && is_durable(durable, index, change)
+            })
         };
-        voters.iter().filter(|holder| holds(holder)).count()
+        voters.iter().filter(|info| has_change(info)).count()
     }
 
-    /// The invariants over one state.
-    fn check(&self) -> Result<(), Broken> {
+    /// Checks the invariants that refer to a single state.
+    fn check(&self) -> Result<(), Violation> {
         let history = &self.history.value;
         let serving: Vec<&Voter> = self.voters().filter(|voter| self.serves(voter)).collect();
         let leading = self.voters().filter(|voter| voter.has_leadership(self.now)).count();
         if serving.len() > 1 || leading > 1 {
-            return Err(format!("one-lease: {leading} lead and {} serve at one time", serving.len()));
+            return Err(format!(
+                "one-lease: {leading} voters lead and {} serve at the same time",
+                serving.len()
+            ));
         }
         if let Some(stale) = serving.iter().find(|voter| voter.commit_index() < history.newest()) {
             let (reads, newest) = (stale.commit_index(), history.newest());
-            return Err(format!("reads-are-newest: {} serves {reads}, {newest} is accepted", stale.me.node));
+            return Err(format!(
+                "reads-are-newest: {} serves {reads}, but {newest} is committed",
+                stale.me.node
+            ));
         }
         let Some((newest, (change, _))) = history.order.last_key_value() else { return Ok(()) };
         let copies = self.copies(&history.voters, *newest, change);
         if copies <= history.voters.len() / 2 {
-            return Err(format!("accepted-stays: {newest} has {copies} copies, lost disks counted"));
+            return Err(format!("accepted-stays: {newest} has {copies} copies, including lost disks"));
         }
         Ok(())
     }
 
-    /// Leaves out messages that can't have an effect any more, so that states merge. The promised
-    /// term on disk never goes down, and a term has one candidate, which asks for votes once.
-    fn forget_dead_packets(&mut self) {
+    /// Drops messages that can't have an effect any more, so that more states are equal. This relies on the
+    /// promised term on disk never decreasing, and on one candidate per term, which requests votes once.
+    fn drop_ineffective_packets(&mut self) {
         let machines = &self.machines;
         self.packets.retain(|packet| {
             let to = &machines[packet.value.to].value;
             let current_term = to.disk.synced.current_term;
-            let has_leadership = to.process.as_ref().is_some_and(Voter::is_leader);
+            let is_leader = to.process.as_ref().is_some_and(Voter::is_leader);
             let candidate =
                 matches!(to.process.as_ref().map(|voter| &voter.role), Some(VoterRole::Candidate { .. }));
             match &packet.value.message {
@@ -895,16 +933,16 @@
                 | Message::PreVoteGranted { term, .. }
                 | Message::VoteRequest { term, .. } => *term > current_term,
                 Message::Vote { term, .. } => candidate && *term >= current_term,
-                Message::AppendReply { term, .. } => has_leadership || *term > current_term,
+                Message::AppendReply { term, .. } => is_leader || *term > current_term,
                 _ => true,
             }
         });
-        let most = if self.size > VOTERS { MOST_IN_FLIGHT_OF_MANY } else { MOST_IN_FLIGHT };
-        self.packets.truncate(most);
+        let limit = if self.size > VOTERS { MAX_IN_FLIGHT_LARGE_CLUSTER } else { MAX_IN_FLIGHT };
+        self.packets.truncate(limit);
     }
 }
 
-/// Those whose votes a candidate counts when it takes in this event.
+/// The voters whose votes a candidate counts when it handles this event.
 fn voters_of(voter: &Voter, event: &Event) -> Vec<Incarnation> {
     let mut voters = vec![voter.me.incarnation];
     if let VoterRole::Candidate { votes, .. } = &voter.role {
@@ -916,21 +954,21 @@
     voters
 }
 
-/// For `Variant::KnowsVotersBySeatOnly`: whoever asks for or gives a vote passes as the voter that
-/// the receiver knows in that voter, and brings no other voter set.
-fn take_for_voter(voter: &Voter, message: &mut Message) {
-    let known = |by: &mut VoterId| {
-        if let Some(holder) = voter.voters().into_iter().find(|holder| holder.number == by.number) {
-            by.incarnation = holder.incarnation;
+/// For `Variant::KnowsVotersByNumberOnly`: the sender of a vote or vote request gets the incarnation of the voter
+/// that the receiver knows by that number, and a vote carries no changes of the voter set.
+fn impersonate_known_voter(voter: &Voter, message: &mut Message) {
+    let impersonate = |by: &mut VoterId| {
+        if let Some(info) = voter.voters().into_iter().find(|info| info.number == by.number) {
+            by.incarnation = info.incarnation;
         }
     };
     match message {
         Message::PreVote { by, .. }
         | Message::PreVoteGranted { by, .. }
-        | Message::VoteRequest { by, .. } => known(by),
+        | Message::VoteRequest { by, .. } => impersonate(by),
         Message::Vote { by, tail, .. } => {
-            known(by);
-            // Nothing of it is taken, and it is well formed: what is not would be refused.
+            impersonate(by);
+            // An empty log that is still valid; an invalid one would be rejected.
             tail.snapshot = None;
             tail.entries.clear();
             tail.log_term = Term(0);
@@ -941,14 +979,14 @@
     }
 }
 
-/// For `Variant::CountsReplacedVoter`: the answer of a voter that a logged entry replaces accepts it.
-fn accept_on_replaced_answer(voter: &mut Voter, event: &Event, effects: &mut Vec<Effect>) {
+/// For `Variant::CountsReplacedVoter`: the reply of a voter that a logged entry replaces commits this entry.
+fn commit_on_reply_of_replaced_voter(voter: &mut Voter, event: &Event, effects: &mut Vec<Effect>) {
     let Event::Msg(_, Message::AppendReply { by, .. }) = event else { return };
-    let replaced = voter.cluster_state.voters.iter().any(|holder| holder.incarnation == by.incarnation)
+    let replaced = voter.cluster_state.voters.iter().any(|info| info.incarnation == by.incarnation)
         && !voter.is_voter(by);
-    let due = voter.log.iter().find(|entry| entry.index == voter.commit_index().next()).cloned();
+    let next = voter.log.iter().find(|entry| entry.index == voter.commit_index().next()).cloned();
     if let Some(entry) =
-        due.filter(|entry| voter.is_leader() && replaced && voter.durable_index >= entry.index)
+        next.filter(|entry| voter.is_leader() && replaced && voter.durable_index >= entry.index)
     {
         let outcome = voter.cluster_state.apply(entry.index, &entry.change);
         effects.push(Effect::Committed { entry, outcome });
