--- a/crates/control-plane/src/storage/layout.rs
+++ b/crates/control-plane/src/storage/layout.rs
@@ -75,8 +75,7 @@
     (slot << POSITION_BITS) | position
 }
 
-/// The position of the record with this number, if it belongs to the log of that slot. An earlier release wrote
-/// numbers without a slot.
+/// A record's position, if its number is of that slot's log. An earlier release wrote numbers without a slot.
 pub(super) fn record_position(slot: u64, number: u64) -> Option<u64> {
     let named_slot = number >> POSITION_BITS;
     let position = number & ((1 << POSITION_BITS) - 1);
