--- a/crates/control-plane/src/state_machine/cluster_state.rs
+++ b/crates/control-plane/src/state_machine/cluster_state.rs
@@ -69,17 +69,18 @@
         if let Some(outcome) = change.op().and_then(|op| self.outcome(op)) {
             return outcome;
         }
-        let outcome = self.change(index, change);
+        let outcome = self.apply_new(index, change);
         if let Some(op) = change.op() {
-            self.record(op, change, &outcome);
+            self.record_outcome(op, change, &outcome);
         }
         outcome
     }
 
-    fn record(&mut self, op: &OpId, change: &Change, outcome: &ApplyOutcome) {
-        let made_a_revision =
+    /// Keeps the outcome of an operation, and drops the oldest one beyond the limit.
+    fn record_outcome(&mut self, op: &OpId, change: &Change, outcome: &ApplyOutcome) {
+        let created_revision =
             matches!((change, outcome), (Change::Apply { .. }, ApplyOutcome::Accepted { .. }));
-        if made_a_revision && !common::mutation::enabled("verdicts-by-count") {
+        if created_revision && !common::mutation::enabled("verdicts-by-count") {
             return self.accepted_operations.record(op);
         }
         self.recent_operations.push_back((op.clone(), outcome.clone()));
@@ -88,7 +89,8 @@
         }
     }
 
-    fn change(&mut self, index: Index, change: &Change) -> ApplyOutcome {
+    /// Applies a change whose operation has no outcome yet.
+    fn apply_new(&mut self, index: Index, change: &Change) -> ApplyOutcome {
         match change {
             Change::Apply { base, text, .. } => return self.replace_document(*base, text),
             Change::Evacuate { zone, on, seen, .. } => return self.evacuate(index, zone, *on, *seen),
@@ -124,8 +126,8 @@
         if self.evacuated.contains(zone) == on {
             return self.accepted();
         }
-        let overtaken = self.evacuation_changes.get(zone).is_some_and(|at| *at > seen);
-        if overtaken && !common::mutation::enabled("late-evacuations") {
+        let is_outdated = self.evacuation_changes.get(zone).is_some_and(|at| *at > seen);
+        if is_outdated && !common::mutation::enabled("late-evacuations") {
             return self.conflict();
         }
         if on {
@@ -137,8 +139,8 @@
         self.accepted()
     }
 
-    fn change_replica(&mut self, id: &ReplicaId, what: &ReplicaChange) -> ApplyOutcome {
-        match (what, self.replicas.get_mut(id)) {
+    fn change_replica(&mut self, id: &ReplicaId, change: &ReplicaChange) -> ApplyOutcome {
+        match (change, self.replicas.get_mut(id)) {
             (ReplicaChange::List { service, zone, addr }, _) => {
                 let (service, zone) = (service.clone(), zone.clone());
                 let replica = Replica { service, zone, addr: *addr, draining: false };
