--- a/crates/control-plane/tests/disk_failure_responses.rs
+++ b/crates/control-plane/tests/disk_failure_responses.rs
@@ -28,22 +28,23 @@
             })
             .await;
         // The new leader accepts changes once it has received heartbeats from the members.
-        let end = cluster.simulation.ms() + 10_000;
+        let end = cluster.simulation.elapsed_ms() + 10_000;
         let mut outcome = cluster.nodes[leader].replace(1, "2\nsecond").await;
-        while matches!(outcome, OperationOutcome::Unavailable(_)) && cluster.simulation.ms() < end {
+        while matches!(outcome, OperationOutcome::Unavailable(_)) && cluster.simulation.elapsed_ms() < end {
             tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             outcome = cluster.nodes[leader].replace(1, "2\nsecond").await;
         }
         assert_eq!(outcome, OperationOutcome::Accepted);
         assert_eq!(cluster.nodes[leader].read().await, Ok(Some((2, "2\nsecond".into()))));
         let wait_ms = 400;
-        let requested_ms = cluster.simulation.ms();
+        let requested_ms = cluster.simulation.elapsed_ms();
         let response = control_node
             .clone()
             .answer(ControlRequest::WatchState { have: control_node.status().cluster_state.index, wait_ms })
             .await;
         assert!(
-            matches!(response, ControlResponse::NotLeader { .. }) && cluster.simulation.ms() == requested_ms,
+            matches!(response, ControlResponse::NotLeader { .. })
+                && cluster.simulation.elapsed_ms() == requested_ms,
             "answered before the wait is over"
         );
         // Its folder turns out to be damaged: it recovers as a blank node and is admitted again.
@@ -69,10 +70,10 @@
         let node = cluster.nodes[leader].clone();
         let change = tokio::spawn(async move { node.replace(0, "1\nfirst").await });
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
-        let failed_ms = simulation.ms();
+        let failed_ms = simulation.elapsed_ms();
         cluster.nodes[leader].control_node.step(Event::SyncFailed);
         assert_eq!(change.await.unwrap(), OperationOutcome::Undetermined);
-        assert_eq!(simulation.ms(), failed_ms);
+        assert_eq!(simulation.elapsed_ms(), failed_ms);
     });
 }
 
--- a/crates/control-plane/tests/size.rs
+++ b/crates/control-plane/tests/size.rs
@@ -54,7 +54,7 @@
             voter.size_limits,
         ))
         .unwrap();
-        assert!(update.len() < wire::MAX_FRAME, "update of {} bytes after {have}", update.len());
+        assert!(update.len() < wire::MAX_FRAME_BYTES, "update of {} bytes after {have}", update.len());
     }
     let log_bytes: usize = voter.log.iter().map(|entry| wire::encode(entry).unwrap().len()).sum();
     assert!(log_bytes <= 3 * DOCUMENT_BYTES, "{log_bytes} bytes of entries are kept in memory");
--- a/crates/data-plane/src/serving/daemon.rs
+++ b/crates/data-plane/src/serving/daemon.rs
@@ -1,5 +1,5 @@
-//! A router that serves by routes, from its start to the end of its drain (design 9.7): the same in
-//! the program and under virtual time.
+//! Runs a router that serves requests by routes, from its start to the end of its drain (design 9.7). The same code
+//! runs in the program and in simulations with virtual time.
 
 use super::{
     protocol::ProtocolAdapter,
@@ -19,65 +19,73 @@
 };
 use tokio::sync::watch;
 
-/// What a serving router is made of, besides its settings.
+/// The platform-specific parts of a router.
 pub struct ServingParts {
+    /// Where the node runs.
     pub site: Site,
+    /// The platform's wire format.
     pub protocol: Arc<dyn ProtocolAdapter>,
+    /// Parses configuration documents.
     pub document_format: Arc<dyn DocumentFormat>,
 }
 
+/// Runs a router until `stop` resolves and its drain is over.
+///
+/// # Errors
+/// An address can't be listened on.
 pub async fn run(
-    set: Settings,
+    settings: Settings,
     listeners: Listeners,
     parts: ServingParts,
     stop: impl Future<Output = ()>,
 ) -> eyre::Result<()> {
-    let info = NodeInfo::of(&set, Role::Router, Incarnation(random::<u64>() >> 1));
+    let info = NodeInfo::of(&settings, Role::Router, Incarnation(random::<u64>() >> 1));
     let clock = Clock::default();
-    let member = LocalMember::new(set.clone(), info, clock.clone());
-    let router = Router::new(set.clone(), member.clone(), clock.clone());
+    let member = LocalMember::new(settings.clone(), info, clock.clone());
+    let router = Router::new(settings.clone(), member.clone(), clock.clone());
     let ServingParts { site, protocol, document_format } = parts;
-    let extra: Vec<_> = site.readiness_addr.into_iter().chain(site.directory_addr).collect();
+    let extra_listeners: Vec<_> = site.readiness_addr.into_iter().chain(site.directory_addr).collect();
     let grace_ms = site.bounds.grace_ms;
-    let keep_ms = site.bounds.directory_ttl_ms;
-    let s = Serving::new(router.clone(), protocol, document_format, site);
-    router.start_serving(&set, listeners.rpc);
-    spawn(s.clone().follow_configuration());
-    s.spawn_report_tasks();
-    s.spawn_usage_tasks();
+    let directory_ttl_ms = site.bounds.directory_ttl_ms;
+    let serving = Serving::new(router.clone(), protocol, document_format, site);
+    router.start_serving(&settings, listeners.rpc);
+    spawn(serving.clone().follow_configuration());
+    serving.spawn_report_tasks();
+    serving.spawn_usage_tasks();
     let (stop_listening, stopped) = watch::channel(false);
-    let (end, ended) = watch::channel(false);
-    for at in extra {
-        let listener = bind(at).await?;
-        let me = s.clone();
-        spawn(http::serve(listener, Arc::default(), ended.clone(), move |peer, req| {
+    let (stop_extra, extra_stopped) = watch::channel(false);
+    for addr in extra_listeners {
+        let listener = bind(addr).await?;
+        let me = serving.clone();
+        spawn(http::serve(listener, Arc::default(), extra_stopped.clone(), move |peer, req| {
             me.clone().answer_directory_request(peer, req)
         }));
     }
-    let conns = Arc::new(http::OpenCount::default());
-    let serving = spawn(s.clone().listen(listeners.http, conns.clone(), stopped));
-    let me = s.clone();
+    let connections = Arc::new(http::OpenCount::default());
+    let listening = spawn(serving.clone().listen(listeners.http, connections.clone(), stopped));
+    let me = serving.clone();
     spawn(async move {
         loop {
             tokio::time::sleep(Duration::from_millis(500)).await;
             me.pool.sweep(me.now());
         }
     });
-    log_event!(Info, "started", "rail" => set.rpc_addr, "http" => set.http);
+    log_event!(Info, "started", "rail" => settings.rpc_addr, "http" => settings.http);
     stop.await;
-    // Not ready and out of the directories first; clients that hold an older answer are served
-    // until it has run out; what was read is finished (design 9.7).
+    // First the router reports that it is not ready and leaves the directory. It serves clients that still use an
+    // older answer of the directory until that has expired, and then finishes the requests that it has read (design
+    // 9.7).
     log_event!(Info, "draining", "open" => router.open_count.open());
     let began = clock.now();
     router.draining.store(true, Ordering::Release);
     member.leave().await;
-    let linger = (keep_ms * 3 + set.timing.renew_interval_ms()).min(grace_ms / 2);
+    let linger = (directory_ttl_ms * 3 + settings.timing.renew_interval_ms()).min(grace_ms / 2);
     tokio::time::sleep(Duration::from_millis(linger.saturating_sub(clock.now().since(began)))).await;
     let _ = stop_listening.send(true);
-    let _ = serving.await;
+    let _ = listening.await;
     let until = began + grace_ms * 15 / 16;
-    wait_until_drained(&router, &conns, until).await;
-    let _ = end.send(true);
+    wait_until_drained(&router, &connections, until).await;
+    let _ = stop_extra.send(true);
     log_event!(Info, "stopped", "open" => router.open_count.open());
     Ok(())
 }
