--- a/crates/control-plane/src/storage/file_store.rs
+++ b/crates/control-plane/src/storage/file_store.rs
@@ -85,10 +85,10 @@
     /// # Errors
     /// The operating system can't read a file.
     pub fn load(folder: &Path) -> io::Result<LoadResult> {
-        let (mut blank, mut newest) = (true, None::<(u64, DurableState)>);
+        let (mut is_empty, mut newest) = (true, None::<(u64, DurableState)>);
         for parity in 0..2 {
             let slot = read_slot(&path_of(folder, "slot", parity), parity)?;
-            blank &= slot.is_none();
+            is_empty &= slot.is_none();
             match slot {
                 Some(Err(Unreadable::IncompatibleFormat)) => return Ok(LoadResult::IncompatibleFormat),
                 Some(Ok(slot)) if newest.as_ref().is_none_or(|newest| slot.0 > newest.0) => {
@@ -97,7 +97,7 @@
                 _ => {}
             }
         }
-        if blank {
+        if is_empty {
             return load_without_slots(folder);
         }
         let Some((slot, state)) = newest else {
--- a/crates/control-plane/src/storage/layout.rs
+++ b/crates/control-plane/src/storage/layout.rs
@@ -145,8 +145,8 @@
         return Ok(None);
     }
     let body = read_piece(file, offset + HEADER_BYTES as u64, header.number as usize)?;
-    let whole = body.len() as u64 == header.number && crc32fast::hash(&body) == header.body_crc;
-    Ok(whole.then_some(body))
+    let is_valid = body.len() as u64 == header.number && crc32fast::hash(&body) == header.body_crc;
+    Ok(is_valid.then_some(body))
 }
 
 /// What the header of a log says about the slot with the same file number.
--- a/crates/control-plane/tests/damage.rs
+++ b/crates/control-plane/tests/damage.rs
@@ -226,12 +226,14 @@
     let name = slot.file_name().unwrap();
     let written = fs::read(&slot).unwrap();
     let length = content_end(&slot);
-    let torn = copy_folder(before.path());
+    let mixed_folder = copy_folder(before.path());
     for written_bytes in 0..=length {
         let old = fs::read(before.path().join(name)).unwrap();
         let mixed: Vec<u8> = written[..written_bytes].iter().chain(&old[written_bytes..]).copied().collect();
-        open_file(torn.path(), &name.to_string_lossy()).write_all_at(&mixed[..length.max(1_000)], 0).unwrap();
-        let result = load(torn.path());
+        open_file(mixed_folder.path(), &name.to_string_lossy())
+            .write_all_at(&mixed[..length.max(1_000)], 0)
+            .unwrap();
+        let result = load(mixed_folder.path());
         let is_newer = result == LoadResult::State(Box::new(newer.clone()));
         let (newer_when_complete, older) =
             (is_newer && written_bytes == length, result == newest_state(&states));
--- a/crates/control-plane/tests/modules/partition_risk.rs
+++ b/crates/control-plane/tests/modules/partition_risk.rs
@@ -7,7 +7,7 @@
 };
 use rstest::rstest;
 
-/// A state with so many members. `lost` has the number of members before each loss.
+/// A state with `members` members. `lost` has the number of members before each loss.
 fn cluster_state(members: usize, lost: &[u32]) -> ClusterState {
     let addr = "127.0.0.1:1".parse().unwrap();
     let info = |n: usize| NodeInfo {
--- a/crates/control-plane/tests/store.rs
+++ b/crates/control-plane/tests/store.rs
@@ -59,7 +59,7 @@
     offsets
 }
 
-/// Writes a slot and a log with so many records.
+/// Writes a slot, and a log with this number of records.
 fn write_log(dir: &Path, records: u64) {
     let mut store = FileStore::open(dir, &one_voter()).unwrap();
     (1..=records).for_each(|index| store.write(&append(index)).unwrap());
