--- a/crates/common/src/clock.rs
+++ b/crates/common/src/clock.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as the protocols see it (design 1.3). Wall time is for logs only.
+//! Monotonic time for the protocols (design 1.3), and wall time for logs and for outside observers.
 
 use serde::{Deserialize, Serialize};
 use std::{
@@ -10,15 +10,15 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// Milliseconds on the holder's own monotonic clock.
+/// A point in time: milliseconds on the monotonic clock of the node that holds it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Tick(pub u64);
 
 impl Tick {
-    /// Milliseconds since `past`; 0 where that is later.
-    pub fn since(self, past: Tick) -> u64 {
-        self.0.saturating_sub(past.0)
+    /// Milliseconds since `earlier`; 0 if `earlier` is in fact later.
+    pub fn since(self, earlier: Tick) -> u64 {
+        self.0.saturating_sub(earlier.0)
     }
 }
 
@@ -36,21 +36,23 @@
     }
 }
 
-/// The one clock of a process. The daemons' counts through suspension of the machine, as leases
-/// must: a node that slept holds nothing of what it held before. Counts from a start that lies a
-/// day back, so that `now - span` never underflows for the spans in use.
+/// The monotonic clock of a process.
+///
+/// The daemons' clock keeps counting while the machine is suspended, so that leases held before a suspension have
+/// expired after it. It starts at one day instead of zero, so that subtracting any duration in use never underflows.
 #[derive(Clone, Debug)]
 pub struct Clock(Source);
 
 #[derive(Clone, Debug)]
 enum Source {
-    /// Linux counts suspension on this clock, and not on the one behind `Instant`.
+    /// `CLOCK_BOOTTIME`: unlike the clock behind `Instant`, it keeps counting during suspension.
     Boot,
-    /// Moved by tests.
+    /// Advanced by tests.
     Manual(Arc<AtomicU64>),
 }
 
-const HEAD_START_MS: u64 = 86_400_000;
+/// Reading of a clock that has counted nothing yet: one day.
+const ORIGIN_MS: u64 = 86_400_000;
 
 impl Default for Clock {
     fn default() -> Self {
@@ -59,16 +61,16 @@
 }
 
 impl Clock {
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Tick {
         let ms = match &self.0 {
             Source::Boot => crate::runtime::virtual_ms().unwrap_or_else(boot_ms),
             Source::Manual(ms) => ms.load(Ordering::Acquire),
         };
-        Tick(HEAD_START_MS + ms)
+        Tick(ORIGIN_MS + ms)
     }
 
-    /// A clock that stands still until the returned milliseconds are changed.
+    /// A clock that advances only when the returned counter of milliseconds is changed.
     pub fn manual() -> (Self, Arc<AtomicU64>) {
         let ms = Arc::new(AtomicU64::new(0));
         (Self(Source::Manual(ms.clone())), ms)
@@ -76,17 +78,17 @@
 }
 
 fn boot_ms() -> u64 {
-    let t = nix::time::clock_gettime(nix::time::ClockId::CLOCK_BOOTTIME);
-    t.map(|t| Duration::from(t).as_millis() as u64).expect("each Linux since 2.6.39 has this clock")
+    let time = nix::time::clock_gettime(nix::time::ClockId::CLOCK_BOOTTIME);
+    time.map(|time| Duration::from(time).as_millis() as u64).expect("Linux has CLOCK_BOOTTIME since 2.6.39")
 }
 
-/// Wall time in milliseconds, for log lines and for unique names only.
+/// Wall time in milliseconds since 1970, only for log lines and unique names.
 pub fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_millis() as u64
 }
 
-/// Wall time in milliseconds as this machine sees it: it may jump, and machines disagree on it. Only for what outsiders
-/// measure by the time of day; under a simulation it is the virtual one.
+/// Wall time in milliseconds since 1970 on this machine's clock, which may jump and differ from other machines' clocks.
+/// Only for what outsiders measure by the time of day. In a simulation it is the simulated host's time of day.
 pub fn time_of_day_ms() -> u64 {
     crate::runtime::virtual_time_of_day_ms().unwrap_or_else(wall_ms)
 }
--- a/crates/common/src/connection/timing.rs
+++ b/crates/common/src/connection/timing.rs
@@ -1,4 +1,4 @@
-//! The time that a connection spends at rest and on heads, as its stream and the bodies of its answers see it.
+//! How long a connection has been idle or has been receiving a head, as observed on its stream and its response bodies.
 
 use super::ConnectionLimits;
 use crate::{
@@ -20,30 +20,30 @@
     time::Instant,
 };
 
-/// Where a connection is between two requests.
+/// What a connection is doing.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
-    /// Nothing of a request is here.
+    /// It waits for a request.
     Idle,
-    /// Some bytes of a head are here.
-    Head,
-    /// A request is being read, carried out or answered.
-    OpenCount,
+    /// Part of a request's head has arrived.
+    ReceivingHead,
+    /// A request is being received, handled or answered.
+    Serving,
 }
 
 struct State {
     phase: Phase,
     since: Instant,
-    /// How long it may stay idle by the newest response, in milliseconds.
-    announced_idle_ms: u64,
+    /// Idle timeout that the newest response announced to the client.
+    announced_idle_timeout_ms: u64,
 }
 
-/// Shared by a connection's stream, its requests and its timer.
+/// The phase of a connection; shared by its stream, its requests and its timer.
 pub(super) struct Progress(Mutex<State>);
 
 impl Progress {
     pub(super) fn new() -> Self {
-        Self(Mutex::new(State { phase: Phase::Idle, since: Instant::now(), announced_idle_ms: 0 }))
+        Self(Mutex::new(State { phase: Phase::Idle, since: Instant::now(), announced_idle_timeout_ms: 0 }))
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -53,47 +53,47 @@
     fn received(&self) {
         let mut state = self.state();
         if state.phase == Phase::Idle {
-            (state.phase, state.since) = (Phase::Head, Instant::now());
+            (state.phase, state.since) = (Phase::ReceivingHead, Instant::now());
         }
     }
 
-    /// The last bytes of an answer may leave after its body has ended: the rest begins behind them.
+    /// The last bytes of a response may be sent after its body has ended; the idle time starts after them.
     fn sent(&self, written: &Poll<io::Result<usize>>) {
         let mut state = self.state();
-        if matches!(written, Poll::Ready(Ok(n)) if *n > 0) && state.phase == Phase::Idle {
+        if matches!(written, Poll::Ready(Ok(count)) if *count > 0) && state.phase == Phase::Idle {
             state.since = Instant::now();
         }
     }
 
     pub(super) fn request_begins(&self) {
-        self.state().phase = Phase::OpenCount;
+        self.state().phase = Phase::Serving;
     }
 
-    pub(super) fn answer_begins(&self, idle_timeout_ms: u64) {
-        self.state().announced_idle_ms = idle_timeout_ms;
+    pub(super) fn response_begins(&self, idle_timeout_ms: u64) {
+        self.state().announced_idle_timeout_ms = idle_timeout_ms;
     }
 
-    fn answer_ended(&self) {
+    fn response_ended(&self) {
         let mut state = self.state();
         (state.phase, state.since) = (Phase::Idle, Instant::now());
     }
 
-    /// When the connection is to be closed, unless something happens before. An idle time that was announced to the
-    /// client is kept to, also when the limit has been lowered since.
-    pub(super) fn due(&self, limits: &ConnectionLimits) -> Option<Instant> {
+    /// When the connection is closed if its phase does not change. An idle timeout that was announced to the client is
+    /// honoured even if the limit has been lowered since.
+    pub(super) fn deadline(&self, limits: &ConnectionLimits) -> Option<Instant> {
         let state = self.state();
-        let most_ms = match state.phase {
-            Phase::Idle => limits.idle_timeout_ms.max(state.announced_idle_ms),
-            Phase::Head => limits.header_timeout_ms,
-            Phase::OpenCount => return None,
+        let timeout_ms = match state.phase {
+            Phase::Idle => limits.idle_timeout_ms.max(state.announced_idle_timeout_ms),
+            Phase::ReceivingHead => limits.header_timeout_ms,
+            Phase::Serving => return None,
         };
-        Some(state.since + Duration::from_millis(most_ms))
+        Some(state.since + Duration::from_millis(timeout_ms))
     }
 }
 
-/// A connection's bytes; tells its progress when some have come or gone.
+/// A connection's stream, which reports received and sent bytes to its progress.
 pub(super) struct TimedStream {
-    pub(super) io: Stream,
+    pub(super) inner: Stream,
     pub(super) progress: Arc<Progress>,
 }
 
@@ -104,7 +104,7 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
-        let read = Pin::new(&mut self.io).poll_read(context, buffer);
+        let read = Pin::new(&mut self.inner).poll_read(context, buffer);
         if buffer.filled().len() > before {
             self.progress.received();
         }
@@ -118,7 +118,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.io).poll_write(context, bytes);
+        let written = Pin::new(&mut self.inner).poll_write(context, bytes);
         self.progress.sent(&written);
         written
     }
@@ -128,25 +128,25 @@
         context: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.io).poll_write_vectored(context, parts);
+        let written = Pin::new(&mut self.inner).poll_write_vectored(context, parts);
         self.progress.sent(&written);
         written
     }
 
     fn is_write_vectored(&self) -> bool {
-        self.io.is_write_vectored()
+        self.inner.is_write_vectored()
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.io).poll_flush(context)
+        Pin::new(&mut self.inner).poll_flush(context)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.io).poll_shutdown(context)
+        Pin::new(&mut self.inner).poll_shutdown(context)
     }
 }
 
-/// An answer's body; tells the connection's progress when it has ended.
+/// A response body, which reports its end to the connection's progress.
 pub(super) struct TimedBody {
     pub(super) body: Body,
     pub(super) progress: Arc<Progress>,
@@ -174,6 +174,6 @@
 
 impl Drop for TimedBody {
     fn drop(&mut self) {
-        self.progress.answer_ended();
+        self.progress.response_ended();
     }
 }
--- a/crates/common/src/error.rs
+++ b/crates/common/src/error.rs
@@ -1,37 +1,37 @@
-//! Errors that carry the step and the peer at which they arose (design 1.4).
+//! Errors that name the step that failed and the peer (design 1.4).
 
 use std::{error::Error, fmt, io};
 
-/// Any error, for causes.
+/// Any error.
 pub type BoxError = Box<dyn Error + Send + Sync>;
 
-/// A named step of a protocol or of a request, as logs and metrics show it.
+/// Name of a step of a protocol or request, as shown in logs and metrics.
 pub type Step = &'static str;
 
-/// Opening a connection.
+/// The step that opens a connection.
 pub const CONNECT: Step = "connect";
-/// The first messages on a connection between nodes.
+/// The step that exchanges the first messages on a connection.
 pub const HANDSHAKE: Step = "handshake";
 
-/// What kind of failure it was, as far as callers decide by it.
+/// The kinds of failure that callers distinguish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorKind {
     /// The connection was refused: nothing listens at the peer.
     Refused,
-    /// There was no answer in time.
+    /// The peer did not answer in time.
     TimedOut,
     /// Anything else.
     Other,
 }
 
-/// A failure at a peer.
+/// The failure of a step that involves a peer.
 #[derive(Debug)]
 pub struct PeerError {
-    /// What was tried.
+    /// The step that failed.
     pub step: Step,
     /// Address or name of the peer.
     pub peer: String,
-    /// What kind of failure it was.
+    /// The kind of failure.
     pub kind: ErrorKind,
     cause: BoxError,
 }
@@ -63,7 +63,7 @@
 impl Error for TimedOut {}
 
 impl PeerError {
-    /// A failure of no particular kind.
+    /// A failure of kind [`ErrorKind::Other`].
     pub fn new(step: Step, peer: impl fmt::Display, cause: impl Into<BoxError>) -> Self {
         Self { step, peer: peer.to_string(), kind: ErrorKind::Other, cause: cause.into() }
     }
@@ -80,28 +80,28 @@
         Self { kind: ErrorKind::TimedOut, ..Self::new(step, peer, TimedOut { timeout_ms }) }
     }
 
-    /// What went wrong, for logs.
+    /// The message of the underlying error, for logs.
     pub fn cause(&self) -> String {
         self.cause.to_string()
     }
 
-    /// Whether nothing listens at the peer.
+    /// Whether the peer refused the connection because nothing listens there.
     pub fn is_refused(&self) -> bool {
         self.kind == ErrorKind::Refused
     }
 
-    /// Whether it arose before anything of a request was sent.
+    /// Whether the failure happened before any part of a request was sent, so that the peer can't have acted on it.
     pub fn is_before_sending(&self) -> bool {
         self.step == CONNECT || self.step == HANDSHAKE
     }
 }
 
-/// Adds the step and the peer to any error.
+/// Adds a step and a peer to any error.
 pub trait AtPeer<T> {
-    /// The same result, with an error that names where it arose.
+    /// Turns the error into a [`PeerError`] for this step and peer.
     ///
     /// # Errors
-    /// The original error as the cause.
+    /// A [`PeerError`] with the original error as its cause.
     fn at_peer(self, step: Step, peer: impl fmt::Display) -> Result<T, PeerError>;
 }
 
@@ -111,11 +111,11 @@
     }
 }
 
-/// Waits for a future no longer than `timeout_ms`. A time-out is an error of its own; any other error keeps the step at
-/// which it arose.
+/// Runs a future for at most `timeout_ms`. Only a timeout is reported under `step` and `peer`; errors of the future keep
+/// their own step and peer.
 ///
 /// # Errors
-/// The future's, or the time-out.
+/// The future's error, or the timeout.
 pub async fn with_timeout<T>(
     timeout_ms: u64,
     step: Step,
@@ -128,7 +128,7 @@
     }
 }
 
-/// How a program ends: one message on failure, and an exit code that says so.
+/// The exit code of a program with this result; a failure is printed to standard error.
 pub fn exit_code(result: eyre::Result<()>) -> std::process::ExitCode {
     match result {
         Ok(()) => std::process::ExitCode::SUCCESS,
@@ -139,9 +139,9 @@
     }
 }
 
-/// Prints for a reader that may have gone: a closed pipe is no failure.
+/// Prints to standard output and ignores errors, so that a closed pipe is no failure.
 pub fn print(text: &str) {
     use std::io::Write;
-    let mut out = std::io::stdout().lock();
-    let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
+    let mut stdout = std::io::stdout().lock();
+    let _ = stdout.write_all(text.as_bytes()).and_then(|()| stdout.flush());
 }
--- a/crates/common/src/event_log.rs
+++ b/crates/common/src/event_log.rs
@@ -1,4 +1,4 @@
-//! An event log in memory: events are appended in order, and views are folded from them (design 1.5).
+//! An event log in memory: events are appended in order, and a view is derived from them (design 1.5).
 
 use crate::sync::lock;
 use std::{
@@ -6,9 +6,9 @@
     sync::{Mutex, MutexGuard},
 };
 
-/// State that events change.
+/// State that is derived from events.
 pub trait View<E> {
-    /// The one way in which an event changes it.
+    /// Applies an event. Nothing else changes the state.
     fn apply(&mut self, event: &E);
 }
 
@@ -19,7 +19,7 @@
     view: V,
 }
 
-/// The newest events, and the view that all events were folded into.
+/// The newest events, and the view that results from all events ever appended.
 #[derive(Debug)]
 pub struct EventLog<E, V> {
     inner: Mutex<Inner<E, V>>,
@@ -27,13 +27,13 @@
 }
 
 impl<E: Clone, V: View<E> + Clone> EventLog<E, V> {
-    /// A log that retains so many events.
+    /// An empty log that keeps the newest `retained` events.
     pub fn new(view: V, retained: usize) -> Self {
         let inner = Inner { last_number: 0, tail: VecDeque::new(), view };
         Self { inner: Mutex::new(inner), retained }
     }
 
-    /// Appends an event; returns its number, the first one's being 1.
+    /// Appends an event and returns its number. Numbers start at 1.
     pub fn append(&self, event: E) -> u64 {
         let mut inner = self.lock();
         inner.last_number += 1;
@@ -51,12 +51,12 @@
         self.lock().view.clone()
     }
 
-    /// Reads the view in place.
+    /// Reads the view without copying it, under the lock of the log.
     pub fn with<R>(&self, read: impl FnOnce(&V) -> R) -> R {
         read(&self.lock().view)
     }
 
-    /// The retained events with their numbers.
+    /// The retained events with their numbers, oldest first.
     pub fn tail(&self) -> Vec<(u64, E)> {
         self.lock().tail.iter().cloned().collect()
     }
--- a/crates/common/src/http.rs
+++ b/crates/common/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 by hyper on both sides (design 1.9).
+//! HTTP/1.1 clients and servers on top of hyper (design 1.9).
 
 use crate::{
     error::{AtPeer, CONNECT, HANDSHAKE, PeerError, with_timeout},
@@ -27,45 +27,45 @@
 /// A response or request body.
 pub type Body = BoxBody<Bytes, BoxError>;
 
-/// A body that is all there.
-pub fn full(b: impl Into<Bytes>) -> Body {
-    Full::new(b.into()).map_err(|e| match e {}).boxed()
+/// A body whose bytes are already in memory.
+pub fn full(bytes: impl Into<Bytes>) -> Body {
+    Full::new(bytes.into()).map_err(|never| match never {}).boxed()
 }
 
-/// A text response.
-pub fn text(code: StatusCode, s: impl Into<String>) -> Response<Body> {
-    with_type(code, "text/plain; charset=utf-8", s.into())
+/// A plain-text response.
+pub fn text(status: StatusCode, content: impl Into<String>) -> Response<Body> {
+    with_content_type(status, "text/plain; charset=utf-8", content.into())
 }
 
 /// A JSON response.
-pub fn json(code: StatusCode, v: &impl Serialize) -> Response<Body> {
-    let s = serde_json::to_string(v).unwrap_or_else(|e| format!("{{\"error\":\"{e}\"}}"));
-    with_type(code, "application/json", s)
+pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
+    let content = serde_json::to_string(value).unwrap_or_else(|e| format!("{{\"error\":\"{e}\"}}"));
+    with_content_type(status, "application/json", content)
 }
 
-fn with_type(code: StatusCode, kind: &str, s: String) -> Response<Body> {
-    let mut r = Response::new(full(s));
-    *r.status_mut() = code;
-    if let Ok(v) = kind.parse() {
-        r.headers_mut().insert("content-type", v);
+fn with_content_type(status: StatusCode, content_type: &str, content: String) -> Response<Body> {
+    let mut response = Response::new(full(content));
+    *response.status_mut() = status;
+    if let Ok(value) = content_type.parse() {
+        response.headers_mut().insert("content-type", value);
     }
-    r
+    response
 }
 
-/// Counts what is open (requests, connections), so that a graceful shutdown knows when it is done.
+/// Counts open requests or connections, so that a graceful shutdown knows when none is left.
 #[derive(Debug, Default)]
 pub struct OpenCount(AtomicUsize);
 
-/// Counts as open while it lives.
+/// Counts as one open request or connection until it is dropped.
 pub struct OpenGuard(Arc<OpenCount>);
 
 impl OpenCount {
-    /// Counts one more until the guard is dropped.
+    /// Adds one until the returned guard is dropped.
     pub fn enter(self: &Arc<Self>) -> OpenGuard {
         self.0.fetch_add(1, Ordering::AcqRel);
         OpenGuard(self.clone())
     }
-    /// How many are open.
+    /// The number of open requests or connections.
     pub fn open(&self) -> usize {
         self.0.load(Ordering::Acquire)
     }
@@ -77,51 +77,51 @@
     }
 }
 
-/// An open client connection: the sender, and the task that drives it.
+/// Sends requests on an open client connection.
 pub type RequestSender = SendRequest<Body>;
 
 /// Opens a connection from the node's own address.
 ///
 /// # Errors
-/// The connection could not be opened; the kind of the error tells whether it was refused.
+/// The connection could not be opened; [`PeerError::kind`] tells whether it was refused.
 pub async fn connect(ip: IpAddr, to: SocketAddr) -> Result<Stream, PeerError> {
     dial(ip, to).await.map_err(|error| PeerError::connect_failed(to, error))
 }
 
-/// A new client connection to a replica or a peer, from the node's own address.
+/// Opens an HTTP client connection from the node's own address.
 ///
 /// # Errors
-/// The connection could not be opened within `ms`.
-pub async fn open_client(ip: IpAddr, to: SocketAddr, ms: u64) -> Result<RequestSender, PeerError> {
-    with_timeout(ms, CONNECT, to, async {
-        let io = connect(ip, to).await?;
-        client_over(io, to).await
+/// The connection could not be opened within `timeout_ms`.
+pub async fn open_client(ip: IpAddr, to: SocketAddr, timeout_ms: u64) -> Result<RequestSender, PeerError> {
+    with_timeout(timeout_ms, CONNECT, to, async {
+        let stream = connect(ip, to).await?;
+        client_over(stream, to).await
     })
     .await
 }
 
-/// A client connection over a stream that is open already.
+/// An HTTP client connection over a stream that is already open.
 ///
 /// # Errors
 /// The HTTP handshake failed.
-pub async fn client_over<I>(io: I, to: SocketAddr) -> Result<RequestSender, PeerError>
+pub async fn client_over<S>(stream: S, to: SocketAddr) -> Result<RequestSender, PeerError>
 where
-    I: AsyncRead + AsyncWrite + Send + Unpin + 'static,
+    S: AsyncRead + AsyncWrite + Send + Unpin + 'static,
 {
-    let (tx, conn) = http1::handshake(TokioIo::new(io)).await.at_peer(HANDSHAKE, to)?;
+    let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.at_peer(HANDSHAKE, to)?;
     spawn(async move {
-        let _ = conn.await;
+        let _ = connection.await;
     });
-    Ok(tx)
+    Ok(sender)
 }
 
-/// Longest answer that [`ask`] reads, in bytes.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Longest response body that [`send_request`] reads.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// A small exchange with a known peer; the answer is read whole.
+/// Sends one request on a new connection and reads the whole response.
 ///
 /// # Errors
-/// No whole answer came within `ms`.
+/// The response was not complete within `timeout_ms`, or the connection failed.
 pub async fn send_request(
     ip: IpAddr,
     to: SocketAddr,
@@ -129,20 +129,22 @@
     path: &str,
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
-    ms: u64,
+    timeout_ms: u64,
 ) -> Result<(StatusCode, hyper::HeaderMap, Bytes), PeerError> {
     let step = "exchange";
-    with_timeout(ms, step, to, async {
-        let mut tx = open_client(ip, to, ms).await?;
-        let req = headers
+    with_timeout(timeout_ms, step, to, async {
+        let mut sender = open_client(ip, to, timeout_ms).await?;
+        let request = headers
             .iter()
-            .fold(Request::builder().method(method).uri(path), |b, (k, v)| b.header(*k, *v))
+            .fold(Request::builder().method(method).uri(path), |builder, (name, value)| {
+                builder.header(*name, *value)
+            })
             .header("host", to.to_string())
             .body(full(body))
             .at_peer(step, to)?;
-        let res = tx.send_request(req).await.at_peer(step, to)?;
-        let (head, body) = res.into_parts();
-        let bytes = Limited::new(body, MAX_ANSWER_BYTES).collect().await.at_peer(step, to)?.to_bytes();
+        let response = sender.send_request(request).await.at_peer(step, to)?;
+        let (head, body) = response.into_parts();
+        let bytes = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.at_peer(step, to)?.to_bytes();
         Ok::<_, PeerError>((head.status, head.headers, bytes))
     })
     .await
@@ -151,9 +153,9 @@
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is longer than allowed.
+    /// It is longer than the limit.
     TooLarge,
-    /// It ended before its announced end.
+    /// The connection ended before the end of the body.
     Broken,
 }
 
@@ -168,44 +170,45 @@
 
 impl std::error::Error for BodyError {}
 
-/// Reads a whole body of at most `max` bytes.
+/// Reads a whole body of at most `max_bytes`.
 ///
 /// # Errors
 /// See [`BodyError`].
-pub async fn read_body(body: Incoming, max: usize) -> Result<Bytes, BodyError> {
-    let read = Limited::new(body, max).collect().await;
+pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, BodyError> {
+    let read = Limited::new(body, max_bytes).collect().await;
     read.map(|body| body.to_bytes()).map_err(|e| {
         if e.is::<http_body_util::LengthLimitError>() { BodyError::TooLarge } else { BodyError::Broken }
     })
 }
 
-/// Asks control nodes in turn until one gives an answer other than 503. A change that may have been sent is not sent to
-/// another node: its outcome is undetermined.
+/// Sends a request to one control node after another until one responds with a status other than 503.
+///
+/// Once a request other than GET may have been sent, it is not sent to another node: its outcome is undetermined.
 ///
 /// # Errors
-/// No node answered, or the outcome is undetermined.
+/// No node responded, or the outcome is undetermined.
 pub async fn send_request_to_any(
     nodes: &[SocketAddr],
     method: Method,
     path: &str,
     headers: &[(&str, &str)],
     body: Bytes,
-    ms: u64,
+    timeout_ms: u64,
 ) -> eyre::Result<(StatusCode, hyper::HeaderMap, Bytes)> {
     eyre::ensure!(
         !nodes.is_empty(),
         "--core: missing; allowed: the HTTP address of a control node, up to three times"
     );
-    let (ip, mut last) = (IpAddr::V4(Ipv4Addr::UNSPECIFIED), String::new());
+    let (ip, mut last_error) = (IpAddr::V4(Ipv4Addr::UNSPECIFIED), String::new());
     for to in nodes {
-        match send_request(ip, *to, method.clone(), path, headers, body.clone(), ms).await {
-            Ok((code, _, b)) if code == StatusCode::SERVICE_UNAVAILABLE => {
-                last = format!("{to}: {}", String::from_utf8_lossy(&b));
+        match send_request(ip, *to, method.clone(), path, headers, body.clone(), timeout_ms).await {
+            Ok((status, _, content)) if status == StatusCode::SERVICE_UNAVAILABLE => {
+                last_error = format!("{to}: {}", String::from_utf8_lossy(&content));
             }
-            Ok(answer) => return Ok(answer),
-            Err(e) if e.step == CONNECT || method == Method::GET => last = e.to_string(),
+            Ok(response) => return Ok(response),
+            Err(e) if e.step == CONNECT || method == Method::GET => last_error = e.to_string(),
             Err(e) => eyre::bail!("undetermined: {e}"),
         }
     }
-    eyre::bail!("no control node could answer; last: {last}")
+    eyre::bail!("no control node could answer; last error: {last_error}")
 }
--- a/crates/common/src/ids.rs
+++ b/crates/common/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for identifiers and numbers (design 1.2).
+//! Newtypes for names and sequence numbers (design 1.2).
 
 use serde::{Deserialize, Serialize};
 use std::{fmt, sync::Arc};
@@ -11,7 +11,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The identifier of that text.
+            /// The identifier with this text.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
@@ -31,8 +31,8 @@
             }
         }
         impl From<&str> for $name {
-            fn from(s: &str) -> Self {
-                Self::new(s)
+            fn from(text: &str) -> Self {
+                Self::new(text)
             }
         }
     )+};
@@ -46,7 +46,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The number that follows.
+            /// The next number.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -65,21 +65,21 @@
 }
 
 names! {
-    /// A node: one process of the system.
+    /// Name of a node, which is one process of the system.
     NodeId,
-    /// A failure domain: machines that fail together.
+    /// Name of a failure domain: machines that may fail together.
     Zone,
-    /// A group of zones that shares warm replicas.
+    /// Name of a region: a group of zones that share replicas with warm caches.
     Region,
-    /// A model, or an application that callers reach through an entry.
+    /// Name of a service: a model, or an application, that requests are routed to.
     Service,
-    /// One replica of a service.
+    /// Name of one replica of a service.
     ReplicaId,
-    /// Who a request belongs to.
+    /// Name of the tenant that a request belongs to.
     Tenant,
-    /// One request, from the client's router to the replica's log.
+    /// Identifies one request, from the client's router to the replica's log.
     RequestId,
-    /// An operator's own name for one change, so that sending it again is idempotent.
+    /// Name that an operator gives to one change, which makes sending it again idempotent.
     OpId,
 }
 
@@ -90,23 +90,23 @@
     Index,
     /// Number of an accepted document (design 4.1).
     Revision,
-    /// Number of a membership; rises with each join and expire (design 3.1).
+    /// Number of the cluster membership; rises with each join and each expiry (design 3.1).
     Epoch,
-    /// Fencing token of a singleton role: the higher one wins at each receiver (design 3.2).
+    /// Fencing token of a singleton role: the holder with the higher token wins at each receiver (design 3.2).
     FencingToken,
-    /// Drawn anew for each data folder and each start of a router.
+    /// Random number that identifies one data folder, or one start of a router.
     Incarnation,
 }
 
 /// Longest name in settings and documents, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// What [`is_valid_name`] allows, for error messages.
+/// The rule of [`is_valid_name`], for error messages.
 pub const NAME_RULE: &str = "allowed: 1 to 64 letters, digits, '-', '_' or '.'";
 
-/// Whether a name may be used in settings and documents.
-pub fn is_valid_name(s: &str) -> bool {
-    !s.is_empty()
-        && s.len() <= MAX_NAME_BYTES
-        && s.chars().all(|c| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.'))
+/// Whether a name is allowed in settings and documents.
+pub fn is_valid_name(name: &str) -> bool {
+    !name.is_empty()
+        && name.len() <= MAX_NAME_BYTES
+        && name.chars().all(|c| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.'))
 }
--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every foldshunt process shares (design 1): identifiers, clock, settings, RPC between nodes, HTTP, logs,
-//! metrics, and the seam to network, time and chance that lets the daemons run under simulation.
+//! Code shared by all foldshunt processes (design 1): identifiers, clock, settings, RPC between nodes, HTTP, logs,
+//! metrics, and the runtime layer for network, time and randomness that lets the daemons run in a simulation.
 
 #![warn(missing_docs)]
 
--- a/crates/common/src/metrics.rs
+++ b/crates/common/src/metrics.rs
@@ -1,18 +1,18 @@
-//! Counters and gauges, shown as text on `/metrics` (design 1.7).
+//! Counters and gauges, served in the Prometheus text format on `/metrics` (design 1.7).
 
 use prometheus::{IntCounterVec, IntGaugeVec, Opts, Registry, TextEncoder};
 
-/// All metrics of one process. Names get the prefix `foldshunt_`.
+/// The metrics of one process. All names get the prefix `foldshunt_`.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     registry: Registry,
 }
 
-/// Why making a metric can't fail.
+/// Why a metric's name and labels are always valid.
 const FIXED: &str = "a metric's name and labels are fixed in the code";
 
 impl Metrics {
-    /// Makes and registers a counter.
+    /// Creates and registers a counter.
     ///
     /// # Panics
     /// If the name or a label is not valid.
@@ -22,7 +22,7 @@
         counter
     }
 
-    /// Makes and registers a gauge.
+    /// Creates and registers a gauge.
     ///
     /// # Panics
     /// If the name or a label is not valid.
@@ -32,7 +32,7 @@
         gauge
     }
 
-    /// All metrics in the text format.
+    /// All metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
--- a/crates/common/src/rendezvous.rs
+++ b/crates/common/src/rendezvous.rs
@@ -1,12 +1,12 @@
-//! Rendezvous hashing, the same on every node (design 3.2), and draws that need no talk.
+//! Rendezvous hashing (design 3.2) and pseudorandom draws that give the same result on every node without messages.
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// Keys of [`stable_hash`]. They must never change: nodes of different versions agree by them.
+/// Keys of [`stable_hash`]. They must never change, because nodes of different versions must compute the same hashes.
 const HASH_KEYS: (u64, u64) = (0x666f_6c64, 0x7368_756e);
 
-/// A keyed, stable 64-bit hash; not the standard library's, whose result may change.
+/// A keyed 64-bit hash that is the same in all versions, unlike the standard library's default hasher.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(HASH_KEYS.0, HASH_KEYS.1);
     for part in parts {
@@ -16,7 +16,7 @@
     hasher.finish()
 }
 
-/// Orders `nodes` by their weight for `key`, the highest first.
+/// Orders `nodes` by their rendezvous weight for `key`, highest first; ties are broken by name.
 pub fn ranked<'a, T>(key: &str, nodes: &'a [T], name: impl Fn(&T) -> &str) -> Vec<&'a T> {
     let weight = |node: &T| stable_hash(&[key.as_bytes(), name(node).as_bytes()]);
     let mut weighted: Vec<(u64, &T)> = nodes.iter().map(|node| (weight(node), node)).collect();
@@ -24,18 +24,18 @@
     weighted.into_iter().map(|(_, node)| node).collect()
 }
 
-/// A draw in \[0, 1) that every node makes alike from the same seed.
+/// A pseudorandom number in \[0, 1) that depends only on the seed, so that every node gets the same one.
 pub fn seeded_unit(seed: &[&[u8]]) -> f64 {
     (stable_hash(seed) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Picks one of the weighted items with a point in \[0, 1).
+/// Picks an item by weight; `unit` is a random number in \[0, 1).
 pub fn pick_weighted<T: Clone>(items: &[(T, f64)], unit: f64) -> Option<T> {
     let total: f64 = items.iter().map(|(_, weight)| weight.max(0.0)).sum();
-    let mut left = unit * total;
+    let mut remaining = unit * total;
     let picked = items.iter().find(|(_, weight)| {
-        left -= weight.max(0.0);
-        left < 0.0
+        remaining -= weight.max(0.0);
+        remaining < 0.0
     });
     picked.or(items.last()).map(|(item, _)| item.clone())
 }
--- a/crates/common/src/settings/deprecated.rs
+++ b/crates/common/src/settings/deprecated.rs
@@ -1,4 +1,4 @@
-//! Names of settings in earlier releases: still read, with a warning that names the new one.
+//! Deprecated names of settings, which are still accepted with a warning that gives the current name.
 
 use super::{Flags, environment};
 use crate::log_event;
@@ -8,7 +8,7 @@
     value::{Dict, Map, Value},
 };
 
-/// Names of earlier releases that are still read, each with the one that took its place.
+/// Deprecated names, each with the current name.
 pub const DEPRECATED: [(&str, &str); 8] = [
     ("area", "zone"),
     ("rail", "rpc"),
@@ -20,7 +20,7 @@
     ("timing.rail_ms", "timing.rpc_timeout_ms"),
 ];
 
-/// A source of settings in which deprecated names are replaced.
+/// A source of settings in which deprecated names are replaced by the current ones.
 pub(super) struct Renamed<P>(pub(super) P);
 
 impl<P: Provider> Provider for Renamed<P> {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Moves the value of a dotted name to another name with the same parents, unless that has a value.
+/// Moves the value of a dotted name to another name under the same parent. A value that the new name already has wins.
 fn rename(settings: &mut Dict, old: &str, new: &str) {
     match (old.split_once('.'), new.split_once('.')) {
         (Some((parent, old)), Some((_, new))) => {
@@ -55,13 +55,14 @@
     }
 }
 
-/// Deprecated names that the settings file, the environment or the arguments use, each with its new name.
+/// The deprecated names that the settings file, the environment or the arguments use, each with the current name.
 pub fn deprecated_names(flags: &Flags, arguments: &[String]) -> Vec<(&'static str, &'static str)> {
     let file = flags.config.iter().fold(Figment::new(), |layers, path| layers.merge(Toml::file_exact(path)));
     let given = file.merge(environment());
     let used = |old: &str| {
         let flag = format!("--{old}");
-        given.contains(old) || arguments.iter().any(|a| *a == flag || a.starts_with(&format!("{flag}=")))
+        given.contains(old)
+            || arguments.iter().any(|argument| *argument == flag || argument.starts_with(&format!("{flag}=")))
     };
     DEPRECATED.into_iter().filter(|(old, _)| used(old)).collect()
 }
--- a/crates/common/src/settings/mod.rs
+++ b/crates/common/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Node settings: a file, then the environment, then flags, read by figment (design 1.10).
+//! Settings of a node: from a file, the environment and flags, in rising priority, read by figment (design 1.10).
 
 mod deprecated;
 mod timing;
@@ -20,12 +20,12 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeSet, net::SocketAddr, path::PathBuf};
 
-/// Most seeds in the settings.
+/// Largest number of seeds.
 const MAX_SEEDS: usize = 4;
 
-/// The settings of a node: nothing in them can be learned from others.
+/// The settings of a node: only what the node can't learn from other nodes.
 ///
-/// Names of earlier releases are still read: see [`DEPRECATED`].
+/// Deprecated names are still accepted: see [`DEPRECATED`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -33,29 +33,29 @@
     pub cluster: String,
     /// Name of the node.
     pub node: String,
-    /// Failure domain of the node.
+    /// Zone (failure domain) of the node.
     pub zone: String,
-    /// Where other nodes reach this one.
+    /// Address on which the node serves RPC for other nodes.
     #[serde(rename = "rpc")]
     pub rpc_addr: SocketAddr,
-    /// Where clients (router) or operators (control node) reach this one.
+    /// Address on which the node serves HTTP for clients (router) or operators (control node).
     pub http: SocketAddr,
-    /// What others are given instead of `rpc`, where a relay stands in between.
+    /// Address that other nodes are told instead of `rpc`, if they reach this node through a relay.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rpc_advertise: Option<SocketAddr>,
-    /// What others are given instead of `http`.
+    /// Address that others are told instead of `http`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub http_advertise: Option<SocketAddr>,
     /// RPC addresses of control nodes.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether a blank control node may bootstrap a cluster with the other seeds.
+    /// Whether a control node without data may bootstrap a cluster with the other seeds.
     #[serde(rename = "bootstrap", default = "yes")]
     pub may_bootstrap: bool,
     /// Data folder of a control node.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data: Option<PathBuf>,
-    /// Time bounds.
+    /// Durations.
     #[serde(default)]
     pub timing: Timing,
     /// Log level.
@@ -71,7 +71,7 @@
     "info".into()
 }
 
-/// Flags that stand above the file; each program adds its own.
+/// Flags that all daemons share. They override the file and the environment; each program adds its own.
 #[derive(Clone, Debug, Default, Serialize, bpaf::Bpaf)]
 pub struct Flags {
     /// Settings file (TOML)
@@ -112,23 +112,24 @@
     pub log: Option<String>,
 }
 
-/// The path of a file that others put into the environment is no setting.
+/// Whether a variable holds a file's path. A platform may set such variables for its own use, so they are not settings.
 fn names_a_file(key: &str) -> bool {
     key.to_ascii_lowercase().ends_with("_file")
 }
 
+/// Settings from environment variables.
 fn environment() -> Env {
     Env::prefixed("FOLDSHUNT_").filter(|key| !names_a_file(key.as_str())).split("__")
 }
 
-/// Levels of the log, as settings name them.
+/// Allowed log levels.
 const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
 impl Settings {
-    /// Reads the file, then the environment, then the flags; later ones win.
+    /// Reads the file, the environment and the flags; of these, later ones override earlier ones.
     ///
     /// # Errors
-    /// Names the setting that is missing, unknown or wrong, and what is allowed.
+    /// A setting is missing, unknown or invalid; the message names it and the allowed values.
     pub fn read(flags: &Flags) -> Result<Settings> {
         if let Some(path) = flags.config.as_ref().filter(|path| !path.is_file()) {
             bail!("config: {path:?} is not a file; allowed: the path of a TOML settings file");
@@ -146,10 +147,10 @@
         Ok(settings)
     }
 
-    /// Checks values that their types don't.
+    /// Checks what the types of the values don't guarantee.
     ///
     /// # Errors
-    /// Names the setting, its value and what is allowed.
+    /// A setting is invalid; the message names it, its value and the allowed values.
     pub fn check(&self) -> Result<()> {
         for (field, name) in [("cluster", &self.cluster), ("node", &self.node), ("zone", &self.zone)] {
             ensure!(is_valid_name(name), "{field}: {name:?}; {NAME_RULE}");
@@ -160,10 +161,10 @@
             "seeds: {:?}; allowed: one to {MAX_SEEDS} different addresses; three, to survive the loss of one",
             self.seeds
         );
-        for (field, addr) in [("rpc", self.rpc_addr()), ("http", self.advertised_http())] {
+        for (field, address) in [("rpc", self.rpc_addr()), ("http", self.advertised_http())] {
             ensure!(
-                !addr.ip().is_unspecified() && addr.port() != 0,
-                "{field}: {addr}; allowed: an address that others can reach, or one set as {field}_advertise"
+                !address.ip().is_unspecified() && address.port() != 0,
+                "{field}: {address}; allowed: an address that others can reach, or one set as {field}_advertise"
             );
         }
         ensure!(
@@ -175,27 +176,27 @@
         self.timing.check()
     }
 
-    /// The address that other nodes are given.
+    /// The RPC address that other nodes are told.
     pub fn rpc_addr(&self) -> SocketAddr {
         self.rpc_advertise.unwrap_or(self.rpc_addr)
     }
 
-    /// The address that clients or operators are given.
+    /// The HTTP address that clients or operators are told.
     pub fn advertised_http(&self) -> SocketAddr {
         self.http_advertise.unwrap_or(self.http)
     }
 
-    /// Binds both addresses.
+    /// Binds the RPC and HTTP addresses.
     ///
     /// # Errors
-    /// Names the address that can't be bound.
+    /// An address can't be bound; the message names it.
     pub async fn bind(&self) -> Result<Listeners> {
         let rpc = bind(self.rpc_addr).await.wrap_err_with(|| format!("rpc: {}", self.rpc_addr))?;
         let http = bind(self.http).await.wrap_err_with(|| format!("http: {}", self.http))?;
         Ok(Listeners { rpc, http })
     }
 
-    /// This node as an end of RPC connections.
+    /// This node as an endpoint of RPC connections.
     pub fn local_node(&self) -> LocalNode {
         LocalNode {
             cluster: self.cluster.clone(),
@@ -206,23 +207,23 @@
     }
 }
 
-/// The addresses of a node, bound.
+/// The listeners of a node.
 pub struct Listeners {
-    /// For other nodes.
+    /// RPC, for other nodes.
     pub rpc: Listener,
-    /// For clients (router) or operators (control node).
+    /// HTTP, for clients (router) or operators (control node).
     pub http: Listener,
 }
 
-/// Waits for SIGTERM, or an interrupt from a terminal.
+/// A future that completes on SIGTERM or on an interrupt from the terminal.
 ///
 /// # Errors
-/// The signal can't be caught.
+/// No handler for SIGTERM can be installed.
 pub fn shutdown_signal() -> Result<impl Future<Output = ()>> {
-    let mut term = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
+    let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
     Ok(async move {
         tokio::select! {
-            _ = term.recv() => {}
+            _ = terminate.recv() => {}
             _ = tokio::signal::ctrl_c() => {}
         }
     })
--- a/crates/common/src/settings/timing.rs
+++ b/crates/common/src/settings/timing.rs
@@ -1,9 +1,9 @@
-//! Time bounds (design 1.3).
+//! Durations in the settings of a node, and those derived from them (design 1.3).
 
 use eyre::{Result, ensure};
 use serde::{Deserialize, Serialize};
 
-/// The bounds; every other span of time is a ratio to one of these (design 1.3).
+/// The durations that can be set; all other durations of the protocols are derived from these (design 1.3).
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timing {
@@ -11,11 +11,11 @@
     pub lease_ms: u64,
     /// Time between two health checks of a replica, in milliseconds.
     pub probe_interval_ms: u64,
-    /// Failed health checks in a row after which a replica counts as down.
+    /// Consecutive failed health checks after which a replica counts as down.
     pub probe_failures: u32,
     /// Longest wait for a response between nodes, in milliseconds.
     pub rpc_timeout_ms: u64,
-    /// Longest drain after SIGTERM, in milliseconds.
+    /// Longest time to finish open requests after SIGTERM, in milliseconds.
     pub drain_ms: u64,
 }
 
@@ -31,53 +31,53 @@
     }
 }
 
-/// Shortest interval that is derived from another one, in milliseconds.
+/// Lower bound of the derived intervals.
 const MIN_INTERVAL_MS: u64 = 10;
 
 impl Timing {
-    /// Time between two renewals of a lease.
+    /// Interval between renewals of a lease.
     pub fn renew_interval_ms(&self) -> u64 {
         self.lease_ms / 4
     }
-    /// Time between two heartbeats of a leader.
+    /// Interval between heartbeats of a leader.
     pub fn heartbeat_ms(&self) -> u64 {
         self.lease_ms / 20
     }
-    /// Silence of a leader after which a voter stands for election.
+    /// Time without a message from the leader after which a voter starts an election.
     pub fn election_timeout_ms(&self) -> u64 {
         self.lease_ms / 2
     }
-    /// Added by the leader before it takes a lease as expired.
+    /// Margin that the leader adds to a lease before it treats the lease as expired.
     pub fn lease_margin_ms(&self) -> u64 {
         self.lease_ms / 8
     }
-    /// Time without a finished sync after which a leader stops counting as one.
+    /// Longest time that a disk sync may take on a leader before it stops acting as leader.
     pub fn sync_timeout_ms(&self) -> u64 {
         self.lease_ms / 2
     }
-    /// Age at which load reports no longer count.
+    /// Age above which load reports are ignored.
     pub fn report_max_age_ms(&self) -> u64 {
         self.probe_interval_ms * u64::from(self.probe_failures)
     }
-    /// Time between two looks at the load.
+    /// Interval between load reports.
     pub fn report_interval_ms(&self) -> u64 {
         (self.probe_interval_ms / 4).max(MIN_INTERVAL_MS)
     }
-    /// Time within which the placement table must answer.
+    /// Timeout of requests to the placement table.
     pub fn placement_timeout_ms(&self) -> u64 {
         (self.rpc_timeout_ms / 5).max(MIN_INTERVAL_MS)
     }
 
     pub(super) fn check(&self) -> Result<()> {
         let failures = u64::from(self.probe_failures);
-        for (field, value, least, most) in [
+        for (field, value, min, max) in [
             ("timing.lease_ms", self.lease_ms, 400, 60_000),
             ("timing.probe_interval_ms", self.probe_interval_ms, 50, 60_000),
             ("timing.probe_failures", failures, 1, 100),
             ("timing.rpc_timeout_ms", self.rpc_timeout_ms, 50, 10_000),
             ("timing.drain_ms", self.drain_ms, 0, 3_600_000),
         ] {
-            ensure!((least..=most).contains(&value), "{field}: {value}; allowed: {least} to {most}");
+            ensure!((min..=max).contains(&value), "{field}: {value}; allowed: {min} to {max}");
         }
         Ok(())
     }
--- a/crates/common/src/wire.rs
+++ b/crates/common/src/wire.rs
@@ -1,4 +1,4 @@
-//! The encoding of messages and stored data: musli over length-delimited frames (design 1.8).
+//! The encoding of messages and stored data: musli; on connections, in length-delimited frames (design 1.8).
 
 use bytes::{Bytes, BytesMut};
 use musli::{Decode, Encode};
@@ -6,85 +6,86 @@
 use std::{io, marker::PhantomData};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Largest message between nodes, in bytes: a whole cluster state with a document fits well.
+/// Largest message between nodes: leaves ample room for a whole cluster state with its document.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
-/// Largest message of a connection that has not introduced itself yet, in bytes.
+/// Largest message on a connection whose handshake is not finished.
 pub const MAX_HANDSHAKE_BYTES: usize = 4 << 10;
-/// Version of the protocol between nodes; nodes of other versions are refused.
+/// Version of the protocol between nodes; nodes with another version are rejected.
 pub const PROTOCOL_VERSION: u32 = 4;
 
 #[derive(Encode, Decode)]
 #[musli(bound = {T: Serialize + DeserializeOwned}, decode_bound<'de, A> = {T: Serialize + DeserializeOwned})]
 struct Owned<T> {
     #[musli(with = musli::serde)]
-    v: T,
+    value: T,
 }
 
 #[derive(Encode)]
 #[musli(bound = {T: Serialize})]
 struct Borrowed<'a, T> {
     #[musli(with = musli::serde)]
-    v: &'a T,
+    value: &'a T,
 }
 
-fn invalid_data(e: impl std::fmt::Display) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, e.to_string())
+fn invalid_data(error: impl std::fmt::Display) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, error.to_string())
 }
 
-/// The encoded form of a value, for the wire and the disk.
+/// Encodes a value for the wire or the disk.
 ///
 /// # Errors
 /// The value can't be encoded.
-pub fn encode<T: Serialize>(v: &T) -> io::Result<Vec<u8>> {
+pub fn encode<T: Serialize>(value: &T) -> io::Result<Vec<u8>> {
     let mut out = Vec::new();
-    musli::storage::encode(&mut out, &Borrowed { v }).map_err(invalid_data)?;
+    musli::storage::encode(&mut out, &Borrowed { value }).map_err(invalid_data)?;
     Ok(out)
 }
 
-/// The value that these bytes encode.
+/// Decodes a value.
 ///
 /// # Errors
-/// They encode no such value.
-pub fn decode<T: Serialize + DeserializeOwned>(b: &[u8]) -> io::Result<T> {
-    let v: Owned<T> = musli::storage::decode::<_, Owned<T>>(b).map_err(invalid_data)?;
-    Ok(v.v)
+/// The bytes are not the encoding of a `T`.
+pub fn decode<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> io::Result<T> {
+    let owned: Owned<T> = musli::storage::decode::<_, Owned<T>>(bytes).map_err(invalid_data)?;
+    Ok(owned.value)
 }
 
-/// A codec of frames, each one encoded value.
+/// A codec for length-delimited frames that each hold one encoded value.
 pub struct Codec<In, Out> {
     frames: LengthDelimitedCodec,
-    kinds: PhantomData<fn(Out) -> In>,
+    types: PhantomData<fn(Out) -> In>,
 }
 
 impl<In, Out> Codec<In, Out> {
-    /// For handshakes, of at most [`MAX_HANDSHAKE_BYTES`] bytes: a stranger makes no process reserve more.
+    /// The codec for handshakes. A frame may have at most [`MAX_HANDSHAKE_BYTES`], so that an unidentified peer can't
+    /// make the process reserve more.
     pub fn handshake() -> Self {
-        Self::with_most(MAX_HANDSHAKE_BYTES)
+        Self::with_max_frame(MAX_HANDSHAKE_BYTES)
     }
 
-    fn with_most(bytes: usize) -> Self {
+    fn with_max_frame(bytes: usize) -> Self {
         let frames = LengthDelimitedCodec::builder().max_frame_length(bytes).new_codec();
-        Self { frames, kinds: PhantomData }
+        Self { frames, types: PhantomData }
     }
 }
 
 impl<In, Out> Default for Codec<In, Out> {
     fn default() -> Self {
-        Self::with_most(MAX_FRAME_BYTES)
+        Self::with_max_frame(MAX_FRAME_BYTES)
     }
 }
 
 impl<In: Serialize + DeserializeOwned, Out> Decoder for Codec<In, Out> {
     type Item = In;
     type Error = io::Error;
-    fn decode(&mut self, src: &mut BytesMut) -> io::Result<Option<In>> {
-        self.frames.decode(src)?.map(|b| decode(&b)).transpose()
+    fn decode(&mut self, source: &mut BytesMut) -> io::Result<Option<In>> {
+        self.frames.decode(source)?.map(|frame| decode(&frame)).transpose()
     }
 }
 
 impl<In, Out: Serialize> Encoder<Out> for Codec<In, Out> {
     type Error = io::Error;
-    fn encode(&mut self, v: Out, dst: &mut BytesMut) -> io::Result<()> {
-        self.frames.encode(Bytes::from(encode(&v)?), dst)
+    fn encode(&mut self, value: Out, target: &mut BytesMut) -> io::Result<()> {
+        self.frames.encode(Bytes::from(encode(&value)?), target)
     }
 }
