--- a/crates/common/src/rpc/mod.rs
+++ b/crates/common/src/rpc/mod.rs
@@ -26,50 +26,52 @@
 use tokio::sync::oneshot;
 use tokio_util::codec::Framed;
 
-/// The first message on each connection.
+/// The first message on each connection, sent by the client.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Handshake {
-    /// Must be [`PROTOCOL_VERSION`].
+    /// Protocol version of the sender; must be [`PROTOCOL_VERSION`].
     pub proto: u32,
     /// Name of the sender's cluster.
     pub cluster: String,
-    /// Name of the service that is called.
+    /// Name of the requested service.
     pub service: String,
-    /// Name of the sender.
+    /// Name of the sending node.
     pub node: String,
 }
 
 /// The answer to a [`Handshake`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HandshakeReply {
-    /// Why the connection is refused; `None` where it is accepted.
+    /// Why the connection is rejected; `None` if it is accepted.
     #[serde(rename = "bounced")]
     pub rejected: Option<String>,
 }
 
-/// This process as an end of RPC connections.
+/// This node as an endpoint of RPC connections.
 #[derive(Clone, Debug)]
 pub struct LocalNode {
-    /// Name of its cluster.
+    /// Name of the cluster.
     pub cluster: String,
-    /// Its name.
+    /// Name of the node.
     pub node: String,
-    /// The address that its connections come from.
+    /// Source address of outgoing connections.
     pub ip: IpAddr,
-    /// The usual time-out of a call, in milliseconds.
+    /// Default timeout of a call, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// By how much a call outlives its own time-out at the node that is called, at most.
+/// Added to a call's timeout for the deadline that the library enforces. It is long so that only the caller's own timeout
+/// has an effect.
 const DEADLINE_SLACK: Duration = Duration::from_secs(600);
 
-/// Opening a connection takes three round trips, and so may take longer than a call: it goes on behind a call that
-/// gave up, for at most so many times the usual time-out.
-const OPEN_TIMEOUTS: u64 = 4;
+/// Timeout for opening a connection, as a multiple of the default call timeout. Opening takes three round trips, which may
+/// be longer than a call may take, so it continues in the background after the call has timed out.
+const OPEN_TIMEOUT_FACTOR: u64 = 4;
 
+/// Open connections by the address of the peer.
 type OpenChannels<Q, R> = BTreeMap<SocketAddr, Channel<Q, R>>;
 
-/// A client of one service, with cached connections to the nodes that offer it.
+/// A client of one service, which caches its connections to the nodes that offer the service.
 pub struct RpcClient<Q, R> {
     local: LocalNode,
     service: &'static str,
@@ -81,12 +83,12 @@
     Q: RequestName + Serialize + Send + 'static,
     R: Serialize + DeserializeOwned + Send + 'static,
 {
-    /// A client of that service; opens nothing yet.
+    /// A client of that service. Connections are opened by the first calls.
     pub fn new(local: LocalNode, service: &'static str) -> Self {
         Self { local, service, open: Arc::default() }
     }
 
-    /// One call within the usual time-out.
+    /// Calls a node with the default timeout.
     ///
     /// # Errors
     /// As for [`RpcClient::call_within`].
@@ -94,10 +96,10 @@
         self.call_within(self.local.timeout_ms, step, to, request).await
     }
 
-    /// One call within a time-out. A failed connection is dropped and opened anew next time.
+    /// Calls a node with the given timeout. A failed connection is dropped, and the next call opens a new one.
     ///
     /// # Errors
-    /// The connection could not be opened, the peer refused it, or no response came in time.
+    /// The connection could not be opened, the peer rejected it, or no response came in time.
     pub async fn call_within(
         &self,
         timeout_ms: u64,
@@ -108,20 +110,20 @@
         let counted = runtime::simulation().filter(|simulation| simulation.traffic.is_counting());
         let request_bytes = counted.as_ref().map_or(0, |_| encoded_length(&request));
         let was_open = self.lock().contains_key(&to);
-        let mut ended = false;
+        let mut completed = false;
         let result = with_timeout(timeout_ms, step, to, async {
             let result = self.send(timeout_ms, step, to, request).await;
-            ended = true;
+            completed = true;
             result
         })
         .await;
         if let Some(simulation) = counted {
-            let ends = (self.local.ip, to.ip());
+            let endpoints = (self.local.ip, to.ip());
             let response_bytes = result.as_ref().ok().map(encoded_length);
-            simulation.traffic.call(ends, (self.service, step), request_bytes, response_bytes);
+            simulation.traffic.call(endpoints, (self.service, step), request_bytes, response_bytes);
         }
-        // A connection that was being opened for this call, and took its time, may serve the next one.
-        if result.is_err() && (was_open || ended) {
+        // If the call timed out while its connection was being opened, that connection may serve the next call.
+        if result.is_err() && (was_open || completed) {
             self.lock().remove(&to);
         }
         result
@@ -130,13 +132,13 @@
     async fn send(&self, timeout_ms: u64, step: Step, to: SocketAddr, request: Q) -> Result<R, PeerError> {
         let channel = self.channel(to).await?;
         let mut context = context::current();
-        // The caller's time-out decides; the library's own, on the machine's clock, comes later.
+        // The caller's timeout decides; the library's deadline, on the machine's clock, comes later.
         context.deadline = Instant::now() + Duration::from_millis(timeout_ms) + DEADLINE_SLACK;
         channel.call(context, request).await.at_peer(step, to)
     }
 
-    /// The open channel to a node. Where there is none, one is opened by a task of its own, so that what a call did
-    /// not wait for serves the next.
+    /// The channel to a node. If there is none, a separate task opens one, so that the next call can use it even if this
+    /// call stops waiting for it.
     async fn channel(&self, to: SocketAddr) -> Result<Channel<Q, R>, PeerError> {
         let cached = self.lock().get(&to).cloned();
         if let Some(channel) = cached {
@@ -145,7 +147,7 @@
         let (local, service, cache) = (self.local.clone(), self.service, self.open.clone());
         let (sender, opened) = oneshot::channel();
         spawn(async move {
-            let timeout_ms = local.timeout_ms * OPEN_TIMEOUTS;
+            let timeout_ms = local.timeout_ms * OPEN_TIMEOUT_FACTOR;
             let opened = with_timeout(timeout_ms, CONNECT, to, open(&local, service, to)).await;
             if let Ok(channel) = &opened {
                 lock(&cache).insert(to, channel.clone());
@@ -160,16 +162,17 @@
     }
 }
 
-/// Bytes of a value on the wire, frame apart.
+/// Length of a value's encoding in bytes, without the frame header.
 fn encoded_length<T: Serialize>(value: &T) -> usize {
     encode(value).map_or(0, |bytes| bytes.len())
 }
 
+/// The same stream with another codec.
 fn with_codec<A, B>(framed: Framed<Stream, A>, codec: B) -> Framed<Stream, B> {
     framed.map_codec(|_| codec)
 }
 
-/// Opens a connection: a handshake, its reply, then a channel for calls.
+/// Opens a connection, exchanges the handshake and returns a channel for calls.
 async fn open<Q, R>(
     local: &LocalNode,
     service: &'static str,
@@ -189,10 +192,10 @@
     };
     framed.send(handshake).await.at_peer(HANDSHAKE, to)?;
     let reply = framed.next().await.ok_or("closed during the handshake").at_peer(HANDSHAKE, to)?;
-    if let Some(why) = reply.at_peer(HANDSHAKE, to)?.rejected {
-        return Err(PeerError::new(HANDSHAKE, to, why));
+    if let Some(reason) = reply.at_peer(HANDSHAKE, to)?.rejected {
+        return Err(PeerError::new(HANDSHAKE, to, reason));
     }
-    let new = client::new(client::Config::default(), with_codec(framed, Codec::default()));
-    spawn(new.dispatch);
-    Ok(new.client)
+    let new_client = client::new(client::Config::default(), with_codec(framed, Codec::default()));
+    spawn(new_client.dispatch);
+    Ok(new_client.client)
 }
--- a/crates/common/src/rpc/server.rs
+++ b/crates/common/src/rpc/server.rs
@@ -1,4 +1,4 @@
-//! The server's side of RPC: handshakes are checked, then calls are answered.
+//! The server side of RPC: checks the handshake of each connection, then answers calls.
 
 use super::{Handshake, HandshakeReply, LocalNode, with_codec};
 use crate::{
@@ -16,16 +16,19 @@
 };
 use tokio_util::codec::Framed;
 
-/// How long to wait after the system had no room for another connection.
+/// Pause after a failed accept, for example when the process is out of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Time-outs within which a peer that connected must send its handshake.
-const HANDSHAKE_TIMEOUTS: u64 = 4;
+/// Time in which a peer must send its handshake, as a multiple of the default call timeout.
+const HANDSHAKE_TIMEOUT_FACTOR: u64 = 4;
 
-/// Why a handshake is refused.
+/// Why a handshake is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum HandshakeError {
+    /// The peer speaks this other version of the protocol.
     Protocol(u32),
+    /// The peer belongs to this other cluster.
     Cluster(String),
+    /// The peer requested this service, which is not offered here.
     Service(String),
 }
 
@@ -33,10 +36,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             HandshakeError::Protocol(version) => {
-                write!(f, "protocol {version} is not {PROTOCOL_VERSION}")
+                write!(f, "protocol version {version} is not supported; expected {PROTOCOL_VERSION}")
             }
-            HandshakeError::Cluster(name) => write!(f, "cluster {name:?} is foreign"),
-            HandshakeError::Service(name) => write!(f, "service {name:?} is not here"),
+            HandshakeError::Cluster(name) => write!(f, "cluster {name:?} is not the cluster of this node"),
+            HandshakeError::Service(name) => write!(f, "service {name:?} is not offered here"),
         }
     }
 }
@@ -60,7 +63,7 @@
     Ok(())
 }
 
-/// Answers calls of one service until the task is dropped. `handler` gets the name of the calling node.
+/// Answers calls of one service until the task is dropped. `handler` receives the name of the calling node and the request.
 pub async fn listen<Q, R, F, Fut>(
     listener: impl Into<Listener>,
     local: LocalNode,
@@ -101,7 +104,7 @@
     Fut: Future<Output = R> + Send + 'static,
 {
     let mut framed = Framed::new(stream, Codec::<Handshake, HandshakeReply>::handshake());
-    let timeout_ms = local.timeout_ms * HANDSHAKE_TIMEOUTS;
+    let timeout_ms = local.timeout_ms * HANDSHAKE_TIMEOUT_FACTOR;
     let handshake = with_timeout(timeout_ms, HANDSHAKE, peer, async {
         let first = framed.next().await;
         first.unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into())).at_peer(HANDSHAKE, peer)
--- a/crates/common/src/runtime/host.rs
+++ b/crates/common/src/runtime/host.rs
@@ -1,4 +1,4 @@
-//! A simulated host: its tasks stand still while it is frozen and end when it is killed.
+//! A simulated host: its tasks pause while it is frozen and end when it is killed.
 
 use super::pipe::SimulatedStream;
 use crate::sync::lock;
@@ -17,27 +17,29 @@
 
 /// The host whose task is being polled.
 pub(super) fn current() -> Option<Arc<Host>> {
-    CURRENT.with(|c| c.borrow().clone())
+    CURRENT.with(|current| current.borrow().clone())
 }
 
-/// Tasks after which finished ones are first swept.
-const TASKS_BEFORE_SWEEP: usize = 64;
+/// Number of tasks above which finished ones are removed for the first time.
+const TASKS_BEFORE_CLEANUP: usize = 64;
 
 #[derive(Default)]
 struct Inner {
     frozen: bool,
     powered_off: bool,
-    /// By how much its time of day is wrong.
+    /// Error of its time of day.
     clock_step_ms: i64,
+    /// Tasks that wait for the host to be unfrozen.
     parked: Vec<Waker>,
     tasks: Vec<AbortHandle>,
-    /// Tasks left after the last sweep of finished ones.
-    swept: usize,
-    /// Ends of connections that were open when it lost power: the peers do not know yet.
+    /// Number of tasks left when finished ones were last removed.
+    tasks_after_cleanup: usize,
+    /// Its ends of connections that were open when it lost power. They are closed when power returns; until then the
+    /// peers see no end.
     orphans: Vec<SimulatedStream>,
 }
 
-/// A machine of a simulation.
+/// A simulated machine.
 pub struct Host {
     ip: IpAddr,
     inner: Mutex<Inner>,
@@ -48,6 +50,7 @@
         Arc::new(Self { ip, inner: Mutex::default() })
     }
 
+    /// Offset of its monotonic clock; see [`super::virtual_ms`].
     pub(super) fn offset_ms(&self) -> u64 {
         let IpAddr::V4(ip) = self.ip else { return 0 };
         u64::from(u32::from(ip) % 9_973) * 1_000
@@ -58,22 +61,22 @@
     }
 
     /// Runs a task on this host.
-    pub fn spawn<F>(self: &Arc<Self>, fut: F) -> JoinHandle<F::Output>
+    pub fn spawn<F>(self: &Arc<Self>, future: F) -> JoinHandle<F::Output>
     where
         F: Future + Send + 'static,
         F::Output: Send + 'static,
     {
-        let t = tokio::spawn(Gate { fut: Box::pin(fut), host: self.clone() });
-        let mut g = lock(&self.inner);
-        g.tasks.push(t.abort_handle());
-        if g.tasks.len() > 2 * g.swept + TASKS_BEFORE_SWEEP {
-            g.tasks.retain(|t| !t.is_finished());
-            g.swept = g.tasks.len();
+        let handle = tokio::spawn(HostTask { future: Box::pin(future), host: self.clone() });
+        let mut inner = lock(&self.inner);
+        inner.tasks.push(handle.abort_handle());
+        if inner.tasks.len() > 2 * inner.tasks_after_cleanup + TASKS_BEFORE_CLEANUP {
+            inner.tasks.retain(|task| !task.is_finished());
+            inner.tasks_after_cleanup = inner.tasks.len();
         }
-        t
+        handle
     }
 
-    /// Its time of day is wrong by so much from now on; its monotonic clock is not touched.
+    /// Makes its time of day wrong by `ms` from now on. Its monotonic clock is not affected.
     pub fn step_clock(&self, ms: i64) {
         lock(&self.inner).clock_step_ms = ms;
     }
@@ -82,29 +85,29 @@
         lock(&self.inner).clock_step_ms
     }
 
-    /// Its tasks stand still until it thaws.
+    /// Pauses its tasks until [`Host::thaw`].
     pub fn freeze(&self) {
         lock(&self.inner).frozen = true;
     }
 
-    /// Its tasks go on.
+    /// Resumes its tasks.
     pub fn thaw(&self) {
-        let due = {
-            let mut g = lock(&self.inner);
-            g.frozen = false;
-            std::mem::take(&mut g.parked)
+        let parked = {
+            let mut inner = lock(&self.inner);
+            inner.frozen = false;
+            std::mem::take(&mut inner.parked)
         };
-        due.into_iter().for_each(Waker::wake);
+        parked.into_iter().for_each(Waker::wake);
     }
 
-    /// The process ends at once; its machine closes what it had open.
+    /// Ends all its tasks at once, as when a process is killed: its connections are closed.
     pub fn kill(&self) {
         let tasks = std::mem::take(&mut lock(&self.inner).tasks);
         tasks.iter().for_each(AbortHandle::abort);
         self.thaw();
     }
 
-    /// It loses power: nothing is closed, and nothing answers until it is back.
+    /// Cuts its power: its connections are not closed, and nothing answers until [`super::Simulation::power_on`].
     pub fn power_off(&self) {
         lock(&self.inner).powered_off = true;
         self.kill();
@@ -112,61 +115,62 @@
 
     pub(super) fn restore_power(&self) {
         let orphans = {
-            let mut g = lock(&self.inner);
-            g.powered_off = false;
-            std::mem::take(&mut g.orphans)
+            let mut inner = lock(&self.inner);
+            inner.powered_off = false;
+            std::mem::take(&mut inner.orphans)
         };
         drop(orphans);
     }
 
-    pub(super) fn orphan(&self, s: SimulatedStream) {
-        lock(&self.inner).orphans.push(s);
+    /// Keeps its end of a connection open until power returns.
+    pub(super) fn orphan(&self, stream: SimulatedStream) {
+        lock(&self.inner).orphans.push(stream);
     }
 }
 
-/// A task of a host: polled only while the host is not frozen.
-struct Gate<F> {
-    fut: Pin<Box<F>>,
+/// A task of a host, polled only while the host is not frozen.
+struct HostTask<F> {
+    future: Pin<Box<F>>,
     host: Arc<Host>,
 }
 
-impl<F: Future> Future for Gate<F> {
+impl<F: Future> Future for HostTask<F> {
     type Output = F::Output;
-    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<F::Output> {
+    fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<F::Output> {
         {
-            let mut g = lock(&self.host.inner);
-            if g.frozen {
-                g.parked.push(cx.waker().clone());
+            let mut inner = lock(&self.host.inner);
+            if inner.frozen {
+                inner.parked.push(context.waker().clone());
                 return Poll::Pending;
             }
         }
-        let was = CURRENT.with(|c| c.replace(Some(self.host.clone())));
-        let res = self.fut.as_mut().poll(cx);
-        CURRENT.with(|c| *c.borrow_mut() = was);
-        res
+        let previous = CURRENT.with(|current| current.replace(Some(self.host.clone())));
+        let result = self.future.as_mut().poll(context);
+        CURRENT.with(|current| *current.borrow_mut() = previous);
+        result
     }
 }
 
-/// Spawns a task beside the one that asks: on its host, where there is one.
-pub fn spawn<F>(fut: F) -> JoinHandle<F::Output>
+/// Spawns a task; in a simulation, on the host of the calling task.
+pub fn spawn<F>(future: F) -> JoinHandle<F::Output>
 where
     F: Future + Send + 'static,
     F::Output: Send + 'static,
 {
     match current() {
-        Some(h) => h.spawn(fut),
-        None => tokio::spawn(fut),
+        Some(host) => host.spawn(future),
+        None => tokio::spawn(future),
     }
 }
 
-/// Spawns a task on the host of an address.
-pub fn spawn_at<F>(ip: IpAddr, fut: F) -> JoinHandle<F::Output>
+/// Spawns a task on the simulated host at an address. Outside a simulation the address is ignored.
+pub fn spawn_at<F>(ip: IpAddr, future: F) -> JoinHandle<F::Output>
 where
     F: Future + Send + 'static,
     F::Output: Send + 'static,
 {
     match super::simulation() {
-        Some(w) => w.host(ip).spawn(fut),
-        None => tokio::spawn(fut),
+        Some(simulation) => simulation.host(ip).spawn(future),
+        None => tokio::spawn(future),
     }
 }
--- a/crates/common/src/runtime/mod.rs
+++ b/crates/common/src/runtime/mod.rs
@@ -1,5 +1,7 @@
-//! The seam to network, tasks, chance and time (design 7.2). A daemon uses the machine's. Under a [`Simulation`] the
-//! same code runs on one thread, in virtual time, over a seeded network, on hosts that freeze, die and lose power.
+//! The runtime layer for network, tasks, randomness and time (design 7.2).
+//!
+//! A daemon uses those of the machine. In a [`Simulation`] the same code runs on one thread, in virtual time, on a
+//! simulated network with seeded randomness, and on hosts that can freeze, crash and lose power.
 
 mod host;
 mod net;
@@ -20,29 +22,30 @@
     static SIMULATION: RefCell<Option<Arc<Simulation>>> = const { RefCell::new(None) };
 }
 
-/// The simulation of this thread, if it runs in one.
+/// The simulation that runs on this thread, if any.
 pub fn simulation() -> Option<Arc<Simulation>> {
     SIMULATION.with(|current| current.borrow().clone())
 }
 
+/// Sets or clears the simulation of this thread.
 fn install(simulation: Option<Arc<Simulation>>) {
     SIMULATION.with(|current| *current.borrow_mut() = simulation);
 }
 
-/// Milliseconds since the simulation began, on its virtual clock, shifted by host so that no two nodes' ticks can be
-/// compared by mistake.
+/// Milliseconds since the simulation began, plus an offset that differs between hosts, so that code that wrongly compares
+/// the ticks of two nodes shows up.
 pub(crate) fn virtual_ms() -> Option<u64> {
     simulation()
         .map(|simulation| simulation.elapsed_ms() + host::current().map_or(0, |host| host.offset_ms()))
 }
 
-/// The time of day of a simulation, as the host that asks sees it.
+/// The simulated time of day on the current host's clock.
 pub(crate) fn virtual_time_of_day_ms() -> Option<u64> {
     let step_ms = host::current().map_or(0, |host| host.clock_step_ms());
     simulation().map(|simulation| simulation.time_of_day_ms().saturating_add_signed(step_ms))
 }
 
-/// A random value: the machine's own, or the simulation's next one.
+/// A random value; in a simulation, from its seeded generator.
 pub fn random<T>() -> T
 where
     StandardUniform: Distribution<T>,
@@ -53,7 +56,7 @@
     }
 }
 
-/// A random value within a range.
+/// A random value in a range; in a simulation, from its seeded generator.
 pub fn random_in(range: impl SampleRange<usize>) -> usize {
     match simulation() {
         Some(simulation) => simulation.rng().random_range(range),
--- a/crates/common/src/runtime/net.rs
+++ b/crates/common/src/runtime/net.rs
@@ -1,4 +1,4 @@
-//! Connections: the machine's TCP, or the simulation's.
+//! Connections: TCP sockets of the machine, or simulated ones.
 
 use super::{
     pipe::{SimulatedStream, pair},
@@ -19,181 +19,189 @@
     time::sleep,
 };
 
-/// How long a peer may leave bytes or keep-alive probes unanswered before its connection ends.
+/// Time after which a connection ends whose peer acknowledges neither data nor keep-alive probes.
 const PEER_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 
 /// A connection.
 pub enum Stream {
-    /// The machine's own.
+    /// A TCP connection of the machine.
     Tcp(TcpStream),
-    /// One of a simulation.
+    /// A simulated connection.
     Simulated(SimulatedStream),
 }
 
-/// An address that accepts connections.
+/// Accepts connections on an address.
 pub enum Listener {
-    /// The machine's own.
+    /// A TCP socket of the machine.
     Tcp(TcpListener),
-    /// One of a simulation.
+    /// A simulated listener.
     Simulated(SimulatedListener),
 }
 
-/// A listener of a simulation.
+/// A simulated listener.
 pub struct SimulatedListener {
     simulation: Arc<Simulation>,
-    at: SocketAddr,
+    address: SocketAddr,
     backlog: Mutex<mpsc::UnboundedReceiver<(SimulatedStream, SocketAddr)>>,
 }
 
 impl Drop for SimulatedListener {
     fn drop(&mut self) {
-        lock(&self.simulation.listeners).remove(&self.at);
+        lock(&self.simulation.listeners).remove(&self.address);
     }
 }
 
 impl From<TcpListener> for Listener {
-    fn from(l: TcpListener) -> Self {
-        Listener::Tcp(l)
+    fn from(listener: TcpListener) -> Self {
+        Listener::Tcp(listener)
     }
 }
 
 impl Listener {
-    /// The next connection, with the address of the peer.
+    /// Waits for the next connection and returns it with the address of the peer.
     ///
     /// # Errors
-    /// What the system answered.
+    /// The error of the operating system.
     pub async fn accept(&self) -> io::Result<(Stream, SocketAddr)> {
         match self {
-            Listener::Tcp(l) => {
-                let (s, peer) = l.accept().await?;
-                let _ = s.set_nodelay(true);
-                Ok((Stream::Tcp(s), peer))
+            Listener::Tcp(listener) => {
+                let (stream, peer) = listener.accept().await?;
+                let _ = stream.set_nodelay(true);
+                Ok((Stream::Tcp(stream), peer))
             }
-            Listener::Simulated(l) => {
-                let got = l.backlog.lock().await.recv().await;
-                let (s, peer) = got.ok_or(io::ErrorKind::ConnectionAborted)?;
-                Ok((Stream::Simulated(s), peer))
+            Listener::Simulated(listener) => {
+                let accepted = listener.backlog.lock().await.recv().await;
+                let (stream, peer) = accepted.ok_or(io::ErrorKind::ConnectionAborted)?;
+                Ok((Stream::Simulated(stream), peer))
             }
         }
     }
 }
 
-/// Binds an address.
+/// Binds a listener to an address.
 ///
 /// # Errors
-/// What the system answered.
-pub async fn bind(at: SocketAddr) -> io::Result<Listener> {
+/// The error of the operating system, or its equivalent in a simulation.
+pub async fn bind(address: SocketAddr) -> io::Result<Listener> {
     let Some(simulation) = super::simulation() else {
-        return Ok(Listener::Tcp(TcpListener::bind(at).await?));
+        return Ok(Listener::Tcp(TcpListener::bind(address).await?));
     };
-    let (tx, rx) = mpsc::unbounded_channel();
-    let mut all = lock(&simulation.listeners);
-    if all.contains_key(&at) {
+    let (sender, backlog) = mpsc::unbounded_channel();
+    let mut listeners = lock(&simulation.listeners);
+    if listeners.contains_key(&address) {
         return Err(io::ErrorKind::AddrInUse.into());
     }
-    all.insert(at, tx);
-    drop(all);
-    Ok(Listener::Simulated(SimulatedListener { simulation, at, backlog: Mutex::new(rx) }))
+    listeners.insert(address, sender);
+    drop(listeners);
+    Ok(Listener::Simulated(SimulatedListener { simulation, address, backlog: Mutex::new(backlog) }))
 }
 
-/// Opens a connection from the node's own address.
+/// Opens a connection from the node's own address `ip`.
 ///
 /// # Errors
-/// What the system answered.
+/// The error of the operating system, or its equivalent in a simulation.
 pub async fn dial(ip: IpAddr, to: SocketAddr) -> io::Result<Stream> {
-    if let Some(w) = super::simulation() {
-        return simulated_dial(w, ip, to).await.map(Stream::Simulated);
+    if let Some(simulation) = super::simulation() {
+        return simulated_dial(simulation, ip, to).await.map(Stream::Simulated);
     }
-    let sock = if to.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if to.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     if !ip.is_unspecified() && ip.is_ipv4() == to.is_ipv4() {
-        sock.bind(SocketAddr::new(ip, 0))?;
+        socket.bind(SocketAddr::new(ip, 0))?;
     }
-    let s = sock.connect(to).await?;
-    s.set_nodelay(true)?;
-    // A peer that lost power, or is cut off, answers nothing: what waits for it must end.
-    let opts = socket2::SockRef::from(&s);
-    let _ = opts.set_tcp_user_timeout(Some(PEER_TIMEOUT));
-    let alive = socket2::TcpKeepalive::new()
+    let stream = socket.connect(to).await?;
+    stream.set_nodelay(true)?;
+    // A peer that lost power or is partitioned never answers, so waiting for it must end by a timeout.
+    let options = socket2::SockRef::from(&stream);
+    let _ = options.set_tcp_user_timeout(Some(PEER_TIMEOUT));
+    let keepalive = socket2::TcpKeepalive::new()
         .with_time(PEER_TIMEOUT / 2)
         .with_interval(PEER_TIMEOUT / 4)
         .with_retries(2);
-    let _ = opts.set_tcp_keepalive(&alive);
-    Ok(Stream::Tcp(s))
+    let _ = options.set_tcp_keepalive(&keepalive);
+    Ok(Stream::Tcp(stream))
 }
 
-/// Packets that open a connection are sent again until they get through.
-async fn through(w: &Simulation, from: IpAddr, to: IpAddr) {
-    futures::future::poll_fn(|cx| {
-        if w.blocked(from, to) {
-            w.park(cx.waker());
+/// Waits until a packet of the TCP handshake arrives. Lost ones are retransmitted, so this waits while the link is blocked.
+async fn deliver_packet(simulation: &Simulation, from: IpAddr, to: IpAddr) {
+    futures::future::poll_fn(|context| {
+        if simulation.blocked(from, to) {
+            simulation.park(context.waker());
             return Poll::Pending;
         }
         Poll::Ready(())
     })
     .await;
-    sleep(w.draw_latency()).await;
+    sleep(simulation.draw_latency()).await;
 }
 
-async fn simulated_dial(w: Arc<Simulation>, ip: IpAddr, to: SocketAddr) -> io::Result<SimulatedStream> {
-    through(&w, ip, to.ip()).await;
-    let backlog = lock(&w.listeners).get(&to).cloned();
+async fn simulated_dial(
+    simulation: Arc<Simulation>,
+    ip: IpAddr,
+    to: SocketAddr,
+) -> io::Result<SimulatedStream> {
+    deliver_packet(&simulation, ip, to.ip()).await;
+    let backlog = lock(&simulation.listeners).get(&to).cloned();
     let from = SocketAddr::new(ip, 40_000);
-    let (near, far) = pair(&w, from, to);
-    let there = backlog.is_some_and(|b| b.send((far, from)).is_ok());
-    through(&w, to.ip(), ip).await;
-    if there { Ok(near) } else { Err(io::ErrorKind::ConnectionRefused.into()) }
+    let (client_end, server_end) = pair(&simulation, from, to);
+    let accepted = backlog.is_some_and(|backlog| backlog.send((server_end, from)).is_ok());
+    deliver_packet(&simulation, to.ip(), ip).await;
+    if accepted { Ok(client_end) } else { Err(io::ErrorKind::ConnectionRefused.into()) }
 }
 
 impl AsyncRead for Stream {
     fn poll_read(
         mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         match &mut *self {
-            Stream::Tcp(s) => Pin::new(s).poll_read(cx, buf),
-            Stream::Simulated(s) => Pin::new(s).poll_read(cx, buf),
+            Stream::Tcp(stream) => Pin::new(stream).poll_read(context, buffer),
+            Stream::Simulated(stream) => Pin::new(stream).poll_read(context, buffer),
         }
     }
 }
 
 impl AsyncWrite for Stream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         match &mut *self {
-            Stream::Tcp(s) => Pin::new(s).poll_write(cx, buf),
-            Stream::Simulated(s) => Pin::new(s).poll_write(cx, buf),
+            Stream::Tcp(stream) => Pin::new(stream).poll_write(context, bytes),
+            Stream::Simulated(stream) => Pin::new(stream).poll_write(context, bytes),
         }
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
+        context: &mut Context<'_>,
+        parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         match &mut *self {
-            Stream::Tcp(s) => Pin::new(s).poll_write_vectored(cx, bufs),
-            Stream::Simulated(s) => {
-                let b = bufs.iter().find(|b| !b.is_empty()).map_or(&[][..], |b| &**b);
-                Pin::new(s).poll_write(cx, b)
+            Stream::Tcp(stream) => Pin::new(stream).poll_write_vectored(context, parts),
+            Stream::Simulated(stream) => {
+                let first = parts.iter().find(|part| !part.is_empty()).map_or(&[][..], |part| &**part);
+                Pin::new(stream).poll_write(context, first)
             }
         }
     }
 
     fn is_write_vectored(&self) -> bool {
-        matches!(self, Stream::Tcp(s) if s.is_write_vectored())
+        matches!(self, Stream::Tcp(stream) if stream.is_write_vectored())
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         match &mut *self {
-            Stream::Tcp(s) => Pin::new(s).poll_flush(cx),
-            Stream::Simulated(s) => Pin::new(s).poll_flush(cx),
+            Stream::Tcp(stream) => Pin::new(stream).poll_flush(context),
+            Stream::Simulated(stream) => Pin::new(stream).poll_flush(context),
         }
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         match &mut *self {
-            Stream::Tcp(s) => Pin::new(s).poll_shutdown(cx),
-            Stream::Simulated(s) => Pin::new(s).poll_shutdown(cx),
+            Stream::Tcp(stream) => Pin::new(stream).poll_shutdown(context),
+            Stream::Simulated(stream) => Pin::new(stream).poll_shutdown(context),
         }
     }
 }
--- a/crates/common/src/runtime/pipe.rs
+++ b/crates/common/src/runtime/pipe.rs
@@ -1,5 +1,5 @@
-//! A simulated connection: two pipes whose bytes travel for a while, in order, and wait where the link is partitioned,
-//! as TCP's do.
+//! A simulated connection: two pipes that deliver bytes in order and after a delay. As with TCP, bytes on a partitioned
+//! link are delivered once it heals.
 
 use super::{host::Host, simulation::Simulation};
 use crate::sync::lock;
@@ -18,19 +18,23 @@
     time::{Instant, Sleep, sleep_until},
 };
 
-/// Bytes on their way or unread, over which a writer waits.
+/// Number of sent but unread bytes at which a writer has to wait.
 const MAX_IN_FLIGHT_BYTES: usize = 256 << 10;
 
+/// One direction of a connection.
 pub(super) struct Pipe {
     from: IpAddr,
     to: IpAddr,
+    /// Bytes that are not read yet, with their time of arrival.
     chunks: VecDeque<(Instant, Bytes)>,
-    bytes: usize,
-    last: Instant,
-    /// The writer closed it: in good order, or with what was sent to it left unread.
+    /// Number of bytes in `chunks`.
+    unread_bytes: usize,
+    /// Time of arrival of the newest chunk.
+    last_arrival: Instant,
+    /// When the writer's close arrives, and whether it is a reset, because the writer had unread bytes itself.
     end: Option<(Instant, bool)>,
-    /// The reader is gone.
-    gone: bool,
+    /// The reader was dropped.
+    reader_dropped: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
@@ -38,9 +42,10 @@
 impl Pipe {
     fn new(from: IpAddr, to: IpAddr) -> Arc<Mutex<Self>> {
         let (chunks, reader, writer) = Default::default();
-        let last = Instant::now();
-        let p = Pipe { from, to, chunks, bytes: 0, last, end: None, gone: false, reader, writer };
-        Arc::new(Mutex::new(p))
+        let last_arrival = Instant::now();
+        let (unread_bytes, end, reader_dropped) = (0, None, false);
+        let pipe = Pipe { from, to, chunks, unread_bytes, last_arrival, end, reader_dropped, reader, writer };
+        Arc::new(Mutex::new(pipe))
     }
 
     fn wake(&mut self) {
@@ -53,123 +58,128 @@
 pub struct SimulatedStream {
     simulation: Arc<Simulation>,
     host: Arc<Host>,
-    rx: Arc<Mutex<Pipe>>,
-    tx: Arc<Mutex<Pipe>>,
-    due: Pin<Box<Sleep>>,
+    incoming: Arc<Mutex<Pipe>>,
+    outgoing: Arc<Mutex<Pipe>>,
+    /// Wakes the reader when the next chunk arrives.
+    arrival: Pin<Box<Sleep>>,
 }
 
-/// The two ends of a new connection.
+/// The client's and the server's end of a new connection.
 pub(super) fn pair(
-    w: &Arc<Simulation>,
-    near: SocketAddr,
-    far: SocketAddr,
+    simulation: &Arc<Simulation>,
+    client: SocketAddr,
+    server: SocketAddr,
 ) -> (SimulatedStream, SimulatedStream) {
-    let (out, back) = (Pipe::new(near.ip(), far.ip()), Pipe::new(far.ip(), near.ip()));
-    let end = |ip: IpAddr, rx: &Arc<Mutex<Pipe>>, tx: &Arc<Mutex<Pipe>>| SimulatedStream {
-        simulation: w.clone(),
-        host: w.host(ip),
-        rx: rx.clone(),
-        tx: tx.clone(),
-        due: Box::pin(sleep_until(Instant::now())),
+    let to_server = Pipe::new(client.ip(), server.ip());
+    let to_client = Pipe::new(server.ip(), client.ip());
+    let end = |ip: IpAddr, incoming: &Arc<Mutex<Pipe>>, outgoing: &Arc<Mutex<Pipe>>| SimulatedStream {
+        simulation: simulation.clone(),
+        host: simulation.host(ip),
+        incoming: incoming.clone(),
+        outgoing: outgoing.clone(),
+        arrival: Box::pin(sleep_until(Instant::now())),
     };
-    (end(near.ip(), &back, &out), end(far.ip(), &out, &back))
+    (end(client.ip(), &to_client, &to_server), end(server.ip(), &to_server, &to_client))
 }
 
 impl AsyncRead for SimulatedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &mut ReadBuf<'_>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let me = &mut *self;
-        let mut p = lock(&me.rx);
-        p.reader = Some(cx.waker().clone());
-        if me.simulation.blocked(p.from, p.to) {
-            me.simulation.park(cx.waker());
+        let stream = &mut *self;
+        let mut pipe = lock(&stream.incoming);
+        pipe.reader = Some(context.waker().clone());
+        if stream.simulation.blocked(pipe.from, pipe.to) {
+            stream.simulation.park(context.waker());
             return Poll::Pending;
         }
         let now = Instant::now();
-        let Some(next) = p.chunks.front().map(|c| c.0).or(p.end.map(|e| e.0)) else {
+        let Some(next) = pipe.chunks.front().map(|chunk| chunk.0).or(pipe.end.map(|end| end.0)) else {
             return Poll::Pending;
         };
         if next > now {
-            me.due.as_mut().reset(next);
-            let _ = me.due.poll_unpin(cx);
+            stream.arrival.as_mut().reset(next);
+            let _ = stream.arrival.poll_unpin(context);
             return Poll::Pending;
         }
-        let mut took = 0;
-        while let Some((at, b)) = p.chunks.front_mut().filter(|(at, _)| *at <= now && buf.remaining() > 0) {
-            let n = b.len().min(buf.remaining());
-            buf.put_slice(&b[..n]);
-            b.advance(n);
-            took += n;
-            let _ = at;
-            if b.is_empty() {
-                p.chunks.pop_front();
+        let mut read_bytes = 0;
+        while let Some((arrival, chunk)) =
+            pipe.chunks.front_mut().filter(|(arrival, _)| *arrival <= now && buffer.remaining() > 0)
+        {
+            let count = chunk.len().min(buffer.remaining());
+            buffer.put_slice(&chunk[..count]);
+            chunk.advance(count);
+            read_bytes += count;
+            let _ = arrival;
+            if chunk.is_empty() {
+                pipe.chunks.pop_front();
             }
         }
-        p.bytes -= took;
-        p.writer.take().into_iter().for_each(Waker::wake);
-        match p.end {
-            Some((_, true)) if took == 0 => Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
+        pipe.unread_bytes -= read_bytes;
+        pipe.writer.take().into_iter().for_each(Waker::wake);
+        match pipe.end {
+            Some((_, true)) if read_bytes == 0 => Poll::Ready(Err(io::ErrorKind::ConnectionReset.into())),
             _ => Poll::Ready(Ok(())),
         }
     }
 }
 
 impl AsyncWrite for SimulatedStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let draw_latency = self.simulation.draw_latency();
-        let mut p = lock(&self.tx);
-        if p.gone || p.end.is_some() {
+    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        let latency = self.simulation.draw_latency();
+        let mut pipe = lock(&self.outgoing);
+        if pipe.reader_dropped || pipe.end.is_some() {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        if p.bytes >= MAX_IN_FLIGHT_BYTES {
-            p.writer = Some(cx.waker().clone());
+        if pipe.unread_bytes >= MAX_IN_FLIGHT_BYTES {
+            pipe.writer = Some(context.waker().clone());
             return Poll::Pending;
         }
-        let at = p.last.max(Instant::now() + draw_latency);
-        p.last = at;
-        p.bytes += buf.len();
-        self.simulation.traffic.bytes(p.from, p.to, buf.len());
-        p.chunks.push_back((at, Bytes::copy_from_slice(buf)));
-        p.reader.take().into_iter().for_each(Waker::wake);
-        Poll::Ready(Ok(buf.len()))
+        let arrival = pipe.last_arrival.max(Instant::now() + latency);
+        pipe.last_arrival = arrival;
+        pipe.unread_bytes += bytes.len();
+        self.simulation.traffic.bytes(pipe.from, pipe.to, bytes.len());
+        pipe.chunks.push_back((arrival, Bytes::copy_from_slice(bytes)));
+        pipe.reader.take().into_iter().for_each(Waker::wake);
+        Poll::Ready(Ok(bytes.len()))
     }
 
-    fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_flush(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
 
-    fn poll_shutdown(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.end(false);
+    fn poll_shutdown(self: Pin<&mut Self>, _context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.close(false);
         Poll::Ready(Ok(()))
     }
 }
 
 impl SimulatedStream {
-    fn end(&self, reset: bool) {
-        let mut p = lock(&self.tx);
-        let at = p.last;
-        p.end.get_or_insert((at, reset));
-        p.wake();
+    /// Closes the outgoing pipe behind the bytes already sent, unless it is closed already.
+    fn close(&self, reset: bool) {
+        let mut pipe = lock(&self.outgoing);
+        let arrival = pipe.last_arrival;
+        pipe.end.get_or_insert((arrival, reset));
+        pipe.wake();
     }
 }
 
 impl Drop for SimulatedStream {
     fn drop(&mut self) {
         if self.host.is_powered_off() {
-            let due = Box::pin(sleep_until(Instant::now()));
+            let arrival = Box::pin(sleep_until(Instant::now()));
             let (simulation, host) = (self.simulation.clone(), self.host.clone());
-            let left = SimulatedStream { simulation, host, rx: self.rx.clone(), tx: self.tx.clone(), due };
-            return self.host.orphan(left);
+            let (incoming, outgoing) = (self.incoming.clone(), self.outgoing.clone());
+            return self.host.orphan(SimulatedStream { simulation, host, incoming, outgoing, arrival });
         }
         let unread = {
-            let mut p = lock(&self.rx);
-            p.gone = true;
-            p.wake();
-            !p.chunks.is_empty()
+            let mut pipe = lock(&self.incoming);
+            pipe.reader_dropped = true;
+            pipe.wake();
+            !pipe.chunks.is_empty()
         };
-        self.end(unread);
+        self.close(unread);
     }
 }
--- a/crates/common/src/runtime/simulation.rs
+++ b/crates/common/src/runtime/simulation.rs
@@ -1,4 +1,4 @@
-//! A simulated network in memory: who listens where, which links are partitioned, and the random numbers (design 7.2).
+//! A simulated network in memory: its listeners, hosts, partitioned links and random numbers (design 7.2).
 
 use super::{host::Host, pipe::SimulatedStream, traffic::TrafficCounter};
 use crate::sync::lock;
@@ -12,21 +12,22 @@
 };
 use tokio::{sync::mpsc, time::Instant};
 
+/// Where a listener receives new connections with the address of the peer.
 pub(super) type Backlog = mpsc::UnboundedSender<(SimulatedStream, SocketAddr)>;
 
-/// One way, from one address to another.
+/// One direction of a link: from one address to another.
 type Link = (IpAddr, IpAddr);
 
-/// How long bytes travel, in microseconds, and how often much longer.
+/// Distribution of the time from sending bytes to their arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyModel {
-    /// Shortest time.
+    /// Shortest latency, in microseconds.
     pub min_us: u64,
-    /// Longest time without a spike.
+    /// Longest latency without a spike, in microseconds.
     pub max_us: u64,
-    /// Probability of a spike.
+    /// Probability of a spike, which is a latency above `max_us`.
     pub spike_probability: f64,
-    /// Longest time with a spike.
+    /// Longest latency in a spike, in microseconds.
     pub max_spike_us: u64,
 }
 
@@ -36,28 +37,28 @@
     }
 }
 
-/// True time of day when a simulation begins, in milliseconds since 1970.
+/// True time of day at the start of a simulation, in milliseconds since 1970.
 const TIME_OF_DAY_AT_START_MS: u64 = 1_800_000_000_000;
 
 /// A simulated network with its hosts.
 pub struct Simulation {
-    began: Instant,
+    started: Instant,
     rng: Mutex<SmallRng>,
     pub(super) listeners: Mutex<BTreeMap<SocketAddr, Backlog>>,
     hosts: Mutex<BTreeMap<IpAddr, Arc<Host>>>,
     partitions: Mutex<BTreeSet<Link>>,
-    /// Tasks that wait for a link to heal or a host to come back.
+    /// Tasks that wait for a link to heal or for a host to regain power.
     parked: Mutex<Vec<Waker>>,
     latency: Mutex<LatencyModel>,
-    /// Name of the deliberately broken variant that runs; see [`crate::mutation`].
+    /// Name of the enabled mutation; see [`crate::mutation`].
     pub mutation: Option<String>,
-    /// Counts what travels.
+    /// Counts calls and bytes.
     pub traffic: TrafficCounter,
 }
 
 impl Simulation {
-    /// Runs a future on this thread within a simulation of this seed: time stands still while anything can be done,
-    /// and jumps to the next timer otherwise.
+    /// Runs a future on this thread in a simulation with this seed. Virtual time stands still while any task can run, and
+    /// jumps to the next timer otherwise.
     ///
     /// # Panics
     /// If the runtime can't be built.
@@ -76,7 +77,7 @@
             super::install(Some(simulation.clone()));
             start(simulation).await
         });
-        // What still uses the network is dropped while there is one.
+        // Remaining tasks are dropped while the simulation that they use is still installed.
         drop(runtime);
         super::install(None);
         output
@@ -84,7 +85,7 @@
 
     fn new(seed: u64, mutation: Option<String>) -> Self {
         Self {
-            began: Instant::now(),
+            started: Instant::now(),
             rng: Mutex::new(SmallRng::seed_from_u64(seed)),
             listeners: Mutex::default(),
             hosts: Mutex::default(),
@@ -98,7 +99,7 @@
 
     /// Milliseconds since the simulation began.
     pub fn elapsed_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 
     /// The true time of day, in milliseconds since 1970.
@@ -106,12 +107,12 @@
         TIME_OF_DAY_AT_START_MS + self.elapsed_ms()
     }
 
-    /// The random numbers of this seed.
+    /// The random number generator with this simulation's seed.
     pub fn rng(&self) -> MutexGuard<'_, SmallRng> {
         lock(&self.rng)
     }
 
-    /// Changes how long bytes travel from now on.
+    /// Changes the latency of bytes sent from now on.
     pub fn set_latency(&self, latency: LatencyModel) {
         *lock(&self.latency) = latency;
     }
@@ -119,38 +120,38 @@
     pub(super) fn draw_latency(&self) -> Duration {
         let latency = *lock(&self.latency);
         let mut rng = self.rng();
-        let us = if rng.random_bool(latency.spike_probability) {
+        let latency_us = if rng.random_bool(latency.spike_probability) {
             rng.random_range(latency.max_us..=latency.max_spike_us)
         } else {
             rng.random_range(latency.min_us..=latency.max_us)
         };
-        Duration::from_micros(us)
+        Duration::from_micros(latency_us)
     }
 
-    /// The host at an address; it is made when it is first asked for.
+    /// The host at an address, created on first use.
     pub fn host(&self, ip: IpAddr) -> Arc<Host> {
         lock(&self.hosts).entry(ip).or_insert_with(|| Host::new(ip)).clone()
     }
 
-    /// Whether bytes do not flow this way: the link is partitioned, or one of the two is powered off.
+    /// Whether nothing is delivered in this direction, because the link is partitioned or one of the hosts is powered off.
     pub(super) fn blocked(&self, from: IpAddr, to: IpAddr) -> bool {
         let hosts = lock(&self.hosts);
         let powered_off = |ip: &IpAddr| hosts.get(ip).is_some_and(|host| host.is_powered_off());
         lock(&self.partitions).contains(&(from, to)) || powered_off(&from) || powered_off(&to)
     }
 
-    /// Cuts links, one way each.
+    /// Partitions links, each in one direction.
     pub fn partition(&self, links: impl IntoIterator<Item = Link>) {
         lock(&self.partitions).extend(links);
     }
 
-    /// Restores links.
+    /// Heals partitioned links.
     pub fn heal(&self, links: &BTreeSet<Link>) {
         lock(&self.partitions).retain(|link| !links.contains(link));
         self.wake();
     }
 
-    /// Wakes a task when a link heals or a host comes back.
+    /// Wakes a task once a link heals or a host regains power.
     pub(super) fn park(&self, waker: &Waker) {
         let mut parked = lock(&self.parked);
         if !parked.iter().any(|other| other.will_wake(waker)) {
@@ -163,7 +164,7 @@
         parked.into_iter().for_each(Waker::wake);
     }
 
-    /// The power of a host comes back: whoever still waits for a response from before learns that it is gone.
+    /// Restores the power of a host. Peers that still wait on connections from before now see them closed.
     pub fn power_on(&self, ip: IpAddr) {
         self.host(ip).restore_power();
         self.wake();
--- a/crates/common/src/runtime/traffic.rs
+++ b/crates/common/src/runtime/traffic.rs
@@ -1,5 +1,5 @@
-//! Counts what travels in a simulation (design 7.7): calls by kind and ends, and all bytes by host. Daemons on the
-//! machine's own network count nothing here.
+//! Counts the traffic in a simulation (design 7.7): calls by kind and endpoints, and all bytes by host. Outside a
+//! simulation nothing is counted.
 
 use crate::sync::lock;
 use std::{collections::BTreeMap, net::IpAddr, sync::Mutex};
@@ -7,12 +7,12 @@
 /// Service and step of a call.
 pub type CallKind = (&'static str, &'static str);
 
-/// Calls of one kind at one end, with the encoded bytes of requests and responses, frames apart.
+/// Calls of one kind between two hosts, with the encoded bytes of requests and responses without frame headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Calls {
-    /// All calls.
+    /// Number of calls.
     pub calls: u64,
-    /// Those without a response.
+    /// Number of calls without a response.
     pub failed: u64,
     /// Bytes of requests.
     pub request_bytes: u64,
@@ -29,31 +29,31 @@
     }
 }
 
-/// What was counted.
+/// The counted traffic.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// Calls by the host that made them and the one that was called.
+    /// Calls by calling host, called host and kind.
     pub calls: BTreeMap<((IpAddr, IpAddr), CallKind), Calls>,
-    /// All bytes that a host sent and received, frames, handshakes and HTTP among them.
+    /// Bytes sent and received by each host, including frame headers, handshakes and HTTP.
     pub bytes: BTreeMap<IpAddr, (u64, u64)>,
 }
 
-/// Counts traffic between `begin` and `end`.
+/// Counts traffic between [`TrafficCounter::begin`] and [`TrafficCounter::end`].
 #[derive(Debug, Default)]
 pub struct TrafficCounter(Mutex<Option<Traffic>>);
 
 impl TrafficCounter {
-    /// Begins to count, from nothing.
+    /// Starts counting from zero.
     pub fn begin(&self) {
         *lock(&self.0) = Some(Traffic::default());
     }
 
-    /// Ends the count and returns it.
+    /// Stops counting and returns the counted traffic.
     pub fn end(&self) -> Traffic {
         lock(&self.0).take().unwrap_or_default()
     }
 
-    /// Whether it counts now.
+    /// Whether it is counting.
     pub fn is_counting(&self) -> bool {
         lock(&self.0).is_some()
     }
--- a/crates/common/tests/compatibility.rs
+++ b/crates/common/tests/compatibility.rs
@@ -1,10 +1,10 @@
-//! The first messages of a connection keep the form in which an earlier version sent them.
+//! The handshake and its reply keep the encoding of earlier versions.
 
 use common::rpc::{Handshake, HandshakeReply};
 use test_fixtures::Fixtures;
 
 #[test]
-fn compatibility_of_the_hello() {
+fn compatibility_of_the_handshake() {
     let fixtures = Fixtures::of_crate(env!("CARGO_MANIFEST_DIR"));
     let handshake = Handshake {
         proto: common::wire::PROTOCOL_VERSION,
--- a/crates/common/tests/modules/main.rs
+++ b/crates/common/tests/modules/main.rs
@@ -1,4 +1,4 @@
-//! One binary for the tests of single modules: linking is what takes the time.
+//! Tests of single modules, in one binary because linking takes most of the build time.
 
 mod event_log;
 mod wire;
--- a/crates/common/tests/settings.rs
+++ b/crates/common/tests/settings.rs
@@ -1,10 +1,11 @@
-//! Bad settings: one message that names the field, its value and what is allowed (design 1.10).
+//! Invalid settings give a message that names the setting, its value and the allowed values (design 1.10). Deprecated
+//! names are accepted.
 
 use common::settings::{DEPRECATED, Flags, Settings, deprecated_names};
 use rstest::rstest;
 use std::path::PathBuf;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 cluster = "c"
 node = "n1"
 area = "a"
@@ -16,8 +17,8 @@
 fn read(name: &str, text: &str) -> Result<Settings, String> {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
     std::fs::write(&path, text).unwrap();
-    let fl = Flags { config: Some(path), ..Flags::default() };
-    Settings::read(&fl).map_err(|e| format!("{e:#}"))
+    let flags = Flags { config: Some(path), ..Flags::default() };
+    Settings::read(&flags).map_err(|e| format!("{e:#}"))
 }
 
 #[rstest]
@@ -37,8 +38,13 @@
 )]
 #[case::unknown("unknown", "area =", "speed = 1\narea =", "unknown field: found `speed`")]
 #[case::address("address", "127.0.0.1:7100", "here", "invalid socket address")]
-#[case::told_nowhere("told", "\"127.0.0.1:8080\"", "\"0.0.0.0:8080\"", "http: 0.0.0.0:8080; allowed")]
-#[case::bound("bound", "area =", "timing.tenure_ms = 5\narea =", "timing.lease_ms: 5; allowed: 400 to 60000")]
+#[case::unspecified_address("told", "\"127.0.0.1:8080\"", "\"0.0.0.0:8080\"", "http: 0.0.0.0:8080; allowed")]
+#[case::out_of_range(
+    "bound",
+    "area =",
+    "timing.tenure_ms = 5\narea =",
+    "timing.lease_ms: 5; allowed: 400 to 60000"
+)]
 #[case::level(
     "level",
     "area =",
@@ -46,24 +52,30 @@
     "log: \"loud\"; allowed: error, warn, info, debug, trace"
 )]
 #[case::missing("missing", "cluster =", "#", "missing field `cluster`")]
-fn bad_settings_are_named(#[case] name: &str, #[case] from: &str, #[case] to: &str, #[case] says: &str) {
-    let told = read(name, &GOOD.replacen(from, to, 1)).unwrap_err();
-    assert!(told.contains(says), "{told}");
+fn an_error_names_the_invalid_setting(
+    #[case] name: &str,
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] expected: &str,
+) {
+    let message = read(name, &VALID.replacen(from, to, 1)).unwrap_err();
+    assert!(message.contains(expected), "{message}");
 }
 
 #[test]
-fn flags_stand_above_the_file() {
-    assert_eq!(read("good", GOOD).unwrap().node, "n1");
+fn flags_override_the_file() {
+    assert_eq!(read("good", VALID).unwrap().node, "n1");
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("above.toml");
-    std::fs::write(&path, GOOD).unwrap();
-    let fl = Flags { config: Some(path), node: Some("n2".into()), ..Flags::default() };
-    let s = Settings::read(&fl).unwrap();
-    assert_eq!((s.node.as_str(), s.zone.as_str(), s.timing.renew_interval_ms()), ("n2", "a", 500));
-    let fl = Flags { config: Some("/nowhere/x.toml".into()), ..Flags::default() };
-    assert!(Settings::read(&fl).unwrap_err().to_string().contains("config: \"/nowhere/x.toml\""));
+    std::fs::write(&path, VALID).unwrap();
+    let flags = Flags { config: Some(path), node: Some("n2".into()), ..Flags::default() };
+    let settings = Settings::read(&flags).unwrap();
+    let read = (settings.node.as_str(), settings.zone.as_str(), settings.timing.renew_interval_ms());
+    assert_eq!(read, ("n2", "a", 500));
+    let flags = Flags { config: Some("/nowhere/x.toml".into()), ..Flags::default() };
+    assert!(Settings::read(&flags).unwrap_err().to_string().contains("config: \"/nowhere/x.toml\""));
 }
 
-const STANDARD: &str = r#"
+const CURRENT: &str = r#"
 cluster = "c"
 node = "n1"
 zone = "a"
@@ -78,8 +90,8 @@
 timing.rpc_timeout_ms = 600
 "#;
 
-/// The same settings under the names of earlier releases.
-const OLD: &str = r#"
+/// The same settings under deprecated names.
+const DEPRECATED_SETTINGS: &str = r#"
 cluster = "c"
 node = "n1"
 area = "a"
@@ -101,24 +113,25 @@
 }
 
 #[test]
-fn names_of_earlier_releases_are_read_as_the_standard_ones() {
-    let (old, standard) = (read("old", OLD).unwrap(), read("standard", STANDARD).unwrap());
-    assert_eq!(format!("{old:?}"), format!("{standard:?}"));
-    assert_eq!((standard.may_bootstrap, standard.timing.lease_ms), (false, 3_000));
+fn deprecated_names_are_read_as_the_current_ones() {
+    let (deprecated, current) =
+        (read("old", DEPRECATED_SETTINGS).unwrap(), read("standard", CURRENT).unwrap());
+    assert_eq!(format!("{deprecated:?}"), format!("{current:?}"));
+    assert_eq!((current.may_bootstrap, current.timing.lease_ms), (false, 3_000));
 }
 
 #[test]
-fn names_of_earlier_releases_are_reported_with_the_standard_ones() {
-    assert_eq!(deprecated_names(&flags_for("report-old", OLD), &[]), DEPRECATED);
-    assert_eq!(deprecated_names(&flags_for("report-standard", STANDARD), &[]), []);
+fn deprecated_names_are_reported_with_the_current_ones() {
+    assert_eq!(deprecated_names(&flags_for("report-old", DEPRECATED_SETTINGS), &[]), DEPRECATED);
+    assert_eq!(deprecated_names(&flags_for("report-standard", CURRENT), &[]), []);
     let arguments = ["--rail=127.0.0.1:7100".to_string(), "--area".into(), "--zone".into()];
-    let used = deprecated_names(&flags_for("report-flags", STANDARD), &arguments);
+    let used = deprecated_names(&flags_for("report-flags", CURRENT), &arguments);
     assert_eq!(used, [("area", "zone"), ("rail", "rpc")]);
 }
 
 #[test]
-fn a_standard_name_stands_above_an_old_one() {
-    let both = format!("{STANDARD}area = \"b\"\n")
+fn a_current_name_overrides_a_deprecated_one() {
+    let both = format!("{CURRENT}area = \"b\"\n")
         .replace("timing.lease_ms", "timing.tenure_ms = 9000\ntiming.lease_ms");
     let both = both.replace("area = \"b\"\n", "").replace("zone = \"a\"", "zone = \"a\"\narea = \"b\"");
     let settings = read("both", &both).unwrap();
