--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -1,174 +1,184 @@
-//! From the document to the plan table; every diagnostic is reported, not just the first (design 4.2).
+//! Compiles a document into a routing table and reports all its errors, not just the first (design 4.2).
 
 use crate::{
-    diagnostic::{Diagnostic, diagnostic_at, locate},
+    diagnostic::{Diagnostic, diagnostic_at, line_col, locate},
     document::{self, ConfigDocument},
-    parser::{Block, Operands, blocks},
+    parser::{Block, Operands, parse_blocks},
     routing_table::{Entry, KeyPart, Policy, RoutingTable, ServiceKind},
 };
 use common::{Region, Service, Tenant, Zone, is_valid_name};
 use std::collections::{BTreeMap, BTreeSet};
 
-const MAX_DEADLINE: f64 = 3.6e6;
-const MAX_BODY: f64 = 64.0 * 1048576.0;
+const MAX_DEADLINE_MS: f64 = 3.6e6;
+const MAX_BODY_BYTES: f64 = 64.0 * 1048576.0;
 const METHODS: &[&str] = &["ANY", "GET", "POST", "PUT", "PATCH", "DELETE", "HEAD"];
+const ENTRY_STATEMENTS: &str = "match, header, to, homes, once, repeatable, limit, deadline, policy";
 
-/// Byte offset of the text in the routing language within the document.
-pub fn routing_offset(src: &str) -> usize {
-    let at = locate(src, &["timetable".into()]);
-    let rest = &src[at..];
+type TenantHomes = BTreeMap<Tenant, Option<BTreeSet<Region>>>;
+type Checked = Result<(), Diagnostic>;
+
+/// Byte offset, within the document, of the text in the routing language.
+pub fn routing_offset(source: &str) -> usize {
+    let value = locate(source, &["timetable".into()]);
+    let rest = &source[value..];
     let quotes = if rest.starts_with("'''") || rest.starts_with("\"\"\"") { 3 } else { 1 };
-    at + quotes + usize::from(rest.get(quotes..).is_some_and(|r| r.starts_with('\n')))
+    value + quotes + usize::from(rest.get(quotes..).is_some_and(|text| text.starts_with('\n')))
 }
 
 struct Compiler<'a> {
-    src: &'a str,
-    doc: &'a ConfigDocument,
+    source: &'a str,
+    document: &'a ConfigDocument,
     diagnostics: Vec<Diagnostic>,
 }
 
 impl Compiler<'_> {
-    fn add(&mut self, path: &[&str], msg: String) {
-        let path: Vec<String> = path.iter().map(|s| s.to_string()).collect();
-        self.diagnostics.push(diagnostic_at(self.src, locate(self.src, &path), msg));
+    /// Reports an error in the field at `path`.
+    fn report(&mut self, path: &[&str], message: String) {
+        let path: Vec<String> = path.iter().map(|part| part.to_string()).collect();
+        self.diagnostics.push(diagnostic_at(self.source, locate(self.source, &path), message));
     }
 
-    fn names(&mut self, list: &str, names: &[String]) {
+    /// Reports names in a list that are invalid or not unique.
+    fn check_names<'n>(&mut self, list: &str, names: impl Iterator<Item = &'n String>) {
         let mut seen = BTreeSet::new();
-        for (n, name) in names.iter().enumerate() {
-            let ix = n.to_string();
+        for (n, name) in names.enumerate() {
+            let index = n.to_string();
             if !is_valid_name(name) {
-                self.add(&[list, &ix, "name"], format!("{list}: {name:?} is not a name"));
+                self.report(&[list, &index, "name"], format!("{list}: {name:?} is not a valid name"));
             }
             if !seen.insert(name) {
-                self.add(&[list, &ix, "name"], format!("{list}: '{name}' is there twice"));
+                self.report(&[list, &index, "name"], format!("{list}: '{name}' is defined twice"));
             }
         }
     }
 }
 
-/// Compiles a document; on failure all its diagnostics, in the order in which they stand.
-pub fn compile(src: &str) -> Result<RoutingTable, Vec<Diagnostic>> {
-    let doc = document::read(src)?;
-    let mut w = Compiler { src, doc: &doc, diagnostics: Vec::new() };
-    let list = |f: &dyn Fn(usize) -> Option<String>| (0..).map_while(f).collect::<Vec<_>>();
-    w.names("areas", &list(&|n| doc.zones.get(n).map(|a| a.name.clone())));
-    w.names("services", &list(&|n| doc.services.get(n).map(|a| a.name.clone())));
-    w.names("tenants", &list(&|n| doc.tenants.get(n).map(|a| a.name.clone())));
-    for (n, a) in doc.zones.iter().enumerate().filter(|(_, a)| !is_valid_name(&a.region)) {
-        w.add(&["areas", &n.to_string(), "region"], format!("areas: {:?} is not a name", a.region));
+/// Compiles a document; on failure all its diagnostics, in the order of their positions.
+pub fn compile(source: &str) -> Result<RoutingTable, Vec<Diagnostic>> {
+    let document = document::read(source)?;
+    let mut compiler = Compiler { source, document: &document, diagnostics: Vec::new() };
+    compiler.check_names("areas", document.zones.iter().map(|zone| &zone.name));
+    compiler.check_names("services", document.services.iter().map(|service| &service.name));
+    compiler.check_names("tenants", document.tenants.iter().map(|tenant| &tenant.name));
+    for (n, zone) in document.zones.iter().enumerate().filter(|(_, zone)| !is_valid_name(&zone.region)) {
+        let message = format!("areas: {:?} is not a valid name", zone.region);
+        compiler.report(&["areas", &n.to_string(), "region"], message);
     }
-    for (f, why) in doc.tuning.faults() {
-        w.add(&["tuning", f], format!("tuning.{f}: {why}"));
+    for (field, problem) in document.tuning.out_of_range() {
+        compiler.report(&["tuning", field], format!("tuning.{field}: {problem}"));
     }
     let zones: BTreeMap<Zone, Region> =
-        doc.zones.iter().map(|a| (Zone::new(&a.name), Region::new(&a.region))).collect();
+        document.zones.iter().map(|zone| (Zone::new(&zone.name), Region::new(&zone.region))).collect();
     let regions: BTreeSet<Region> = zones.values().cloned().collect();
-    let tenants = tenants(&mut w, &regions);
-    let services = doc.services.iter().map(|s| (Service::new(&s.name), s.kind)).collect();
+    let tenants = compile_tenants(&mut compiler, &regions);
+    let services = document.services.iter().map(|item| (Service::new(&item.name), item.kind)).collect();
     let mut table = RoutingTable {
-        cluster: doc.cluster.clone(),
-        // All there is came with the first version; what comes later raises this where it is used.
+        cluster: document.cluster.clone(),
+        // The whole language belongs to version 1. A construct added later must raise this where it is used.
         language_version: 1,
         zones,
         services,
-        tenant_header: doc.tenancy.header.to_ascii_lowercase(),
-        tenant_default: doc.tenancy.default.as_ref().map(Tenant::new),
+        tenant_header: document.tenancy.header.to_ascii_lowercase(),
+        tenant_default: document.tenancy.default.as_ref().map(Tenant::new),
         tenants,
-        tuning: doc.tuning.clone(),
+        tuning: document.tuning.clone(),
         entries: Vec::new(),
         policies: vec![Policy::standard("standard")],
     };
-    if let Some(d) = table.tenant_default.clone().filter(|d| !table.tenants.contains_key(d)) {
-        w.add(&["tenancy", "default"], format!("tenancy.default: no tenant '{d}'"));
+    if let Some(default) = table.tenant_default.clone().filter(|name| !table.tenants.contains_key(name)) {
+        compiler.report(&["tenancy", "default"], format!("tenancy.default: no tenant '{default}'"));
     }
-    let mut inner = language(&doc.routing, &mut table);
-    let (l0, _) = crate::diagnostic::line_col(src, routing_offset(src));
-    inner.iter_mut().for_each(|f| f.line += l0 - 1);
-    w.diagnostics.extend(inner);
-    w.diagnostics.sort_by_key(|f| (f.line, f.column));
-    if w.diagnostics.is_empty() { Ok(table) } else { Err(w.diagnostics) }
+    let mut routing_diagnostics = compile_routing(&document.routing, &mut table);
+    let (first_line, _) = line_col(source, routing_offset(source));
+    routing_diagnostics.iter_mut().for_each(|diagnostic| diagnostic.line += first_line - 1);
+    compiler.diagnostics.extend(routing_diagnostics);
+    compiler.diagnostics.sort_by_key(|diagnostic| (diagnostic.line, diagnostic.column));
+    if compiler.diagnostics.is_empty() { Ok(table) } else { Err(compiler.diagnostics) }
 }
 
-fn tenants(w: &mut Compiler, regions: &BTreeSet<Region>) -> BTreeMap<Tenant, Option<BTreeSet<Region>>> {
-    let mut out = BTreeMap::new();
-    for (n, t) in w.doc.tenants.iter().enumerate() {
-        let homes: Option<BTreeSet<Region>> = t.homes.as_ref().map(|h| h.iter().map(Region::new).collect());
-        let ix = n.to_string();
-        for r in homes.iter().flatten().filter(|r| !regions.contains(*r)) {
-            w.add(&["tenants", &ix, "homes"], format!("tenant '{}': no region '{r}'", t.name));
+fn compile_tenants(compiler: &mut Compiler, regions: &BTreeSet<Region>) -> TenantHomes {
+    let mut tenants = BTreeMap::new();
+    for (n, tenant) in compiler.document.tenants.iter().enumerate() {
+        let homes = tenant.homes.as_ref().map(|homes| homes.iter().map(Region::new).collect::<BTreeSet<_>>());
+        let path = ["tenants", &n.to_string(), "homes"];
+        for region in homes.iter().flatten().filter(|region| !regions.contains(*region)) {
+            compiler.report(&path, format!("tenant '{}': no region '{region}'", tenant.name));
         }
-        if homes.as_ref().is_some_and(|h| h.is_empty()) {
-            w.add(&["tenants", &ix, "homes"], format!("tenant '{}': homes are empty", t.name));
+        if homes.as_ref().is_some_and(|homes| homes.is_empty()) {
+            compiler.report(&path, format!("tenant '{}': homes are empty", tenant.name));
         }
-        out.insert(Tenant::new(&t.name), homes);
+        tenants.insert(Tenant::new(&tenant.name), homes);
     }
-    out
+    tenants
 }
 
-fn language(text: &str, table: &mut RoutingTable) -> Vec<Diagnostic> {
-    let (parsed, mut diagnostics) = blocks(text);
+/// Adds the policies and entries of a text in the routing language to the table.
+fn compile_routing(text: &str, table: &mut RoutingTable) -> Vec<Diagnostic> {
+    let (blocks, mut diagnostics) = parse_blocks(text);
     let mut seen = BTreeSet::new();
-    for b in &parsed {
-        if !seen.insert((&b.kind, &b.name)) {
-            diagnostics.push(diagnostic_at(text, b.off, format!("{} '{}' is there twice", b.kind, b.name)));
+    for block in &blocks {
+        if !seen.insert((&block.kind, &block.name)) {
+            let message = format!("{} '{}' is defined twice", block.kind, block.name);
+            diagnostics.push(diagnostic_at(text, block.offset, message));
         }
     }
-    for b in parsed.iter().filter(|b| b.kind == "policy") {
-        let mut p = Policy::standard(&b.name);
+    for block in blocks.iter().filter(|block| block.kind == "policy") {
+        let mut policy = Policy::standard(&block.name);
         let mut own_key = Vec::new();
-        diagnostics.extend(each(text, b, |a| policy_line(a, &mut p, &mut own_key)));
+        let errors = each_statement(text, block, |line| policy_statement(line, &mut policy, &mut own_key));
+        diagnostics.extend(errors);
         if !own_key.is_empty() {
-            p.key = own_key;
+            policy.key = own_key;
         }
-        table.policies.push(p);
+        table.policies.push(policy);
     }
-    for b in parsed.iter().filter(|b| b.kind == "entry") {
-        match entry(text, b, table) {
-            Ok(e) => {
-                if let Some(by) = table.entries.iter().find(|o| o.shadows(&e)) {
-                    let msg =
-                        format!("entry '{}' can never match: '{}' takes all its requests", e.name, by.name);
-                    diagnostics.push(diagnostic_at(text, b.off, msg));
+    for block in blocks.iter().filter(|block| block.kind == "entry") {
+        match compile_entry(text, block, table) {
+            Ok(entry) => {
+                if let Some(Entry { name, .. }) = table.entries.iter().find(|other| other.shadows(&entry)) {
+                    let message = format!("entry '{}' can never match: '{name}' matches first", entry.name);
+                    diagnostics.push(diagnostic_at(text, block.offset, message));
                 }
-                table.entries.push(e);
+                table.entries.push(entry);
             }
-            Err(f) => diagnostics.extend(f),
+            Err(errors) => diagnostics.extend(errors),
         }
     }
     if table.entries.is_empty() && diagnostics.is_empty() {
-        diagnostics.push(diagnostic_at(text, 0, "no entry: nothing would ever be served"));
+        diagnostics.push(diagnostic_at(text, 0, "no entry: no request would ever be served"));
     }
     diagnostics
 }
 
-fn each(text: &str, b: &Block, mut f: impl FnMut(&Operands) -> Result<(), Diagnostic>) -> Vec<Diagnostic> {
-    b.lines.iter().filter_map(|line| f(&Operands { src: text, line }).err()).collect()
+/// Calls `read` for each statement of a block and collects the errors.
+fn each_statement(text: &str, block: &Block, mut read: impl FnMut(&Operands) -> Checked) -> Vec<Diagnostic> {
+    let statements = block.statements.iter();
+    statements.filter_map(|statement| read(&Operands { source: text, statement }).err()).collect()
 }
 
-fn policy_line(a: &Operands, p: &mut Policy, key: &mut Vec<KeyPart>) -> Result<(), Diagnostic> {
-    match a.line.verb.as_str() {
-        "ttl" => a.span_ms(0, 1e3, 8.64e7).map(|v| p.ttl_ms = v),
-        "overload" => a.plain(0, 0.1, 1.0).map(|v| p.max_load_ratio = v),
-        "smooth" => a.plain(0, 0.001, 1.0).map(|v| p.smoothing = v),
+fn policy_statement(operands: &Operands, policy: &mut Policy, key: &mut Vec<KeyPart>) -> Checked {
+    match operands.statement.keyword.as_str() {
+        "ttl" => operands.duration_ms(0, 1e3, 8.64e7).map(|ms| policy.ttl_ms = ms),
+        "overload" => operands.number(0, 0.1, 1.0).map(|ratio| policy.max_load_ratio = ratio),
+        "smooth" => operands.number(0, 0.001, 1.0).map(|smoothing| policy.smoothing = smoothing),
         "key" => {
-            let part = match a.name(0)?.as_str() {
-                "header" => KeyPart::Header(a.text(1)?.to_ascii_lowercase()),
-                "json" => KeyPart::Json(a.text(1)?),
-                "opening" => KeyPart::PromptStart(a.plain(1, 16.0, 65536.0)? as usize),
-                other => return a.fail(format!("'{other}'; allowed: header, json, opening")),
+            let part = match operands.name(0)?.as_str() {
+                "header" => KeyPart::Header(operands.text(1)?.to_ascii_lowercase()),
+                "json" => KeyPart::Json(operands.text(1)?),
+                "opening" => KeyPart::PromptStart(operands.number(1, 16.0, 65536.0)? as usize),
+                other => return operands.fail(format!("'{other}'; allowed: header, json, opening")),
             };
             key.push(part);
             Ok(())
         }
-        _ => a.fail("no such statement; allowed: ttl, overload, smooth, key"),
+        _ => operands.fail("unknown statement; allowed: ttl, overload, smooth, key"),
     }
 }
 
-fn entry(text: &str, b: &Block, table: &RoutingTable) -> Result<Entry, Vec<Diagnostic>> {
-    let mut e = Entry {
-        name: b.name.clone(),
-        offset: b.off,
+fn compile_entry(text: &str, block: &Block, table: &RoutingTable) -> Result<Entry, Vec<Diagnostic>> {
+    let mut entry = Entry {
+        name: block.name.clone(),
+        offset: block.offset,
         method: String::new(),
         path: String::new(),
         prefix: false,
@@ -181,63 +191,60 @@
         deadline_ms: 30_000,
         policy: 0,
     };
-    let mut diagnostics = each(text, b, |a| entry_line(a, &mut e, table));
-    for (missing, what) in [(e.path.is_empty(), "match"), (e.service.as_str().is_empty(), "to")] {
-        if missing && !b.lines.iter().any(|l| l.verb == what) {
-            diagnostics.push(diagnostic_at(text, b.off, format!("entry '{}': '{what}' is missing", b.name)));
+    let mut diagnostics = each_statement(text, block, |line| entry_statement(line, &mut entry, table));
+    for (missing, keyword) in [(entry.path.is_empty(), "match"), (entry.service.as_str().is_empty(), "to")] {
+        if missing && !block.statements.iter().any(|statement| statement.keyword == keyword) {
+            let message = format!("entry '{}': '{keyword}' is missing", block.name);
+            diagnostics.push(diagnostic_at(text, block.offset, message));
         }
     }
-    if diagnostics.is_empty() { Ok(e) } else { Err(diagnostics) }
+    if diagnostics.is_empty() { Ok(entry) } else { Err(diagnostics) }
 }
 
-fn entry_line(a: &Operands, e: &mut Entry, table: &RoutingTable) -> Result<(), Diagnostic> {
-    match a.line.verb.as_str() {
+fn entry_statement(operands: &Operands, entry: &mut Entry, table: &RoutingTable) -> Checked {
+    match operands.statement.keyword.as_str() {
         "match" => {
-            a.count(2)?;
-            let (m, p) = (a.name(0)?, a.text(1)?);
-            if !METHODS.contains(&m.as_str()) {
-                return a.fail(format!("'{m}'; allowed: {}", METHODS.join(", ")));
+            operands.count(2)?;
+            let (method, path) = (operands.name(0)?, operands.text(1)?);
+            if !METHODS.contains(&method.as_str()) {
+                return operands.fail(format!("'{method}'; allowed: {}", METHODS.join(", ")));
             }
-            if !p.starts_with('/') {
-                return a.fail(format!("{p:?} does not start with '/'"));
+            if !path.starts_with('/') {
+                return operands.fail(format!("{path:?} does not start with '/'"));
             }
-            e.method = m;
-            e.prefix = p.ends_with('*');
-            e.path = p.trim_end_matches('*').into();
+            entry.method = method;
+            entry.prefix = path.ends_with('*');
+            entry.path = path.trim_end_matches('*').into();
         }
-        "header" => e.headers.push((a.text(0)?.to_ascii_lowercase(), a.text(1)?)),
+        "header" => entry.headers.push((operands.text(0)?.to_ascii_lowercase(), operands.text(1)?)),
         "to" => {
-            let to = Service::new(a.name(0)?);
-            match table.services.get(&to) {
-                Some(k) => e.kind = *k,
-                None => return a.fail(format!("no service '{to}'")),
+            let service = Service::new(operands.name(0)?);
+            match table.services.get(&service) {
+                Some(kind) => entry.kind = *kind,
+                None => return operands.fail(format!("no service '{service}'")),
             }
-            e.service = to;
+            entry.service = service;
         }
         "homes" => {
-            let names = a.names()?;
+            let names = operands.names()?;
             let regions = table.regions();
-            if let Some((_, r)) = names.iter().find(|(_, r)| !regions.contains(&Region::new(r))) {
-                return a.fail(format!("no region '{r}'"));
+            if let Some((_, name)) = names.iter().find(|(_, name)| !regions.contains(&Region::new(name))) {
+                return operands.fail(format!("no region '{name}'"));
             }
-            e.homes = Some(names.into_iter().map(|(_, r)| Region::new(r)).collect());
+            entry.homes = Some(names.into_iter().map(|(_, name)| Region::new(name)).collect());
         }
-        "once" => e.idempotent = false,
-        "repeatable" => e.idempotent = true,
-        "limit" => e.max_body_bytes = a.size(0, MAX_BODY)?,
-        "deadline" => e.deadline_ms = a.span_ms(0, 100.0, MAX_DEADLINE)?,
+        "once" => entry.idempotent = false,
+        "repeatable" => entry.idempotent = true,
+        "limit" => entry.max_body_bytes = operands.size(0, MAX_BODY_BYTES)?,
+        "deadline" => entry.deadline_ms = operands.duration_ms(0, 100.0, MAX_DEADLINE_MS)?,
         "policy" => {
-            let n = a.name(0)?;
-            match table.policies.iter().position(|p| p.name == n) {
-                Some(ix) => e.policy = ix,
-                None => return a.fail(format!("no policy '{n}'")),
+            let name = operands.name(0)?;
+            match table.policies.iter().position(|policy| policy.name == name) {
+                Some(index) => entry.policy = index,
+                None => return operands.fail(format!("no policy '{name}'")),
             }
         }
-        _ => {
-            return a.fail(
-                "no such statement; allowed: match, header, to, homes, once, repeatable, limit, deadline, policy",
-            );
-        }
+        _ => return operands.fail(format!("unknown statement; allowed: {ENTRY_STATEMENTS}")),
     }
     Ok(())
 }
--- a/crates/configuration/src/diagnostic.rs
+++ b/crates/configuration/src/diagnostic.rs
@@ -1,14 +1,14 @@
-//! Faults with their line and column (design 4.2).
+//! Errors in a document, with line and column (design 4.2).
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One thing that is wrong with a document.
+/// One error in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Diagnostic {
-    /// Line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Column, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
     /// What is wrong and what is allowed.
     pub message: String,
@@ -20,53 +20,53 @@
     }
 }
 
-/// Line and column, both from one, of a byte offset.
-pub fn line_col(src: &str, off: usize) -> (usize, usize) {
-    let head = src.get(..off.min(src.len())).unwrap_or(src);
-    let line = head.matches('\n').count() + 1;
-    let col = head.rsplit('\n').next().unwrap_or("").chars().count() + 1;
-    (line, col)
+/// Line and column of a byte offset, both counted from 1.
+pub fn line_col(source: &str, offset: usize) -> (usize, usize) {
+    let before = source.get(..offset.min(source.len())).unwrap_or(source);
+    let line = before.matches('\n').count() + 1;
+    let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
+    (line, column)
 }
 
 /// A diagnostic at a byte offset of the source.
-pub fn diagnostic_at(src: &str, off: usize, message: impl Into<String>) -> Diagnostic {
-    let (line, column) = line_col(src, off);
+pub fn diagnostic_at(source: &str, offset: usize, message: impl Into<String>) -> Diagnostic {
+    let (line, column) = line_col(source, offset);
     Diagnostic { line, column, message: message.into() }
 }
 
-/// Top-level fields of a document that have another name in earlier releases.
-const RENAMED: [(&str, &str); 2] = [("areas", "zones"), ("timetable", "routing")];
+/// Names of top-level fields in earlier releases, each with the current name.
+const RENAMED_FIELDS: [(&str, &str); 2] = [("areas", "zones"), ("timetable", "routing")];
 
-fn standard_name(old: &str) -> Option<&'static str> {
-    RENAMED.iter().find(|(name, _)| *name == old).map(|(_, standard)| *standard)
+fn current_name(old: &str) -> Option<&'static str> {
+    RENAMED_FIELDS.iter().find(|(name, _)| *name == old).map(|(_, current)| *current)
 }
 
-/// Finds where a dotted path such as `zones.2.region` stands in the TOML source; falls back to
-/// the nearest part of it that is there.
-pub fn locate(src: &str, path: &[String]) -> usize {
+/// Byte offset of the value at a path such as `zones`, `2`, `region` in a TOML source. If there is no such value, the
+/// offset of its nearest parent.
+pub fn locate(source: &str, path: &[String]) -> usize {
     use toml::de::{DeTable, DeValue};
-    let Ok(root) = DeTable::parse(src) else {
+    let Ok(root) = DeTable::parse(source) else {
         return 0;
     };
-    let mut off = 0;
-    let mut here: Option<&DeValue> = None;
-    for (n, part) in path.iter().enumerate() {
-        let next = match (n, here) {
+    let mut offset = 0;
+    let mut current: Option<&DeValue> = None;
+    for (depth, part) in path.iter().enumerate() {
+        let next = match (depth, current) {
             (0, _) => {
                 let root = root.get_ref();
-                root.get(part.as_str()).or_else(|| root.get(standard_name(part)?))
+                root.get(part.as_str()).or_else(|| root.get(current_name(part)?))
             }
-            (_, Some(DeValue::Table(t))) => t.get(part.as_str()),
-            (_, Some(DeValue::Array(a))) => part.parse::<usize>().ok().and_then(|i| a.get(i)),
+            (_, Some(DeValue::Table(table))) => table.get(part.as_str()),
+            (_, Some(DeValue::Array(array))) => part.parse::<usize>().ok().and_then(|index| array.get(index)),
             _ => None,
         };
         match next {
-            Some(v) => {
-                off = v.span().start;
-                here = Some(v.get_ref());
+            Some(value) => {
+                offset = value.span().start;
+                current = Some(value.get_ref());
             }
             None => break,
         }
     }
-    off
+    offset
 }
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! The document as written: TOML, read and checked by figment (design 4.1).
+//! The document in its source form: TOML, read and checked by figment (design 4.1).
 
 use crate::diagnostic::{Diagnostic, diagnostic_at, locate};
 use figment::{
@@ -7,38 +7,38 @@
 };
 use serde::Deserialize;
 
-/// The operator's document.
+/// The operator's configuration document.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigDocument {
-    /// Must equal the cluster's name, so that one firm's file is not applied at the other.
+    /// Must equal the cluster's name, so that a document is not applied to the wrong cluster.
     pub cluster: String,
-    /// Failure domains; `zones` and, in earlier releases, `areas`.
+    /// Zones (failure domains). The field is `zones`; earlier releases call it `areas`.
     #[serde(rename = "areas", alias = "zones")]
     pub zones: Vec<ZoneDoc>,
-    /// What requests are routed to.
+    /// The services that requests are routed to.
     pub services: Vec<ServiceDoc>,
-    /// How tenants are distinguished.
+    /// How requests name their tenant.
     #[serde(default)]
     pub tenancy: Tenancy,
     /// The tenants.
     #[serde(default)]
     pub tenants: Vec<TenantDoc>,
-    /// Bounds for the whole fleet.
+    /// Limits that apply to the whole fleet.
     #[serde(default)]
     pub tuning: Tuning,
-    /// Entries and policies in the routing language; `routing` and, in earlier releases, `timetable`.
+    /// Entries and policies in the routing language. The field is `routing`; earlier releases call it `timetable`.
     #[serde(rename = "timetable", alias = "routing")]
     pub routing: String,
 }
 
-/// A failure domain and the region that it belongs to.
+/// A zone and its region.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneDoc {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its region.
+    /// The region that the zone belongs to.
     pub region: String,
 }
 
@@ -46,9 +46,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceDoc {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// What it serves.
+    /// Kind of the service.
     pub kind: crate::routing_table::ServiceKind,
 }
 
@@ -56,9 +56,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tenancy {
-    /// Header that names the tenant.
+    /// Request header that names the tenant.
     pub header: String,
-    /// Tenant of requests that name none; empty rejects them where tenants are declared.
+    /// Tenant of requests that name none. Without it such requests are rejected if tenants are declared.
     pub default: Option<String>,
 }
 
@@ -72,31 +72,31 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantDoc {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Regions that this tenant's work may run in; all when left out.
+    /// Home regions, the only ones that the tenant's requests may run in. All regions if absent.
     pub homes: Option<Vec<String>>,
 }
 
-/// Bounds for the whole fleet (design 4.4).
+/// Limits that apply to the whole fleet (design 4.4).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tuning {
-    /// Largest share of a region's headroom that it lends out.
+    /// Largest share of a region's free capacity that it grants to other regions.
     pub lend_share: f64,
-    /// Life of a lending pass.
+    /// Validity of a grant of capacity, in milliseconds.
     #[serde(rename = "pass_ms")]
     pub grant_ms: u64,
-    /// Attempts beyond the first, as a share of requests.
+    /// Largest number of retries, as a share of requests.
     #[serde(rename = "extra_goes")]
     pub retry_ratio: f64,
-    /// Jobs that may wait in one router.
+    /// Largest number of requests in one router's queue.
     #[serde(rename = "waitlist")]
     pub queue: usize,
-    /// Time over which a cold replica's concurrency ramps up.
+    /// Time in which a cold replica's allowed concurrency rises to its full value, in milliseconds.
     #[serde(rename = "warm_ms")]
     pub slow_start_ms: u64,
-    /// Concurrency of a replica that names no capacity.
+    /// Concurrency of a replica that reports no capacity.
     pub slots: u32,
 }
 
@@ -113,31 +113,31 @@
     }
 }
 
-/// Reads the document; a syntax or shape error is one diagnostic with its place.
-pub fn read(src: &str) -> Result<ConfigDocument, Vec<Diagnostic>> {
-    if let Err(e) = toml::de::DeTable::parse(src) {
-        let off = e.span().map(|s| s.start).unwrap_or(0);
-        return Err(vec![diagnostic_at(src, off, format!("syntax: {}", e.message()))]);
+/// Parses a document. Errors in the TOML syntax and in the fields are returned with their positions.
+pub fn read(source: &str) -> Result<ConfigDocument, Vec<Diagnostic>> {
+    if let Err(e) = toml::de::DeTable::parse(source) {
+        let offset = e.span().map(|span| span.start).unwrap_or(0);
+        return Err(vec![diagnostic_at(source, offset, format!("syntax: {}", e.message()))]);
     }
-    Figment::new().merge(Toml::string(src)).extract::<ConfigDocument>().map_err(|e| {
+    Figment::new().merge(Toml::string(source)).extract::<ConfigDocument>().map_err(|e| {
         e.into_iter()
-            .map(|one| {
-                let path = one.path.clone();
-                let at = if path.is_empty() { "document".into() } else { path.join(".") };
-                let unknown = match &one.kind {
-                    figment::error::Kind::UnknownField(f, _) => Some(f.clone()),
+            .map(|error| {
+                let path = error.path.clone();
+                let field = if path.is_empty() { "document".into() } else { path.join(".") };
+                let unknown = match &error.kind {
+                    figment::error::Kind::UnknownField(name, _) => Some(name.clone()),
                     _ => None,
                 };
-                let full: Vec<String> = path.iter().cloned().chain(unknown).collect();
-                diagnostic_at(src, locate(src, &full), format!("{at}: {}", one.kind))
+                let full_path: Vec<String> = path.iter().cloned().chain(unknown).collect();
+                diagnostic_at(source, locate(source, &full_path), format!("{field}: {}", error.kind))
             })
             .collect()
     })
 }
 
 impl Tuning {
-    /// Values out of range: the field, and what is allowed.
-    pub fn faults(&self) -> Vec<(&'static str, String)> {
+    /// The fields whose values are out of range, each with the value and the allowed range.
+    pub fn out_of_range(&self) -> Vec<(&'static str, String)> {
         let ranged = [
             ("lend_share", self.lend_share, 0.0, 1.0),
             ("extra_goes", self.retry_ratio, 0.0, 0.2),
@@ -148,8 +148,8 @@
         ];
         ranged
             .into_iter()
-            .filter(|(_, v, lo, hi)| !(lo..=hi).contains(&v))
-            .map(|(f, v, lo, hi)| (f, format!("{v}; allowed: {lo} to {hi}")))
+            .filter(|(_, value, min, max)| !(min..=max).contains(&value))
+            .map(|(field, value, min, max)| (field, format!("{value}; allowed: {min} to {max}")))
             .collect()
     }
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,9 +1,10 @@
-//! The operator's document: reading, checks, the small language and its compiler (design 4).
-//! Pure: no input or output, the same result on every node.
+//! The operator's configuration document: parsing, checks, the routing language and its compiler (design 4).
+//!
+//! Everything here is pure: it does no input or output and gives the same result on every node.
 
 #![warn(missing_docs)]
 
-/// Version of the language; a node that reads an older one is reported by `foldshunt-check`.
+/// Version of the routing language that this build supports. `foldshunt-check` reports nodes that support only an older one.
 pub const LANGUAGE_VERSION: u32 = 1;
 
 pub mod compile;
--- a/crates/configuration/src/parser.rs
+++ b/crates/configuration/src/parser.rs
@@ -1,4 +1,4 @@
-//! Grammar of the small language (design 4.3): entries and policies, each a block of statements.
+//! Parser of the routing language (design 4.3): entries and policies, each a block of statements.
 //!
 //! ```text
 //! policy warm { ttl 15m; overload 0.95; smooth 0.05; key header "x-station"; key opening 512 }
@@ -8,147 +8,150 @@
 
 use crate::{
     diagnostic::{Diagnostic, diagnostic_at},
-    lexer::{PLAIN, SIZES, SPANS, Token, scaled},
+    lexer::{NO_UNIT, SIZE_UNITS, TIME_UNITS, Token, parse_with_unit},
 };
 use logos::Logos;
 
-/// A statement as written: its verb, its operands, and where it stands.
+/// A parsed statement: its keyword and operands with their positions.
 #[derive(Clone, Debug)]
 pub struct Statement {
     /// Byte offset in the source.
-    pub off: usize,
-    /// Its keyword.
-    pub verb: String,
-    /// Its operands with their offsets.
-    pub args: Vec<(usize, Token)>,
+    pub offset: usize,
+    /// The keyword.
+    pub keyword: String,
+    /// The operands with their byte offsets.
+    pub operands: Vec<(usize, Token)>,
 }
 
 /// A block of statements.
 #[derive(Clone, Debug)]
 pub struct Block {
     /// Byte offset in the source.
-    pub off: usize,
+    pub offset: usize,
     /// `entry` or `policy`.
     pub kind: String,
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its statements.
-    pub lines: Vec<Statement>,
+    /// The statements.
+    pub statements: Vec<Statement>,
 }
 
 struct Parser<'a> {
-    src: &'a str,
+    source: &'a str,
+    /// Tokens with their byte offsets.
     tokens: Vec<(usize, Token)>,
-    pos: usize,
+    /// Index of the next token.
+    position: usize,
 }
 
 impl Parser<'_> {
     fn peek(&self) -> Option<&Token> {
-        self.tokens.get(self.pos).map(|(_, t)| t)
+        self.tokens.get(self.position).map(|(_, token)| token)
     }
-    fn off(&self) -> usize {
-        self.tokens.get(self.pos).map(|(o, _)| *o).unwrap_or(self.src.len())
+    fn offset(&self) -> usize {
+        self.tokens.get(self.position).map(|(offset, _)| *offset).unwrap_or(self.source.len())
     }
     fn take(&mut self) -> Option<(usize, Token)> {
-        let t = self.tokens.get(self.pos).cloned();
-        self.pos += 1;
-        t
+        let token = self.tokens.get(self.position).cloned();
+        self.position += 1;
+        token
     }
-    fn wrong<T>(&self, want: &str) -> Result<T, Diagnostic> {
-        let got = self.peek().map(Token::describe).unwrap_or("the end".into());
-        Err(diagnostic_at(self.src, self.off(), format!("expected {want}, found {got}")))
+    fn unexpected<T>(&self, expected: &str) -> Result<T, Diagnostic> {
+        let found = self.peek().map(Token::describe).unwrap_or("the end".into());
+        Err(diagnostic_at(self.source, self.offset(), format!("expected {expected}, found {found}")))
     }
-    fn word(&mut self, want: &str) -> Result<String, Diagnostic> {
+    fn word(&mut self, expected: &str) -> Result<String, Diagnostic> {
         match self.peek().cloned() {
-            Some(Token::Word(w)) => {
-                self.pos += 1;
-                Ok(w)
+            Some(Token::Word(word)) => {
+                self.position += 1;
+                Ok(word)
             }
-            _ => self.wrong(want),
+            _ => self.unexpected(expected),
         }
     }
 
     fn block(&mut self) -> Result<Block, Diagnostic> {
-        let off = self.off();
+        let offset = self.offset();
         let kind = self.word("'entry' or 'policy'")?;
         if kind != "entry" && kind != "policy" {
-            return Err(diagnostic_at(
-                self.src,
-                off,
-                format!("unknown block '{kind}'; allowed: entry, policy"),
-            ));
+            let message = format!("unknown block '{kind}'; allowed: entry, policy");
+            return Err(diagnostic_at(self.source, offset, message));
         }
         let name = self.word("a name")?;
         if self.peek() != Some(&Token::Open) {
-            return self.wrong("'{'");
+            return self.unexpected("'{'");
         }
-        self.pos += 1;
-        let mut lines = Vec::new();
+        self.position += 1;
+        let mut statements = Vec::new();
         loop {
             match self.peek() {
                 Some(Token::Close) => {
-                    self.pos += 1;
-                    return Ok(Block { off, kind, name, lines });
+                    self.position += 1;
+                    return Ok(Block { offset, kind, name, statements });
                 }
-                Some(Token::Semi) => self.pos += 1,
-                _ => lines.push(self.line()?),
+                Some(Token::Semicolon) => self.position += 1,
+                _ => statements.push(self.statement()?),
             }
         }
     }
 
-    fn line(&mut self) -> Result<Statement, Diagnostic> {
-        let off = self.off();
-        let verb = self.word("a statement or '}'")?;
-        let mut args = Vec::new();
+    fn statement(&mut self) -> Result<Statement, Diagnostic> {
+        let offset = self.offset();
+        let keyword = self.word("a statement or '}'")?;
+        let mut operands = Vec::new();
         loop {
             match self.peek() {
-                Some(Token::Semi) | Some(Token::Close) => return Ok(Statement { off, verb, args }),
-                Some(Token::Comma) => self.pos += 1,
-                Some(Token::Open) | None => return self.wrong("';' or '}'"),
-                Some(_) => args.extend(self.take()),
+                Some(Token::Semicolon) | Some(Token::Close) => {
+                    return Ok(Statement { offset, keyword, operands });
+                }
+                Some(Token::Comma) => self.position += 1,
+                Some(Token::Open) | None => return self.unexpected("';' or '}'"),
+                Some(_) => operands.extend(self.take()),
             }
         }
     }
 }
 
-/// Reads all blocks; a block that is wrong costs one diagnostic, and reading goes on at the next.
-pub fn blocks(src: &str) -> (Vec<Block>, Vec<Diagnostic>) {
+/// Parses all blocks. A block with an error gives one diagnostic, and parsing continues with the next block.
+pub fn parse_blocks(source: &str) -> (Vec<Block>, Vec<Diagnostic>) {
     let mut diagnostics = Vec::new();
-    let tokens = Token::lexer(src)
+    let tokens = Token::lexer(source)
         .spanned()
-        .filter_map(|(t, span)| match t {
-            Ok(t) => Some((span.start, t)),
+        .filter_map(|(token, span)| match token {
+            Ok(token) => Some((span.start, token)),
             Err(()) => {
-                let bad = &src[span.clone()];
-                diagnostics.push(diagnostic_at(src, span.start, format!("no such word: {bad:?}")));
+                let text = &source[span.clone()];
+                diagnostics.push(diagnostic_at(source, span.start, format!("unexpected text: {text:?}")));
                 None
             }
         })
         .collect();
-    let mut w = Parser { src, tokens, pos: 0 };
-    let mut out = Vec::new();
-    while w.peek().is_some() {
-        match w.block() {
-            Ok(b) => out.push(b),
-            Err(f) => {
-                diagnostics.push(f);
-                w.pos += 1;
-                while w.peek().is_some_and(|t| !matches!(t, Token::Word(s) if s == "entry" || s == "policy"))
-                {
-                    w.pos += 1;
+    let mut parser = Parser { source, tokens, position: 0 };
+    let mut blocks = Vec::new();
+    let starts_block =
+        |token: &Token| matches!(token, Token::Word(word) if word == "entry" || word == "policy");
+    while parser.peek().is_some() {
+        match parser.block() {
+            Ok(block) => blocks.push(block),
+            Err(diagnostic) => {
+                diagnostics.push(diagnostic);
+                parser.position += 1;
+                while parser.peek().is_some_and(|token| !starts_block(token)) {
+                    parser.position += 1;
                 }
             }
         }
     }
-    (out, diagnostics)
+    (blocks, diagnostics)
 }
 
-/// Operands of one statement, taken with their kinds checked.
+/// Reads the operands of one statement. Reading an operand fails, with a diagnostic at the statement, if the operand is
+/// missing, has another type or is out of range.
 pub struct Operands<'a> {
     /// The source.
-    pub src: &'a str,
+    pub source: &'a str,
     /// The statement.
-    pub line: &'a Statement,
+    pub statement: &'a Statement,
 }
 
 impl Operands<'_> {
@@ -156,93 +159,81 @@
     ///
     /// # Errors
     /// Always.
-    pub fn fail<T>(&self, msg: impl Into<String>) -> Result<T, Diagnostic> {
-        Err(diagnostic_at(self.src, self.line.off, format!("{}: {}", self.line.verb, msg.into())))
+    pub fn fail<T>(&self, message: impl Into<String>) -> Result<T, Diagnostic> {
+        let message = format!("{}: {}", self.statement.keyword, message.into());
+        Err(diagnostic_at(self.source, self.statement.offset, message))
     }
     /// Checks the number of operands.
     ///
     /// # Errors
-    /// It is another one.
-    pub fn count(&self, n: usize) -> Result<(), Diagnostic> {
-        let got = self.line.args.len();
-        if got == n { Ok(()) } else { self.fail(format!("takes {n} operand(s), found {got}")) }
+    /// The statement has another number of operands.
+    pub fn count(&self, expected: usize) -> Result<(), Diagnostic> {
+        let found = self.statement.operands.len();
+        if found == expected {
+            Ok(())
+        } else {
+            self.fail(format!("takes {expected} operand(s), found {found}"))
+        }
     }
-    /// The operand at a position, a name.
-    ///
-    /// # Errors
-    /// It is none.
-    pub fn name(&self, n: usize) -> Result<String, Diagnostic> {
-        match self.line.args.get(n) {
-            Some((_, Token::Word(w))) => Ok(w.clone()),
+    /// The operand at an index, a name.
+    pub fn name(&self, index: usize) -> Result<String, Diagnostic> {
+        match self.statement.operands.get(index) {
+            Some((_, Token::Word(word))) => Ok(word.clone()),
             _ => self.fail("a name is missing"),
         }
     }
-    /// The operand at a position, a text.
-    ///
-    /// # Errors
-    /// It is none.
-    pub fn text(&self, n: usize) -> Result<String, Diagnostic> {
-        match self.line.args.get(n) {
-            Some((_, Token::Text(w))) => Ok(w.clone()),
+    /// The operand at an index, a quoted text.
+    pub fn text(&self, index: usize) -> Result<String, Diagnostic> {
+        match self.statement.operands.get(index) {
+            Some((_, Token::Text(text))) => Ok(text.clone()),
             _ => self.fail("a text in double quotes is missing"),
         }
     }
-    /// All operands, names.
-    ///
-    /// # Errors
-    /// There is none, or one is no name.
+    /// All operands, one or more names, with their byte offsets.
     pub fn names(&self) -> Result<Vec<(usize, String)>, Diagnostic> {
-        let out: Option<Vec<_>> = self
-            .line
-            .args
+        let names: Option<Vec<_>> = self
+            .statement
+            .operands
             .iter()
-            .map(|(o, t)| match t {
-                Token::Word(w) => Some((*o, w.clone())),
+            .map(|(offset, token)| match token {
+                Token::Word(word) => Some((*offset, word.clone())),
                 _ => None,
             })
             .collect();
-        match out.filter(|v| !v.is_empty()) {
-            Some(v) => Ok(v),
+        match names.filter(|names| !names.is_empty()) {
+            Some(names) => Ok(names),
             None => self.fail("a list of names is missing"),
         }
     }
-    fn number(
+    fn number_with_unit(
         &self,
-        n: usize,
+        index: usize,
         units: &[(&str, f64)],
-        what: &str,
-        lo: f64,
-        hi: f64,
+        expected: &str,
+        min: f64,
+        max: f64,
     ) -> Result<f64, Diagnostic> {
-        let got = match self.line.args.get(n) {
-            Some((_, Token::Num(s))) => scaled(s, units),
+        let number = match self.statement.operands.get(index) {
+            Some((_, Token::Number(text))) => parse_with_unit(text, units),
             _ => None,
         };
-        match got {
-            Some(v) if (lo..=hi).contains(&v) => Ok(v),
-            Some(v) => self.fail(format!("{v} is out of range; allowed: {lo} to {hi}")),
-            None => self.fail(format!("{what} is missing")),
+        match number {
+            Some(value) if (min..=max).contains(&value) => Ok(value),
+            Some(value) => self.fail(format!("{value} is out of range; allowed: {min} to {max}")),
+            None => self.fail(format!("{expected} is missing")),
         }
     }
-    /// The operand at a position, a time in milliseconds.
-    ///
-    /// # Errors
-    /// It is none, or out of range.
-    pub fn span_ms(&self, n: usize, lo: f64, hi: f64) -> Result<u64, Diagnostic> {
-        self.number(n, SPANS, "a time (such as 30s, 15m)", lo, hi).map(|v| v as u64)
+    /// The operand at an index, a duration, in milliseconds.
+    pub fn duration_ms(&self, index: usize, min: f64, max: f64) -> Result<u64, Diagnostic> {
+        self.number_with_unit(index, TIME_UNITS, "a time (such as 30s, 15m)", min, max).map(|ms| ms as u64)
     }
-    /// The operand at a position, a size in bytes.
-    ///
-    /// # Errors
-    /// It is none, or out of range.
-    pub fn size(&self, n: usize, hi: f64) -> Result<usize, Diagnostic> {
-        self.number(n, SIZES, "a size (such as 64kB, 4MB)", 1.0, hi).map(|v| v as usize)
+    /// The operand at an index, a size, in bytes.
+    pub fn size(&self, index: usize, max: f64) -> Result<usize, Diagnostic> {
+        self.number_with_unit(index, SIZE_UNITS, "a size (such as 64kB, 4MB)", 1.0, max)
+            .map(|bytes| bytes as usize)
     }
-    /// The operand at a position, a number.
-    ///
-    /// # Errors
-    /// It is none, or out of range.
-    pub fn plain(&self, n: usize, lo: f64, hi: f64) -> Result<f64, Diagnostic> {
-        self.number(n, PLAIN, "a number", lo, hi)
+    /// The operand at an index, a number without a unit.
+    pub fn number(&self, index: usize, min: f64, max: f64) -> Result<f64, Diagnostic> {
+        self.number_with_unit(index, NO_UNIT, "a number", min, max)
     }
 }
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -1,5 +1,6 @@
-//! Routes by host and path prefix, and what a router needs to know of their services (design 4.8).
-//! A notation reads a document into this form: the product's own, or an adapter's.
+//! Routes by host and path prefix, and what a router needs to know about their services (design 4.8).
+//!
+//! A [`DocumentFormat`] parses a document into this form: the product's own format, or that of an adapter.
 
 use crate::{diagnostic::Diagnostic, tenants::Tenants};
 use common::{Region, Service};
@@ -8,52 +9,52 @@
     sync::Arc,
 };
 
-/// What may be repeated, and how the answer comes.
+/// Whether a request may be repeated, and whether its response is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A request may run more than once.
     ReadOnly,
-    /// Runs at most once for each request.
+    /// A request runs at most once.
     Writing,
-    /// A series of events; runs at most once unless it may be resumed.
+    /// The response is a stream of events. A request runs at most once, unless the stream is resumable.
     Streaming,
 }
 
-/// What is done with requests of one host and path prefix.
+/// How requests for one host and path prefix are treated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name of the route, for logs.
     pub name: String,
-    /// Host that requests name.
+    /// Host that the requests name.
     pub host: String,
-    /// Begins and ends with a slash.
+    /// Path prefix of the requests; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated, and whether responses are streams.
     pub kind: RouteKind,
-    /// The longest that a request may be held.
+    /// Time after which a router gives up on a request, in milliseconds. A client may ask for less.
     pub request_timeout_ms: u64,
-    /// The time within which an answer, or a stream's first event, earns its full worth.
+    /// Target for the time until the response, or the first event of a stream, in milliseconds.
     pub latency_target_ms: u64,
-    /// 0 comes first, 9 last.
+    /// Urgency of its requests, from 0 (served first) to 9 (served last).
     pub urgency: u8,
-    /// Services by weight; weights sum to more than 0.
+    /// The services, each with the weight by which requests are distributed. The weights add up to more than 0.
     pub service_weights: Vec<(Service, u64)>,
-    /// Most replicas that one request may be sent to.
+    /// Largest number of replicas that one request may be sent to.
     pub max_attempts: u32,
-    /// What shares a prefix is worth keeping together.
+    /// Whether requests with the same prompt prefix should go to the same replica.
     pub affinity: bool,
-    /// A cut stream may be taken up at another replica.
+    /// Whether an interrupted stream may be continued by another replica.
     pub resumable: bool,
-    /// Longest pause between events that keeps an answer in time.
+    /// Longest pause between events of a stream that still counts as timely, in milliseconds.
     pub max_event_gap_ms: Option<u64>,
-    /// Regions that may serve it; all where empty.
+    /// Regions that may serve its requests; all if empty.
     pub homes: BTreeSet<Region>,
-    /// Served to callers without an API key.
+    /// Whether requests need no API key.
     pub public: bool,
 }
 
 impl Route {
-    /// Whether a request that may have run may run again.
+    /// Whether a request that may already have run may run again.
     pub fn idempotent(&self) -> bool {
         match self.kind {
             RouteKind::ReadOnly => true,
@@ -62,56 +63,56 @@
         }
     }
 
-    /// Draws a service by weight; `unit` is in [0, 1).
+    /// Picks a service by weight; `unit` is a random number in \[0, 1).
     pub fn service(&self, unit: f64) -> Option<&Service> {
-        let total: u64 = self.service_weights.iter().map(|s| s.1).sum();
-        let mut left = (unit * total as f64) as u64;
-        self.service_weights.iter().filter(|s| s.1 > 0).find_map(|(s, w)| {
-            let hit = left < *w;
-            left = left.saturating_sub(*w);
-            hit.then_some(s)
+        let total: u64 = self.service_weights.iter().map(|(_, weight)| weight).sum();
+        let mut remaining = (unit * total as f64) as u64;
+        self.service_weights.iter().filter(|(_, weight)| *weight > 0).find_map(|(service, weight)| {
+            let picked = remaining < *weight;
+            remaining = remaining.saturating_sub(*weight);
+            picked.then_some(service)
         })
     }
 }
 
-/// A batch engine, as far as the document tells.
+/// What the document says about a service's batch engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BatchEngine {
-    /// Requests that one replica works on at once.
+    /// Number of requests that one replica processes at the same time.
     pub slots: u32,
-    /// Tokens that fit a replica's memory, running and kept together.
+    /// Number of tokens, of running requests and of the cache together, that fit into a replica's memory.
     pub memory_tokens: u64,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub step_tokens: u32,
 }
 
-/// What a router needs to know of one service.
+/// What a router needs to know about one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
     /// Name of the service.
     pub name: Service,
     /// Path of its health check.
     pub health_path: String,
-    /// Connections that one replica takes from all callers together.
+    /// Number of connections that one replica accepts from all routers together.
     pub max_connections: u32,
-    /// How long a replica stays cold after its start, and what it bears a second until then.
+    /// Time after a replica's start during which its load is limited to `slow_start_per_s`, in milliseconds.
     pub slow_start_ms: u64,
-    /// Requests a second that it bears until then.
+    /// Requests per second that one replica is sent during its slow start.
     pub slow_start_per_s: f64,
     /// Its batch engine, if it has one.
     pub engine: Option<BatchEngine>,
 }
 
-/// What a client may send, and how long it may take.
+/// Limits on what a client may send and on how long it may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Largest request line and headers together.
+    /// Largest size of the request line and headers together.
     pub max_header_bytes: usize,
-    /// Largest body.
+    /// Largest request body.
     pub max_body_bytes: usize,
-    /// Longest time from the first byte of a head to its last.
+    /// Longest time from the first byte of a request's head to its last, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest time without a request.
+    /// Longest time without a request on a connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -126,18 +127,18 @@
     }
 }
 
-/// A document's routes, ready to be looked up.
+/// The routes of a document, indexed for lookups.
 #[derive(Clone, Debug, Default)]
 pub struct RouteMap {
-    /// The document's own number; numbers rise in uneven steps.
+    /// Version number in the document. It rises from one document to the next, but not always by one.
     pub version: u64,
-    /// By host; the longest prefix first.
+    /// Routes by host, each host's with the longest prefix first.
     hosts: HashMap<String, Vec<Arc<Route>>>,
     /// Services by name.
     pub backends: BTreeMap<Service, Arc<Backend>>,
     /// Limits on clients' connections and requests.
     pub limits: RequestLimits,
-    /// Tenants by key; `None` where the document has none, and then requests need no key.
+    /// Tenants by API key. If the document has none this is `None`, and requests need no key.
     pub tenants: Option<Tenants>,
 }
 
@@ -145,24 +146,28 @@
     /// A map of these routes.
     pub fn new(version: u64, routes: Vec<Route>, backends: Vec<Backend>, limits: RequestLimits) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
-        for r in routes {
-            hosts.entry(r.host.to_ascii_lowercase()).or_default().push(Arc::new(r));
+        for route in routes {
+            hosts.entry(route.host.to_ascii_lowercase()).or_default().push(Arc::new(route));
         }
-        hosts.values_mut().for_each(|v| v.sort_by_key(|r| std::cmp::Reverse(r.prefix.len())));
-        let backends = backends.into_iter().map(|b| (b.name.clone(), Arc::new(b))).collect();
+        for routes in hosts.values_mut() {
+            routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+        }
+        let backends =
+            backends.into_iter().map(|backend| (backend.name.clone(), Arc::new(backend))).collect();
         Self { version, hosts, backends, limits, tenants: None }
     }
 
-    /// The same map for these tenants.
+    /// The same map with these tenants.
     pub fn with_tenants(self, tenants: Option<Tenants>) -> Self {
         Self { tenants, ..self }
     }
 
-    /// The route of that host with the longest prefix that begins the path.
+    /// The route of this host with the longest prefix that matches the path. A port in `host` is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let bare = host.rsplit_once(':').filter(|(_, p)| p.bytes().all(|b| b.is_ascii_digit()));
-        let host = bare.map_or(host, |(h, _)| h).to_ascii_lowercase();
-        self.hosts.get(&host)?.iter().find(|r| path.starts_with(&r.prefix))
+        let host_and_port =
+            host.rsplit_once(':').filter(|(_, port)| port.bytes().all(|digit| digit.is_ascii_digit()));
+        let host = host_and_port.map_or(host, |(name, _)| name).to_ascii_lowercase();
+        self.hosts.get(&host)?.iter().find(|route| path.starts_with(&route.prefix))
     }
 
     /// All routes.
@@ -171,13 +176,17 @@
     }
 }
 
-/// How a document is written. Reading checks all that can be checked without the fleet.
+/// A format of documents. Parsing checks everything that can be checked without knowledge of the fleet.
 pub trait DocumentFormat: Send + Sync + 'static {
     /// Parses a document.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// All errors in the document.
     fn read(&self, text: &str) -> Result<RouteMap, Vec<Diagnostic>>;
-    /// The document that comes of changing named items in `text`, everything else kept as it was.
+    /// Applies a change of named items to the document `text` and returns the new document. Everything else stays as it
+    /// is.
+    ///
+    /// # Errors
+    /// All errors in the change or in the new document.
     fn amend(&self, text: &str, change: &str) -> Result<String, Vec<Diagnostic>>;
 }
--- a/crates/configuration/src/tenants.rs
+++ b/crates/configuration/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants and their API keys (design 4.10): who a request belongs to, and what binds it besides its route.
+//! Tenants and their API keys (design 4.10): which tenant a request belongs to, and the rules of that tenant.
 
 use crate::routes::Route;
 use common::{Region, Tenant};
@@ -9,12 +9,12 @@
     sync::Arc,
 };
 
-/// A secret that names its tenant. It is never shown.
+/// An API key: a secret that identifies a tenant. Its `Debug` output does not contain it.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(Arc<str>);
 
 impl ApiKey {
-    /// The key of that text.
+    /// The key with this text.
     pub fn new(text: impl AsRef<str>) -> Self {
         Self(Arc::from(text.as_ref()))
     }
@@ -32,25 +32,25 @@
     }
 }
 
-/// What is done with requests of one tenant.
+/// How requests of one tenant are treated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantPolicy {
     /// The tenant.
     pub name: Tenant,
-    /// Goes before the urgency of the route.
+    /// Urgency of its requests from 0 (served first) to 9, which overrides that of the route.
     pub urgency: Option<u8>,
-    /// Regions that may serve it; all where empty.
+    /// Regions that may serve its requests; all if empty.
     pub homes: BTreeSet<Region>,
 }
 
-/// Another tenant holds the key already.
+/// The error for a key that already belongs to another tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DuplicateKey {
-    /// The one that holds it.
+    /// The tenant that the key belongs to.
     pub holder: Tenant,
 }
 
-/// The tenants of a document, by key.
+/// The tenants of a document by API key.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     by_key: HashMap<ApiKey, Arc<TenantPolicy>>,
@@ -60,7 +60,7 @@
     /// Adds a tenant with its keys.
     ///
     /// # Errors
-    /// Another tenant holds one of the keys; none that follows it is added.
+    /// One of the keys belongs to another tenant. Keys before it have been added, it and those after it have not.
     pub fn add(
         &mut self,
         tenant: TenantPolicy,
@@ -69,26 +69,28 @@
         let tenant = Arc::new(tenant);
         for key in keys {
             match self.by_key.entry(key) {
-                Entry::Vacant(free) => drop(free.insert(tenant.clone())),
-                Entry::Occupied(held) if Arc::ptr_eq(held.get(), &tenant) => {}
-                Entry::Occupied(held) => return Err(DuplicateKey { holder: held.get().name.clone() }),
+                Entry::Vacant(vacant) => drop(vacant.insert(tenant.clone())),
+                Entry::Occupied(existing) if Arc::ptr_eq(existing.get(), &tenant) => {}
+                Entry::Occupied(existing) => {
+                    return Err(DuplicateKey { holder: existing.get().name.clone() });
+                }
             }
         }
         Ok(())
     }
 
-    /// The tenant that holds a key.
+    /// The tenant that a key belongs to.
     pub fn holder(&self, key: &str) -> Option<&Arc<TenantPolicy>> {
         self.by_key.get(key)
     }
 }
 
-/// Regions that may serve a request: the route's homes met with the tenant's. `None` stands for all.
+/// Regions that may serve a request: the intersection of the route's and the tenant's home regions. `None` means all.
 pub fn home_regions(route: &Route, tenant: Option<&TenantPolicy>) -> Option<BTreeSet<Region>> {
-    let bound = |homes: &BTreeSet<Region>| !homes.is_empty();
-    let of_tenant = tenant.map(|tenant| &tenant.homes).filter(|homes| bound(homes));
-    match (Some(&route.homes).filter(|homes| bound(homes)), of_tenant) {
+    let is_restricted = |homes: &BTreeSet<Region>| !homes.is_empty();
+    let tenant_homes = tenant.map(|tenant| &tenant.homes).filter(|homes| is_restricted(homes));
+    match (Some(&route.homes).filter(|homes| is_restricted(homes)), tenant_homes) {
         (Some(route), Some(tenant)) => Some(route.intersection(tenant).cloned().collect()),
-        (one, other) => one.or(other).cloned(),
+        (route, tenant) => route.or(tenant).cloned(),
     }
 }
--- a/crates/configuration/tests/tenants.rs
+++ b/crates/configuration/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants by key, and the regions that bind a request of a tenant on a route.
+//! The tenant of an API key, and the home regions of a tenant's request on a route.
 
 use common::Region;
 use configuration::{ApiKey, DuplicateKey, Route, RouteKind, TenantPolicy, Tenants, home_regions};
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_key_has_one_holder() {
+fn a_key_belongs_to_one_tenant() {
     let mut tenants = Tenants::default();
     assert_eq!(tenants.add(tenant("a", &[]), keys(&["k1", "k2", "k1"])), Ok(()));
     assert_eq!(tenants.add(tenant("b", &[]), keys(&["k3"])), Ok(()));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_key_is_never_shown() {
+fn debug_output_does_not_contain_keys() {
     let mut tenants = Tenants::default();
     tenants.add(tenant("a", &[]), keys(&["secret"])).unwrap();
     assert!(!format!("{tenants:?}").contains("secret"));
@@ -56,16 +56,19 @@
 
 #[rstest]
 #[case::neither(&[], &[], None)]
-#[case::of_the_route(&["n"], &[], Some(&["n"][..]))]
-#[case::of_the_tenant(&[], &["s"], Some(&["s"][..]))]
+#[case::only_the_route(&["n"], &[], Some(&["n"][..]))]
+#[case::only_the_tenant(&[], &["s"], Some(&["s"][..]))]
 #[case::both(&["n", "s"], &["s", "w"], Some(&["s"][..]))]
 #[case::nothing_in_common(&["n"], &["s"], Some(&[][..]))]
-fn homes_of_route_and_tenant_both_bind(
-    #[case] of_route: &[&str],
-    #[case] of_tenant: &[&str],
+fn homes_are_the_intersection_route_homes_and_tenant(
+    #[case] route_homes: &[&str],
+    #[case] tenant_homes: &[&str],
     #[case] expected: Option<&[&str]>,
 ) {
-    let homes = home_regions(&route(of_route), Some(&tenant("a", of_tenant)));
+    let homes = home_regions(&route(route_homes), Some(&tenant("a", tenant_homes)));
     assert_eq!(homes, expected.map(regions));
-    assert_eq!(home_regions(&route(of_route), None), (!of_route.is_empty()).then(|| regions(of_route)));
+    assert_eq!(
+        home_regions(&route(route_homes), None),
+        (!route_homes.is_empty()).then(|| regions(route_homes))
+    );
 }
