--- a/crates/common/src/event_log.rs
+++ b/crates/common/src/event_log.rs
@@ -52,7 +52,7 @@
     }
 
     /// Reads the view without copying it, under the lock of the log.
-    pub fn with<R>(&self, read: impl FnOnce(&V) -> R) -> R {
+    pub fn with_view<R>(&self, read: impl FnOnce(&V) -> R) -> R {
         read(&self.lock().view)
     }
 
--- a/crates/common/src/settings/mod.rs
+++ b/crates/common/src/settings/mod.rs
@@ -161,7 +161,7 @@
             "seeds: {:?}; allowed: one to {MAX_SEEDS} different addresses; three, to survive the loss of one",
             self.seeds
         );
-        for (field, address) in [("rpc", self.rpc_addr()), ("http", self.advertised_http())] {
+        for (field, address) in [("rpc", self.advertised_rpc()), ("http", self.advertised_http())] {
             ensure!(
                 !address.ip().is_unspecified() && address.port() != 0,
                 "{field}: {address}; allowed: an address that others can reach, or one set as {field}_advertise"
@@ -177,7 +177,7 @@
     }
 
     /// The RPC address that other nodes are told.
-    pub fn rpc_addr(&self) -> SocketAddr {
+    pub fn advertised_rpc(&self) -> SocketAddr {
         self.rpc_advertise.unwrap_or(self.rpc_addr)
     }
 
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -86,13 +86,13 @@
     pub lend_share: f64,
     /// Validity of a grant of capacity, in milliseconds.
     #[serde(rename = "pass_ms")]
-    pub grant_ms: u64,
+    pub grant_ttl_ms: u64,
     /// Largest number of retries, as a share of requests.
     #[serde(rename = "extra_goes")]
     pub retry_ratio: f64,
     /// Largest number of requests in one router's queue.
     #[serde(rename = "waitlist")]
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Time in which a cold replica's allowed concurrency rises to its full value, in milliseconds.
     #[serde(rename = "warm_ms")]
     pub slow_start_ms: u64,
@@ -104,9 +104,9 @@
     fn default() -> Self {
         Self {
             lend_share: 0.5,
-            grant_ms: 3_000,
+            grant_ttl_ms: 3_000,
             retry_ratio: 0.2,
-            queue: 64,
+            queue_capacity: 64,
             slow_start_ms: 10_000,
             slots: 4,
         }
@@ -141,9 +141,9 @@
         let ranged = [
             ("lend_share", self.lend_share, 0.0, 1.0),
             ("extra_goes", self.retry_ratio, 0.0, 0.2),
-            ("pass_ms", self.grant_ms as f64, 500.0, 60_000.0),
+            ("pass_ms", self.grant_ttl_ms as f64, 500.0, 60_000.0),
             ("warm_ms", self.slow_start_ms as f64, 0.0, 600_000.0),
-            ("waitlist", self.queue as f64, 0.0, 100_000.0),
+            ("waitlist", self.queue_capacity as f64, 0.0, 100_000.0),
             ("slots", f64::from(self.slots), 1.0, 10_000.0),
         ];
         ranged
--- a/crates/control-plane/src/control_node/leader_client.rs
+++ b/crates/control-plane/src/control_node/leader_client.rs
@@ -95,7 +95,7 @@
         let inner = self.lock();
         let voters = inner.voter.cluster_state.voters.iter().map(|voter| voter.rpc_addr);
         let candidates = voters.chain(self.settings.seeds.iter().copied()).collect();
-        let mut search = LeaderSearch { own: self.settings.rpc_addr(), candidates, asked: Vec::new() };
+        let mut search = LeaderSearch { own: self.settings.advertised_rpc(), candidates, asked: Vec::new() };
         search.add_hint(hint);
         let recent = |seen: &LeaderSighting| now.since(seen.at) < inner.voter.silence_timeout_ms();
         if let Some(seen) = inner.leader_seen.filter(recent) {
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -218,7 +218,7 @@
     }
 
     fn send(self: &Arc<Self>, to: SocketAddr, msg: crate::consensus::Message) {
-        let (node, from, message_len) = (self.clone(), self.settings.rpc_addr(), msg.max_payload_len());
+        let (node, from, message_len) = (self.clone(), self.settings.advertised_rpc(), msg.max_payload_len());
         spawn(async move {
             let (client, timeout_ms) = node.client_for(message_len);
             let request = ControlRequest::Consensus { from, msg: Box::new(msg) };
--- a/crates/control-plane/src/storage/data_folder.rs
+++ b/crates/control-plane/src/storage/data_folder.rs
@@ -14,7 +14,7 @@
         incarnation: Incarnation(common::runtime::random::<u64>() >> 1),
         node: settings.node.as_str().into(),
         zone: settings.zone.as_str().into(),
-        rpc_addr: settings.rpc_addr(),
+        rpc_addr: settings.advertised_rpc(),
         http: settings.advertised_http(),
     }
 }
--- a/crates/control-plane/src/types/node.rs
+++ b/crates/control-plane/src/types/node.rs
@@ -65,7 +65,7 @@
             role,
             lang: configuration::LANGUAGE_VERSION,
             zone: settings.zone.as_str().into(),
-            rpc_addr: settings.rpc_addr(),
+            rpc_addr: settings.advertised_rpc(),
             http: settings.advertised_http(),
         }
     }
--- a/crates/data-plane/src/contact.rs
+++ b/crates/data-plane/src/contact.rs
@@ -155,7 +155,7 @@
     /// Records in the event log that this node was cut off or reconnected, or got a new membership.
     fn record_contact_events(&self) {
         let (cut_off, epoch) = (self.cut_off(), self.member.lease().epoch);
-        let (was_cut_off, last_epoch) = self.event_log.with(|summary| (summary.cut_off, summary.epoch));
+        let (was_cut_off, last_epoch) = self.event_log.with_view(|summary| (summary.cut_off, summary.epoch));
         if was_cut_off != cut_off {
             self.record_event(EventKind::CutOff(cut_off));
         }
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -235,7 +235,7 @@
             now + (plan.deadline.since(now) / QUEUE_WAIT_DIVISOR)
                 .min(2 * self.settings.timing.probe_interval_ms),
         );
-        let bound = plan.configuration.table.tuning.queue;
+        let bound = plan.configuration.table.tuning.queue_capacity;
         let joined = lock(&self.request_queue).join(until, bound, now);
         let (place, woken) = joined.map_err(|rejection| match rejection {
             crate::request_queue::Rejection::Full => "waitlist full",
--- a/crates/data-plane/src/grant_exchange.rs
+++ b/crates/data-plane/src/grant_exchange.rs
@@ -79,7 +79,7 @@
             return Ok(None);
         }
         let share = free_capacity * tuning.lend_share;
-        let granted = issuer.grant(region, service, node, share, requesters, tuning.grant_ms, now);
+        let granted = issuer.grant(region, service, node, share, requesters, tuning.grant_ttl_ms, now);
         self.counters.grants.inc_by(&["granted"], granted.as_ref().map_or(0, |p| u64::from(p.count)));
         Ok(granted)
     }
@@ -137,7 +137,7 @@
                     });
                 }
             }
-            tokio::time::sleep(Duration::from_millis(table.tuning.grant_ms / 3)).await;
+            tokio::time::sleep(Duration::from_millis(table.tuning.grant_ttl_ms / 3)).await;
         }
     }
 }
