--- a/crates/common/tests/settings.rs
+++ b/crates/common/tests/settings.rs
@@ -69,8 +69,8 @@
     std::fs::write(&path, VALID).unwrap();
     let flags = Flags { config: Some(path), node: Some("n2".into()), ..Flags::default() };
     let settings = Settings::read(&flags).unwrap();
-    let read = (settings.node.as_str(), settings.zone.as_str(), settings.timing.renew_interval_ms());
-    assert_eq!(read, ("n2", "a", 500));
+    let values = (settings.node.as_str(), settings.zone.as_str(), settings.timing.renew_interval_ms());
+    assert_eq!(values, ("n2", "a", 500));
     let flags = Flags { config: Some("/nowhere/x.toml".into()), ..Flags::default() };
     assert!(Settings::read(&flags).unwrap_err().to_string().contains("config: \"/nowhere/x.toml\""));
 }
--- a/crates/configuration/tests/tenants.rs
+++ b/crates/configuration/tests/tenants.rs
@@ -60,7 +60,7 @@
 #[case::only_the_tenant(&[], &["s"], Some(&["s"][..]))]
 #[case::both(&["n", "s"], &["s", "w"], Some(&["s"][..]))]
 #[case::nothing_in_common(&["n"], &["s"], Some(&[][..]))]
-fn homes_are_the_intersection_route_homes_and_tenant(
+fn homes_are_the_intersection_of_route_and_tenant(
     #[case] route_homes: &[&str],
     #[case] tenant_homes: &[&str],
     #[case] expected: Option<&[&str]>,
