--- a/crates/common/src/rpc/mod.rs
+++ b/crates/common/src/rpc/mod.rs
@@ -60,8 +60,8 @@
     pub timeout_ms: u64,
 }
 
-/// Added to a call's timeout for the deadline that the library enforces. It is long so that only the caller's own timeout
-/// has an effect.
+/// Longest time for which the called node may keep working on a call after the caller's timeout. The library sends the sum
+/// as the call's deadline.
 const DEADLINE_SLACK: Duration = Duration::from_secs(600);
 
 /// Timeout for opening a connection, as a multiple of the default call timeout. Opening takes three round trips, which may
