--- a/crates/simulator/src/sim/data_event.rs
+++ b/crates/simulator/src/sim/data_event.rs
@@ -7,35 +7,60 @@
     placement_table::{PlacementRow, UserKey},
 };
 
-/// What happens at a point in time.
-pub(super) enum What {
+/// An event in the queue. Routers are named by their index.
+pub(super) enum DataEvent {
+    /// A router restarts, or the granting region changes its health.
     Churn,
+    /// A router gets a newer state.
     StateUpdate(usize, Box<ClusterState>),
-    Ask(usize),
-    Settle {
+    /// A router asks the owner for the placement of a user.
+    RequestPlacement(usize),
+    /// The request for a placement arrives at the owner.
+    ResolvePlacement {
+        /// The owner.
         to: usize,
+        /// The asking router.
         from: usize,
+        /// Fencing token that the asking router knows.
         fencing_token: FencingToken,
+        /// The user.
         key: UserKey,
+        /// The stored version that the asking router rejects, if it has cause to move the user.
         stale: Option<u64>,
+        /// The region that the asking router suggests.
         pick: Region,
     },
-    Rows {
+    /// Rows of a shard arrive at its follower, or at its new owner.
+    ReplicateRows {
+        /// The receiving router.
         to: usize,
+        /// Fencing token of the request that wrote the row; none for rows that a new owner fetched.
         fencing_token: Option<FencingToken>,
+        /// The shard.
         shard: u16,
+        /// Its rows.
         rows: Vec<PlacementRow>,
     },
-    Look(usize),
-    AskPass(usize),
-    CapacityGrant {
+    /// A router observes the health of its region.
+    ObserveHealth(usize),
+    /// A router asks for a grant.
+    RequestGrant(usize),
+    /// The answer to a request for a grant arrives.
+    GrantReply {
+        /// The router that asked.
         to: usize,
-        pass: Option<CapacityGrant>,
-        asked: Tick,
+        /// The grant; none if it was refused.
+        grant: Option<CapacityGrant>,
+        /// When the router asked.
+        requested_at: Tick,
     },
-    Spend(usize),
-    Redeem {
+    /// A router uses a part of a grant, if it has one.
+    UseGrant(usize),
+    /// The use of a grant arrives at a router of the granting region.
+    RedeemGrant {
+        /// The receiving router.
         at: usize,
-        spent: GrantUse,
+        /// The use of the grant.
+        grant_use: GrantUse,
     },
 }
