--- a/crates/foldshunt-admin/src/main.rs
+++ b/crates/foldshunt-admin/src/main.rs
@@ -222,8 +222,13 @@
     match serde_json::from_str::<serde_json::Value>(&text).ok().filter(|_| !matches!(options.cmd, Cmd::Show))
     {
         Some(value) => {
-            for flaw in value["flaws"].as_array().into_iter().flatten() {
-                eprintln!("{}:{}: {}", flaw["line"], flaw["column"], flaw["message"].as_str().unwrap_or(""));
+            for diagnostic in value["flaws"].as_array().into_iter().flatten() {
+                eprintln!(
+                    "{}:{}: {}",
+                    diagnostic["line"],
+                    diagnostic["column"],
+                    diagnostic["message"].as_str().unwrap_or("")
+                );
             }
             common::error::print(&format!("{value:#}\n"));
         }
--- a/crates/simulator/src/fault.rs
+++ b/crates/simulator/src/fault.rs
@@ -68,9 +68,9 @@
     BrownOut,
     /// Every replica reports itself as healthy again.
     BrownOver,
-    /// Every replica answers each job with 503 and still reports itself as healthy, until `Sweet`.
+    /// Every replica answers each request with 503 but still reports itself as healthy, until `Sweet`.
     Sour,
-    /// Every replica serves jobs again.
+    /// Every replica serves requests again.
     Sweet,
     /// Applies a new document with a small change.
     Apply,
--- a/crates/simulator/src/sim/sweep.rs
+++ b/crates/simulator/src/sim/sweep.rs
@@ -86,8 +86,9 @@
     };
     let stats = &totals.stats;
     format!(
-        "seeds {from} to {}: {} completed runs, {} steps, {} faults, {} terms, {} accepted, operators told: {} accepted, \
-         {} conflict, {} refused, {} undetermined; {} readmissions, {} expirations; recovery after the faults: \
+        "seeds {from} to {}: {} completed runs, {} steps, {} faults, {} terms, {} accepted; \
+         reported to operators: {} accepted, {} conflict, {} refused, {} undetermined; \
+         {} readmissions, {} expirations; recovery after the faults: \
          median {} ms, p99 {} ms, maximum {} ms (virtual)",
         from + totals.runs.saturating_sub(1),
         totals.runs,
