--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -64,7 +64,8 @@
     pub broken: Option<BrokenVariant>,
 }
 
-/// Runs one seed. The same seed gives the same run again.
+/// Runs one seed. It selects the deployment, unless the plan names one, and the faults drawn, and it seeds the random
+/// numbers of the traffic and of the simulation. Two runs of one seed may still differ.
 pub fn run_seed(plan: &WorldPlan, seed: u64) -> Result<Audit> {
     let alternating = if seed.is_multiple_of(2) { Firm::Rinaldi } else { Firm::Bitacora };
     let deployment = deployment(plan.firm.unwrap_or(alternating));
