--- a/crates/simulator/src/actions.rs
+++ b/crates/simulator/src/actions.rs
@@ -67,8 +67,12 @@
 /// Faults of machines, links and disks.
 async fn apply_to_machines(fleet: &mut Fleet, fault: &Fault) -> Result<bool> {
     let target = fault.target.as_str();
-    let control_nodes: Vec<String> =
-        fleet.nodes.iter().filter(|n| n.is_control && !n.is_replacement).map(|n| n.name.clone()).collect();
+    let control_nodes: Vec<String> = fleet
+        .nodes
+        .iter()
+        .filter(|node| node.is_control && !node.is_replacement)
+        .map(|node| node.name.clone())
+        .collect();
     match fault.kind {
         FaultKind::Kill => fleet.node(target)?.kill().await?,
         FaultKind::Stop => drop(fleet.node(target)?.stop().await?),
@@ -83,13 +87,13 @@
         FaultKind::Cut => fleet.cut(target),
         FaultKind::Mend => fleet.heal(target),
         FaultKind::KillCore => {
-            for n in &control_nodes {
-                fleet.node(n)?.kill().await?;
+            for name in &control_nodes {
+                fleet.node(name)?.kill().await?;
             }
         }
         FaultKind::StartCore => {
-            for n in control_nodes {
-                fleet.start_node(&n)?;
+            for name in control_nodes {
+                fleet.start_node(&name)?;
             }
         }
         FaultKind::Replace => {
@@ -109,9 +113,9 @@
 async fn apply_to_platform(fleet: &mut Fleet, fault: &Fault) -> Result<bool> {
     let (target, operator) = (fault.target.as_str(), fleet.operator());
     let zone_nodes: Vec<String> =
-        fleet.nodes.iter().filter(|n| n.zone == target).map(|n| n.name.clone()).collect();
+        fleet.nodes.iter().filter(|node| node.zone == target).map(|node| node.name.clone()).collect();
     let replicas: Vec<Arc<FakeReplica>> =
-        fleet.replicas.iter().filter(|b| b.spec.zone == target).cloned().collect();
+        fleet.replicas.iter().filter(|replica| replica.spec.zone == target).cloned().collect();
     match fault.kind {
         FaultKind::Evacuate => return Ok(operator.evacuate(target, true).await),
         FaultKind::Restore => return Ok(operator.evacuate(target, false).await),
@@ -127,35 +131,35 @@
             return Ok(operator.remove(target).await);
         }
         FaultKind::Take => {
-            let ok = operator.drain(target).await;
+            let accepted = operator.drain(target).await;
             sleep(Duration::from_secs(2)).await;
             fleet.replica(target)?.crash();
-            return Ok(operator.remove(target).await && ok);
+            return Ok(operator.remove(target).await && accepted);
         }
         FaultKind::Swap => {
             let new = fleet.start_replica_like(target).await?;
             let spec = &new.spec;
-            let ok = operator.list(&new.id, &spec.service, &spec.zone, new.addr).await
+            let accepted = operator.list(&new.id, &spec.service, &spec.zone, new.addr).await
                 && operator.drain(target).await;
             sleep(Duration::from_secs(3)).await;
-            return Ok(ok && operator.remove(target).await);
+            return Ok(accepted && operator.remove(target).await);
         }
-        FaultKind::BrownOut => fleet.replicas.iter().for_each(|b| b.set_unhealthy(true)),
-        FaultKind::BrownOver => fleet.replicas.iter().for_each(|b| b.set_unhealthy(false)),
-        FaultKind::Sour => fleet.replicas.iter().for_each(|b| b.set_rejecting(true)),
-        FaultKind::Sweet => fleet.replicas.iter().for_each(|b| b.set_rejecting(false)),
+        FaultKind::BrownOut => fleet.replicas.iter().for_each(|replica| replica.set_unhealthy(true)),
+        FaultKind::BrownOver => fleet.replicas.iter().for_each(|replica| replica.set_unhealthy(false)),
+        FaultKind::Sour => fleet.replicas.iter().for_each(|replica| replica.set_rejecting(true)),
+        FaultKind::Sweet => fleet.replicas.iter().for_each(|replica| replica.set_rejecting(false)),
         FaultKind::KillArea => {
-            for n in &zone_nodes {
-                fleet.node(n)?.kill().await?;
+            for name in &zone_nodes {
+                fleet.node(name)?.kill().await?;
             }
-            replicas.iter().for_each(|b| b.crash());
+            replicas.iter().for_each(|replica| replica.crash());
         }
         FaultKind::StartArea => {
-            for n in &zone_nodes {
-                fleet.start_node(n)?;
+            for name in &zone_nodes {
+                fleet.start_node(name)?;
             }
-            for b in &replicas {
-                b.start().await?;
+            for replica in &replicas {
+                replica.start().await?;
             }
         }
         _ => return Err(eyre!("{:?} does not concern replicas or zones", fault.kind)),
--- a/crates/simulator/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -94,7 +94,7 @@
     pub model_runs: usize,
     /// Runs at replicas of the model whose prefix was cached.
     pub prefix_hits: usize,
-    /// Share of such runs.
+    /// Runs whose prefix was cached, as a share of all runs at replicas of the model.
     pub prefix_hit_ratio: f64,
     /// Most open runs at one replica of the model.
     pub most_open_at_a_replica: usize,
@@ -142,20 +142,20 @@
     for replica in replicas.iter().filter(|replica| replica.spec.service == model) {
         let runs = replica.runs();
         audit.model_runs += runs.len();
-        audit.prefix_hits += runs.iter().filter(|r| r.warm).count();
+        audit.prefix_hits += runs.iter().filter(|run| run.warm).count();
         *audit.runs_by_region.entry(replica.spec.region.clone()).or_default() += runs.len();
         audit.most_open_at_a_replica =
-            audit.most_open_at_a_replica.max(runs.iter().map(|r| r.open).max().unwrap_or(0));
+            audit.most_open_at_a_replica.max(runs.iter().map(|run| run.open).max().unwrap_or(0));
     }
     run_checks(&mut audit, record, topology, replicas);
     audit.prefix_hit_ratio = audit.prefix_hits as f64 / audit.model_runs.max(1) as f64;
     let mut starts: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
     for result in record.responses.iter().filter(|result| result.outcome == CallOutcome::Done) {
-        starts.entry(result.call.entry).or_default().push(result.at);
+        starts.entry(result.call.entry).or_default().push(result.sent_at);
     }
     for (entry, mut values) in starts {
         values.sort();
-        let gap = values.windows(2).map(|w| w[1].duration_since(w[0]).as_millis()).max();
+        let gap = values.windows(2).map(|pair| pair[1].duration_since(pair[0]).as_millis()).max();
         audit.longest_gap_ms.insert(entry.into(), gap.unwrap_or(0));
     }
     let mut durations: BTreeMap<String, Vec<u128>> = BTreeMap::new();
@@ -183,7 +183,7 @@
         }
     }
 
-    /// What must never happen and did: the name of each check that failed, with its count.
+    /// The name of each check that failed, with the number of violations.
     pub fn violations(&self) -> Vec<(&'static str, usize)> {
         [
             ("doubled", self.run_twice),
@@ -205,7 +205,7 @@
             ("read-back differs", usize::from(self.read_back_exact == Some(false))),
         ]
         .into_iter()
-        .filter(|v| v.1 > 0)
+        .filter(|(_, count)| *count > 0)
         .collect()
     }
 }
--- a/crates/simulator/src/caller.rs
+++ b/crates/simulator/src/caller.rs
@@ -47,9 +47,10 @@
     Unknown(String),
     /// The connection broke before the answer was complete, and the caller noticed; with the error.
     Broken(String),
-    /// No connection was made, so nothing was sent.
-    NotAsked,
-    /// The answer looked complete and was not this request's answer, which must never happen; with its beginning.
+    /// No connection to a router was made, so nothing was sent.
+    NotSent,
+    /// The answer looked complete but was not the one expected for this request, which must never happen; with its
+    /// beginning.
     Garbled(String),
     /// Any other answer; with its status.
     Other(u16),
@@ -63,7 +64,7 @@
     /// What became of it.
     pub outcome: CallOutcome,
     /// When it was sent.
-    pub at: Instant,
+    pub sent_at: Instant,
     /// How long it took.
     pub took: Duration,
     /// The last router asked.
@@ -79,19 +80,19 @@
 }
 
 fn header<T>(response: &Response<T>, name: &str) -> String {
-    response.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or("").to_string()
+    response.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_string()
 }
 
 async fn send(
     sender: &mut RequestSender,
-    to: SocketAddr,
+    router: SocketAddr,
     call: &Call,
     path: &str,
 ) -> Result<Response<Incoming>, hyper::Error> {
     let request = Request::builder()
         .method(call.method.clone())
         .uri(path)
-        .header("host", to.to_string())
+        .header("host", router.to_string())
         .header("x-job", &call.request_id)
         .header("x-tenant", call.tenant)
         .header("x-tokens", call.tokens.to_string())
@@ -109,15 +110,15 @@
     revision: Option<u64>,
 }
 
-/// Sends one request, follows one redirect, and returns the result.
-pub async fn call(ip: IpAddr, to: SocketAddr, call: Call, give_up_after: Duration) -> CallResult {
-    let at = Instant::now();
-    let (mut router, mut redirected) = (to, false);
+/// Sends one request from the address `ip`, follows at most one redirect, and returns the result.
+pub async fn call(ip: IpAddr, first_router: SocketAddr, call: Call, give_up_after: Duration) -> CallResult {
+    let sent_at = Instant::now();
+    let (mut router, mut redirected) = (first_router, false);
     let result = tokio::time::timeout(give_up_after, async {
         loop {
             let Ok(mut sender) = open_client(ip, router, 2_000).await else {
                 // A redirected request has not run, so it counts as not sent when the second connection fails.
-                return (CallOutcome::NotAsked, Head::default());
+                return (CallOutcome::NotSent, Head::default());
             };
             let response = match send(&mut sender, router, &call, &call.path).await {
                 Ok(response) => response,
@@ -125,12 +126,12 @@
             };
             let next = header(&response, "location")
                 .strip_prefix("http://")
-                .map(|l| l.split('/').next().unwrap_or("").to_string());
+                .map(|rest| rest.split('/').next().unwrap_or("").to_string());
             if response.status().as_u16() == 307
                 && !redirected
-                && let Some(Ok(n)) = next.map(|n| n.parse())
+                && let Some(Ok(target)) = next.map(|address| address.parse())
             {
-                (router, redirected) = (n, true);
+                (router, redirected) = (target, true);
                 continue;
             }
             let head = Head {
@@ -145,14 +146,24 @@
     let gave_up = || (CallOutcome::Broken("the caller gave up".into()), Head::default());
     let (outcome, head) = result.unwrap_or_else(|_| gave_up());
     let Head { code, retry_after, revision } = head;
-    CallResult { call, outcome, at, took: at.elapsed(), router, redirected, retry_after, code, revision }
+    CallResult {
+        call,
+        outcome,
+        sent_at,
+        took: sent_at.elapsed(),
+        router,
+        redirected,
+        retry_after,
+        code,
+        revision,
+    }
 }
 
 async fn read_answer(call: &Call, response: Response<Incoming>) -> CallOutcome {
     let code = response.status().as_u16();
     let (outcome, reason) = (header(&response, "foldshunt-outcome"), header(&response, "foldshunt-reason"));
     let body = match response.into_body().collect().await {
-        Ok(b) => b.to_bytes(),
+        Ok(collected) => collected.to_bytes(),
         Err(e) => return CallOutcome::Broken(format!("within the body: {e}")),
     };
     match (outcome.as_str(), code) {
--- a/crates/simulator/src/chaos.rs
+++ b/crates/simulator/src/chaos.rs
@@ -1,6 +1,6 @@
-//! Draws the faults of a run by its seed (design 7.4). Each fault is undone, and no more than one disk or one
-//! zone is lost at a time, as the requirements ask to survive. Groups of processes, among them all control nodes
-//! together, are killed and come back with their disks.
+//! Draws the faults of a run by its seed (design 7.4). Each fault is undone. At most one disk or one
+//! zone is lost at a time, the most that the requirements ask a fleet to survive. Groups of processes, such as all
+//! control nodes, may be killed together; they come back with their disks.
 
 use crate::{
     deployment::Deployment,
@@ -19,7 +19,7 @@
     let mut start_s = 4.0;
     while start_s < seconds - QUIET_END_S {
         let duration_s: f64 = rng.random_range(2.0..7.0);
-        let zone = deployment.zones.choose(&mut rng).map(|z| z.0.to_string()).unwrap_or_default();
+        let zone = deployment.zones.choose(&mut rng).map(|(name, _)| name.to_string()).unwrap_or_default();
         let control_node = format!("s{}", rng.random_range(1..=3));
         let router = format!("p{}", rng.random_range(1..=9));
         let replica = draw_model_replica(deployment, &mut rng);
@@ -84,7 +84,7 @@
             _ => single(FaultKind::Apply, String::new()),
         };
         // A control node that was replaced gets no more faults.
-        faults.extend(actions.into_iter().filter(|f| already_replaced.as_ref() != Some(&f.target)));
+        faults.extend(actions.into_iter().filter(|fault| already_replaced.as_ref() != Some(&fault.target)));
         start_s += duration_s + extra_pause_s + rng.random_range(1.0..4.0);
     }
     if rng.random_bool(0.4) {
--- a/crates/simulator/src/checks.rs
+++ b/crates/simulator/src/checks.rs
@@ -35,7 +35,7 @@
     check_recovery(audit, record, topology, replicas, &timeline);
     check_departures(audit, record, replicas);
     record.actions.iter().for_each(|action| check_slow_start(audit, record, action, replicas));
-    let planned = record.actions.iter().all(|x| x.fault.kind.planned());
+    let planned = record.actions.iter().all(|action| action.fault.kind.planned());
     audit.dropped_in_planned_work =
         if planned { audit.broken + audit.unknown + audit.other.values().sum::<usize>() } else { 0 };
 }
@@ -47,8 +47,8 @@
     for submission in record.actions.iter().flat_map(|action| &action.submissions) {
         let DocumentOutcome::Accepted(revision) = submission.outcome else { continue };
         let late = |result: &&CallResult| {
-            result.at > submission.at + CONFIGURATION_DEADLINE
-                && revision_of(result).is_some_and(|v| v < revision)
+            result.sent_at > submission.resolved_at + CONFIGURATION_DEADLINE
+                && revision_of(result).is_some_and(|used| used < revision)
         };
         let found: Vec<&CallResult> = record.responses.iter().filter(late).collect();
         audit.older_document_used_late += found.len();
@@ -66,17 +66,20 @@
         .filter(|result| result.revision.is_some())
         .for_each(|result| results_by_router.entry(result.router).or_default().push(result));
     for results in results_by_router.values_mut() {
-        results.sort_by_key(|result| result.at);
-        let mut answered: Vec<(Instant, u64)> =
-            results.iter().filter_map(|result| Some((result.at + result.took, result.revision?))).collect();
+        results.sort_by_key(|result| result.sent_at);
+        let mut answered: Vec<(Instant, u64)> = results
+            .iter()
+            .filter_map(|result| Some((result.sent_at + result.took, result.revision?)))
+            .collect();
         answered.sort();
         let (mut answered_before, mut newest) = (0, 0);
         for result in results.iter() {
-            while answered_before < answered.len() && answered[answered_before].0 < result.at {
+            while answered_before < answered.len() && answered[answered_before].0 < result.sent_at {
                 newest = newest.max(answered[answered_before].1);
                 answered_before += 1;
             }
-            audit.revision_went_back += usize::from(result.revision.is_some_and(|r| r < newest));
+            audit.revision_went_back +=
+                usize::from(result.revision.is_some_and(|revision| revision < newest));
         }
     }
 }
@@ -88,12 +91,16 @@
         if result.code == 503 && result.retry_after.is_none() {
             audit.rejected_without_retry_after += 1;
         }
-        let name = topology.routers.iter().find(|r| r.2 == result.router).map_or("", |r| r.0.as_str());
+        let name = topology
+            .routers
+            .iter()
+            .find(|(_, _, address)| *address == result.router)
+            .map_or("", |(name, _, _)| name.as_str());
         // The request may have been forwarded to another router, and which one is not recorded: any may have delayed it.
         let impaired = topology
             .routers
             .iter()
-            .any(|r| timeline.was_down_during(&r.0, result.at, result.at + result.took));
+            .any(|(name, _, _)| timeline.was_down_during(name, result.sent_at, result.sent_at + result.took));
         if result.took > REJECTION_DEADLINE && !impaired {
             audit.rejected_late += 1;
             audit.note(
@@ -121,7 +128,7 @@
         results_by_entry.entry((result.call.entry, result.call.tenant)).or_default().push(result);
     });
     for ((entry, tenant), results) in &mut results_by_entry {
-        results.sort_by_key(|result| result.at);
+        results.sort_by_key(|result| result.sent_at);
         let mut failing_since: Option<Instant> = None;
         for result in results.iter() {
             if result.outcome == CallOutcome::Done {
@@ -133,15 +140,15 @@
                 replicas,
                 result.call.service,
                 &result.call.homes,
-                result.at,
+                result.sent_at,
                 record.began,
             );
             let Some(servable_since) = servable_since else {
                 failing_since = None;
                 continue;
             };
-            let first_failure = *failing_since.get_or_insert(result.at);
-            let outage = result.at.saturating_duration_since(first_failure.max(servable_since));
+            let first_failure = *failing_since.get_or_insert(result.sent_at);
+            let outage = result.sent_at.saturating_duration_since(first_failure.max(servable_since));
             audit.longest_outage_ms = audit.longest_outage_ms.max(outage.as_millis());
             if outage > RECOVERY_DEADLINE {
                 audit.not_served_again += 1;
@@ -161,14 +168,13 @@
 
 /// No run may begin at a replica that left, or in an evacuated zone, after the deadline for it.
 fn check_departures(audit: &mut Audit, record: &RunRecord, replicas: &[Arc<FakeReplica>]) {
-    for action in record.actions.iter().filter(|x| x.ok) {
+    for action in record.actions.iter().filter(|action| action.ok) {
         let target = action.fault.target.as_str();
         let later = |kind: FaultKind| {
-            let matching = record
-                .actions
-                .iter()
-                .filter(|x| x.started > action.started && x.fault.kind == kind && x.fault.target == target);
-            matching.map(|x| x.started).min()
+            let matching = record.actions.iter().filter(|other| {
+                other.started > action.started && other.fault.kind == kind && other.fault.target == target
+            });
+            matching.map(|other| other.started).min()
         };
         let (deadline, until) = match action.fault.kind {
             FaultKind::Drain | FaultKind::Remove | FaultKind::Lose | FaultKind::Take | FaultKind::Swap => {
@@ -187,12 +193,12 @@
             .iter()
             .filter(concerned)
             .flat_map(|replica| replica.runs())
-            .map(|r| r.at)
-            .filter(|at| *at > action.finished && until.is_none_or(|u| *at < u))
+            .map(|run| run.began_at)
+            .filter(|began_at| *began_at > action.finished && until.is_none_or(|end| *began_at < end))
             .collect();
-        let last = runs.iter().map(|at| at.duration_since(action.finished).as_millis()).max();
+        let last = runs.iter().map(|began_at| began_at.duration_since(action.finished).as_millis()).max();
         audit.last_run_begun_after_ms.insert(action.label.clone(), last.unwrap_or(0));
-        let late = runs.iter().filter(|at| **at > action.finished + deadline).count();
+        let late = runs.iter().filter(|began_at| **began_at > action.finished + deadline).count();
         if evacuated {
             audit.late_in_evacuated_zone += late;
         } else {
--- a/crates/simulator/src/deployment.rs
+++ b/crates/simulator/src/deployment.rs
@@ -51,11 +51,11 @@
 
 impl std::str::FromStr for Firm {
     type Err = String;
-    fn from_str(s: &str) -> Result<Self, String> {
-        match s {
+    fn from_str(name: &str) -> Result<Self, String> {
+        match name {
             "bitacora" => Ok(Firm::Bitacora),
             "rinaldi" => Ok(Firm::Rinaldi),
-            _ => Err(format!("{s:?}; allowed: bitacora, rinaldi")),
+            _ => Err(format!("{name:?}; allowed: bitacora, rinaldi")),
         }
     }
 }
@@ -132,8 +132,9 @@
 impl Deployment {
     /// Region of a zone; empty if the zone is unknown.
     pub fn region_of(&self, zone: &str) -> &'static str {
-        self.zones.iter().find(|a| a.0 == zone).map(|a| a.1).unwrap_or("")
+        self.zones.iter().find(|(name, _)| *name == zone).map(|(_, region)| *region).unwrap_or("")
     }
+
     /// Replaces one piece of the document, given as `FROM=>TO`.
     pub fn replace(&mut self, rule: &str) -> Result<(), String> {
         let (from, to) = rule.split_once("=>").ok_or(format!("{rule:?}; allowed: FROM=>TO"))?;
@@ -146,8 +147,8 @@
 
     /// All regions, in the order of the zones.
     pub fn regions(&self) -> Vec<&'static str> {
-        let mut v: Vec<_> = self.zones.iter().map(|a| a.1).collect();
-        v.dedup();
-        v
+        let mut regions: Vec<_> = self.zones.iter().map(|(_, region)| *region).collect();
+        regions.dedup();
+        regions
     }
 }
--- a/crates/simulator/src/fake_replica.rs
+++ b/crates/simulator/src/fake_replica.rs
@@ -44,7 +44,7 @@
     pub token_ms: u64,
 }
 
-/// What changes while it runs.
+/// The part of a replica that changes while it runs.
 #[derive(Default)]
 struct State {
     runs: Vec<RequestRun>,
@@ -77,14 +77,14 @@
     }
 }
 
-/// Line `n` of the expected answer. It names the request, so that a truncated, spliced or swapped answer is detected.
-pub fn line(request_id: &str, n: usize) -> String {
-    format!("{request_id} {n}\n")
+/// Line `number` of the expected answer. It names the request, so that a truncated, spliced or swapped answer is detected.
+pub fn line(request_id: &str, number: usize) -> String {
+    format!("{request_id} {number}\n")
 }
 
-/// The last line of the expected answer, after `n` others.
-pub fn last_line(request_id: &str, n: usize) -> String {
-    format!("{request_id} end {n}\n")
+/// The last line of the expected answer, after `count` others.
+pub fn last_line(request_id: &str, count: usize) -> String {
+    format!("{request_id} end {count}\n")
 }
 
 impl FakeReplica {
@@ -111,12 +111,12 @@
         self.lock().runs.clone()
     }
 
-    /// Whether it answers every request with 503.
+    /// Sets whether it answers every request with 503.
     pub fn set_rejecting(&self, rejecting: bool) {
         self.lock().rejecting = rejecting;
     }
 
-    /// Whether it reports itself as unhealthy.
+    /// Sets whether it reports itself as unhealthy.
     pub fn set_unhealthy(&self, unhealthy: bool) {
         self.lock().unhealthy = unhealthy;
     }
@@ -156,20 +156,21 @@
         let _ = self.stop.lock().map(|mut stop| stop.take());
     }
 
-    /// Stops answering without closing anything; beside real processes, where no host can lose power, it crashes.
+    /// Stops answering without closing any connection, as if its host had lost power. In a fleet of real processes this
+    /// cannot be imitated, so the replica crashes instead.
     pub fn mute(&self) {
         match common::runtime::simulation() {
-            Some(w) => w.host(self.addr.ip()).power_off(),
+            Some(simulation) => simulation.host(self.addr.ip()).power_off(),
             None => self.crash(),
         }
     }
 
     /// Answers again after `mute`, with an empty cache.
     pub async fn unmute(self: &Arc<Self>) -> std::io::Result<()> {
-        if let Some(w) = common::runtime::simulation() {
+        if let Some(simulation) = common::runtime::simulation() {
             self.crash();
             tokio::time::sleep(Duration::from_millis(1)).await;
-            w.power_on(self.addr.ip());
+            simulation.power_on(self.addr.ip());
         }
         self.start().await
     }
@@ -187,8 +188,9 @@
             }
             _ => {}
         }
-        let header =
-            |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("").to_string();
+        let header = |name: &str| {
+            head.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_string()
+        };
         let (request_id, tenant) = (header("x-job"), header("x-tenant"));
         let tokens: usize = header("x-tokens").parse().unwrap_or(1);
         let bytes = body.collect().await?.to_bytes();
@@ -201,7 +203,7 @@
             state.open += 1;
             let open = state.open;
             let warm = bytes.is_empty() || state.cache.contains(&prefix);
-            state.cache.retain(|p| *p != prefix);
+            state.cache.retain(|cached| *cached != prefix);
             state.cache.push_back(prefix);
             while state.cache.len() > self.spec.prefixes {
                 state.cache.pop_front();
@@ -210,7 +212,7 @@
                 request_id: request_id.clone(),
                 tenant,
                 path: head.uri.path().into(),
-                at: Instant::now(),
+                began_at: Instant::now(),
                 warm,
                 open,
             };
@@ -224,18 +226,19 @@
         let prefill_ms = if warm { self.spec.warm_prefill_ms } else { self.spec.cold_prefill_ms };
         tokio::time::sleep(Duration::from_millis(prefill_ms)).await;
         let token_interval = Duration::from_millis(self.spec.token_ms);
-        let out = futures::stream::unfold((0, counted), move |(n, counted)| {
+        let lines = futures::stream::unfold((0, counted), move |(number, counted)| {
             let request_id = request_id.clone();
             async move {
-                if n > tokens {
+                if number > tokens {
                     return None;
                 }
-                tokio::time::sleep(if n == 0 { Duration::ZERO } else { token_interval }).await;
-                let line_text = if n == tokens { last_line(&request_id, n) } else { line(&request_id, n) };
-                Some((Ok::<_, BoxError>(Frame::data(Bytes::from(line_text))), (n + 1, counted)))
+                tokio::time::sleep(if number == 0 { Duration::ZERO } else { token_interval }).await;
+                let line_text =
+                    if number == tokens { last_line(&request_id, number) } else { line(&request_id, number) };
+                Some((Ok::<_, BoxError>(Frame::data(Bytes::from(line_text))), (number + 1, counted)))
             }
         });
-        let mut response = Response::new(StreamBody::new(out.boxed()).boxed_unsync());
+        let mut response = Response::new(StreamBody::new(lines.boxed()).boxed_unsync());
         response.headers_mut().insert("server-load", load.parse()?);
         Ok(response.map(sync_body))
     }
--- a/crates/simulator/src/fault.rs
+++ b/crates/simulator/src/fault.rs
@@ -160,14 +160,15 @@
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
         let mut parts = text.splitn(3, ':');
-        let second = parts.next().and_then(|p| p.parse().ok()).filter(|v: &f64| *v >= 0.0);
-        let kind = parts.next().and_then(|p| NAMES.iter().find(|(n, _)| *n == p)).map(|n| n.1);
+        let second = parts.next().and_then(|part| part.parse().ok()).filter(|second: &f64| *second >= 0.0);
+        let kind =
+            parts.next().and_then(|part| NAMES.iter().find(|(name, _)| *name == part)).map(|(_, kind)| *kind);
         match (second, kind) {
             (Some(second), Some(kind)) => {
                 Ok(Fault { second, kind, target: parts.next().unwrap_or("").to_string() })
             }
             _ => {
-                let names: Vec<_> = NAMES.iter().map(|n| n.0).collect();
+                let names: Vec<_> = NAMES.iter().map(|(name, _)| *name).collect();
                 Err(format!("{text:?}; allowed: SECOND:WHAT:WHOM, where WHAT is one of {}", names.join(", ")))
             }
         }
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -40,8 +40,8 @@
 }
 
 /// An address of the fleet. Groups 1 to 3 are the nodes of a zone, 51 to 53 their relays, 100 the replicas, 200 callers.
-pub fn ip(net: u8, group: u8, n: u8) -> IpAddr {
-    IpAddr::V4(Ipv4Addr::new(127, net, group, n))
+pub fn ip(net: u8, group: u8, host: u8) -> IpAddr {
+    IpAddr::V4(Ipv4Addr::new(127, net, group, host))
 }
 
 impl Fleet {
@@ -60,12 +60,12 @@
         let relayed = matches!(launcher, Launcher::Processes(_));
         let mut nodes = Vec::new();
         for (zone_index, (zone, _)) in deployment.zones.iter().enumerate() {
-            for n in 0..4u8 {
-                let is_control = n == 0;
-                let number = if is_control { zone_index + 1 } else { zone_index * 3 + n as usize };
+            for index in 0..4u8 {
+                let is_control = index == 0;
+                let number = if is_control { zone_index + 1 } else { zone_index * 3 + index as usize };
                 let name = format!("{}{number}", if is_control { "s" } else { "p" });
-                let own_ip = ip(net, zone_index as u8 + 1, n + 1);
-                let advertised_ip = if relayed { ip(net, zone_index as u8 + 51, n + 1) } else { own_ip };
+                let own_ip = ip(net, zone_index as u8 + 1, index + 1);
+                let advertised_ip = if relayed { ip(net, zone_index as u8 + 51, index + 1) } else { own_ip };
                 nodes.push(Node {
                     dir: dir.join(&name),
                     name,
@@ -83,18 +83,18 @@
         }
         let seeds: Vec<SocketAddr> = nodes
             .iter()
-            .filter(|n| n.is_control)
-            .map(|n| SocketAddr::new(n.advertised_ip, RPC_PORT))
+            .filter(|node| node.is_control)
+            .map(|node| SocketAddr::new(node.advertised_ip, RPC_PORT))
             .collect();
         let relays = Relays::default();
-        for n in nodes.iter().filter(|_| relayed) {
+        for node in nodes.iter().filter(|_| relayed) {
             for port in [RPC_PORT, HTTP_PORT] {
-                relays.add(SocketAddr::new(n.advertised_ip, port), SocketAddr::new(n.ip, port)).await?;
+                relays.add(SocketAddr::new(node.advertised_ip, port), SocketAddr::new(node.ip, port)).await?;
             }
         }
-        for n in &mut nodes {
-            n.seeds = seeds.clone();
-            n.start(&launcher)?;
+        for node in &mut nodes {
+            node.seeds = seeds.clone();
+            node.start(&launcher)?;
         }
         let mut replicas = Vec::new();
         for (service, per_zone) in &deployment.replicas {
@@ -112,9 +112,9 @@
                         warm_prefill_ms: if is_model { 40 } else { 4 },
                         token_ms: if is_model { 12 } else { 1 },
                     };
-                    let n = replicas.len() as u8;
-                    let addr = SocketAddr::new(ip(net, 100, n + 1), 9000);
-                    replicas.push(FakeReplica::new(format!("{service}-{zone}-{n}"), addr, spec));
+                    let index = replicas.len() as u8;
+                    let addr = SocketAddr::new(ip(net, 100, index + 1), 9000);
+                    replicas.push(FakeReplica::new(format!("{service}-{zone}-{index}"), addr, spec));
                 }
             }
         }
@@ -126,28 +126,28 @@
 
     /// An operator of this cluster.
     pub fn operator(&self) -> Operator {
-        let voters = self.nodes.iter().filter(|n| n.is_control).map(|n| n.http()).collect();
+        let voters = self.nodes.iter().filter(|node| node.is_control).map(|node| node.http()).collect();
         Operator { ip: self.caller_ip(), voters }
     }
 
     /// What the audit needs to know of the fleet.
     pub fn topology(&self) -> Topology {
-        let routers = self.nodes.iter().filter(|n| !n.is_control);
+        let routers = self.nodes.iter().filter(|node| !node.is_control);
         Topology {
-            routers: routers.map(|n| (n.name.clone(), n.zone, n.http())).collect(),
+            routers: routers.map(|node| (node.name.clone(), node.zone, node.http())).collect(),
             zones: self.deployment.zones.to_vec(),
             model: self.deployment.replicas[0].0,
         }
     }
 
-    /// The address that operators and scrapes call from.
+    /// The address that operators and requests for metrics come from.
     pub fn caller_ip(&self) -> IpAddr {
         ip(self.net, 200, 1)
     }
 
     /// The node of this name.
     pub fn node(&mut self, name: &str) -> Result<&mut Node> {
-        self.nodes.iter_mut().find(|n| n.name == name).ok_or_else(|| eyre!("no node {name:?}"))
+        self.nodes.iter_mut().find(|node| node.name == name).ok_or_else(|| eyre!("no node {name:?}"))
     }
 
     /// The replica of this id.
@@ -181,32 +181,36 @@
         }
         let response = operator.apply(&self.deployment.document, 0, "first").await;
         eyre::ensure!(
-            response.as_ref().is_some_and(|r| r.0 == 200),
+            response.as_ref().is_some_and(|(code, _)| *code == 200),
             "the first document was not accepted: {response:?}"
         );
-        for n in self.nodes.iter().filter(|n| !n.is_control) {
+        for node in self.nodes.iter().filter(|node| !node.is_control) {
             let mut ready = false;
             for _ in 0..100 {
-                ready = self.is_ready(n).await;
+                ready = self.is_ready(node).await;
                 if ready {
                     break;
                 }
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
-            eyre::ensure!(ready, "router {} is not ready after 10 s", n.name);
+            eyre::ensure!(ready, "router {} is not ready after 10 s", node.name);
         }
         Ok(())
     }
 
-    /// A counter with one label, summed over all routers that answer, by the value of that label.
+    /// A counter with one label, by the value of that label, summed over all routers that answer. `metric` is the name
+    /// of the counter up to and including `{`.
     pub async fn counter_by_label(&self, metric: &str) -> std::collections::BTreeMap<String, f64> {
         let mut totals = std::collections::BTreeMap::new();
-        for n in self.nodes.iter().filter(|n| !n.is_control && n.is_running()) {
+        for node in self.nodes.iter().filter(|node| !node.is_control && node.is_running()) {
             let response =
-                send_request(self.caller_ip(), n.http(), Method::GET, "/metrics", &[], "", 2_000).await;
-            for line in String::from_utf8_lossy(&response.map(|r| r.2).unwrap_or_default()).lines() {
-                let row = line.strip_prefix(metric).and_then(|r| r.split_once("=\"")).map(|r| r.1);
-                if let Some((label, value)) = row.and_then(|r| r.split_once("\"} ")) {
+                send_request(self.caller_ip(), node.http(), Method::GET, "/metrics", &[], "", 2_000).await;
+            for line in
+                String::from_utf8_lossy(&response.map(|(_, _, body)| body).unwrap_or_default()).lines()
+            {
+                let row =
+                    line.strip_prefix(metric).and_then(|rest| rest.split_once("=\"")).map(|(_, rest)| rest);
+                if let Some((label, value)) = row.and_then(|rest| rest.split_once("\"} ")) {
                     *totals.entry(label.to_string()).or_default() += value.parse::<f64>().unwrap_or(0.0);
                 }
             }
@@ -215,16 +219,17 @@
     }
 
     /// Whether a node reports that it is ready.
-    pub async fn is_ready(&self, n: &Node) -> bool {
-        let response = send_request(self.caller_ip(), n.http(), Method::GET, "/readyz", &[], "", 1_000).await;
-        response.is_ok_and(|r| r.0.is_success())
+    pub async fn is_ready(&self, node: &Node) -> bool {
+        let response =
+            send_request(self.caller_ip(), node.http(), Method::GET, "/readyz", &[], "", 1_000).await;
+        response.is_ok_and(|(status, _, _)| status.is_success())
     }
 
     /// Kills all nodes and stops all replicas.
     pub async fn stop(&mut self) {
-        for n in &mut self.nodes {
-            let _ = n.thaw();
-            let _ = n.kill().await;
+        for node in &mut self.nodes {
+            let _ = node.thaw();
+            let _ = node.kill().await;
         }
         self.replicas.iter().for_each(|replica| replica.crash());
     }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -134,11 +134,15 @@
             ensure!((0.01..=100.0).contains(&rate), "--rate: {rate}; allowed: 0.01 to 100");
             ensure!((0.0..=600.0).contains(&settle), "--settle: {settle}; allowed: 0 to 600");
             ensure!((1..=254).contains(&net), "--net: {net}; allowed: 1 to 254");
-            let in_use = std::fs::read_dir(&dir).is_ok_and(|mut d| d.next().is_some());
+            let in_use = std::fs::read_dir(&dir).is_ok_and(|mut files| files.next().is_some());
             ensure!(!in_use, "--dir: {dir:?} is not empty; allowed: a new or empty folder");
             let mut deployment = deployment(firm);
-            replace.iter().try_for_each(|r| deployment.replace(r)).map_err(|e| eyre!("--replace: {e}"))?;
-            let crowd_known = crowd.as_ref().is_none_or(|c| deployment.regions().contains(&c.as_str()));
+            replace
+                .iter()
+                .try_for_each(|rule| deployment.replace(rule))
+                .map_err(|e| eyre!("--replace: {e}"))?;
+            let crowd_known =
+                crowd.as_ref().is_none_or(|region| deployment.regions().contains(&region.as_str()));
             ensure!(crowd_known, "--crowd: {crowd:?}; allowed: {}", deployment.regions().join(", "));
             let mut fleet = Fleet::start(deployment, &dir, net).await?;
             if chaos {
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -101,7 +101,9 @@
         }
         self.running = Some(match launcher {
             Launcher::Processes(bin) => RunningNode::Process(self.spawn_process(bin)?),
-            Launcher::Simulation(w) => RunningNode::Simulated(SimulatedProcess::start(w, self)),
+            Launcher::Simulation(simulation) => {
+                RunningNode::Simulated(SimulatedProcess::start(simulation, self))
+            }
         });
         Ok(())
     }
@@ -125,15 +127,15 @@
     /// Process id of a real process, while it runs.
     pub fn pid(&self) -> Option<u32> {
         match &self.running {
-            Some(RunningNode::Process(c)) => c.id(),
+            Some(RunningNode::Process(child)) => child.id(),
             _ => None,
         }
     }
 
     fn signal(&self, signal: Signal) -> Result<()> {
         match &self.running {
-            Some(RunningNode::Process(c)) => {
-                let pid = c.id().ok_or_else(|| eyre!("{} has ended", self.name))?;
+            Some(RunningNode::Process(child)) => {
+                let pid = child.id().ok_or_else(|| eyre!("{} has ended", self.name))?;
                 Ok(kill(Pid::from_raw(pid as i32), signal)?)
             }
             _ => bail!("{} is not running", self.name),
@@ -143,8 +145,8 @@
     /// Suspends it, with its connections open.
     pub fn freeze(&self) -> Result<()> {
         match &self.running {
-            Some(RunningNode::Simulated(h)) => {
-                h.host.freeze();
+            Some(RunningNode::Simulated(process)) => {
+                process.host.freeze();
                 Ok(())
             }
             _ => self.signal(Signal::SIGSTOP),
@@ -154,8 +156,8 @@
     /// Resumes it.
     pub fn thaw(&self) -> Result<()> {
         match &self.running {
-            Some(RunningNode::Simulated(h)) => {
-                h.host.thaw();
+            Some(RunningNode::Simulated(process)) => {
+                process.host.thaw();
                 Ok(())
             }
             _ => self.signal(Signal::SIGCONT),
@@ -165,8 +167,8 @@
     /// Kills it; does nothing if it is not running.
     pub async fn kill(&mut self) -> Result<()> {
         match self.running.take() {
-            Some(RunningNode::Process(mut c)) => c.kill().await?,
-            Some(RunningNode::Simulated(h)) => h.kill(&self.disk).await,
+            Some(RunningNode::Process(mut child)) => child.kill().await?,
+            Some(RunningNode::Simulated(process)) => process.kill(&self.disk).await,
             None => {}
         }
         Ok(())
@@ -175,8 +177,8 @@
     /// The machine loses power; a real process is killed instead.
     pub async fn power_off(&mut self) -> Result<()> {
         match self.running.take() {
-            Some(RunningNode::Simulated(h)) => {
-                h.power_off(&self.disk).await;
+            Some(RunningNode::Simulated(process)) => {
+                process.power_off(&self.disk).await;
                 Ok(())
             }
             running => {
@@ -191,15 +193,15 @@
         let started = tokio::time::Instant::now();
         let limit = Duration::from_secs(90);
         match self.running.take() {
-            Some(RunningNode::Process(mut c)) => {
-                let pid = c.id().ok_or_else(|| eyre!("{} has ended", self.name))?;
+            Some(RunningNode::Process(mut child)) => {
+                let pid = child.id().ok_or_else(|| eyre!("{} has ended", self.name))?;
                 kill(Pid::from_raw(pid as i32), Signal::SIGTERM)?;
-                tokio::time::timeout(limit, c.wait())
+                tokio::time::timeout(limit, child.wait())
                     .await
                     .wrap_err("still running 90 s after SIGTERM")??;
             }
-            Some(RunningNode::Simulated(h)) => {
-                tokio::time::timeout(limit, h.stop(&self.disk))
+            Some(RunningNode::Simulated(process)) => {
+                tokio::time::timeout(limit, process.stop(&self.disk))
                     .await
                     .wrap_err("still running 90 s after the stop")?;
             }
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -41,10 +41,10 @@
         matches!(self.ask(Method::POST, "/v1/replicas", &[], &body).await, Some((200, _)))
     }
 
-    /// Applies a document on a base revision; `op` is the operation id.
-    pub async fn apply(&self, text: &str, base: u64, op: &str) -> Option<(u16, serde_json::Value)> {
+    /// Applies a document on a base revision; `operation` is its id.
+    pub async fn apply(&self, text: &str, base: u64, operation: &str) -> Option<(u16, serde_json::Value)> {
         let base = base.to_string();
-        let headers = [("if-match", base.as_str()), ("foldshunt-op", op)];
+        let headers = [("if-match", base.as_str()), ("foldshunt-op", operation)];
         let (code, answer) = self.ask(Method::PUT, "/v1/timetable", &headers, text).await?;
         Some((code, serde_json::from_slice(&answer).unwrap_or_default()))
     }
@@ -94,11 +94,11 @@
         (code == 200).then(|| serde_json::from_slice(&answer).ok()).flatten()
     }
 
-    /// Evacuates a zone, or ends its evacuation.
-    pub async fn evacuate(&self, zone: &str, on: bool) -> bool {
+    /// Evacuates a zone, or ends its evacuation if `start` is false.
+    pub async fn evacuate(&self, zone: &str, start: bool) -> bool {
         let body = serde_json::json!({"area": zone}).to_string();
         let path = format!("/v1/evacuations/{zone}");
-        let result = if on {
+        let result = if start {
             self.ask(Method::POST, "/v1/evacuations", &[], &body).await
         } else {
             self.ask(Method::DELETE, &path, &[], "").await
@@ -109,17 +109,23 @@
 
 impl Operator {
     /// Applies a document at the leader, and waits until all nodes confirm that they use it.
-    pub async fn apply_waiting(&self, text: &str, base: u64, op: &str) -> Option<(u16, serde_json::Value)> {
+    pub async fn apply_waiting(
+        &self,
+        text: &str,
+        base: u64,
+        operation: &str,
+    ) -> Option<(u16, serde_json::Value)> {
         let leader = self.status().await.and_then(|status| {
             let name = status["leader"].as_str()?.to_string();
             let voters = status["roster"].as_array()?.clone();
-            voters.iter().find(|v| v["node"] == name.as_str())?["http"].as_str()?.parse().ok()
+            voters.iter().find(|voter| voter["node"] == name.as_str())?["http"].as_str()?.parse().ok()
         });
         let voters = leader.into_iter().chain(self.voters.iter().copied()).collect();
-        let first = Operator { voters, ..self.clone() };
+        let leader_first = Operator { voters, ..self.clone() };
         let base = base.to_string();
-        let headers = [("if-match", base.as_str()), ("foldshunt-op", op)];
-        let (code, answer) = first.ask(Method::PUT, "/v1/timetable?wait_ms=5000", &headers, text).await?;
+        let headers = [("if-match", base.as_str()), ("foldshunt-op", operation)];
+        let (code, answer) =
+            leader_first.ask(Method::PUT, "/v1/timetable?wait_ms=5000", &headers, text).await?;
         Some((code, serde_json::from_slice(&answer).unwrap_or_default()))
     }
 }
--- a/crates/simulator/src/relay.rs
+++ b/crates/simulator/src/relay.rs
@@ -32,18 +32,18 @@
 }
 
 impl Relays {
-    /// Listens at `at` and relays every connection to `to`.
-    pub async fn add(&self, at: SocketAddr, to: SocketAddr) -> std::io::Result<()> {
-        let listener = TcpListener::bind(at).await?;
+    /// Listens at `listen_at` and relays every connection to `target`.
+    pub async fn add(&self, listen_at: SocketAddr, target: SocketAddr) -> std::io::Result<()> {
+        let listener = TcpListener::bind(listen_at).await?;
         let blocked = self.blocked.clone();
         tokio::spawn(async move {
             loop {
                 let Ok((near, from)) = listener.accept().await else { continue };
                 let blocked = blocked.clone();
                 tokio::spawn(async move {
-                    let link = (from.ip(), to.ip());
+                    let link = (from.ip(), target.ip());
                     wait_until_unblocked(&blocked, link).await;
-                    let Ok(far) = TcpStream::connect(to).await else { return };
+                    let Ok(far) = TcpStream::connect(target).await else { return };
                     let _ = (near.set_nodelay(true), far.set_nodelay(true));
                     let ((near_reader, near_writer), (far_reader, far_writer)) =
                         (near.into_split(), far.into_split());
@@ -62,35 +62,42 @@
 
     /// Blocks these links.
     pub fn cut(&self, links: impl IntoIterator<Item = (IpAddr, IpAddr)>) {
-        self.blocked.send_modify(|c| c.extend(links));
+        self.blocked.send_modify(|blocked| blocked.extend(links));
     }
 
     /// Unblocks these links.
     pub fn heal(&self, links: &BlockedLinks) {
-        self.blocked.send_modify(|c| c.retain(|p| !links.contains(p)));
+        self.blocked.send_modify(|blocked| blocked.retain(|link| !links.contains(link)));
     }
 }
 
 impl Fleet {
     /// The links that a cut names: `p1` to and from all others, `p1>` only from it, `s1--s2` between the two.
     pub fn links_of(&self, target: &str) -> BlockedLinks {
-        let named = |n: &str| {
+        let named = |name: &str| {
             self.nodes
                 .iter()
-                .filter(|x| x.name == n || x.zone == n || (n == "core" && x.is_control))
-                .map(|x| x.ip)
+                .filter(|node| node.name == name || node.zone == name || (name == "core" && node.is_control))
+                .map(|node| node.ip)
                 .collect::<Vec<_>>()
         };
-        let all: Vec<IpAddr> = self.nodes.iter().map(|n| n.ip).collect();
+        let all: Vec<IpAddr> = self.nodes.iter().map(|node| node.ip).collect();
         let (from, to, both_ways) = match (target.strip_suffix('>'), target.split_once("--")) {
-            (Some(n), _) => (named(n), all, false),
+            (Some(name), _) => (named(name), all, false),
             (_, Some((from, to))) => (named(from), named(to), true),
             _ => (named(target), all, true),
         };
         let inside = from.clone();
-        let outgoing = from.iter().flat_map(|x| to.iter().map(move |y| (*x, *y)));
-        let outgoing: Vec<_> = outgoing.filter(|(_, y)| !inside.contains(y)).collect();
-        outgoing.iter().flat_map(|(x, y)| [Some((*x, *y)), both_ways.then_some((*y, *x))]).flatten().collect()
+        let outgoing =
+            from.iter().flat_map(|source| to.iter().map(move |destination| (*source, *destination)));
+        let outgoing: Vec<_> = outgoing.filter(|(_, destination)| !inside.contains(destination)).collect();
+        outgoing
+            .iter()
+            .flat_map(|(source, destination)| {
+                [Some((*source, *destination)), both_ways.then_some((*destination, *source))]
+            })
+            .flatten()
+            .collect()
     }
 
     /// Cuts the links that `target` names.
@@ -111,7 +118,7 @@
 }
 
 async fn wait_until_unblocked(blocked: &watch::Sender<BlockedLinks>, link: (IpAddr, IpAddr)) {
-    let _ = blocked.subscribe().wait_for(|c| !c.contains(&link)).await;
+    let _ = blocked.subscribe().wait_for(|links| !links.contains(&link)).await;
 }
 
 /// Copies bytes in one direction, and holds them back while the link is blocked.
@@ -122,9 +129,9 @@
     link: (IpAddr, IpAddr),
 ) {
     let mut buf = vec![0u8; 16 << 10];
-    while let Ok(n) = reader.read(&mut buf).await {
+    while let Ok(count) = reader.read(&mut buf).await {
         wait_until_unblocked(blocked, link).await;
-        if n == 0 || writer.write_all(&buf[..n]).await.is_err() {
+        if count == 0 || writer.write_all(&buf[..count]).await.is_err() {
             break;
         }
     }
--- a/crates/simulator/src/replacements.rs
+++ b/crates/simulator/src/replacements.rs
@@ -13,11 +13,11 @@
     sync::{Arc, Mutex},
 };
 
-/// Address of the machine that replaces one at `of`.
-fn replacement_ip(of: IpAddr) -> IpAddr {
-    match of {
-        IpAddr::V4(v) => {
-            let [a, b, c, d] = v.octets();
+/// Address of the machine that replaces the one at `old`.
+fn replacement_ip(old: IpAddr) -> IpAddr {
+    match old {
+        IpAddr::V4(address) => {
+            let [a, b, c, d] = address.octets();
             IpAddr::V4(Ipv4Addr::new(a, b, c, d + 8))
         }
         other => other,
@@ -28,7 +28,7 @@
     /// Starts an empty control node in the same zone, at a new address, in place of a voter that is gone.
     pub fn start_replacement(&mut self, name: &str) -> Result<()> {
         let old = self.node(name)?;
-        let node = Node {
+        let new = Node {
             name: format!("{name}-new"),
             dir: old.dir.with_file_name(format!("{name}-new")),
             zone: old.zone,
@@ -41,9 +41,9 @@
             running: None,
             disk: Arc::new(Mutex::new(SimDisk::new(None, SizeLimits::default()))),
         };
-        let name = node.name.clone();
-        self.nodes.retain(|o| o.name != name);
-        self.nodes.push(node);
+        let name = new.name.clone();
+        self.nodes.retain(|node| node.name != name);
+        self.nodes.push(new);
         self.start_node(&name)
     }
 
--- a/crates/simulator/src/replica_log.rs
+++ b/crates/simulator/src/replica_log.rs
@@ -14,7 +14,7 @@
     /// Path of the request.
     pub path: String,
     /// When it began.
-    pub at: Instant,
+    pub began_at: Instant,
     /// Whether its prompt prefix was in the cache.
     pub warm: bool,
     /// Open runs at this replica when this one began, including itself.
--- a/crates/simulator/src/request_audit.rs
+++ b/crates/simulator/src/request_audit.rs
@@ -11,8 +11,8 @@
 /// Audits one request against its runs.
 pub fn audit_call(audit: &mut Audit, result: &CallResult, runs: &[(Arc<FakeReplica>, RequestRun)]) {
     let note = |audit: &mut Audit, what: &str| {
-        let at: Vec<String> = runs.iter().map(|r| r.0.id.clone()).collect();
-        audit.note(what, &format!("{} {:?} ran at {at:?}", result.call.request_id, result.outcome));
+        let replica_ids: Vec<String> = runs.iter().map(|(replica, _)| replica.id.clone()).collect();
+        audit.note(what, &format!("{} {:?} ran at {replica_ids:?}", result.call.request_id, result.outcome));
     };
     if result.call.once && runs.len() > 1 {
         note(audit, "doubled");
@@ -46,7 +46,7 @@
             audit.broken += 1;
             *audit.broken_reasons.entry(reason.clone()).or_default() += 1;
         }
-        CallOutcome::NotAsked => audit.not_sent += 1,
+        CallOutcome::NotSent => audit.not_sent += 1,
         CallOutcome::Garbled(_) => {
             note(audit, "garbled");
             audit.garbled += 1;
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a fleet, of processes or simulated: brought up, put under load, audited (design 7.5).
+//! One run of a fleet of real processes or simulated nodes, from its start to the audit (design 7.5).
 
 use crate::{
     audit::{Audit, audit},
@@ -37,15 +37,19 @@
     audit.retries = attempts.get("extra").copied().unwrap_or(0.0);
     audit.hops = attempts.get("hop").copied().unwrap_or(0.0);
     audit.retry_ratio = audit.retries / audit.requests.max(1) as f64;
-    let routers = fleet.nodes.iter().filter(|n| !n.is_control).count();
+    let routers = fleet.nodes.iter().filter(|node| !node.is_control).count();
     let allowed = MAX_RETRY_RATIO * audit.requests as f64
         + (INITIAL_RETRIES_PER_ROUTER * (routers + record.actions.len())) as f64;
     audit.retries_over_limit = (audit.retries - allowed).max(0.0).ceil() as usize;
     let expected = submissions::newest_accepted(&record.actions, &fleet.deployment.document);
     audit.read_back_exact = Some(document.as_ref() == Some(&expected));
-    let refused =
-        record.actions.iter().flat_map(|x| &x.submissions).filter(|p| p.outcome == DocumentOutcome::Refused);
-    audit.refused_document_read_back = refused.filter(|p| document.as_ref() == Some(&p.text)).count();
+    let refused = record
+        .actions
+        .iter()
+        .flat_map(|action| &action.submissions)
+        .filter(|submission| submission.outcome == DocumentOutcome::Refused);
+    audit.refused_document_read_back =
+        refused.filter(|submission| document.as_ref() == Some(&submission.text)).count();
     Ok(audit)
 }
 
--- a/crates/simulator/src/simulated_process.rs
+++ b/crates/simulator/src/simulated_process.rs
@@ -111,7 +111,9 @@
 
 /// Retries until the disk accepts writes again, as the daemon's own log writer does.
 async fn recover(core: Weak<ControlNode>, disk: Arc<Mutex<SimDisk>>) {
-    let Some(timing) = core.upgrade().map(|c| c.settings.timing.clone()) else { return };
+    let Some(timing) = core.upgrade().map(|control_node| control_node.settings.timing.clone()) else {
+        return;
+    };
     let mut retry = RecoveryBackoff::new(&timing);
     let image = loop {
         sleep(retry.wait()).await;
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -23,33 +23,34 @@
     };
     // When a zone is lost together with the router that tracks its replicas, and is back within three health
     // checks, no router noticed the loss.
-    let zone_losses = record.actions.iter().filter(|x| {
-        x.fault.kind == FaultKind::KillArea && x.fault.target == target && x.started < action.started
+    let zone_losses = record.actions.iter().filter(|other| {
+        other.fault.kind == FaultKind::KillArea
+            && other.fault.target == target
+            && other.started < action.started
     });
     let undetected = action.fault.kind == FaultKind::StartArea
         && zone_losses
-            .map(|x| x.started)
+            .map(|loss| loss.started)
             .max()
             .is_some_and(|at| action.started.duration_since(at) < UNDETECTED_OUTAGE);
     if undetected {
         return;
     }
     for replica in replicas.iter().filter(concerned) {
-        let down_again =
-            record.actions.iter().filter(|x| x.started > action.started).find(|x| match x.fault.kind {
+        let down_again = record.actions.iter().filter(|other| other.started > action.started).find(|other| {
+            match other.fault.kind {
                 FaultKind::Crash | FaultKind::Mute | FaultKind::Lose | FaultKind::Take => {
-                    x.fault.target == replica.id
+                    other.fault.target == replica.id
                 }
-                FaultKind::KillArea => x.fault.target == replica.spec.zone,
+                FaultKind::KillArea => other.fault.target == replica.spec.zone,
                 _ => false,
-            });
+            }
+        });
         let mut most_open = vec![0usize; 15];
-        for run in replica
-            .runs()
-            .iter()
-            .filter(|run| run.at > action.started && down_again.is_none_or(|fault| run.at < fault.started))
-        {
-            let seconds_up = run.at.duration_since(action.started).as_secs_f64();
+        for run in replica.runs().iter().filter(|run| {
+            run.began_at > action.started && down_again.is_none_or(|fault| run.began_at < fault.started)
+        }) {
+            let seconds_up = run.began_at.duration_since(action.started).as_secs_f64();
             if (seconds_up as usize) < most_open.len() {
                 most_open[seconds_up as usize] = most_open[seconds_up as usize].max(run.open);
             }
--- a/crates/simulator/src/submissions.rs
+++ b/crates/simulator/src/submissions.rs
@@ -10,7 +10,7 @@
     Accepted(u64),
     /// It will never take effect.
     Refused,
-    /// There was no answer, or none that said whether it was accepted.
+    /// There was no answer, or the answer did not say whether it was accepted.
     Undetermined,
 }
 
@@ -18,17 +18,17 @@
 #[derive(Clone, Debug)]
 pub struct Submission {
     /// Operation id.
-    pub op: String,
+    pub operation: String,
     /// The document.
     pub text: String,
     /// What became of it, as far as the operator knows.
     pub outcome: DocumentOutcome,
     /// When the operator learned its outcome.
-    pub at: Instant,
+    pub resolved_at: Instant,
 }
 
 impl Submission {
-    fn new(op: &str, text: &str, answer: &Option<(u16, serde_json::Value)>) -> Submission {
+    fn new(operation: &str, text: &str, answer: &Option<(u16, serde_json::Value)>) -> Submission {
         let outcome = match answer {
             Some((200, body)) => body["revision"]
                 .as_u64()
@@ -37,7 +37,7 @@
             Some((412 | 422, _)) => DocumentOutcome::Refused,
             _ => DocumentOutcome::Undetermined,
         };
-        Submission { op: op.into(), text: text.into(), outcome, at: Instant::now() }
+        Submission { operation: operation.into(), text: text.into(), outcome, resolved_at: Instant::now() }
     }
 }
 
@@ -53,22 +53,23 @@
         return;
     };
     let text = with_comment(&document, fault, 0);
-    let at = Instant::now();
+    let submitted_at = Instant::now();
     let name = format!("apply-{seed}-{}", fault.second);
     let answer = operator.apply_waiting(&text, base, &name).await;
-    action.ok = answer.as_ref().is_some_and(|r| r.0 == 200 && r.1["governs"] == true);
-    action.in_force_ms = Some(at.elapsed().as_millis() as u64);
+    action.ok = answer.as_ref().is_some_and(|(code, body)| *code == 200 && body["governs"] == true);
+    action.in_force_ms = Some(submitted_at.elapsed().as_millis() as u64);
     action.submissions.push(Submission::new(&name, &text, &answer));
 }
 
 /// Applies three documents in quick succession.
 pub async fn burst(operator: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
-    for n in 1..=3 {
+    for number in 1..=3 {
         let Some((document, base)) = operator.document_and_revision().await else {
             action.ok = false;
             return;
         };
-        let (text, name) = (with_comment(&document, fault, n), format!("burst-{seed}-{}-{n}", fault.second));
+        let (text, name) =
+            (with_comment(&document, fault, number), format!("burst-{seed}-{}-{number}", fault.second));
         let answer = operator.apply(&text, base, &name).await;
         action.ok &= matches!(answer, Some((200, _)));
         action.submissions.push(Submission::new(&name, &text, &answer));
@@ -84,12 +85,13 @@
     let texts: Vec<String> = (1..=2).map(|n| with_comment(&document, fault, n)).collect();
     let names: Vec<String> = (1..=2).map(|n| format!("race-{seed}-{}-{n}", fault.second)).collect();
     let other = operator.with_rotated_voters();
-    let (a, b) =
+    let (first, second) =
         tokio::join!(operator.apply(&texts[0], base, &names[0]), other.apply(&texts[1], base, &names[1]));
-    let codes: Vec<u16> = [&a, &b].iter().filter_map(|r| r.as_ref().map(|r| r.0)).collect();
+    let codes: Vec<u16> =
+        [&first, &second].iter().filter_map(|answer| answer.as_ref().map(|(code, _)| *code)).collect();
     action.ok = codes.contains(&200) && codes.contains(&412);
-    for (n, r) in [a, b].iter().enumerate() {
-        action.submissions.push(Submission::new(&names[n], &texts[n], r));
+    for (index, answer) in [first, second].iter().enumerate() {
+        action.submissions.push(Submission::new(&names[index], &texts[index], answer));
     }
 }
 
@@ -104,15 +106,17 @@
     let body = serde_json::json!({"replace": [{"find": "slots = 4", "with": with}]}).to_string();
     let name = format!("patch-{seed}-{}", fault.second);
     let (base, line) =
-        (base.to_string(), document.lines().find(|l| l.starts_with("slots = 4")).map(str::to_string));
+        (base.to_string(), document.lines().find(|line| line.starts_with("slots = 4")).map(str::to_string));
     let headers = [("if-match", base.as_str()), ("foldshunt-op", name.as_str())];
     let (evacuated, answer) = tokio::join!(
         operator.evacuate(&fault.target, true),
         other.ask(hyper::Method::PATCH, "/v1/timetable", &headers, &body)
     );
     action.ok = evacuated;
-    let text = line.map(|l| document.replacen(&l, &l.replacen("slots = 4", &with, 1), 1)).unwrap_or_default();
-    let answer = answer.map(|(c, b)| (c, serde_json::from_slice(&b).unwrap_or_default()));
+    let text = line
+        .map(|line| document.replacen(&line, &line.replacen("slots = 4", &with, 1), 1))
+        .unwrap_or_default();
+    let answer = answer.map(|(code, body)| (code, serde_json::from_slice(&body).unwrap_or_default()));
     action.submissions.push(Submission::new(&name, &text, &answer));
 }
 
@@ -121,12 +125,13 @@
 pub async fn resolve_undetermined(operator: &Operator, actions: &mut [Action]) {
     for submission in actions
         .iter_mut()
-        .flat_map(|a| a.submissions.iter_mut())
+        .flat_map(|action| action.submissions.iter_mut())
         .filter(|submission| submission.outcome == DocumentOutcome::Undetermined)
     {
-        let answer = operator.ask(hyper::Method::GET, &format!("/v1/ops/{}", submission.op), &[], "").await;
+        let answer =
+            operator.ask(hyper::Method::GET, &format!("/v1/ops/{}", submission.operation), &[], "").await;
         let status: serde_json::Value =
-            answer.and_then(|(_, b)| serde_json::from_slice(&b).ok()).unwrap_or_default();
+            answer.and_then(|(_, body)| serde_json::from_slice(&body).ok()).unwrap_or_default();
         submission.outcome = match status["outcome"].as_str() {
             Some("accepted") => status["revision"]
                 .as_u64()
@@ -135,16 +140,16 @@
             Some("refused") => DocumentOutcome::Refused,
             _ => DocumentOutcome::Undetermined,
         };
-        submission.at = Instant::now();
+        submission.resolved_at = Instant::now();
     }
 }
 
 /// The newest accepted document of all submissions; without any, the first document.
 pub fn newest_accepted(actions: &[Action], first: &str) -> String {
-    let submissions = actions.iter().flat_map(|a| &a.submissions);
+    let submissions = actions.iter().flat_map(|action| &action.submissions);
     let accepted = submissions.filter_map(|submission| match submission.outcome {
-        DocumentOutcome::Accepted(r) => Some((r, submission.text.as_str())),
+        DocumentOutcome::Accepted(revision) => Some((revision, submission.text.as_str())),
         _ => None,
     });
-    accepted.max_by_key(|a| a.0).map_or(first, |a| a.1).to_string()
+    accepted.max_by_key(|(revision, _)| *revision).map_or(first, |(_, text)| text).to_string()
 }
--- a/crates/simulator/src/timeline.rs
+++ b/crates/simulator/src/timeline.rs
@@ -1,4 +1,5 @@
-//! What was down and when, from the actions of a run (design 7.5); tells when a request could have been served.
+//! What was down and when, derived from the actions of a run, and so when a request could have been served
+//! (design 7.5).
 
 use crate::{actions::Action, fake_replica::FakeReplica, fault::FaultKind};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
@@ -17,7 +18,7 @@
 impl Topology {
     /// Region of a zone; empty if the zone is unknown.
     pub fn region_of(&self, zone: &str) -> &'static str {
-        self.zones.iter().find(|action| action.0 == zone).map_or("", |action| action.1)
+        self.zones.iter().find(|(name, _)| *name == zone).map_or("", |(_, region)| *region)
     }
 }
 
@@ -39,8 +40,9 @@
         for action in actions {
             let target = action.fault.target.trim_end_matches('>').to_string();
             let routers = || -> Vec<String> {
-                let inside = |r: &&(String, &str, SocketAddr)| r.0 == target || r.1 == target;
-                topology.routers.iter().filter(inside).map(|r| r.0.clone()).collect()
+                let inside =
+                    |(name, zone, _): &&(String, &str, SocketAddr)| *name == target || *zone == target;
+                topology.routers.iter().filter(inside).map(|(name, _, _)| name.clone()).collect()
             };
             let replica_ids = || -> Vec<String> {
                 replicas
@@ -86,8 +88,8 @@
     }
 
     fn mark_down(&mut self, names: Vec<String>, at: Instant) {
-        for n in names {
-            let spans = self.0.entry(n).or_default();
+        for name in names {
+            let spans = self.0.entry(name).or_default();
             if spans.last().is_none_or(|span| span.1.is_some()) {
                 spans.push((at, None));
             }
@@ -95,8 +97,8 @@
     }
 
     fn mark_up(&mut self, names: Vec<String>, at: Instant) {
-        for n in names {
-            let last = self.0.get_mut(&n).and_then(|spans| spans.last_mut());
+        for name in names {
+            let last = self.0.get_mut(&name).and_then(|spans| spans.last_mut());
             last.into_iter().filter(|span| span.1.is_none()).for_each(|span| span.1 = Some(at));
         }
     }
@@ -122,14 +124,13 @@
         at: Instant,
     ) -> bool {
         let in_use = |zone: &str| self.is_up(&evacuation_key(zone), at);
-        homes.iter().any(|h| {
-            let has_router = topology
-                .routers
-                .iter()
-                .any(|r| topology.region_of(r.1) == *h && in_use(r.1) && self.is_up(&r.0, at));
+        homes.iter().any(|home| {
+            let has_router = topology.routers.iter().any(|(name, zone, _)| {
+                topology.region_of(zone) == *home && in_use(zone) && self.is_up(name, at)
+            });
             let has_replica = replicas.iter().any(|replica| {
                 replica.spec.service == service
-                    && replica.spec.region == *h
+                    && replica.spec.region == *home
                     && in_use(&replica.spec.zone)
                     && self.is_up(&replica.id, at)
             });
@@ -137,7 +138,8 @@
         })
     }
 
-    /// Since when such a request could be served without interruption up to `at`; `None` if it cannot at `at`.
+    /// The earliest time, not before `began`, from which such a request could be served without interruption up to `at`;
+    /// `None` if it could not be served at `at`.
     pub fn servable_since(
         &self,
         topology: &Topology,
@@ -147,20 +149,20 @@
         at: Instant,
         began: Instant,
     ) -> Option<Instant> {
-        let ok = |time: Instant| self.can_serve(topology, replicas, service, homes, time);
-        if !ok(at) {
+        let servable = |time: Instant| self.can_serve(topology, replicas, service, homes, time);
+        if !servable(at) {
             return None;
         }
         let mut edges: Vec<Instant> =
             self.0.values().flatten().flat_map(|span| [Some(span.0), span.1]).flatten().collect();
-        edges.retain(|end| *end <= at && *end >= began);
+        edges.retain(|edge| *edge <= at && *edge >= began);
         edges.sort();
         let mut since = at;
-        for end in edges.into_iter().rev() {
-            if !ok(end) {
+        for edge in edges.into_iter().rev() {
+            if !servable(edge) {
                 return Some(since);
             }
-            since = end;
+            since = edge;
         }
         Some(began)
     }
--- a/crates/simulator/src/traffic.rs
+++ b/crates/simulator/src/traffic.rs
@@ -39,7 +39,7 @@
 fn draw_users(deployment: &Deployment, rng: &mut SmallRng) -> Vec<User> {
     let regions = deployment.regions();
     (0..USERS)
-        .map(|n| {
+        .map(|index| {
             let mut rest: f64 = rng.random();
             let tenant = deployment.tenants.iter().find(|tenant| {
                 rest -= tenant.1;
@@ -47,10 +47,10 @@
             });
             let tenant = tenant.unwrap_or(&deployment.tenants[0]);
             User {
-                name: format!("u{n}"),
+                name: format!("u{index}"),
                 tenant: tenant.0,
                 home: tenant.2,
-                region: regions[n % regions.len()],
+                region: regions[index % regions.len()],
             }
         })
         .collect()
@@ -61,11 +61,14 @@
     deployment
         .regions()
         .into_iter()
-        .filter(|r| kind.homes.is_none_or(|h| h == *r) && user.home.is_none_or(|h| h == *r))
+        .filter(|region| {
+            kind.homes.is_none_or(|home| home == *region) && user.home.is_none_or(|home| home == *region)
+        })
         .collect()
 }
 
-/// Traffic alternates between long prompts and long answers: by how many times each is longer now.
+/// Factors by which prompts and answers are longer than usual at this time: the traffic changes every ten seconds
+/// between usual lengths, long prompts and long answers.
 fn length_factors(now: f64) -> (usize, usize) {
     match (now / 10.0) as u64 % 3 {
         0 => (1, 1),
@@ -76,8 +79,8 @@
 
 /// Whether a user is using another region: a fifth of them at any time, for 15 s each.
 fn is_away(user: &User, now: f64) -> bool {
-    let n: u64 = user.name[1..].parse().unwrap_or(0);
-    n % 5 == (now / 15.0) as u64 % 5
+    let user_number: u64 = user.name[1..].parse().unwrap_or(0);
+    user_number % 5 == (now / 15.0) as u64 % 5
 }
 
 /// The request with this number.
@@ -130,8 +133,8 @@
     let routers: Vec<(SocketAddr, &'static str)> = fleet
         .nodes
         .iter()
-        .filter(|n| !n.is_control)
-        .map(|n| (n.http(), deployment.region_of(n.zone)))
+        .filter(|node| !node.is_control)
+        .map(|node| (node.http(), deployment.region_of(node.zone)))
         .collect();
     let (net, began) = (fleet.net, Instant::now());
     // Traffic goes on while a fault takes its time, such as a process that stops.
@@ -188,20 +191,21 @@
                 let region = if away { deployment.regions()[number as usize % 2] } else { user.region };
                 let region = crowd.as_deref().filter(|_| user.home.is_none()).unwrap_or(region);
                 // Routers of other regions are tried last.
-                let (near, far): (Vec<_>, Vec<_>) = routers.iter().copied().partition(|r| r.1 == region);
+                let (near, far): (Vec<_>, Vec<_>) =
+                    routers.iter().copied().partition(|router| router.1 == region);
                 let first = rng.random_range(0..near.len());
-                let mut candidates: Vec<SocketAddr> = near.iter().map(|r| r.0).collect();
+                let mut candidates: Vec<SocketAddr> = near.iter().map(|router| router.0).collect();
                 candidates.rotate_left(first);
-                candidates.extend(far.iter().map(|r| r.0));
-                let call_to_send = make_call(&deployment, kind, &user, number, seed, length_factors(now));
+                candidates.extend(far.iter().map(|router| router.0));
+                let next_call = make_call(&deployment, kind, &user, number, seed, length_factors(now));
                 // Several source addresses, since each has a limited number of ports.
                 let ip = crate::fleet::ip(net, 200, 1 + (number % 40) as u8);
                 calls.spawn(async move {
                     // Without a connection nothing was sent, so the caller tries the next router.
                     let mut last = None;
                     for router in candidates {
-                        let result = call(ip, router, call_to_send.clone(), Duration::from_secs(90)).await;
-                        let done = result.outcome != CallOutcome::NotAsked;
+                        let result = call(ip, router, next_call.clone(), Duration::from_secs(90)).await;
+                        let done = result.outcome != CallOutcome::NotSent;
                         last = Some(result);
                         if done {
                             break;
