--- a/crates/simulator/src/actions.rs
+++ b/crates/simulator/src/actions.rs
@@ -23,7 +23,7 @@
     /// The fault.
     pub fault: Fault,
     /// Whether it could be carried out, and was accepted where an operator asked.
-    pub ok: bool,
+    pub succeeded: bool,
     /// For a document: how long until all nodes confirmed that they use it, in milliseconds.
     pub in_force_ms: Option<u64>,
     /// The documents submitted.
@@ -39,7 +39,7 @@
         finished: started,
         label,
         fault: fault.clone(),
-        ok: true,
+        succeeded: true,
         in_force_ms: None,
         submissions: vec![],
     };
@@ -57,7 +57,7 @@
             } else {
                 apply_to_machines(fleet, fault).await
             };
-            action.ok = result.unwrap_or(false);
+            action.succeeded = result.unwrap_or(false);
         }
     }
     action.finished = Instant::now();
--- a/crates/simulator/src/audit.rs
+++ b/crates/simulator/src/audit.rs
@@ -170,7 +170,7 @@
     audit.actions = record
         .actions
         .iter()
-        .map(|action| format!("{} ok={} governs_ms={:?}", action.label, action.ok, action.in_force_ms))
+        .map(|action| format!("{} ok={} governs_ms={:?}", action.label, action.succeeded, action.in_force_ms))
         .collect();
     audit
 }
--- a/crates/simulator/src/checks.rs
+++ b/crates/simulator/src/checks.rs
@@ -23,8 +23,8 @@
 pub const EVACUATION_DEADLINE: Duration = Duration::from_secs(5);
 /// Most retries, as a share of all requests.
 pub const MAX_RETRY_RATIO: f64 = 0.2;
-/// How long a rejection may take: the wait for a free slot spans two health checks, three connection attempts and a
-/// node's joining.
+/// How long a rejection may take. It allows for a request to wait for a free slot during two health checks, three
+/// connection attempts and the joining of a node.
 pub const REJECTION_DEADLINE: Duration = Duration::from_secs(5);
 
 /// Runs all checks and counts what they find in the audit.
@@ -168,7 +168,7 @@
 
 /// No run may begin at a replica that left, or in an evacuated zone, after the deadline for it.
 fn check_departures(audit: &mut Audit, record: &RunRecord, replicas: &[Arc<FakeReplica>]) {
-    for action in record.actions.iter().filter(|action| action.ok) {
+    for action in record.actions.iter().filter(|action| action.succeeded) {
         let target = action.fault.target.as_str();
         let later = |kind: FaultKind| {
             let matching = record.actions.iter().filter(|other| {
--- a/crates/simulator/src/node.rs
+++ b/crates/simulator/src/node.rs
@@ -198,12 +198,12 @@
                 kill(Pid::from_raw(pid as i32), Signal::SIGTERM)?;
                 tokio::time::timeout(limit, child.wait())
                     .await
-                    .wrap_err("still running 90 s after SIGTERM")??;
+                    .wrap_err_with(|| format!("{} is still running 90 s after SIGTERM", self.name))??;
             }
             Some(RunningNode::Simulated(process)) => {
-                tokio::time::timeout(limit, process.stop(&self.disk))
-                    .await
-                    .wrap_err("still running 90 s after the stop")?;
+                tokio::time::timeout(limit, process.stop(&self.disk)).await.wrap_err_with(|| {
+                    format!("{} is still running 90 s after it was asked to stop", self.name)
+                })?;
             }
             None => bail!("{} is not running", self.name),
         }
--- a/crates/simulator/src/relay.rs
+++ b/crates/simulator/src/relay.rs
@@ -38,21 +38,20 @@
         let blocked = self.blocked.clone();
         tokio::spawn(async move {
             loop {
-                let Ok((near, from)) = listener.accept().await else { continue };
+                let Ok((incoming, from)) = listener.accept().await else { continue };
                 let blocked = blocked.clone();
                 tokio::spawn(async move {
                     let link = (from.ip(), target.ip());
                     wait_until_unblocked(&blocked, link).await;
-                    let Ok(far) = TcpStream::connect(target).await else { return };
-                    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-                    let ((near_reader, near_writer), (far_reader, far_writer)) =
-                        (near.into_split(), far.into_split());
+                    let Ok(onward) = TcpStream::connect(target).await else { return };
+                    let _ = (incoming.set_nodelay(true), onward.set_nodelay(true));
+                    let ((incoming_reader, incoming_writer), (onward_reader, onward_writer)) =
+                        (incoming.into_split(), onward.into_split());
                     let blocked_forward = blocked.clone();
-                    let forward =
-                        tokio::spawn(
-                            async move { copy(near_reader, far_writer, &blocked_forward, link).await },
-                        );
-                    copy(far_reader, near_writer, &blocked, (link.1, link.0)).await;
+                    let forward = tokio::spawn(async move {
+                        copy(incoming_reader, onward_writer, &blocked_forward, link).await;
+                    });
+                    copy(onward_reader, incoming_writer, &blocked, (link.1, link.0)).await;
                     forward.abort();
                 });
             }
--- a/crates/simulator/src/simulated_process.rs
+++ b/crates/simulator/src/simulated_process.rs
@@ -48,15 +48,15 @@
                 _ => return,
             };
             if is_control {
-                let image = load_image(&settings, &disk);
-                let log_writer = Box::new(move |core| -> Box<dyn LogWriter> {
-                    Box::new(SimulatedLogWriter { core, disk, ip, simulation: log_simulation })
+                let durable_state = load_durable_state(&settings, &disk);
+                let log_writer = Box::new(move |control_node| -> Box<dyn LogWriter> {
+                    Box::new(SimulatedLogWriter { control_node, disk, ip, simulation: log_simulation })
                 });
                 control_plane::daemon::run(
                     settings,
                     Bootstrap::default(),
                     listeners,
-                    (image, log_writer),
+                    (durable_state, log_writer),
                     control_plane::operator::api::handle,
                     shutdown,
                 )
@@ -102,35 +102,37 @@
 }
 
 /// The durable state on the disk; an empty disk gets that of a blank voter.
-fn load_image(settings: &common::settings::Settings, disk: &Mutex<SimDisk>) -> DurableState {
+fn load_durable_state(settings: &common::settings::Settings, disk: &Mutex<SimDisk>) -> DurableState {
     let mut disk = lock_disk(disk);
-    let image = disk.durable.clone().unwrap_or_else(|| DurableState::blank(&blank_voter(settings)));
-    disk.durable = Some(image.clone());
-    image
+    let durable_state = disk.durable.clone().unwrap_or_else(|| DurableState::blank(&blank_voter(settings)));
+    disk.durable = Some(durable_state.clone());
+    durable_state
 }
 
 /// Retries until the disk accepts writes again, as the daemon's own log writer does.
-async fn recover(core: Weak<ControlNode>, disk: Arc<Mutex<SimDisk>>) {
-    let Some(timing) = core.upgrade().map(|control_node| control_node.settings.timing.clone()) else {
+async fn recover(control_node: Weak<ControlNode>, disk: Arc<Mutex<SimDisk>>) {
+    let Some(timing) = control_node.upgrade().map(|control_node| control_node.settings.timing.clone()) else {
         return;
     };
     let mut retry = RecoveryBackoff::new(&timing);
-    let image = loop {
+    let durable_state = loop {
         sleep(retry.wait()).await;
         let disk = lock_disk(&disk);
-        if let (DiskCondition::Healthy | DiskCondition::Slow, Some(image)) = (disk.condition, &disk.durable) {
-            break image.clone();
+        if let (DiskCondition::Healthy | DiskCondition::Slow, Some(durable_state)) =
+            (disk.condition, &disk.durable)
+        {
+            break durable_state.clone();
         }
         retry.record_failure();
     };
-    if let Some(core) = core.upgrade() {
-        core.step(Event::Recovered(Box::new(image)));
+    if let Some(control_node) = control_node.upgrade() {
+        control_node.step(Event::Recovered(Box::new(durable_state)));
     }
 }
 
 /// Writes a control node's log to its simulated disk, with random delays.
 struct SimulatedLogWriter {
-    core: Weak<ControlNode>,
+    control_node: Weak<ControlNode>,
     disk: Arc<Mutex<SimDisk>>,
     ip: IpAddr,
     simulation: Arc<Simulation>,
@@ -148,7 +150,7 @@
                 _ => self.simulation.rng().random_range(1..8),
             }
         };
-        let (core, disk) = (self.core.clone(), self.disk.clone());
+        let (control_node, disk) = (self.control_node.clone(), self.disk.clone());
         spawn_at(self.ip, async move {
             sleep(Duration::from_millis(delay_ms)).await;
             while lock_disk(&disk).condition == DiskCondition::Stalled {
@@ -167,11 +169,11 @@
                 }
             };
             let failed = matches!(event, Some(Event::SyncFailed));
-            if let (Some(core), Some(event)) = (core.upgrade(), event) {
-                core.step(event);
+            if let (Some(control_node), Some(event)) = (control_node.upgrade(), event) {
+                control_node.step(event);
             }
             if failed {
-                recover(core, disk).await;
+                recover(control_node, disk).await;
             }
         });
     }
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -56,8 +56,8 @@
             }
             let slots = replica.spec.slots as f64;
             let allowed = (slots * (seconds_up / SLOW_START_S).max(0.1)).floor().max(1.0) as usize;
-            // A slot's holder changes with the membership: one run may end under the old holder while the new one
-            // begins another.
+            // When the membership changes, a slot may pass to another router, which may begin a run in it before
+            // the run of its former holder has ended.
             if seconds_up < SLOW_START_S && run.open > allowed + 1 {
                 audit.cold_over_allowance += 1;
                 audit.note(
--- a/crates/simulator/src/submissions.rs
+++ b/crates/simulator/src/submissions.rs
@@ -49,14 +49,14 @@
 /// Applies a changed document, and waits until all nodes use it.
 pub async fn apply(operator: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
     let Some((document, base)) = operator.document_and_revision().await else {
-        action.ok = false;
+        action.succeeded = false;
         return;
     };
     let text = with_comment(&document, fault, 0);
     let submitted_at = Instant::now();
     let name = format!("apply-{seed}-{}", fault.second);
     let answer = operator.apply_waiting(&text, base, &name).await;
-    action.ok = answer.as_ref().is_some_and(|(code, body)| *code == 200 && body["governs"] == true);
+    action.succeeded = answer.as_ref().is_some_and(|(code, body)| *code == 200 && body["governs"] == true);
     action.in_force_ms = Some(submitted_at.elapsed().as_millis() as u64);
     action.submissions.push(Submission::new(&name, &text, &answer));
 }
@@ -65,13 +65,13 @@
 pub async fn burst(operator: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
     for number in 1..=3 {
         let Some((document, base)) = operator.document_and_revision().await else {
-            action.ok = false;
+            action.succeeded = false;
             return;
         };
         let (text, name) =
             (with_comment(&document, fault, number), format!("burst-{seed}-{}-{number}", fault.second));
         let answer = operator.apply(&text, base, &name).await;
-        action.ok &= matches!(answer, Some((200, _)));
+        action.succeeded &= matches!(answer, Some((200, _)));
         action.submissions.push(Submission::new(&name, &text, &answer));
     }
 }
@@ -79,7 +79,7 @@
 /// Two operators apply on the same base revision: one must be accepted, the other refused.
 pub async fn race(operator: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
     let Some((document, base)) = operator.document_and_revision().await else {
-        action.ok = false;
+        action.succeeded = false;
         return;
     };
     let texts: Vec<String> = (1..=2).map(|n| with_comment(&document, fault, n)).collect();
@@ -89,7 +89,7 @@
         tokio::join!(operator.apply(&texts[0], base, &names[0]), other.apply(&texts[1], base, &names[1]));
     let codes: Vec<u16> =
         [&first, &second].iter().filter_map(|answer| answer.as_ref().map(|(code, _)| *code)).collect();
-    action.ok = codes.contains(&200) && codes.contains(&412);
+    action.succeeded = codes.contains(&200) && codes.contains(&412);
     for (index, answer) in [first, second].iter().enumerate() {
         action.submissions.push(Submission::new(&names[index], &texts[index], answer));
     }
@@ -98,7 +98,7 @@
 /// One operator evacuates a zone while another patches the document.
 pub async fn evacuate_and_patch(operator: &Operator, fault: &Fault, seed: u64, action: &mut Action) {
     let Some((document, base)) = operator.document_and_revision().await else {
-        action.ok = false;
+        action.succeeded = false;
         return;
     };
     let other = operator.with_rotated_voters();
@@ -112,7 +112,7 @@
         operator.evacuate(&fault.target, true),
         other.ask(hyper::Method::PATCH, "/v1/timetable", &headers, &body)
     );
-    action.ok = evacuated;
+    action.succeeded = evacuated;
     let text = line
         .map(|line| document.replacen(&line, &line.replacen("slots = 4", &with, 1), 1))
         .unwrap_or_default();
--- a/crates/simulator/src/timeline.rs
+++ b/crates/simulator/src/timeline.rs
@@ -78,7 +78,7 @@
                 FaultKind::Evacuate | FaultKind::EvacuateAndPatch => {
                     timeline.mark_down(vec![evacuation_key(&target)], action.started);
                 }
-                FaultKind::Restore if action.ok => {
+                FaultKind::Restore if action.succeeded => {
                     timeline.mark_up(vec![evacuation_key(&target)], action.finished);
                 }
                 _ => {}
