--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -41,8 +41,8 @@
     /// Reports names in a list that are invalid or not unique.
     fn check_names<'n>(&mut self, list: &str, names: impl Iterator<Item = &'n String>) {
         let mut seen = BTreeSet::new();
-        for (n, name) in names.enumerate() {
-            let index = n.to_string();
+        for (index, name) in names.enumerate() {
+            let index = index.to_string();
             if !is_valid_name(name) {
                 self.report(&[list, &index, "name"], format!("{list}: {name:?} is not a valid name"));
             }
@@ -60,9 +60,9 @@
     compiler.check_names("areas", document.zones.iter().map(|zone| &zone.name));
     compiler.check_names("services", document.services.iter().map(|service| &service.name));
     compiler.check_names("tenants", document.tenants.iter().map(|tenant| &tenant.name));
-    for (n, zone) in document.zones.iter().enumerate().filter(|(_, zone)| !is_valid_name(&zone.region)) {
+    for (index, zone) in document.zones.iter().enumerate().filter(|(_, zone)| !is_valid_name(&zone.region)) {
         let message = format!("areas: {:?} is not a valid name", zone.region);
-        compiler.report(&["areas", &n.to_string(), "region"], message);
+        compiler.report(&["areas", &index.to_string(), "region"], message);
     }
     for (field, problem) in document.tuning.out_of_range() {
         compiler.report(&["tuning", field], format!("tuning.{field}: {problem}"));
@@ -98,9 +98,9 @@
 
 fn compile_tenants(compiler: &mut Compiler, regions: &BTreeSet<Region>) -> TenantHomes {
     let mut tenants = BTreeMap::new();
-    for (n, tenant) in compiler.document.tenants.iter().enumerate() {
+    for (index, tenant) in compiler.document.tenants.iter().enumerate() {
         let homes = tenant.homes.as_ref().map(|homes| homes.iter().map(Region::new).collect::<BTreeSet<_>>());
-        let path = ["tenants", &n.to_string(), "homes"];
+        let path = ["tenants", &index.to_string(), "homes"];
         for region in homes.iter().flatten().filter(|region| !regions.contains(*region)) {
             compiler.report(&path, format!("tenant '{}': no region '{region}'", tenant.name));
         }
--- a/crates/foldshunt-admin/src/main.rs
+++ b/crates/foldshunt-admin/src/main.rs
@@ -16,13 +16,13 @@
 struct Opts {
     /// HTTP address of a control node; may be given several times, and the nodes are tried in turn
     #[bpaf(long("core"), argument("IP:PORT"))]
-    core: Vec<SocketAddr>,
-    #[bpaf(external(cmd))]
-    cmd: Cmd,
+    control_nodes: Vec<SocketAddr>,
+    #[bpaf(external(command))]
+    command: Command,
 }
 
 #[derive(Clone, Debug, Bpaf)]
-enum Cmd {
+enum Command {
     /// Shows members, replicas, revision, evacuations, and the nodes that lag behind
     #[bpaf(command)]
     Status,
@@ -106,11 +106,11 @@
     #[bpaf(argument("N"))]
     base: Option<u64>,
     /// Id of this operation, so that it can be repeated safely; generated when left out
-    #[bpaf(argument("ID"))]
-    op: Option<String>,
+    #[bpaf(long("op"), argument("ID"))]
+    operation: Option<String>,
     /// Waits up to this many milliseconds until all nodes use the change
-    #[bpaf(argument("MS"), fallback(0))]
-    wait: u64,
+    #[bpaf(long("wait"), argument("MS"), fallback(0))]
+    wait_ms: u64,
 }
 
 /// Path of the configuration, and its path at control nodes of earlier versions.
@@ -119,7 +119,7 @@
 /// The control nodes, in the order in which they are asked.
 struct ControlNodes(Vec<SocketAddr>);
 
-/// Status, headers and body.
+/// Status, headers and body of a response.
 type Answer = (u16, HeaderMap, Bytes);
 
 impl ControlNodes {
@@ -147,13 +147,15 @@
     }
 
     /// The newest revision; 0 before the first document.
-    async fn newest(&self) -> Result<u64> {
+    async fn newest_revision(&self) -> Result<u64> {
         let (code, headers, body) = self.ask_configuration(Method::GET, "", &[], Bytes::new()).await?;
-        let tag =
-            headers.get("etag").and_then(|v| v.to_str().ok()).and_then(|v| v.trim_matches('"').parse().ok());
-        match (code, tag) {
+        let revision = headers
+            .get("etag")
+            .and_then(|tag| tag.to_str().ok())
+            .and_then(|tag| tag.trim_matches('"').parse().ok());
+        match (code, revision) {
             (404, _) => Ok(0),
-            (200, Some(n)) => Ok(n),
+            (200, Some(revision)) => Ok(revision),
             _ => bail!("cannot read the newest revision: {code} {}", String::from_utf8_lossy(&body)),
         }
     }
@@ -162,23 +164,24 @@
     async fn change(&self, method: Method, change: &Change, file: &PathBuf) -> Result<Answer> {
         let body = std::fs::read(file).wrap_err_with(|| format!("cannot read {file:?}"))?;
         let base = match change.base {
-            Some(n) => n,
-            None => self.newest().await?,
+            Some(revision) => revision,
+            None => self.newest_revision().await?,
         }
         .to_string();
         let operation = change
-            .op
+            .operation
             .clone()
             .unwrap_or_else(|| format!("sm-{}-{}", std::process::id(), common::clock::wall_ms()));
         let headers = [("if-match", base.as_str()), ("foldshunt-op", operation.as_str())];
-        let query = format!("?wait_ms={}", change.wait);
+        let query = format!("?wait_ms={}", change.wait_ms);
         let answer = self.ask_configuration(method, &query, &headers, body.into()).await;
         answer.wrap_err_with(|| format!("operation {operation}"))
     }
 }
 
-fn exit_code(code: u16) -> u8 {
-    match code {
+/// The exit code for the status of a response.
+fn exit_code(status: u16) -> u8 {
+    match status {
         200..=299 => 0,
         412 => 3,
         504 => 4,
@@ -187,48 +190,46 @@
 }
 
 async fn run(options: Opts) -> Result<u8> {
-    let control_nodes = ControlNodes(options.core);
+    let control_nodes = ControlNodes(options.control_nodes);
     let empty = Bytes::new();
-    let (code, _, body) = match &options.cmd {
-        Cmd::Status => control_nodes.ask(Method::GET, "/v1/status", &[], empty).await?,
-        Cmd::Show => control_nodes.ask_configuration(Method::GET, "", &[], empty).await?,
-        Cmd::Replicas => control_nodes.ask(Method::GET, "/v1/replicas", &[], empty).await?,
-        Cmd::Down { node } => {
+    let (code, _, body) = match &options.command {
+        Command::Status => control_nodes.ask(Method::GET, "/v1/status", &[], empty).await?,
+        Command::Show => control_nodes.ask_configuration(Method::GET, "", &[], empty).await?,
+        Command::Replicas => control_nodes.ask(Method::GET, "/v1/replicas", &[], empty).await?,
+        Command::Down { node } => {
             control_nodes.ask(Method::POST, &format!("/v1/members/{node}/down"), &[], empty).await?
         }
-        Cmd::Op { id } => control_nodes.ask(Method::GET, &format!("/v1/ops/{id}"), &[], empty).await?,
-        Cmd::Apply { change, file } => control_nodes.change(Method::PUT, change, file).await?,
-        Cmd::Patch { change, file } => control_nodes.change(Method::PATCH, change, file).await?,
-        Cmd::Evacuate { zone } => {
+        Command::Op { id } => control_nodes.ask(Method::GET, &format!("/v1/ops/{id}"), &[], empty).await?,
+        Command::Apply { change, file } => control_nodes.change(Method::PUT, change, file).await?,
+        Command::Patch { change, file } => control_nodes.change(Method::PATCH, change, file).await?,
+        Command::Evacuate { zone } => {
             let body = serde_json::json!({"area": zone}).to_string();
             control_nodes.ask(Method::POST, "/v1/evacuations", &[], body.into()).await?
         }
-        Cmd::Restore { zone } => {
+        Command::Restore { zone } => {
             control_nodes.ask(Method::DELETE, &format!("/v1/evacuations/{zone}"), &[], empty).await?
         }
-        Cmd::List { id, service, zone, addr } => {
+        Command::List { id, service, zone, addr } => {
             let body =
                 serde_json::json!({"id": id, "service": service, "area": zone, "addr": addr}).to_string();
             control_nodes.ask(Method::POST, "/v1/replicas", &[], body.into()).await?
         }
-        Cmd::Drain { id } => {
+        Command::Drain { id } => {
             control_nodes.ask(Method::POST, &format!("/v1/replicas/{id}/drain"), &[], empty).await?
         }
-        Cmd::Remove { id } => {
+        Command::Remove { id } => {
             control_nodes.ask(Method::DELETE, &format!("/v1/replicas/{id}"), &[], empty).await?
         }
     };
     let text = String::from_utf8_lossy(&body);
-    match serde_json::from_str::<serde_json::Value>(&text).ok().filter(|_| !matches!(options.cmd, Cmd::Show))
+    match serde_json::from_str::<serde_json::Value>(&text)
+        .ok()
+        .filter(|_| !matches!(options.command, Command::Show))
     {
         Some(value) => {
             for diagnostic in value["flaws"].as_array().into_iter().flatten() {
-                eprintln!(
-                    "{}:{}: {}",
-                    diagnostic["line"],
-                    diagnostic["column"],
-                    diagnostic["message"].as_str().unwrap_or("")
-                );
+                let message = diagnostic["message"].as_str().unwrap_or("");
+                eprintln!("{}:{}: {message}", diagnostic["line"], diagnostic["column"]);
             }
             common::error::print(&format!("{value:#}\n"));
         }
@@ -240,7 +241,7 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     match run(opts().run()).await {
-        Ok(n) => ExitCode::from(n),
+        Ok(code) => ExitCode::from(code),
         Err(error) => {
             eprintln!("error: {error:#}");
             ExitCode::from(if format!("{error:#}").contains("undetermined") { 4 } else { 1 })
--- a/crates/foldshunt-check/src/main.rs
+++ b/crates/foldshunt-check/src/main.rs
@@ -30,7 +30,8 @@
 }
 
 async fn read_status(control_nodes: &[SocketAddr]) -> Result<Status> {
-    serde_json::from_str(&get(control_nodes, "/v1/status").await?.1).wrap_err("status of the cluster")
+    serde_json::from_str(&get(control_nodes, "/v1/status").await?.1)
+        .wrap_err("cannot parse the status of the cluster")
 }
 
 async fn check(options: &Opts) -> Result<Vec<Finding>> {
@@ -45,7 +46,7 @@
     let mut status = read_status(&options.control_nodes).await?;
     let leader = status.voters.iter().find(|voter| Some(&voter.node) == status.leader.as_ref());
     if let Some(address) = leader.and_then(|voter| voter.http) {
-        status = read_status(&[address]).await.wrap_err("status of the leader")?;
+        status = read_status(&[address]).await.wrap_err("cannot read the status from the leader")?;
     }
     Ok(check_document(&source, &status))
 }
@@ -56,8 +57,11 @@
         return;
     }
     for finding in findings {
-        let position =
-            finding.line.zip(finding.column).map(|(line, c)| format!("{line}:{c}: ")).unwrap_or_default();
+        let position = finding
+            .line
+            .zip(finding.column)
+            .map(|(line, column)| format!("{line}:{column}: "))
+            .unwrap_or_default();
         print(&format!("{:?} ({}): {position}{}\n", finding.severity, finding.check, finding.message));
     }
     if findings.is_empty() {
