--- a/crates/foldshunt-check/src/lib.rs
+++ b/crates/foldshunt-check/src/lib.rs
@@ -62,10 +62,8 @@
         Err(diagnostics) => findings.extend(errors_at("document", diagnostics)),
         Ok(table) => {
             if table.cluster != status.cluster {
-                let message = format!(
-                    "the document is for cluster {:?}, but this cluster is {:?}",
-                    table.cluster, status.cluster
-                );
+                let message =
+                    format!("the document is for cluster {:?}, this is {:?}", table.cluster, status.cluster);
                 findings.push(finding(Severity::Error, "cluster", message));
             }
             let usable_replicas: Vec<(Service, Zone)> = usable_replicas(status)
