--- a/crates/control-plane/src/control_node/log_writer.rs
+++ b/crates/control-plane/src/control_node/log_writer.rs
@@ -63,7 +63,7 @@
             match self.recorder.write(&record) {
                 Ok(()) => self.notify(Event::Synced(token))?,
                 Err(error) => {
-                    log_event!(Error, "log write failed", "peer" => self.node()?.settings.node, "cause" => error.to_string());
+                    log_event!(Error, "sync", "peer" => self.node()?.settings.node, "cause" => error.to_string());
                     self.notify(Event::SyncFailed)?;
                 }
             }
@@ -84,7 +84,7 @@
                     return self.notify(Event::Recovered(Box::new(state)));
                 }
                 Err(error) if backoff.record_failure() => {
-                    log_event!(Error, "disk recovery failed", "peer" => node, "cause" => error.to_string(), "failures" => backoff.failures());
+                    log_event!(Error, "recover", "peer" => node, "cause" => error.to_string(), "failures" => backoff.failures());
                 }
                 Err(_) => {}
             }
@@ -113,7 +113,7 @@
         Ok(state) => Start::from(state),
         Err(OpenError::Foreign(why)) => eyre::bail!(why),
         Err(error) => {
-            log_event!(Error, "data folder could not be opened", "peer" => settings.node, "cause" => error.to_string());
+            log_event!(Error, "data folder", "peer" => settings.node, "cause" => error.to_string());
             Start::AwaitingDisk(Box::new(blank_voter(settings)))
         }
     };
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -200,7 +200,7 @@
                 }
                 Effect::Removed => {
                     let cause = "another node was committed as the holder of this voter's number";
-                    log_event!(Error, "voter replaced", "cause" => cause);
+                    log_event!(Error, "removed", "cause" => cause);
                     let identity = Box::new(blank_voter(&self.settings));
                     let effects = inner.voter.step(Event::BecomeSpare(identity), self.clock.now());
                     self.carry_out(inner, effects);
@@ -210,7 +210,7 @@
                     self.discovered.send_replace(voters.iter().map(|voter| voter.rpc_addr).collect());
                 }
                 Effect::Refused { from, why } => {
-                    log_event!(Warn, "consensus message refused", "peer" => from, "cause" => why.to_string());
+                    log_event!(Warn, "consensus message", "peer" => from, "cause" => why.to_string());
                 }
                 Effect::Logged { .. } | Effect::NotLogged { .. } => {}
             }
--- a/crates/control-plane/src/membership/local_member.rs
+++ b/crates/control-plane/src/membership/local_member.rs
@@ -111,7 +111,7 @@
     pub fn extend_lease(&self, epoch: Epoch, sent: Tick) {
         let mut lease = lock(&self.lease);
         if lease.epoch != epoch {
-            log_event!(Info, "lease granted for a new membership", "epoch" => epoch.0);
+            log_event!(Info, "lease", "epoch" => epoch.0);
         }
         lease.extend(epoch, sent, &self.settings.timing);
     }
--- a/crates/control-plane/src/membership/state_follower.rs
+++ b/crates/control-plane/src/membership/state_follower.rs
@@ -87,10 +87,10 @@
             InstallResult::Gap => {
                 self.gap.store(true, Ordering::Release);
                 let cause = "changes before this update are missing here; a snapshot is requested next";
-                log_event!(Warn, "state update not applied", "peer" => from, "cause" => cause);
+                log_event!(Warn, "state update", "peer" => from, "cause" => cause);
             }
             InstallResult::Rejected(why) => {
-                log_event!(Warn, "state update rejected", "peer" => from, "cause" => why.to_string());
+                log_event!(Warn, "state update", "peer" => from, "cause" => why.to_string());
             }
             InstallResult::Unchanged => {}
         }
