--- a/crates/data-plane/src/serving/attempt.rs
+++ b/crates/data-plane/src/serving/attempt.rs
@@ -152,11 +152,7 @@
         let send_by = match self.send_by(plan, replica) {
             Ok(send_by) => send_by,
             Err(why) => {
-                return Some(AttemptOutcome::NotSent(PeerError::new(
-                    "check before sending",
-                    replica.addr,
-                    why,
-                )));
+                return Some(AttemptOutcome::NotSent(PeerError::new("last look", replica.addr, why)));
             }
         };
         let left = Duration::from_millis(plan.left_ms(self.now()).max(1));
--- a/crates/data-plane/src/serving/replica_list.rs
+++ b/crates/data-plane/src/serving/replica_list.rs
@@ -183,7 +183,7 @@
         if matches!(error, ListError::Failed(_))
             && let Some((rows, read_at)) = serving.last_reported_replicas(&self.zone)
         {
-            log_event!(Warn, "list unavailable, using an old one", "peer" => self.zone, "age_ms" => now.since(read_at));
+            log_event!(Warn, "go on with an old list", "peer" => self.zone, "age_ms" => now.since(read_at));
             self.known.adopt(rows, read_at, now);
         }
         let (ListError::OverRate(error) | ListError::Failed(error)) = error;
