--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,5 +1,7 @@
 //! The data plane: routers that place users in regions, choose replicas and forward requests (design 5 and 6).
 
+#![warn(missing_docs)]
+
 pub mod attempt;
 pub(crate) mod attempt_history;
 pub mod capacity_grant;
