--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -59,7 +59,7 @@
     /// Starts a cluster in which all members hold the same empty state.
     pub fn new(case: &Case, broken: Option<BrokenCatchUp>) -> Self {
         let mut rng = SmallRng::seed_from_u64(case.seed);
-        let unlimited = broken == Some(BrokenCatchUp::NeverTrimmed);
+        let unlimited = broken == Some(BrokenCatchUp::TrimmedByCountAlone);
         let size_limits = if unlimited { SizeLimits { log: usize::MAX / 64 } } else { SizeLimits::default() };
         let documents = generate_documents(case.documents, &mut rng);
         let mut cluster = Self {
@@ -184,7 +184,7 @@
         match event {
             ClusterEvent::Timer(voter) => {
                 self.push_at(self.time_ms + timing().heartbeat_ms() / 2, ClusterEvent::Timer(voter));
-                if self.broken == Some(BrokenCatchUp::FedAnew) {
+                if self.broken == Some(BrokenCatchUp::ResentOnHeartbeat) {
                     self.forget_in_flight(voter);
                 }
                 self.step(voter, Event::Timer)
--- a/crates/simulator/src/sim/catch_up/mod.rs
+++ b/crates/simulator/src/sim/catch_up/mod.rs
@@ -76,11 +76,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenCatchUp {
     /// Committed entries are trimmed from the log by their count alone, whatever their size.
-    NeverTrimmed,
+    TrimmedByCountAlone,
     /// A leader forgets what it has in flight to a follower, and sends it again with each heartbeat.
-    FedAnew,
+    ResentOnHeartbeat,
     /// A member acknowledges the whole log before its disk holds it.
-    CountsEarly,
+    AcknowledgedBeforeSync,
 }
 
 /// Result of a measurement.
@@ -191,9 +191,9 @@
     type Err = String;
     fn from_str(s: &str) -> Result<Self, String> {
         match s {
-            "never-trimmed" => Ok(Self::NeverTrimmed),
-            "fed-anew" => Ok(Self::FedAnew),
-            "counts-early" => Ok(Self::CountsEarly),
+            "never-trimmed" => Ok(Self::TrimmedByCountAlone),
+            "fed-anew" => Ok(Self::ResentOnHeartbeat),
+            "counts-early" => Ok(Self::AcknowledgedBeforeSync),
             _ => Err(format!("{s:?}; allowed: never-trimmed, fed-anew, counts-early")),
         }
     }
--- a/crates/simulator/src/sim/catch_up/traffic.rs
+++ b/crates/simulator/src/sim/catch_up/traffic.rs
@@ -34,7 +34,7 @@
             check_blank_voter_message(&msg, Some(&self.members[from].durable), &committed)
                 .map_err(|what| format!("s{from} {what}"))?;
         }
-        if self.broken == Some(BrokenCatchUp::CountsEarly) && self.measured_member == Some(from) {
+        if self.broken == Some(BrokenCatchUp::AcknowledgedBeforeSync) && self.measured_member == Some(from) {
             self.claim_whole_log(&mut msg);
         }
         if self.measured_member == Some(to) {
--- a/crates/simulator/src/sim/client_calls.rs
+++ b/crates/simulator/src/sim/client_calls.rs
@@ -74,11 +74,11 @@
         let Some((leader, mut cluster_state)) = self.leader_state_from(member) else {
             return self.count_unavailable();
         };
-        if self.broken == Some(Broken::VerdictsByCount) {
+        if self.broken == Some(Broken::OutcomesForgotten) {
             cluster_state.accepted_operations = AcceptedOperations::default();
         }
         let text = || format!("document of {op}").into();
-        let rebases = self.broken == Some(Broken::Rebases);
+        let rebases = self.broken == Some(Broken::OutdatedBasesReplaced);
         let change = match operation_status(&cluster_state, &op, base.0, cluster_state.revision.0) {
             // Already accepted: it is logged again without content, which keeps the recorded outcome, and is
             // acknowledged when that entry commits. The base makes it conflict if the outcome was forgotten meanwhile.
--- a/crates/simulator/src/sim/disk_refusals.rs
+++ b/crates/simulator/src/sim/disk_refusals.rs
@@ -49,7 +49,7 @@
         if pending == 0 {
             return Ok(());
         }
-        if self.broken == Some(Broken::UnsyncedBelief) {
+        if self.broken == Some(Broken::RefusedWriteCountsAsSynced) {
             let last = self.voters[voter_id].disk.pending.drain(..).next_back();
             return last.map_or(Ok(()), |(token, _)| self.voter_step(voter_id, Event::Synced(token)));
         }
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -175,7 +175,7 @@
         let durable = self.voters[voter_id].disk.durable.clone();
         self.crash(voter_id);
         self.voters[voter_id].disk.wipe();
-        if let (Some(Broken::BlankVotes), Some(image)) =
+        if let (Some(Broken::VotesAfterDiskLoss), Some(image)) =
             (self.broken, durable.filter(|image| image.initialized))
         {
             let cluster_state =
--- a/crates/simulator/src/sim/mod.rs
+++ b/crates/simulator/src/sim/mod.rs
@@ -29,46 +29,46 @@
     /// The disk acknowledges a sync at once, and loses the data on a crash.
     LyingDisk,
     /// A voter that lost its disk keeps its identity and goes on voting.
-    BlankVotes,
+    VotesAfterDiskLoss,
     /// One voter's clock runs four times as fast.
     FastClock,
     /// A router counts its lease from the arrival of the answer, not from when it sent the renewal.
-    LateLease,
+    LeaseFromAnswer,
     /// Routers install every snapshot that arrives, even one older than their own state.
-    NewsGoesBack,
+    OlderSnapshotsInstalled,
     /// Operators are told "accepted" when the leader has logged the change, before it is committed.
-    EarlyAccept,
+    AcceptedBeforeCommit,
     /// Receivers do not check fencing tokens.
-    NoFences,
+    NoFencing,
     /// Operators are told "refused" when the answer merely timed out.
-    TimeoutRefused,
+    TimeoutReportedAsRefused,
     /// A voter whose disk refused a write goes on as if the write had been synced.
-    UnsyncedBelief,
+    RefusedWriteCountsAsSynced,
     /// Size limits are off: a leader logs changes of any size, and sends them in one message.
-    Boundless,
+    NoSizeLimits,
     /// A member answers reads from its own state, without the leader's lease.
     ReadsWithoutLease,
     /// The outcomes of accepted operations are forgotten.
-    VerdictsByCount,
+    OutcomesForgotten,
     /// An operation whose base revision is outdated is logged on top of the newer revision.
-    Rebases,
+    OutdatedBasesReplaced,
 }
 
 /// The variants and their names on the command line.
 pub const BROKEN: &[(&str, Broken)] = &[
     ("lying-disk", Broken::LyingDisk),
-    ("blank-votes", Broken::BlankVotes),
+    ("blank-votes", Broken::VotesAfterDiskLoss),
     ("fast-clock", Broken::FastClock),
-    ("late-tenure", Broken::LateLease),
-    ("news-goes-back", Broken::NewsGoesBack),
-    ("early-accept", Broken::EarlyAccept),
-    ("no-fences", Broken::NoFences),
-    ("timeout-refused", Broken::TimeoutRefused),
-    ("unsynced-belief", Broken::UnsyncedBelief),
-    ("boundless", Broken::Boundless),
+    ("late-tenure", Broken::LeaseFromAnswer),
+    ("news-goes-back", Broken::OlderSnapshotsInstalled),
+    ("early-accept", Broken::AcceptedBeforeCommit),
+    ("no-fences", Broken::NoFencing),
+    ("timeout-refused", Broken::TimeoutReportedAsRefused),
+    ("unsynced-belief", Broken::RefusedWriteCountsAsSynced),
+    ("boundless", Broken::NoSizeLimits),
     ("reads-without-lease", Broken::ReadsWithoutLease),
-    ("verdicts-by-count", Broken::VerdictsByCount),
-    ("rebases", Broken::Rebases),
+    ("verdicts-by-count", Broken::OutcomesForgotten),
+    ("rebases", Broken::OutdatedBasesReplaced),
 ];
 
 impl std::str::FromStr for Broken {
--- a/crates/simulator/src/sim/operators.rs
+++ b/crates/simulator/src/sim/operators.rs
@@ -80,7 +80,7 @@
                 Effect::Logged { index, .. } => {
                     let starts = self.voters[target].starts;
                     let proposal = Proposal { op: op.clone(), change: change.clone(), voter: target, starts };
-                    if self.broken == Some(Broken::EarlyAccept) {
+                    if self.broken == Some(Broken::AcceptedBeforeCommit) {
                         self.history.reported_accepted.insert(op.clone(), *index);
                     }
                     self.proposals.insert((target, *index), proposal);
@@ -92,7 +92,7 @@
                 _ => {}
             }
         }
-        if self.broken == Some(Broken::TimeoutRefused)
+        if self.broken == Some(Broken::TimeoutReportedAsRefused)
             && let Change::Apply { .. } = &change
             && self.rng.random_bool(0.3)
         {
--- a/crates/simulator/src/sim/routers.rs
+++ b/crates/simulator/src/sim/routers.rs
@@ -72,7 +72,7 @@
             match outcome {
                 ApplyOutcome::Accepted { .. } => {
                     self.stats.reported_accepted += 1;
-                    if self.broken != Some(Broken::EarlyAccept) {
+                    if self.broken != Some(Broken::AcceptedBeforeCommit) {
                         self.history.report_accepted(&proposal.op, entry.index, &proposal.change)?;
                     }
                 }
@@ -177,7 +177,7 @@
         epoch: Epoch,
         sent: Tick,
     ) -> Result<(), String> {
-        let from_answer = self.broken == Some(Broken::LateLease);
+        let from_answer = self.broken == Some(Broken::LeaseFromAnswer);
         let router = &mut self.routers[router_id];
         if router.info.incarnation.0 == incarnation {
             let now = router.clock.at(self.time_ms);
@@ -195,7 +195,7 @@
         else {
             return Ok(());
         };
-        let always_snapshot = self.broken == Some(Broken::NewsGoesBack);
+        let always_snapshot = self.broken == Some(Broken::OlderSnapshotsInstalled);
         let state_update = if always_snapshot {
             StateUpdate::Snapshot(Box::new(voter.cluster_state.clone()))
         } else {
@@ -221,7 +221,9 @@
     pub fn install_update(&mut self, router_id: usize, state_update: StateUpdate) -> Result<(), String> {
         let router = &mut self.routers[router_id];
         let before = (router.cluster_state.index, router.cluster_state.revision);
-        if let (Some(Broken::NewsGoesBack), StateUpdate::Snapshot(snapshot)) = (self.broken, &state_update) {
+        if let (Some(Broken::OlderSnapshotsInstalled), StateUpdate::Snapshot(snapshot)) =
+            (self.broken, &state_update)
+        {
             router.cluster_state = (**snapshot).clone();
         } else {
             let mut state = router.cluster_state.clone();
@@ -239,7 +241,7 @@
     /// The receiver of an action on the singleton role checks its fencing token.
     pub fn singleton_action(&mut self, fencing_token: FencingToken, node: NodeId) -> Result<(), String> {
         let accepted = self.fencing_tokens.check(SINGLETON_ROLE, fencing_token).is_ok()
-            || self.broken == Some(Broken::NoFences);
+            || self.broken == Some(Broken::NoFencing);
         if accepted { self.history.record_action(fencing_token, &node) } else { Ok(()) }
     }
 }
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -103,7 +103,7 @@
             clients: None,
             required_revision: Revision(0),
         };
-        world.voters.iter_mut().for_each(|s| s.unlimited_size = broken == Some(Broken::Boundless));
+        world.voters.iter_mut().for_each(|s| s.unlimited_size = broken == Some(Broken::NoSizeLimits));
         for n in 0..voter_count {
             let incarnation = world.next_id();
             world.voters[n].start(0, incarnation);
--- a/crates/simulator/tests/catch_up.rs
+++ b/crates/simulator/tests/catch_up.rs
@@ -79,8 +79,8 @@
 
 /// Each broken variant is caught by the check that guards against its fault.
 #[rstest]
-#[case::a_log_that_is_never_trimmed(BrokenCatchUp::NeverTrimmed, Documents::Growing, &["does not fit into", "bytes of log"])]
-#[case::a_member_that_acknowledges_early(BrokenCatchUp::CountsEarly, Documents::Small, &["whose disk holds"])]
+#[case::a_log_that_is_never_trimmed(BrokenCatchUp::TrimmedByCountAlone, Documents::Growing, &["does not fit into", "bytes of log"])]
+#[case::a_member_that_acknowledges_early(BrokenCatchUp::AcknowledgedBeforeSync, Documents::Small, &["whose disk holds"])]
 fn broken_variants_are_caught(
     #[case] broken: BrokenCatchUp,
     #[case] documents: Documents,
@@ -100,7 +100,7 @@
     #[values(false, true)] ongoing: bool,
 ) {
     let case = case(absence, 50, Documents::Growing, 35, ongoing);
-    let caught = match measure(&case, Some(BrokenCatchUp::FedAnew)) {
+    let caught = match measure(&case, Some(BrokenCatchUp::ResentOnHeartbeat)) {
         Ok(measured) => {
             measured.catch_up_ms > CATCH_UP_LIMIT_MS
                 || measured.snapshots > MOST_SNAPSHOTS
--- a/crates/simulator/tests/sim.rs
+++ b/crates/simulator/tests/sim.rs
@@ -40,7 +40,8 @@
 /// A voter that counts a refused write as synced is caught by what it claims in its messages.
 #[rstest]
 fn counting_a_refused_write_as_synced_is_caught(#[values(3, 5)] voters: usize) {
-    let found = (1..40).find_map(|seed| run_with_refusals(seed, Some(Broken::UnsyncedBelief), voters).err());
+    let found = (1..40)
+        .find_map(|seed| run_with_refusals(seed, Some(Broken::RefusedWriteCountsAsSynced), voters).err());
     let what = found.map(|v| v.what).unwrap_or_default();
     assert!(what.contains("a voter claims what its disk does not hold"), "{what:?}");
 }
@@ -57,8 +58,8 @@
 
 #[rstest]
 #[case(Broken::LyingDisk, &["two changes were accepted", "is gone", "two outcomes", "was accepted before"])]
-#[case(Broken::BlankVotes, &["two voters lead", "two changes were accepted", "was accepted before", "is gone"])]
-#[case(Broken::EarlyAccept, &["is gone"])]
+#[case(Broken::VotesAfterDiskLoss, &["two voters lead", "two changes were accepted", "was accepted before", "is gone"])]
+#[case(Broken::AcceptedBeforeCommit, &["is gone"])]
 fn broken_variants_are_caught_in_larger_clusters(#[case] variant: Broken, #[case] expected: &[&str]) {
     let mut found =
         (1..400).filter_map(|seed| run_with_voters(seed, Some(variant), 5).err()).take(8).map(|v| v.what);
@@ -88,14 +89,14 @@
 /// Each broken variant is caught by the check that guards against its fault.
 #[rstest]
 #[case(Broken::LyingDisk, &["two changes were accepted", "is gone", "two outcomes", "was accepted before"])]
-#[case(Broken::BlankVotes, &["two voters lead", "two changes were accepted", "was accepted before", "is gone"])]
+#[case(Broken::VotesAfterDiskLoss, &["two voters lead", "two changes were accepted", "was accepted before", "is gone"])]
 #[case(Broken::FastClock, &["two voters lead", "expired while it holds"])]
-#[case(Broken::LateLease, &["expired while it holds"])]
-#[case(Broken::NewsGoesBack, &["went back"])]
-#[case(Broken::EarlyAccept, &["is gone"])]
-#[case(Broken::NoFences, &["acted with effect under fencing token"])]
-#[case(Broken::TimeoutRefused, &["reported as refused and was accepted"])]
-#[case(Broken::Boundless, &["does not fit into"])]
+#[case(Broken::LeaseFromAnswer, &["expired while it holds"])]
+#[case(Broken::OlderSnapshotsInstalled, &["went back"])]
+#[case(Broken::AcceptedBeforeCommit, &["is gone"])]
+#[case(Broken::NoFencing, &["acted with effect under fencing token"])]
+#[case(Broken::TimeoutReportedAsRefused, &["reported as refused and was accepted"])]
+#[case(Broken::NoSizeLimits, &["does not fit into"])]
 fn broken_variants_are_caught(#[case] variant: Broken, #[case] expected: &[&str]) {
     // With some seeds another check fails first, so several violations are looked at.
     let mut found = (1..400).filter_map(|seed| run(seed, Some(variant)).err()).take(8).map(|v| v.what);
@@ -156,8 +157,8 @@
 
 #[rstest]
 #[case(Broken::ReadsWithoutLease, &["had been acknowledged"])]
-#[case(Broken::VerdictsByCount, &["which is in force, was reported as refused"])]
-#[case(Broken::Rebases, &["both acknowledged"])]
+#[case(Broken::OutcomesForgotten, &["which is in force, was reported as refused"])]
+#[case(Broken::OutdatedBasesReplaced, &["both acknowledged"])]
 fn broken_answers_to_operators_are_caught(#[case] variant: Broken, #[case] expected: &[&str]) {
     let mut found =
         (1..100).filter_map(|seed| run_with_clients(seed, Some(variant), 3).err()).take(8).map(|v| v.what);
