--- a/crates/control-plane/src/consensus/durability.rs
+++ b/crates/control-plane/src/consensus/durability.rs
@@ -111,7 +111,7 @@
         if self.disk_failed {
             return;
         }
-        // A leader tells the others, so that they need not wait for the election time-out.
+        // A leader tells the others, so that they need not wait for the election timeout.
         self.step_down(now, effects);
         self.disk_failed = true;
         self.role = VoterRole::Follower { leader: None, last_contact: now };
@@ -141,7 +141,7 @@
         effects.push(Effect::Interrupted);
     }
 
-    /// Whether the oldest pending write has taken longer than the sync time-out (design 2.4).
+    /// Whether the oldest pending write has taken longer than the sync timeout (design 2.4).
     pub fn sync_overdue(&self, now: Tick) -> bool {
         let oldest = self.writes.queue.front();
         oldest.is_some_and(|write| now.since(write.since) > self.timing.sync_timeout_ms())
--- a/crates/control-plane/src/consensus/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -3,12 +3,12 @@
 
 use super::*;
 
-/// When the leader steps down, a follower sets its last contact back by this many election time-outs, so that it
+/// When the leader steps down, a follower sets its last contact back by this many election timeouts, so that it
 /// stands for election at once.
 const STEP_DOWN_BACKDATE_TIMEOUTS: u64 = 10;
 
 impl Voter {
-    /// Election time-out of this voter in milliseconds; it differs by voter and term, so that votes are seldom split.
+    /// Election timeout of this voter in milliseconds; it differs by voter and term, so that votes are seldom split.
     pub(super) fn election_timeout(&self) -> u64 {
         let base = self.timing.election_timeout_ms();
         base + base * u64::from(self.me.number) / 4 + base * (self.current_term.0 % 5) / 10
@@ -31,7 +31,7 @@
         Term((self.current_term.0 / terms_per_round + 1) * terms_per_round + u64::from(self.me.number))
     }
 
-    /// Whether this process has waited for an election time-out since its start. Until then a leader that its former
+    /// Whether this process has waited for an election timeout since its start. Until then a leader that its former
     /// run answered may rely on it not to help elect another.
     fn startup_wait_over(&self, now: Tick) -> bool {
         now.since(self.started) >= self.timing.election_timeout_ms()
--- a/crates/control-plane/src/consensus/leadership.rs
+++ b/crates/control-plane/src/consensus/leadership.rs
@@ -9,7 +9,7 @@
     Leading,
     /// It follows a leader that has contacted it recently.
     Following,
-    /// It has had contact with neither a majority nor a leader for half the election time-out.
+    /// It has had contact with neither a majority nor a leader for half the election timeout.
     Isolated,
     /// It is not a voter, or no longer one: it knows the cluster only through other nodes.
     NotVoter,
@@ -48,7 +48,7 @@
         self.quorum() == 1
     }
 
-    /// Until when no other voter can have become leader. Followers grant no vote for an election time-out after an
+    /// Until when no other voter can have become leader. Followers grant no vote for an election timeout after an
     /// append that they answered; an eighth of it is subtracted to allow for clock drift.
     pub fn leadership_until(&self) -> Tick {
         if !self.is_leader() {
--- a/crates/control-plane/src/consensus/message.rs
+++ b/crates/control-plane/src/consensus/message.rs
@@ -93,7 +93,7 @@
     LeaderQuery(Tick),
     /// Answer to [`Message::LeaderQuery`], with its time: the sender does not lead.
     NotLeading(Tick),
-    /// A leader that is about to stop gives up its term, so that the others need not wait for the election time-out.
+    /// A leader that is about to stop gives up its term, so that the others need not wait for the election timeout.
     StepDown {
         /// The leader.
         by: VoterId,
--- a/crates/control-plane/src/consensus/role.rs
+++ b/crates/control-plane/src/consensus/role.rs
@@ -65,7 +65,7 @@
     Follower {
         /// The leader of the current term, once it has sent an append.
         leader: Option<VoterId>,
-        /// When the leader last made contact; after a restart or a vote, from when the election time-out counts.
+        /// When the leader last made contact; after a restart or a vote, from when the election timeout counts.
         last_contact: Tick,
     },
     /// Asks whether the others would grant it a vote.
--- a/crates/control-plane/src/consensus/startup.rs
+++ b/crates/control-plane/src/consensus/startup.rs
@@ -1,5 +1,5 @@
 //! The wait before voting after a start (design 2.3). The former run of the process may have answered a leader, so this
-//! one grants no vote for an election time-out, unless all other voters answer that they do not lead: a leader that
+//! one grants no vote for an election timeout, unless all other voters answer that they do not lead: a leader that
 //! counts on this voter would be one of them, at the same address.
 
 use super::*;
--- a/crates/control-plane/src/control_node/connectivity.rs
+++ b/crates/control-plane/src/control_node/connectivity.rs
@@ -6,7 +6,7 @@
 use common::{Index, NodeId, Tick};
 use std::{sync::Arc, time::Duration};
 
-/// Election time-outs without contact after which this voter takes itself for cut off: otherwise another voter would
+/// Election timeouts without contact after which this voter takes itself for cut off: otherwise another voter would
 /// have won an election by then.
 const ELECTION_TIMEOUTS: u64 = 2;
 
--- a/crates/control-plane/src/control_node/leader_client.rs
+++ b/crates/control-plane/src/control_node/leader_client.rs
@@ -14,9 +14,9 @@
 
 /// Most voters that one search asks.
 const MAX_ASKED: usize = MAX_VOTERS;
-/// A read is also sent to the other voters (a hedged request) after the RPC time-out divided by this.
+/// A read is also sent to the other voters (a hedged request) after the RPC timeout divided by this.
 const HEDGE_TIMEOUT_DIVISOR: u32 = 4;
-/// A query ends after the RPC time-out divided by this, once a majority has answered that it does not lead.
+/// A query ends after the RPC timeout divided by this, once a majority has answered that it does not lead.
 const MAJORITY_TIMEOUT_DIVISOR: u32 = 2;
 
 /// Why the newest state could not be read.
@@ -138,7 +138,7 @@
     }
 
     /// Returns the newest committed state, read from a leader whose term is confirmed. A node that is cut off fails at
-    /// once. While a majority has no leader, the next one is waited for, up to an election time-out.
+    /// once. While a majority has no leader, the next one is waited for, up to an election timeout.
     ///
     /// # Errors
     /// See [`ReadError`].
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -32,7 +32,7 @@
 };
 use tokio::sync::{oneshot, watch};
 
-/// Longer messages use a separate connection and have a longer time-out.
+/// Longer messages use a separate connection and have a longer timeout.
 const BULK_BYTES: usize = 64 << 10;
 /// Slowest link on which such a message still arrives in time, in bytes per millisecond.
 const BULK_BYTES_PER_MS: u64 = 512;
@@ -171,7 +171,7 @@
         self.carry_out(&mut inner, effects);
     }
 
-    /// The client for a message of this length, and the time-out of the call in milliseconds.
+    /// The client for a message of this length, and the timeout of the call in milliseconds.
     fn client_for(&self, message_len: usize) -> (&ControlClient, u64) {
         let timeout_ms = self.settings.timing.rpc_timeout_ms;
         if message_len <= BULK_BYTES {
--- a/crates/control-plane/src/control_node/rpc_service.rs
+++ b/crates/control-plane/src/control_node/rpc_service.rs
@@ -20,7 +20,7 @@
 
 /// Longest wait of a request for updates, in milliseconds.
 const MAX_WATCH_MS: u64 = 5_000;
-/// Longest time of a forwarded proposal, in RPC time-outs.
+/// Longest time of a forwarded proposal, in RPC timeouts.
 const PROPOSAL_TIMEOUTS: u64 = 4;
 
 /// Answers RPCs until the task is dropped.
--- a/crates/control-plane/src/daemon.rs
+++ b/crates/control-plane/src/daemon.rs
@@ -19,7 +19,7 @@
 };
 use tokio::sync::watch;
 
-/// Longest time that a stop waits for open requests, in RPC time-outs.
+/// Longest time that a stop waits for open requests, in RPC timeouts.
 const STOP_TIMEOUTS: u64 = 4;
 /// Interval at which a stop checks for open requests.
 const STOP_POLL: Duration = Duration::from_millis(20);
--- a/crates/control-plane/src/membership/local_member.rs
+++ b/crates/control-plane/src/membership/local_member.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Whether this node has a lease, but has been missing an announced index for longer than an election time-out:
+    /// Whether this node has a lease, but has been missing an announced index for longer than an election timeout:
     /// it must not serve by its copy of the state (design 3.6).
     pub fn lags(&self) -> bool {
         let announced = lock(&self.announced);
@@ -210,7 +210,7 @@
         self.set_leader(None);
     }
 
-    /// Sends one request to renew. It has the full RPC time-out, since opening a connection takes three round trips.
+    /// Sends one request to renew. It has the full RPC timeout, since opening a connection takes three round trips.
     async fn request_renewal(&self, to: SocketAddr) -> Result<ControlResponse, PeerError> {
         let request = ControlRequest::Renew {
             info: self.info.clone(),
--- a/crates/control-plane/src/operator/api/changes.rs
+++ b/crates/control-plane/src/operator/api/changes.rs
@@ -10,7 +10,7 @@
 use serde_json::json as j;
 use std::time::Duration;
 
-/// Longest time of a proposal, in RPC time-outs.
+/// Longest time of a proposal, in RPC timeouts.
 const PROPOSAL_TIMEOUTS: u64 = 4;
 /// `Retry-After` when nothing was logged, in seconds.
 const RETRY_AFTER_S: &str = "2";
--- a/crates/control-plane/src/operator/service.rs
+++ b/crates/control-plane/src/operator/service.rs
@@ -24,7 +24,7 @@
 
 /// Time-out of an operation, in milliseconds. Callers try another node after a second, or later after a long request.
 const TIMEOUT_MS: u64 = 800;
-/// The time-out is a millisecond longer for each of these many bytes of the body.
+/// The timeout is a millisecond longer for each of these many bytes of the body.
 const BYTES_PER_MS: u64 = 2_048;
 
 /// Handles operators' operations at one control node.
--- a/crates/control-plane/tests/startup_wait.rs
+++ b/crates/control-plane/tests/startup_wait.rs
@@ -8,7 +8,7 @@
 use tempfile::tempdir;
 
 /// Guards against a slow start of the whole cluster: after the loss of all processes each voter waited out the election
-/// time-out of leaders that no longer existed. It need not, once all others answer that they do not lead. Found on the
+/// timeout of leaders that no longer existed. It need not, once all others answer that they do not lead. Found on the
 /// users' platform (inc-4141).
 #[rstest]
 fn voters_that_start_together_elect_a_leader_early(#[values(None, Some(0), Some(2))] wiped: Option<usize>) {
--- a/crates/data-plane/src/gateway.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -163,7 +163,7 @@
         if self.draining.load(Ordering::Acquire) { close(response) } else { response }
     }
 
-    /// Holds a request while this node joins, for an election time-out at most. A node joins within a few heartbeats of
+    /// Holds a request while this node joins, for an election timeout at most. A node joins within a few heartbeats of
     /// its start.
     async fn await_joining(&self) {
         let until = self.now() + self.settings.timing.election_timeout_ms();
--- a/crates/data-plane/src/response_body.rs
+++ b/crates/data-plane/src/response_body.rs
@@ -46,7 +46,7 @@
             }
             Poll::Pending => match self.timer.poll_unpin(cx) {
                 Poll::Ready(()) => {
-                    Poll::Ready(Some(Err("upstream sent nothing within the idle time-out".into())))
+                    Poll::Ready(Some(Err("upstream sent nothing within the idle timeout".into())))
                 }
                 Poll::Pending => Poll::Pending,
             },
