--- a/crates/control-plane/src/consensus/bootstrap.rs
+++ b/crates/control-plane/src/consensus/bootstrap.rs
@@ -15,10 +15,10 @@
             return effects.extend(self.bootstrap_messages(proposed));
         }
         // Old answers are discarded: a voter that was blank then may hold a cluster's state by now.
-        let fresh_ms = self.timing.election_timeout_ms() / 2;
-        let answered_ms = fresh_ms + self.timing.rpc_timeout_ms;
-        self.discovered_voters.retain(|_, (_, asked)| now.since(*asked) <= answered_ms);
-        self.discovered_learners.retain(|_, discovered| now.since(*discovered) <= fresh_ms);
+        let max_announcement_age_ms = self.timing.election_timeout_ms() / 2;
+        let max_answer_age_ms = max_announcement_age_ms + self.timing.rpc_timeout_ms;
+        self.discovered_voters.retain(|_, (_, asked)| now.since(*asked) <= max_answer_age_ms);
+        self.discovered_learners.retain(|_, discovered| now.since(*discovered) <= max_announcement_age_ms);
         if let Some(voters) = self.ready_bootstrap_voters(now) {
             let initial = ClusterState::bootstrapped(&self.cluster, voters);
             let cluster_state = ClusterState { secret: self.secret, ..initial };
@@ -52,13 +52,13 @@
     /// of the system.
     fn ready_bootstrap_voters(&mut self, now: Tick) -> Option<Vec<VoterInfo>> {
         let own = self.me.rpc_addr;
-        let lowest = self.seeds.iter().min() == Some(&own);
+        let is_lowest = self.seeds.iter().min() == Some(&own);
         let learner_seeds = self.seeds.iter().filter(|seed| self.is_learner_seed(seed)).count();
         let no_cluster_exists = learner_seeds == 0 || self.first_start;
         let blank = |seed: &SocketAddr| *seed == own || self.discovered_voters.contains_key(seed);
         let all_blank = self.seeds.iter().all(|seed| blank(seed) || self.is_learner_seed(seed));
         let allowed = self.may_bootstrap && !self.saw_other_cluster && !self.is_spare();
-        if !(allowed && lowest && all_blank && no_cluster_exists) {
+        if !(allowed && is_lowest && all_blank && no_cluster_exists) {
             self.seeds_complete_since = None;
             return None;
         }
--- a/crates/control-plane/src/consensus/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -63,8 +63,8 @@
     }
 
     /// Makes a leader a follower, if its disk is overdue or no majority has answered it for too long.
-    fn check_leadership(&mut self, elected: Tick, now: Tick) {
-        let established = now.since(elected) > 2 * self.timing.election_timeout_ms();
+    fn check_leadership(&mut self, elected_at: Tick, now: Tick) {
+        let established = now.since(elected_at) > 2 * self.timing.election_timeout_ms();
         let expired = established && now >= self.leadership_until();
         if self.sync_overdue(now) || expired {
             self.role = VoterRole::Follower { leader: None, last_contact: now };
--- a/crates/control-plane/src/consensus/event.rs
+++ b/crates/control-plane/src/consensus/event.rs
@@ -88,7 +88,7 @@
     /// A learner received the voter set, so that its membership can query these voters.
     VotersDiscovered(Vec<VoterInfo>),
     /// A message was rejected as invalid: it changed nothing and is not answered.
-    Refused {
+    MessageRejected {
         /// Address of the sender.
         from: SocketAddr,
         /// Why it is invalid.
--- a/crates/control-plane/src/consensus/learner.rs
+++ b/crates/control-plane/src/consensus/learner.rs
@@ -56,7 +56,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if let Err(why) = self.validate(&message, now) {
-            return effects.push(Effect::Refused { from, why });
+            return effects.push(Effect::MessageRejected { from, why });
         }
         match message {
             Message::Discover { initialized: true, voters, .. } => {
--- a/crates/control-plane/src/consensus/role.rs
+++ b/crates/control-plane/src/consensus/role.rs
@@ -25,7 +25,7 @@
     sent_at: Tick,
     last_index: Index,
     /// Upper bound on the encoded length of its payload, in bytes.
-    weight: usize,
+    payload_len: usize,
 }
 
 /// Lowest link speed assumed for the transfer of a long append, in bytes per millisecond.
@@ -33,12 +33,12 @@
 
 impl InFlight {
     pub(super) fn new(sent_at: Tick, last_index: Index, payload_len: usize) -> Self {
-        Self { sent_at, last_index, weight: payload_len }
+        Self { sent_at, last_index, payload_len }
     }
 
     /// Whether its reply is overdue, after two heartbeat intervals plus the transfer time.
     pub(super) fn overdue(&self, timing: &Timing, now: Tick) -> bool {
-        let transfer_ms = self.weight as u64 / MIN_LINK_BYTES_PER_MS;
+        let transfer_ms = self.payload_len as u64 / MIN_LINK_BYTES_PER_MS;
         now.since(self.sent_at) > 2 * timing.heartbeat_ms() + transfer_ms
     }
 
--- a/crates/control-plane/src/consensus/spare.rs
+++ b/crates/control-plane/src/consensus/spare.rs
@@ -12,11 +12,11 @@
             return;
         }
         let (seeds, timing) = (self.seeds.clone(), self.timing.clone());
-        let image = DurableState {
+        let blank_state = DurableState {
             cluster_state: ClusterState { cluster: self.cluster.clone(), ..ClusterState::default() },
             ..DurableState::blank(&identity)
         };
-        let restarted = Voter::new(identity, &self.cluster, seeds, timing, Some(image), now);
+        let restarted = Voter::new(identity, &self.cluster, seeds, timing, Some(blank_state), now);
         *self = Voter {
             expected_voters: self.expected_voters,
             secret: self.secret,
--- a/crates/control-plane/src/consensus/step.rs
+++ b/crates/control-plane/src/consensus/step.rs
@@ -47,7 +47,7 @@
 
     fn handle_message(&mut self, from: SocketAddr, message: Message, now: Tick, effects: &mut Vec<Effect>) {
         if let Err(why) = self.validate(&message, now) {
-            return effects.push(Effect::Refused { from, why });
+            return effects.push(Effect::MessageRejected { from, why });
         }
         match message {
             Message::Discover { voter, initialized, voters, index } => {
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -209,7 +209,7 @@
                     log_event!(Info, "voters discovered", "voters" => voters.len());
                     self.discovered.send_replace(voters.iter().map(|voter| voter.rpc_addr).collect());
                 }
-                Effect::Refused { from, why } => {
+                Effect::MessageRejected { from, why } => {
                     log_event!(Warn, "consensus message", "peer" => from, "cause" => why.to_string());
                 }
                 Effect::Logged { .. } | Effect::NotLogged { .. } => {}
--- a/crates/control-plane/tests/consensus.rs
+++ b/crates/control-plane/tests/consensus.rs
@@ -355,7 +355,7 @@
     assert!(!timer(&mut voter, start + 300), "answers to old queries");
     let effects = voter.step(answer(1, 90, start + 10_000), start + 400);
     assert!(
-        matches!(effects[..], [Effect::Refused { .. }]),
+        matches!(effects[..], [Effect::MessageRejected { .. }]),
         "an answer to a query that was not sent yet: {effects:?}"
     );
     for n in [1, 2] {
--- a/crates/control-plane/tests/invalid_messages.rs
+++ b/crates/control-plane/tests/invalid_messages.rs
@@ -185,7 +185,8 @@
 fn assert_rejected(mut voter: Voter, msg: Message, why: InvalidMessage) {
     let before = describe(&voter);
     let effects = voter.step(Event::Msg(address(1), msg.clone()), NOW);
-    let rejected = matches!(effects.as_slice(), [Effect::Refused { why: reason, .. }] if *reason == why);
+    let rejected =
+        matches!(effects.as_slice(), [Effect::MessageRejected { why: reason, .. }] if *reason == why);
     assert!(rejected, "{msg:?}: {effects:?}");
     assert_eq!(describe(&voter), before, "{msg:?}");
 }
--- a/crates/control-plane/tests/model/world.rs
+++ b/crates/control-plane/tests/model/world.rs
@@ -810,7 +810,7 @@
             Effect::NotLogged { .. }
             | Effect::SnapshotInstalled
             | Effect::VotersDiscovered(_)
-            | Effect::Refused { .. } => Ok(()),
+            | Effect::MessageRejected { .. } => Ok(()),
         }
     }
 
--- a/crates/simulator/src/sim/catch_up/cluster.rs
+++ b/crates/simulator/src/sim/catch_up/cluster.rs
@@ -233,7 +233,9 @@
                 }
                 Ok(())
             }
-            Effect::Refused { from, why } => Err(format!("s{voter} refuses a message from {from}: {why}")),
+            Effect::MessageRejected { from, why } => {
+                Err(format!("s{voter} refuses a message from {from}: {why}"))
+            }
             _ => Ok(()),
         }
     }
--- a/crates/simulator/src/sim/transport.rs
+++ b/crates/simulator/src/sim/transport.rs
@@ -117,10 +117,10 @@
                 return self.voter_step(voter_id, Event::BecomeSpare(identity));
             }
             // A broken variant may send malformed messages; it must be caught by their consequences.
-            Effect::Refused { from, why } if self.broken.is_some() => {
+            Effect::MessageRejected { from, why } if self.broken.is_some() => {
                 self.trace_line(format!("s{voter_id} refuses a message from {from}: {why}"));
             }
-            Effect::Refused { from, why } => {
+            Effect::MessageRejected { from, why } => {
                 return Err(format!("s{voter_id} refuses a message from {from}: {why}"));
             }
             Effect::SnapshotInstalled
