--- a/crates/data-plane/src/serving/attempt_state.rs
+++ b/crates/data-plane/src/serving/attempt_state.rs
@@ -3,7 +3,7 @@
 //! its first attempt to its answer. Whether a connection may carry another request is decided in
 //! [`super::connection_reuse`].
 
-use common::mutation::enabled as broken;
+use common::mutation;
 
 /// A request is given up after this many attempts that reached no replica.
 pub const MAX_UNSENT: u32 = 4;
@@ -67,7 +67,7 @@
 /// Decides by the head of an answer whether it belongs to the request and may be passed on.
 pub fn check_answer(request: RequestTraits, head: &AnswerHead) -> AnswerCheck {
     let foreign = request.has_id && head.id == AnswerId::Other;
-    if foreign && !broken("foreign-answer-taken") {
+    if foreign && !mutation::enabled("foreign-answer-taken") {
         return AnswerCheck::MayHaveRun("the answer carries the id of another request");
     }
     if declines(head) {
@@ -79,13 +79,14 @@
     if head.status < 200 {
         return AnswerCheck::MayHaveRun("the answer switches to another protocol");
     }
-    if (200..300).contains(&head.status) && !head.sealed && !broken("success-without-seal") {
+    if (200..300).contains(&head.status) && !head.sealed && !mutation::enabled("success-without-seal") {
         return AnswerCheck::MayHaveRun("the answer is a success without the replica's seal");
     }
     if !head.end_detectable {
         return AnswerCheck::MayHaveRun("the end of the answer can't be told from a cut-off");
     }
-    if !request.idempotent && status_promises_not_run(head.status) && !broken("promise-passed-on") {
+    if !request.idempotent && status_promises_not_run(head.status) && !mutation::enabled("promise-passed-on")
+    {
         return AnswerCheck::MayHaveRun(
             "the status means that nothing ran, but the replica does not say so itself",
         );
@@ -162,8 +163,9 @@
     /// Whether another attempt is allowed: none if the request may have run and is not idempotent, and none beyond the
     /// route's number of attempts. It has to be paid for once the request has reached a replica.
     pub fn permit(&self) -> Permit {
-        let must_not_repeat = self.may_have_run() && !self.idempotent && !broken("write-sent-again");
-        let max_reached = if broken("tries-not-counted") { u32::MAX } else { self.max_reached };
+        let must_not_repeat =
+            self.may_have_run() && !self.idempotent && !mutation::enabled("write-sent-again");
+        let max_reached = if mutation::enabled("tries-not-counted") { u32::MAX } else { self.max_reached };
         if must_not_repeat || self.unsent >= MAX_UNSENT || self.reached >= max_reached {
             return Permit::No;
         }
@@ -174,7 +176,7 @@
     pub fn begin(&mut self, paid: bool) {
         let abandoned = self.current_paid.replace(paid).is_some();
         self.may_have_run |= abandoned;
-        if !(abandoned && broken("abandoned-not-counted")) {
+        if !(abandoned && mutation::enabled("abandoned-not-counted")) {
             self.reached += 1;
         }
     }
@@ -196,7 +198,7 @@
     /// The status for the client when no replica gave an answer; `late` if the deadline has passed. The request is
     /// [`FinalStatus::Refused`] only if no attempt can have run.
     pub fn final_status(&self, late: bool) -> FinalStatus {
-        if !self.may_have_run() || broken("unknown-called-refused") {
+        if !self.may_have_run() || mutation::enabled("unknown-called-refused") {
             return FinalStatus::Refused;
         }
         if late { FinalStatus::GatewayTimeout } else { FinalStatus::BadGateway }
--- a/crates/data-plane/src/serving/connection_reuse.rs
+++ b/crates/data-plane/src/serving/connection_reuse.rs
@@ -2,7 +2,7 @@
 //! [`super::connection`] asks for the [`CleanEnd`] that is made here as the proof.
 
 use super::attempt_state::RequestTraits;
-use common::mutation::enabled as broken;
+use common::mutation;
 
 /// Longest time that a connection may be idle and still be reused.
 pub const MAX_IDLE_MS: u64 = 2_000;
@@ -11,7 +11,8 @@
 /// the peer may close an idle connection while the request is being sent, and only if it carries an id by which its
 /// own answer can be told from another's.
 pub fn may_reuse(request: RequestTraits) -> bool {
-    (request.idempotent || broken("write-on-kept")) && (request.has_id || broken("no-id-on-kept"))
+    (request.idempotent || mutation::enabled("write-on-kept"))
+        && (request.has_id || mutation::enabled("no-id-on-kept"))
 }
 
 /// What a replica says about the connection in the head of an answer.
@@ -78,10 +79,10 @@
 /// Whether a connection may carry another request: the whole request was sent, the answer is complete, and the replica
 /// keeps the connection open for a while. Half of the time that the replica announced is used.
 pub fn clean_end(end: ExchangeEnd) -> Option<CleanEnd> {
-    if end.body != BodyEnd::Complete && !broken("kept-after-unread") {
+    if end.body != BodyEnd::Complete && !mutation::enabled("kept-after-unread") {
         return None;
     }
-    if !end.sent && !broken("kept-half-sent") {
+    if !end.sent && !mutation::enabled("kept-half-sent") {
         return None;
     }
     let KeepAlive::Open(announced_ms) = end.keep_alive else { return None };
--- a/crates/data-plane/src/serving/usage/call.rs
+++ b/crates/data-plane/src/serving/usage/call.rs
@@ -32,26 +32,26 @@
     /// Makes the call; `None` if nothing was sent because the duty passed to another node.
     pub(super) async fn report(&self, call: &Call) -> Option<Result<StatusCode, PeerError>> {
         let timeout_ms = lock(&self.plan).spans.call_timeout_ms;
-        let sent = self.send(call);
-        with_timeout(timeout_ms, STEP, self.duty.address, async { Ok(sent.await) })
+        let sending = self.send(call);
+        with_timeout(timeout_ms, STEP, self.duty.address, async { Ok(sending.await) })
             .await
             .unwrap_or_else(|error| Some(Err(error)))
     }
 
     async fn send(&self, call: &Call) -> Option<Result<StatusCode, PeerError>> {
-        let (to, router) = (self.duty.address, &self.serving.router);
+        let (address, router) = (self.duty.address, &self.serving.router);
         let duty_call =
             self.serving.protocol.usage_report(&self.duty.holder, call.fencing_token, &call.report);
         let request =
-            Request::builder().method(Method::POST).uri(duty_call.path).header("host", to.to_string());
+            Request::builder().method(Method::POST).uri(duty_call.path).header("host", address.to_string());
         let request =
             duty_call.headers.iter().fold(request, |request, (name, value)| request.header(*name, value));
-        let request = match request.body(full(duty_call.body)).at_peer(STEP, to) {
+        let request = match request.body(full(duty_call.body)).at_peer(STEP, address) {
             Ok(request) => request,
             Err(error) => return Some(Err(error)),
         };
         let timeout_ms = lock(&self.plan).spans.call_timeout_ms;
-        let mut connection = match open_client(router.settings.rpc_addr.ip(), to, timeout_ms).await {
+        let mut connection = match open_client(router.settings.rpc_addr.ip(), address, timeout_ms).await {
             Ok(connection) => connection,
             Err(error) => return Some(Err(error)),
         };
@@ -59,7 +59,7 @@
         if !lock(&self.plan).may_send(call, self.held_token(), router.now()) {
             return None;
         }
-        let answer = match connection.send_request(request).await.at_peer(STEP, to) {
+        let answer = match connection.send_request(request).await.at_peer(STEP, address) {
             Ok(answer) => answer,
             Err(error) => return Some(Err(error)),
         };
--- a/crates/data-plane/src/serving/usage/clock.rs
+++ b/crates/data-plane/src/serving/usage/clock.rs
@@ -7,7 +7,7 @@
 const MEDIAN_ERROR_MS: u64 = 500;
 /// Maximum error of the median of one or two clocks, in milliseconds.
 const FEW_CLOCKS_ERROR_MS: u64 = 10_000;
-/// Clocks from which the median has the smaller error.
+/// Smallest number of clocks whose median has the smaller of these errors.
 const MIN_CLOCKS_FOR_MEDIAN: usize = 3;
 
 /// Offset of a machine's time of day from this router's monotonic clock, in milliseconds.
--- a/crates/data-plane/src/serving/usage/holder.rs
+++ b/crates/data-plane/src/serving/usage/holder.rs
@@ -13,7 +13,7 @@
     time::Duration,
 };
 
-/// Interval at which the tasks check what is to be done.
+/// Interval at which the tasks check whether there is something to do.
 const POLL_INTERVAL_MS: u64 = 100;
 
 /// A router that holds the usage duty, or may come to hold it.
--- a/crates/data-plane/src/serving/usage/messages.rs
+++ b/crates/data-plane/src/serving/usage/messages.rs
@@ -12,8 +12,8 @@
 /// A request of the holder.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum UsageRequest {
-    /// Asks how many requests started to run between two points in time, each given by its age when the request is
-    /// answered.
+    /// Asks how many requests started to run between two points in time, each given by its age: how long ago it
+    /// was when the request is answered.
     Starts {
         /// Age of the earlier one, in milliseconds.
         from_age_ms: u64,
--- a/crates/data-plane/src/serving/usage/pacing.rs
+++ b/crates/data-plane/src/serving/usage/pacing.rs
@@ -47,21 +47,21 @@
     }
 }
 
-/// The pause between calls, and the highest fencing token that was refused.
+/// The pause between calls, and the highest fencing token that the platform called superseded.
 #[derive(Debug)]
 pub struct CallPacing {
     first_pause_ms: u64,
     pause_ms: u64,
     next_call: Tick,
-    refused: Option<FencingToken>,
+    highest_superseded: Option<FencingToken>,
 }
 
 impl CallPacing {
-    /// A pacing that stays well below the calls for duties that all nodes together may make per second.
+    /// Paces calls well below `calls_per_s`, the rate of calls for duties that all nodes together may make.
     pub fn new(calls_per_s: f64) -> Self {
         let min_pause_ms = 1_000.0 / (calls_per_s * RATE_SHARE).max(0.1);
         let first_pause_ms = (min_pause_ms as u64).max(MIN_PAUSE_MS);
-        Self { first_pause_ms, pause_ms: first_pause_ms, next_call: Tick(0), refused: None }
+        Self { first_pause_ms, pause_ms: first_pause_ms, next_call: Tick(0), highest_superseded: None }
     }
 
     /// Resets the pause: a new tenure began.
@@ -69,16 +69,17 @@
         self.pause_ms = self.first_pause_ms;
     }
 
-    /// Whether a call may be made now. Under a fencing token that was refused, none is made again.
+    /// Whether a call may be made now. Once the platform has called a fencing token superseded, none is made
+    /// under it or a lower one.
     pub fn may_call(&self, fencing_token: FencingToken, now: Tick) -> bool {
-        let superseded = self.refused.is_some_and(|refused| fencing_token <= refused);
+        let superseded = self.highest_superseded.is_some_and(|highest| fencing_token <= highest);
         !superseded && now >= self.next_call
     }
 
     /// Records the outcome of a call.
     pub fn record_outcome(&mut self, fencing_token: FencingToken, outcome: CallOutcome, now: Tick) {
         if outcome == CallOutcome::Superseded {
-            self.refused = self.refused.max(Some(fencing_token));
+            self.highest_superseded = self.highest_superseded.max(Some(fencing_token));
         }
         self.pause_ms = match outcome {
             CallOutcome::Unknown => (self.pause_ms * 2).min(MAX_PAUSE_MS.max(self.first_pause_ms)),
--- a/crates/data-plane/src/serving/usage/peer_queries.rs
+++ b/crates/data-plane/src/serving/usage/peer_queries.rs
@@ -15,11 +15,11 @@
 use control_plane::{Member, state_machine::singleton};
 use std::{collections::BTreeMap, sync::Mutex, time::Duration};
 
-/// Name of the singleton role.
+/// Name of the singleton role whose holder reports usage.
 pub const ROLE: &str = "usage";
 /// Pause before a router that did not answer is asked again, in milliseconds.
 const RETRY_PAUSE_MS: u64 = 300;
-/// How many times routers are asked for the decisions that they store.
+/// How many times a router that does not answer is asked for the decisions that it stores.
 const COLLECT_ROUNDS: usize = 3;
 /// If the time of day turns out to be wrong by more than the window length divided by this, all routers are asked
 /// again.
@@ -28,7 +28,7 @@
 const MAX_CLOCK_CORRECTIONS: usize = 3;
 
 /// The counts of each router that answered, with the offset of its clock.
-type Counted = BTreeMap<NodeId, (i64, BTreeMap<Tenant, u64>)>;
+type CountsByRouter = BTreeMap<NodeId, (i64, BTreeMap<Tenant, u64>)>;
 
 /// Decisions of former holders, and the time of day.
 pub struct Collected {
@@ -39,12 +39,13 @@
 }
 
 impl Router {
-    /// The routers by their rank in the role; the first one is the holder.
-    fn usage_ranks(&self) -> Vec<Member> {
+    /// The routers by their rank in the singleton role; the first one is its holder.
+    fn ranked_routers(&self) -> Vec<Member> {
         singleton::ranked_holders(&self.cluster_state(), ROLE, None)
     }
 
-    /// Sends a request to a router, or answers it if that is this one. The returned time is the middle of the call.
+    /// Sends a request to a router, or answers it if that is this one. The returned time is the middle of the
+    /// call, as an estimate of when the router answered.
     async fn ask_usage(&self, member: &Member, request: UsageRequest) -> Option<(UsageResponse, Tick)> {
         if member.info.node == *self.node() {
             return Some((self.usage.answer(request, self.now()), self.now()));
@@ -57,16 +58,17 @@
         }
     }
 
-    /// Asks for the decisions that the routers store, a few times; `None` without the clocks of most routers.
+    /// Collects the decisions that the routers store, and reads their clocks. Routers that do not answer are asked a few
+    /// times; `None` if most did not answer.
     pub(super) async fn collect_usage(&self, tenure: &Tenure) -> Option<Collected> {
         let (mut clocks, mut reports) = (BTreeMap::new(), Vec::new());
-        let mut ranks = self.usage_ranks();
+        let mut routers = self.ranked_routers();
         for round in 0..COLLECT_ROUNDS {
             if round > 0 {
                 tokio::time::sleep(Duration::from_millis(RETRY_PAUSE_MS)).await;
-                ranks = self.usage_ranks();
+                routers = self.ranked_routers();
             }
-            let pending = ranks.iter().filter(|member| !clocks.contains_key(&member.info.node));
+            let pending = routers.iter().filter(|member| !clocks.contains_key(&member.info.node));
             let calls = pending.map(|member| async {
                 let request = UsageRequest::Collect { fencing_token: tenure.fencing_token };
                 (member.info.node.clone(), self.ask_usage(member, request).await)
@@ -77,17 +79,22 @@
                     reports.extend(stored);
                 }
             }
-            if clocks.len() == ranks.len() {
+            if clocks.len() == routers.len() {
                 break;
             }
         }
-        let clock = MedianClock::of(clocks.into_values().collect(), ranks.len())?;
+        let clock = MedianClock::of(clocks.into_values().collect(), routers.len())?;
         Some(Collected { reports, clock })
     }
 
     /// Asks the routers that have not answered yet how many requests started in a window.
-    async fn count_once(&self, (from, until): (Tick, Tick), ranks: &[Member], counted: &mut Counted) {
-        let pending = ranks.iter().filter(|member| !counted.contains_key(&member.info.node));
+    async fn count_once(
+        &self,
+        (from, until): (Tick, Tick),
+        routers: &[Member],
+        counted: &mut CountsByRouter,
+    ) {
+        let pending = routers.iter().filter(|member| !counted.contains_key(&member.info.node));
         let calls = pending.map(|member| async {
             let now = self.now();
             let (from_age_ms, until_age_ms) = (now.since(from), now.since(until));
@@ -113,13 +120,13 @@
             let plan = lock(plan);
             (plan.end_ms(window - 1), plan.end_ms(window), plan.ask_until_ms(window))
         };
-        let (mut counted, mut corrections) = (Counted::new(), 0);
+        let (mut counted, mut corrections) = (CountsByRouter::new(), 0);
         loop {
-            let ranks = self.usage_ranks();
+            let routers = self.ranked_routers();
             let span = (clock.tick_at(start_ms), clock.tick_at(end_ms));
-            self.count_once(span, &ranks, &mut counted).await;
+            self.count_once(span, &routers, &mut counted).await;
             let offsets = counted.values().map(|(offset, _)| *offset).collect();
-            let newer = MedianClock::of(offsets, ranks.len());
+            let newer = MedianClock::of(offsets, routers.len());
             if let Some(newer) = newer
                 && newer.difference_ms(&clock) > (end_ms - start_ms) / CLOCK_TOLERANCE_DIVISOR
                 && corrections < MAX_CLOCK_CORRECTIONS
@@ -128,7 +135,7 @@
                 counted.clear();
                 continue;
             }
-            let all_counted = ranks.iter().all(|member| counted.contains_key(&member.info.node));
+            let all_counted = routers.iter().all(|member| counted.contains_key(&member.info.node));
             if all_counted || clock.time_of_day(self.now()) >= until_ms {
                 let mut counts = BTreeMap::new();
                 for (tenant, count) in counted.into_values().flat_map(|(_, counts)| counts) {
@@ -140,8 +147,8 @@
         }
     }
 
-    /// Hands a decision to other routers by rank until enough store it, among them one of another zone if there is one.
-    /// `None`: not enough do. `Some(false)`: a router stores a different decision.
+    /// Hands a decision to other routers by rank until enough store it, among them one of another zone if there is one,
+    /// and returns `Some(true)`. `Some(false)`: a router stores a different decision. `None`: too few routers stored it.
     pub(super) async fn copy_usage(
         &self,
         tenure: &Tenure,
@@ -149,7 +156,7 @@
         copies: usize,
     ) -> Option<bool> {
         let others: Vec<Member> =
-            self.usage_ranks().into_iter().filter(|member| member.info.node != *self.node()).collect();
+            self.ranked_routers().into_iter().filter(|member| member.info.node != *self.node()).collect();
         let is_elsewhere = |member: &&Member| member.info.zone != *self.zone();
         let needed = copies.min(others.len());
         let mut needs_elsewhere = others.iter().any(|member| is_elsewhere(&member));
--- a/crates/data-plane/src/serving/usage/plan.rs
+++ b/crates/data-plane/src/serving/usage/plan.rs
@@ -10,7 +10,7 @@
     pacing::{Call, CallOutcome, CallPacing},
     tenure::{HandoverSpans, Tenure, TenureWatch},
 };
-use common::{FencingToken, Tick, mutation::enabled as broken, settings::Timing};
+use common::{FencingToken, Tick, mutation, settings::Timing};
 use std::{collections::BTreeMap, sync::Arc};
 
 /// Time from a window's end until its starts are counted, since some are recorded late.
@@ -29,6 +29,7 @@
     Abandoned,
 }
 
+/// A window whose counts are decided.
 #[derive(Debug)]
 struct Entry {
     report: Arc<UsageReport>,
@@ -39,10 +40,11 @@
 #[derive(Debug)]
 pub struct HolderPlan {
     duty: UsageDuty,
-    /// Safety margins between the tenures of different holders.
+    /// Safety margins between tenures of different holders.
     pub spans: HandoverSpans,
     watch: TenureWatch,
-    /// The first window that only this tenure can have decided; `None` until former decisions are collected.
+    /// The first window that no earlier tenure of any node can have decided; `None` until former decisions are
+    /// collected.
     first_own_window: Option<u64>,
     entries: BTreeMap<u64, Entry>,
     pacing: CallPacing,
@@ -83,7 +85,7 @@
             return;
         }
         let undecided_ms = self.spans.undecided_ms + 2 * clock.error_ms();
-        let undecided_ms = if broken("usage-no-margin") { 0 } else { undecided_ms };
+        let undecided_ms = if mutation::enabled("usage-no-margin") { 0 } else { undecided_ms };
         // The first own window is the first one that ends at that time or later.
         let safe_end = clock.time_of_day(tenure.began) + undecided_ms;
         self.first_own_window = Some(safe_end.div_ceil(self.duty.window_ms).max(1) - 1);
@@ -126,7 +128,8 @@
     pub fn decide(&mut self, tenure: u64, report: UsageReport, clock: &MedianClock, now: Tick) -> bool {
         let has_ended = self.end_ms(report.window) <= clock.time_of_day(now);
         let is_own = self.first_own_window.is_some_and(|first| report.window >= first);
-        let is_undecided = !self.entries.contains_key(&report.window) || broken("usage-decided-again");
+        let is_undecided =
+            !self.entries.contains_key(&report.window) || mutation::enabled("usage-decided-again");
         if !(self.is_current(tenure) && is_own && has_ended && is_undecided) {
             return false;
         }
@@ -154,14 +157,15 @@
     /// The call that is to be made now.
     pub fn next_call(&self, clock: &MedianClock, now: Tick) -> Option<Call> {
         let tenure = self.watch.current()?;
-        let in_quiet_period = now.since(tenure.began) < self.spans.quiet_ms && !broken("usage-acts-at-once");
+        let in_quiet_period =
+            now.since(tenure.began) < self.spans.quiet_ms && !mutation::enabled("usage-acts-at-once");
         if in_quiet_period || !self.pacing.may_call(tenure.fencing_token, now) {
             return None;
         }
         let time = clock.time_of_day(now);
         let is_ready = |(window, entry): &(&u64, &Entry)| {
             let copied = entry.stage == Stage::Copied
-                || (entry.stage == Stage::Decided && broken("usage-sent-uncopied"));
+                || (entry.stage == Stage::Decided && mutation::enabled("usage-sent-uncopied"));
             copied && time < self.due_ms(**window)
         };
         let (_, entry) = self.entries.iter().find(is_ready)?;
@@ -174,7 +178,7 @@
         let tenure = self.observe(held, now);
         let is_same =
             |tenure: Tenure| (tenure.number, tenure.fencing_token) == (call.tenure, call.fencing_token);
-        tenure.is_some_and(is_same) || broken("usage-no-last-look")
+        tenure.is_some_and(is_same) || mutation::enabled("usage-no-last-look")
     }
 
     /// Records the outcome of a call.
--- a/crates/data-plane/src/serving/usage/tenure.rs
+++ b/crates/data-plane/src/serving/usage/tenure.rs
@@ -5,7 +5,7 @@
 //! period.
 
 use super::UsageDuty;
-use common::{FencingToken, Tick, mutation::enabled as broken, settings::Timing};
+use common::{FencingToken, Tick, mutation, settings::Timing};
 
 /// Safety margins that keep two holders from acting at once, in milliseconds.
 #[derive(Clone, Copy, Debug)]
@@ -76,7 +76,7 @@
     ) -> Option<Tenure> {
         let continues = |tenure: &Tenure, token: FencingToken| {
             let was_watched =
-                now.since(tenure.last_observed) <= max_unwatched_ms || broken("usage-gap-unseen");
+                now.since(tenure.last_observed) <= max_unwatched_ms || mutation::enabled("usage-gap-unseen");
             was_watched && token >= tenure.fencing_token
         };
         self.current = held.map(|token| match self.current {
