--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -95,25 +95,25 @@
 ) -> Outcome {
     let step = "go";
     let AttemptTarget { local_ip, address, connect_ms, left_ms, blocked_reason } = target;
-    let mut tx = match open_client(local_ip, address, connect_ms.min(left_ms.max(1))).await {
-        Ok(tx) => tx,
+    let mut connection = match open_client(local_ip, address, connect_ms.min(left_ms.max(1))).await {
+        Ok(connection) => connection,
         Err(e) => return Outcome::NotRun(e),
     };
     let build = || {
-        let mut req = Request::builder()
+        let mut request = Request::builder()
             .method(sent.method.clone())
             .uri(sent.uri.path_and_query().map(|p| p.as_str()).unwrap_or("/"));
-        if let Some(h) = req.headers_mut() {
-            h.extend(sent.headers.clone());
-            h.insert("host", address.to_string().parse().at_peer(step, address)?);
-            for (k, v) in extra {
-                h.insert(*k, v.parse().at_peer(step, address)?);
+        if let Some(headers) = request.headers_mut() {
+            headers.extend(sent.headers.clone());
+            headers.insert("host", address.to_string().parse().at_peer(step, address)?);
+            for (name, value) in extra {
+                headers.insert(*name, value.parse().at_peer(step, address)?);
             }
         }
-        req.body(full(sent.body.clone())).at_peer(step, address)
+        request.body(full(sent.body.clone())).at_peer(step, address)
     };
-    let req = match build() {
-        Ok(r) => r,
+    let request = match build() {
+        Ok(request) => request,
         Err(e) => return Outcome::NotRun(e),
     };
     // Checked again here: this process may have been suspended, or the cluster state may have changed.
@@ -121,18 +121,19 @@
         return Outcome::NotRun(PeerError::new("last look", address, why));
     }
     // From here on bytes may have been sent, so the outcome of every failure is unknown.
-    let res = match tokio::time::timeout(Duration::from_millis(left_ms), tx.send_request(req)).await {
-        Ok(Ok(r)) => r,
-        Ok(Err(e)) => return Outcome::Unknown(PeerError::new("await answer", address, e)),
-        Err(_) => {
-            return Outcome::Unknown(PeerError::new(
-                "await answer",
-                address,
-                format!("none in {left_ms} ms"),
-            ));
-        }
-    };
-    let (mut head, body) = res.into_parts();
+    let response =
+        match tokio::time::timeout(Duration::from_millis(left_ms), connection.send_request(request)).await {
+            Ok(Ok(response)) => response,
+            Ok(Err(e)) => return Outcome::Unknown(PeerError::new("await answer", address, e)),
+            Err(_) => {
+                return Outcome::Unknown(PeerError::new(
+                    "await answer",
+                    address,
+                    format!("none in {left_ms} ms"),
+                ));
+            }
+        };
+    let (mut head, body) = response.into_parts();
     if !has_detectable_end(&sent.method, &head, &body) {
         return Outcome::Unknown(PeerError::new(
             "read answer",
@@ -143,11 +144,11 @@
     let outcome = head.headers.get("foldshunt-outcome").cloned();
     let reason = head.headers.get("foldshunt-reason").cloned();
     strip_internal_headers(&mut head.headers);
-    for (k, v) in [("foldshunt-outcome", outcome), ("foldshunt-reason", reason)] {
-        if let Some(v) = v {
-            head.headers.insert(k, v);
+    for (name, value) in [("foldshunt-outcome", outcome), ("foldshunt-reason", reason)] {
+        if let Some(value) = value {
+            head.headers.insert(name, value);
         }
     }
     let idle = Duration::from_millis(left_ms.max(1000));
-    Outcome::Done(Response::from_parts(head, ForwardedBody::wrap(body, idle, (tx, kept))))
+    Outcome::Done(Response::from_parts(head, ForwardedBody::wrap(body, idle, (connection, kept))))
 }
--- a/crates/data-plane/src/capacity_grant.rs
+++ b/crates/data-plane/src/capacity_grant.rs
@@ -94,9 +94,9 @@
     ) -> Option<CapacityGrant> {
         let key = (service.clone(), node.clone());
         self.grants.remove(&key);
-        self.grants.retain(|_, g| g.until > now);
+        self.grants.retain(|_, grant| grant.until > now);
         let outstanding: u32 =
-            self.grants.iter().filter(|((s, _), _)| s == service).map(|(_, g)| g.left).sum();
+            self.grants.iter().filter(|((s, _), _)| s == service).map(|(_, grant)| grant.left).sum();
         let used = self.used.entry(service.clone()).or_default();
         used.retain(|t| now.since(*t) < ttl_ms);
         let free = free_capacity.max(0.0) as i64 - i64::from(outstanding) - used.len() as i64;
@@ -119,11 +119,11 @@
         }
         let key = (used.service.clone(), used.node.clone());
         match self.grants.get_mut(&key) {
-            Some(g) if g.serial != used.serial => Err("pass replaced"),
-            Some(g) if g.until <= now => Err("pass expired"),
-            Some(g) if g.left == 0 => Err("pass used up"),
-            Some(g) => {
-                g.left -= 1;
+            Some(grant) if grant.serial != used.serial => Err("pass replaced"),
+            Some(grant) if grant.until <= now => Err("pass expired"),
+            Some(grant) if grant.left == 0 => Err("pass used up"),
+            Some(grant) => {
+                grant.left -= 1;
                 self.used.entry(used.service.clone()).or_default().push(now);
                 Ok(())
             }
--- a/crates/data-plane/src/counters.rs
+++ b/crates/data-plane/src/counters.rs
@@ -83,7 +83,7 @@
             ),
             replica_list_age: metrics.gauge(
                 "replica_list_age_ms",
-                "Milliseconds since the list of a zone's replicas was read that this router goes by",
+                "Age in milliseconds of the list of a zone's replicas that this router uses",
                 &["zone"],
             ),
             usage_reports: metrics.counter(
--- a/crates/data-plane/src/dispatch.rs
+++ b/crates/data-plane/src/dispatch.rs
@@ -157,8 +157,9 @@
                 let own = self.own_region(table).filter(|o| plan.homes.contains(o) && loads.contains_key(o));
                 let own = own.filter(|o| !avoid.contains(o));
                 own.or_else(|| {
-                    let open_to = |r: &Region| {
-                        !avoid.contains(r) && lock(&self.held_grants).has(r, &plan.entry.service, self.now())
+                    let open_to = |region: &Region| {
+                        !avoid.contains(region)
+                            && lock(&self.held_grants).has(region, &plan.entry.service, self.now())
                     };
                     let policy = table.policy(&plan.entry);
                     let candidates = crate::region_choice::candidates(&loads, &plan.homes, policy, &open_to);
--- a/crates/data-plane/src/gateway.rs
+++ b/crates/data-plane/src/gateway.rs
@@ -20,6 +20,7 @@
     time::Duration,
 };
 
+/// Response to a client, or to a router that forwarded its request.
 type Res = Response<Body>;
 
 /// Adds the headers that tell a client its request's id and outcome.
@@ -53,9 +54,9 @@
     );
     if retry_s > 0
         && !common::mutation::enabled("no-retry-after")
-        && let Ok(v) = retry_s.to_string().parse()
+        && let Ok(value) = retry_s.to_string().parse()
     {
-        response.headers_mut().insert("retry-after", v);
+        response.headers_mut().insert("retry-after", value);
     }
     with_outcome(response, request_id, "bounced", reason)
 }
@@ -67,12 +68,12 @@
 }
 
 /// Response to a request that may have run, and so is never reported as rejected. `late` says that its deadline passed.
-pub fn unknown(router: &Router, plan: &Plan, e: &PeerError, late: bool) -> Res {
+pub fn unknown(router: &Router, plan: &Plan, error: &PeerError, late: bool) -> Res {
     router.counters.requests.inc(&[&plan.entry.name, "unknown"]);
-    router.record_event(EventKind::Unknown(e.step.into()));
+    router.record_event(EventKind::Unknown(error.step.into()));
     let code = if late { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-    let response = json(code, &j!({"outcome": "unknown", "reason": e.step, "job": plan.request_id}));
-    with_outcome(response, &plan.request_id, "unknown", e.step)
+    let response = json(code, &j!({"outcome": "unknown", "reason": error.step, "job": plan.request_id}));
+    with_outcome(response, &plan.request_id, "unknown", error.step)
 }
 
 impl Router {
@@ -106,8 +107,8 @@
         };
         let revision = configuration.revision;
         let mut response = self.handle_request(configuration, request_id, head, body, open).await;
-        if let Ok(v) = revision.to_string().parse() {
-            response.headers_mut().insert("foldshunt-revision", v);
+        if let Ok(value) = revision.to_string().parse() {
+            response.headers_mut().insert("foldshunt-revision", value);
         }
         Ok(response)
     }
--- a/crates/data-plane/src/placement.rs
+++ b/crates/data-plane/src/placement.rs
@@ -37,9 +37,9 @@
         let policy = table.policy(&plan.entry);
         let loads = self.region_loads(table, service);
         let own = self.own_region(table);
-        let open_to = |r: &Region| {
-            !avoid.contains(r)
-                && (Some(r) == own.as_ref() || lock(&self.held_grants).has(r, service, self.now()))
+        let open_to = |region: &Region| {
+            !avoid.contains(region)
+                && (Some(region) == own.as_ref() || lock(&self.held_grants).has(region, service, self.now()))
         };
         let candidates = candidates(&loads, &plan.homes, policy, &open_to);
         let count = |how: &str| self.counters.placements.with_label_values(&[how]).inc();
--- a/crates/data-plane/src/replica_choice.rs
+++ b/crates/data-plane/src/replica_choice.rs
@@ -36,10 +36,10 @@
 
 /// This router's share of a number of requests: an equal part, with the remainder given out by rank.
 fn router_share(routers: &[NodeId], node: &str, key: &str, total: u32) -> i64 {
-    let ranked = common::rendezvous::ranked(key, routers, |n| n.as_str());
-    let n = ranked.len().max(1) as u32;
-    let rank = ranked.iter().position(|m| m.as_str() == node).unwrap_or(usize::MAX);
-    i64::from(total / n) + i64::from((rank as u64) < u64::from(total % n))
+    let ranked = common::rendezvous::ranked(key, routers, |router| router.as_str());
+    let count = ranked.len().max(1) as u32;
+    let rank = ranked.iter().position(|router| router.as_str() == node).unwrap_or(usize::MAX);
+    i64::from(total / count) + i64::from((rank as u64) < u64::from(total % count))
 }
 
 /// The routers of a region whose zones are not evacuated.
--- a/crates/data-plane/src/replica_health.rs
+++ b/crates/data-plane/src/replica_health.rs
@@ -70,14 +70,14 @@
     /// where it reports none.
     pub fn record(&mut self, found: ProbeResult, max_fails: u32, slots: f64, now: Tick) {
         match found {
-            ProbeResult::Reported(r) if r.healthy != Some(false) => {
+            ProbeResult::Reported(report) if report.healthy != Some(false) => {
                 self.fails = 0;
                 if !self.healthy || self.absent {
                     self.warm_since = Some(now);
                 }
                 (self.healthy, self.absent) = (true, false);
-                self.capacity = r.capacity.unwrap_or(slots);
-                self.consumption = r.consumption.unwrap_or(0.0);
+                self.capacity = report.capacity.unwrap_or(slots);
+                self.consumption = report.consumption.unwrap_or(0.0);
             }
             // A replica that calls itself unhealthy is unhealthy at once.
             ProbeResult::Reported(_) => (self.healthy, self.fails) = (false, max_fails),
--- a/crates/data-plane/src/request_queue.rs
+++ b/crates/data-plane/src/request_queue.rs
@@ -40,11 +40,11 @@
         if (before + 1.0) * self.gap_ms > deadline.since(now) as f64 {
             return Err(Rejection::Late);
         }
-        let (tx, rx) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         self.serial += 1;
         let place = (deadline, self.serial);
-        self.waiting.insert(place, tx);
-        Ok((place, rx))
+        self.waiting.insert(place, sender);
+        Ok((place, receiver))
     }
 
     /// Takes a request out of the queue.
--- a/crates/data-plane/src/router.rs
+++ b/crates/data-plane/src/router.rs
@@ -55,7 +55,7 @@
 /// The report of a zone's replicas that this node publishes.
 pub struct Publication {
     /// Sends the newest report to those that wait for it.
-    pub tx: watch::Sender<HeldReport>,
+    pub sender: watch::Sender<HeldReport>,
     /// When the report was last requested.
     pub asked: Tick,
 }
--- a/crates/data-plane/src/serving/health_prober.rs
+++ b/crates/data-plane/src/serving/health_prober.rs
@@ -60,7 +60,7 @@
             let fresh_at = list.known().read_at().min(probe_started);
             let received = ReceivedReport { report, fresh_at, received_at: probe_started };
             if let Some(publication) = lock(&self.router.publications).get(&zone) {
-                publication.tx.send_replace(Some(Arc::new(received)));
+                publication.sender.send_replace(Some(Arc::new(received)));
             }
         }
     }
--- a/crates/data-plane/src/serving/report_publication.rs
+++ b/crates/data-plane/src/serving/report_publication.rs
@@ -38,10 +38,11 @@
         let asked = self.now();
         let held = {
             let mut publications = lock(&self.publications);
-            let publication =
-                publications.entry(zone).or_insert_with(|| Publication { tx: watch::channel(None).0, asked });
+            let publication = publications
+                .entry(zone)
+                .or_insert_with(|| Publication { sender: watch::channel(None).0, asked });
             publication.asked = asked;
-            publication.tx.subscribe()
+            publication.sender.subscribe()
         };
         let newer = |report: &ReplicaReport| report.seq > seq || seq > report.seq + RESTART_GAP;
         self.newer_report(held, newer, asked, wait_ms).await.filter(|report| report.seq != seq)
