--- a/crates/data-plane/src/health_prober.rs
+++ b/crates/data-plane/src/health_prober.rs
@@ -1,5 +1,5 @@
-//! Health checks of replicas (design 5.4). For each service and zone one router, the home, probes the replicas and
-//! publishes load reports, to which the others subscribe.
+//! Health checks of replicas (design 5.4). For each service and zone one router, the publisher, probes the replicas
+//! and publishes load reports, to which the others subscribe.
 
 use crate::{
     load::{LoadReport, LocalLoad, ReplicaLoad},
@@ -25,8 +25,8 @@
 }
 
 impl Router {
-    /// The home of a service in a zone: a router of the zone, or of its region if the zone has none.
-    pub fn home_of(&self, table: &RoutingTable, service: &Service, zone: &Zone) -> Option<Member> {
+    /// The publisher of a service in a zone: a router of the zone, or of its region if the zone has none.
+    pub fn publisher_of(&self, table: &RoutingTable, service: &Service, zone: &Zone) -> Option<Member> {
         let state = self.cluster_state();
         let key = format!("home/{service}/{zone}");
         singleton::ranked_holders(&state, &key, Some(zone)).into_iter().next().or_else(|| {
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Runs one task for each service and zone, which probes or subscribes. It is restarted when the home changes.
+    /// Runs one task for each service and zone, which probes or subscribes. It is restarted when the publisher changes.
     pub async fn watch_load_reports(self: Arc<Self>) {
         let mut tasks: BTreeMap<Key, (String, JoinHandle<()>)> = BTreeMap::new();
         let mut ticks = tokio::time::interval(Duration::from_millis(self.settings.timing.heartbeat_ms()));
@@ -48,26 +48,27 @@
             let mut wanted: Vec<(Key, Member)> = Vec::new();
             for zone in table.zones.keys() {
                 for service in table.services.keys() {
-                    if let Some(home) = self.home_of(table, service, zone) {
-                        wanted.push(((service.clone(), zone.clone()), home));
+                    if let Some(publisher) = self.publisher_of(table, service, zone) {
+                        wanted.push(((service.clone(), zone.clone()), publisher));
                     }
                 }
             }
             tasks.retain(|key, (holder, task)| {
-                let same = wanted.iter().any(|(k, home)| k == key && home.info.node.as_str() == holder);
+                let same =
+                    wanted.iter().any(|(k, publisher)| k == key && publisher.info.node.as_str() == holder);
                 if !same || task.is_finished() {
                     task.abort();
                     lock(&self.published_load).remove(key);
                 }
                 same && !task.is_finished()
             });
-            for (key, home) in wanted {
+            for (key, publisher) in wanted {
                 tasks.entry(key.clone()).or_insert_with(|| {
-                    let (me, holder) = (self.clone(), home.info.node.to_string());
-                    let task = if home.info.node == *self.node() {
+                    let (me, holder) = (self.clone(), publisher.info.node.to_string());
+                    let task = if publisher.info.node == *self.node() {
                         common::runtime::spawn(me.probe(key))
                     } else {
-                        common::runtime::spawn(me.subscribe(key, home))
+                        common::runtime::spawn(me.subscribe(key, publisher))
                     };
                     (holder, task)
                 });
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Installs the load reports that the home publishes.
-    async fn subscribe(self: Arc<Self>, (service, zone): Key, home: Member) {
+    /// Installs the load reports that the publisher publishes.
+    async fn subscribe(self: Arc<Self>, (service, zone): Key, publisher: Member) {
         self.fetch_last_load_report(&service, &zone).await;
         let (mut seq, mut fencing_token) = (0, FencingToken(0));
         let wait_ms = self.settings.timing.probe_interval_ms * 2;
@@ -90,7 +91,11 @@
             };
             let timeout_ms = wait_ms + self.settings.timing.rpc_timeout_ms;
             let requested_at = self.now();
-            match self.rpc_client.call_within(timeout_ms, "watch load", home.info.rpc_addr, request).await {
+            match self
+                .rpc_client
+                .call_within(timeout_ms, "watch load", publisher.info.rpc_addr, request)
+                .await
+            {
                 Ok(RouterResponse::LoadReport(report)) => {
                     (seq, fencing_token) = (report.seq, report.fencing_token);
                     self.install_load_report(report, requested_at);
@@ -102,8 +107,8 @@
 
     /// Probes the replicas of a service in a zone, and publishes load reports.
     async fn probe(self: Arc<Self>, (service, zone): Key) {
-        let (publisher, _) = watch::channel(None);
-        lock(&self.published_load).insert((service.clone(), zone.clone()), publisher.clone());
+        let (sender, _) = watch::channel(None);
+        lock(&self.published_load).insert((service.clone(), zone.clone()), sender.clone());
         self.fetch_last_load_report(&service, &zone).await;
         let zone_lost = self.was_zone_lost(&service, &zone).await;
         let mut health = self.inherited_health(&service, &zone, zone_lost);
@@ -148,7 +153,7 @@
                 replicas,
             };
             self.install_load_report(report.clone(), requested_at);
-            publisher.send_replace(Some(report));
+            sender.send_replace(Some(report));
         }
     }
 
--- a/crates/data-plane/src/home_takeover.rs
+++ b/crates/data-plane/src/publisher_takeover.rs
@@ -1,5 +1,5 @@
-//! What a router takes over from the previous home of a service in a zone, the router that probed its replicas
-//! (design 5.4).
+//! What a router takes over from the previous publisher of the load reports on a service in a zone, the router that
+//! probed its replicas (design 5.4).
 
 use crate::{
     load::ReplicaLoad,
@@ -12,8 +12,9 @@
 use std::collections::BTreeMap;
 
 impl Router {
-    /// Whether the whole zone was lost: no router that could have been its home at the time of the last load report is
-    /// alive. Its replicas are cold then. Those routers are asked, since their memberships take time to expire.
+    /// Whether the whole zone was lost: no router that could have been its publisher at the time of the last load
+    /// report is alive. Its replicas are cold then. Those routers are asked, since their memberships take time to
+    /// expire.
     pub(crate) async fn was_zone_lost(&self, service: &Service, zone: &Zone) -> bool {
         let known = self.load_view.known();
         let Some(last) = known.reports.get(&(service.clone(), zone.clone())) else { return false };
@@ -33,8 +34,8 @@
         !was_here && !futures::future::join_all(heartbeats).await.into_iter().any(|alive| alive)
     }
 
-    /// Fetches the last load report from other routers, where this one has none yet. Without it a new home would take
-    /// every warm replica for cold, and the first requests would wait for the next probe.
+    /// Fetches the last load report from other routers, where this one has none yet. Without it a new publisher would
+    /// take every warm replica for cold, and the first requests would wait for the next probe.
     pub(crate) async fn fetch_last_load_report(&self, service: &Service, zone: &Zone) {
         if self.last_load_report(service, zone).is_some() {
             return;
@@ -58,7 +59,7 @@
         }
     }
 
-    /// What a new home assumes of its replicas by the last load report: what was warm stays warm.
+    /// What a new publisher assumes of its replicas by the last load report: what was warm stays warm.
     pub(crate) fn inherited_health(
         &self,
         service: &Service,
--- a/crates/data-plane/src/serving/replica_choice.rs
+++ b/crates/data-plane/src/serving/replica_choice.rs
@@ -106,7 +106,8 @@
     context: &ChoiceContext<'_>,
 ) -> Option<&'a Candidate> {
     let compared = compared(candidates, context);
-    let home = compared.first().filter(|_| context.shared_tokens() > 0).map(|replica| replica.id.clone());
+    let prefix_holder =
+        compared.first().filter(|_| context.shared_tokens() > 0).map(|replica| replica.id.clone());
     let score = |replica: &Candidate| {
         let jitter =
             stable_hash(&[&context.random_unit.to_le_bytes(), replica.id.as_str().as_bytes()]) % 1000;
@@ -114,7 +115,11 @@
         if context.long_prompt {
             return base + prefill_cost(replica, context);
         }
-        base + if home.as_ref().is_some_and(|home| *home != replica.id) { PREFIX_MISS_MS } else { 0.0 }
+        base + if prefix_holder.as_ref().is_some_and(|holder| *holder != replica.id) {
+            PREFIX_MISS_MS
+        } else {
+            0.0
+        }
     };
     compared.into_iter().min_by(|a, b| score(a).total_cmp(&score(b)))
 }
--- a/crates/data-plane/src/summary.rs
+++ b/crates/data-plane/src/summary.rs
@@ -50,7 +50,7 @@
     pub epoch: Epoch,
     /// Whether this node is cut off from the cluster.
     pub cut_off: bool,
-    /// Replicas that this node, as their home, found unhealthy.
+    /// Replicas that this node, as the publisher of their load reports, found unhealthy.
     #[serde(rename = "unwell")]
     pub unhealthy: BTreeSet<ReplicaId>,
     /// Number of rejected requests by reason.
