--- a/crates/control-plane/src/consensus/leadership.rs
+++ b/crates/control-plane/src/consensus/leadership.rs
@@ -9,14 +9,15 @@
     Leading,
     /// It follows a leader that has contacted it recently.
     Following,
-    /// It has had contact with neither a majority nor a leader for half the election timeout.
-    Isolated,
+    /// It has had contact with neither a majority nor a leader for half the election timeout. It may be back in contact
+    /// soon, for example once another leader is elected.
+    Lost,
     /// It is not a voter, or no longer one: it knows the cluster only through other nodes.
     NotVoter,
 }
 
 impl Voter {
-    /// Time without contact after which a voter regards itself as isolated, in milliseconds: several heartbeats, but
+    /// Time without contact after which a voter regards its contact as lost, in milliseconds: several heartbeats, but
     /// less than a lease and less than the time until another voter stands for election.
     pub fn silence_timeout_ms(&self) -> u64 {
         self.timing.election_timeout_ms() / 2
@@ -32,14 +33,14 @@
             VoterRole::Leader { .. } if self.is_sole_voter() => Contact::Leading,
             VoterRole::Leader { since, .. } => {
                 let last_contact = self.majority_contact().unwrap_or(*since).max(*since);
-                if now.since(last_contact) < silence_ms { Contact::Leading } else { Contact::Isolated }
+                if now.since(last_contact) < silence_ms { Contact::Leading } else { Contact::Lost }
             }
             VoterRole::Follower { leader: Some(_), last_contact }
                 if now.since(*last_contact) < silence_ms =>
             {
                 Contact::Following
             }
-            _ => Contact::Isolated,
+            _ => Contact::Lost,
         }
     }
 
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -51,7 +51,7 @@
 pub struct Voter {
     /// Identity of this voter.
     pub me: VoterInfo,
-    /// Time-outs and intervals.
+    /// Timeouts and intervals.
     pub timing: Timing,
     /// Name of the cluster; state of any other cluster is rejected.
     pub cluster: String,
--- a/crates/control-plane/src/control_node/connectivity.rs
+++ b/crates/control-plane/src/control_node/connectivity.rs
@@ -6,7 +6,7 @@
 use common::{Index, NodeId, Tick};
 use std::{sync::Arc, time::Duration};
 
-/// Election timeouts without contact after which this voter takes itself for cut off: otherwise another voter would
+/// Election timeouts without contact after which this voter regards itself as cut off: otherwise another voter would
 /// have won an election by then.
 const ELECTION_TIMEOUTS: u64 = 2;
 
@@ -33,8 +33,8 @@
                 Connectivity::InContact
             }
             Contact::NotVoter => Connectivity::Unsure,
-            Contact::Isolated if now.since(inner.last_contact) < election_ms => Connectivity::Unsure,
-            Contact::Isolated => Connectivity::CutOff,
+            Contact::Lost if now.since(inner.last_contact) < election_ms => Connectivity::Unsure,
+            Contact::Lost => Connectivity::CutOff,
         }
     }
 
--- a/crates/control-plane/src/control_node/proposals.rs
+++ b/crates/control-plane/src/control_node/proposals.rs
@@ -79,7 +79,7 @@
             return Err((inner.voter.leader(), Refusal::MembersAtRisk(members)));
         }
         let now = self.clock.now();
-        if inner.voter.is_leader() && inner.voter.contact(now) == Contact::Isolated {
+        if inner.voter.is_leader() && inner.voter.contact(now) == Contact::Lost {
             return Err((None, Refusal::OutOfContact));
         }
         let effects = inner.voter.step(Event::Propose(change.clone()), now);
--- a/crates/control-plane/src/operator/service.rs
+++ b/crates/control-plane/src/operator/service.rs
@@ -2,7 +2,7 @@
 //! retried, at any control node.
 //!
 //! A document contains its own version; a change names the version that it is based on. The operation's id is a hash of
-//! the request, so a retry has the outcome of the first try. The base version is compared with the newest committed
+//! the request, so a retry has the outcome of the first attempt. The base version is compared with the newest committed
 //! state, and the change is logged with that state's revision as its base: of two changes that were compared with the
 //! same state, only one can be applied.
 
@@ -22,7 +22,7 @@
 use std::{collections::BTreeSet, hash::Hasher, sync::Arc, time::Duration};
 use tokio::time::Instant;
 
-/// Time-out of an operation, in milliseconds. Callers try another node after a second, or later after a long request.
+/// Timeout of an operation, in milliseconds. Callers try another node after a second, or later after a long request.
 const TIMEOUT_MS: u64 = 800;
 /// The timeout is a millisecond longer for each of these many bytes of the body.
 const BYTES_PER_MS: u64 = 2_048;
@@ -169,7 +169,7 @@
     async fn confirm(&self, op: OpId, deadline: Instant) -> OperationOutcome {
         let empty_change = Change::Apply { op, base: Revision(u64::MAX), text: "".into() };
         match self.propose(empty_change, deadline).await {
-            // The outcome of the first try was dropped in the meantime.
+            // The outcome of the first attempt was dropped in the meantime.
             OperationOutcome::Conflict { .. } => OperationOutcome::Undetermined,
             outcome => outcome,
         }
--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -78,7 +78,7 @@
     pub local_ip: IpAddr,
     /// Address to connect to.
     pub address: SocketAddr,
-    /// Time-out of the connection, in milliseconds.
+    /// Timeout of the connection, in milliseconds.
     pub connect_ms: u64,
     /// Time until the request's deadline, in milliseconds.
     pub left_ms: u64,
