--- a/crates/common/src/clock.rs
+++ b/crates/common/src/clock.rs
@@ -51,7 +51,7 @@
     Manual(Arc<AtomicU64>),
 }
 
-/// Reading of a clock that has counted nothing yet: one day.
+/// Time that a clock shows when its source is at zero: one day.
 const ORIGIN_MS: u64 = 86_400_000;
 
 impl Default for Clock {
--- a/crates/common/src/http.rs
+++ b/crates/common/src/http.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 pub struct OpenCount(AtomicUsize);
 
-/// Counts as one open request or connection until it is dropped.
+/// Stands for one open request or connection in an [`OpenCount`] until it is dropped.
 pub struct OpenGuard(Arc<OpenCount>);
 
 impl OpenCount {
--- a/crates/common/src/rpc/mod.rs
+++ b/crates/common/src/rpc/mod.rs
@@ -30,7 +30,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Handshake {
     /// Protocol version of the sender; must be [`PROTOCOL_VERSION`].
-    pub proto: u32,
+    #[serde(rename = "proto")]
+    pub protocol_version: u32,
     /// Name of the sender's cluster.
     pub cluster: String,
     /// Name of the requested service.
@@ -60,8 +61,8 @@
     pub timeout_ms: u64,
 }
 
-/// Longest time for which the called node may keep working on a call after the caller's timeout. The library sends the sum
-/// as the call's deadline.
+/// Longest time for which the called node may keep working on a call after the caller's timeout. The library sends the
+/// sum of both as the call's deadline.
 const DEADLINE_SLACK: Duration = Duration::from_secs(600);
 
 /// Timeout for opening a connection, as a multiple of the default call timeout. Opening takes three round trips, which may
@@ -185,7 +186,7 @@
     let stream = crate::http::connect(local.ip, to).await?;
     let mut framed = Framed::new(stream, Codec::<HandshakeReply, Handshake>::handshake());
     let handshake = Handshake {
-        proto: PROTOCOL_VERSION,
+        protocol_version: PROTOCOL_VERSION,
         cluster: local.cluster.clone(),
         service: service.into(),
         node: local.node.clone(),
--- a/crates/common/src/rpc/server.rs
+++ b/crates/common/src/rpc/server.rs
@@ -51,8 +51,8 @@
     local: &LocalNode,
     service: &'static str,
 ) -> Result<(), HandshakeError> {
-    if handshake.proto != PROTOCOL_VERSION {
-        return Err(HandshakeError::Protocol(handshake.proto));
+    if handshake.protocol_version != PROTOCOL_VERSION {
+        return Err(HandshakeError::Protocol(handshake.protocol_version));
     }
     if handshake.cluster != local.cluster {
         return Err(HandshakeError::Cluster(handshake.cluster.clone()));
--- a/crates/common/src/runtime/host.rs
+++ b/crates/common/src/runtime/host.rs
@@ -27,7 +27,7 @@
 struct Inner {
     frozen: bool,
     powered_off: bool,
-    /// Error of its time of day.
+    /// How far its time of day is from the true one.
     clock_step_ms: i64,
     /// Tasks that wait for the host to be unfrozen.
     parked: Vec<Waker>,
@@ -76,7 +76,7 @@
         handle
     }
 
-    /// Makes its time of day wrong by `ms` from now on. Its monotonic clock is not affected.
+    /// Sets its time of day `ms` off the true one from now on. Its monotonic clock is not affected.
     pub fn step_clock(&self, ms: i64) {
         lock(&self.inner).clock_step_ms = ms;
     }
--- a/crates/common/src/runtime/pipe.rs
+++ b/crates/common/src/runtime/pipe.rs
@@ -31,7 +31,8 @@
     unread_bytes: usize,
     /// Time of arrival of the newest chunk.
     last_arrival: Instant,
-    /// When the writer's close arrives, and whether it is a reset, because the writer had unread bytes itself.
+    /// When the reader sees that the writer closed the connection, and whether as a reset: the writer had not read all
+    /// bytes that it had received.
     end: Option<(Instant, bool)>,
     /// The reader was dropped.
     reader_dropped: bool,
--- a/crates/common/tests/compatibility.rs
+++ b/crates/common/tests/compatibility.rs
@@ -7,7 +7,7 @@
 fn compatibility_of_the_handshake() {
     let fixtures = Fixtures::of_crate(env!("CARGO_MANIFEST_DIR"));
     let handshake = Handshake {
-        proto: common::wire::PROTOCOL_VERSION,
+        protocol_version: common::wire::PROTOCOL_VERSION,
         cluster: "bitacora".into(),
         service: "signal".into(),
         node: "s1".into(),
--- a/crates/common/tests/invalid_input.rs
+++ b/crates/common/tests/invalid_input.rs
@@ -54,8 +54,9 @@
     len.iter().chain(body).copied().collect()
 }
 
-fn handshake(proto: u32, cluster: &str, service: &str) -> Vec<u8> {
-    let handshake = Handshake { proto, cluster: cluster.into(), service: service.into(), node: "x".into() };
+fn handshake(protocol_version: u32, cluster: &str, service: &str) -> Vec<u8> {
+    let handshake =
+        Handshake { protocol_version, cluster: cluster.into(), service: service.into(), node: "x".into() };
     framed(&encode(&handshake).unwrap())
 }
 
