--- a/crates/control-plane/src/consensus/admission.rs
+++ b/crates/control-plane/src/consensus/admission.rs
@@ -43,7 +43,7 @@
         if self.admission.as_ref().is_some_and(|known| known.index > index) {
             return;
         }
-        let named = voters.iter().any(|voter| voter.incarnation == self.me.incarnation);
+        let named = voters.iter().any(|voter| voter.incarnation == self.identity.incarnation);
         self.admission = named.then(|| Admission { index, voters: voters.to_vec() });
     }
 
@@ -64,10 +64,10 @@
 
     /// Its identifier in votes; a blank voter uses the number with which it was admitted.
     pub(super) fn voting_id(&self) -> VoterId {
-        let own = |voter: &&VoterInfo| voter.incarnation == self.me.incarnation;
+        let own = |voter: &&VoterInfo| voter.incarnation == self.identity.incarnation;
         let admitted = self.admission.as_ref().filter(|_| !self.initialized);
         let number = admitted.and_then(|admission| admission.voters.iter().find(own)).map(|own| own.number);
-        VoterId { number: number.unwrap_or(self.me.number), incarnation: self.me.incarnation }
+        VoterId { number: number.unwrap_or(self.identity.number), incarnation: self.identity.incarnation }
     }
 
     /// The tail of its log for a candidate whose commit index is `from`.
--- a/crates/control-plane/src/consensus/bootstrap.rs
+++ b/crates/control-plane/src/consensus/bootstrap.rs
@@ -32,13 +32,13 @@
 
     fn announce(&self, effects: &mut Vec<Effect>) {
         let as_voter = Message::Discover {
-            voter: self.me.clone(),
+            voter: self.identity.clone(),
             initialized: false,
             voters: Vec::new(),
             index: Index(0),
         };
         let msg = if self.learner { Message::Learner } else { as_voter };
-        for seed in self.seeds.iter().filter(|seed| **seed != self.me.rpc_addr) {
+        for seed in self.seeds.iter().filter(|seed| **seed != self.identity.rpc_addr) {
             effects.push(Effect::Send { to: *seed, msg: msg.clone() });
         }
     }
@@ -51,7 +51,7 @@
     /// answer does not show that no cluster exists: with learners among the seeds a bootstrap requires the first start
     /// of the system.
     fn ready_bootstrap_voters(&mut self, now: Tick) -> Option<Vec<VoterInfo>> {
-        let own = self.me.rpc_addr;
+        let own = self.identity.rpc_addr;
         let is_lowest = self.seeds.iter().min() == Some(&own);
         let learner_seeds = self.seeds.iter().filter(|seed| self.is_learner_seed(seed)).count();
         let no_cluster_exists = learner_seeds == 0 || self.first_start;
@@ -64,7 +64,7 @@
         }
         let since = *self.seeds_complete_since.get_or_insert(now);
         if !self.learner {
-            self.discovered_voters.insert(own, (self.me.clone(), now));
+            self.discovered_voters.insert(own, (self.identity.clone(), now));
         }
         let seeds = self.seeds.len();
         let target = self.expected_voters.clamp(seeds, MAX_VOTERS.max(seeds));
@@ -77,7 +77,7 @@
     }
 
     fn is_learner_seed(&self, seed: &SocketAddr) -> bool {
-        (self.learner && *seed == self.me.rpc_addr) || self.discovered_learners.contains_key(seed)
+        (self.learner && *seed == self.identity.rpc_addr) || self.discovered_learners.contains_key(seed)
     }
 
     /// Selects all seeds among the discovered voters, then others, each from the zone with the fewest selected voters.
@@ -97,7 +97,7 @@
 
     pub(super) fn bootstrap_messages(&self, cluster_state: &ClusterState) -> Vec<Effect> {
         let msg = Message::Bootstrap { cluster_state: cluster_state.clone() };
-        let others = cluster_state.voters.iter().filter(|voter| voter.rpc_addr != self.me.rpc_addr);
+        let others = cluster_state.voters.iter().filter(|voter| voter.rpc_addr != self.identity.rpc_addr);
         others.map(|voter| Effect::Send { to: voter.rpc_addr, msg: msg.clone() }).collect()
     }
 
@@ -109,9 +109,9 @@
         then: Vec<Effect>,
         effects: &mut Vec<Effect>,
     ) {
-        let own = cluster_state.voters.iter().find(|voter| voter.incarnation == self.me.incarnation);
+        let own = cluster_state.voters.iter().find(|voter| voter.incarnation == self.identity.incarnation);
         let Some(number) = own.map(|voter| voter.number) else { return };
-        self.me.number = number;
+        self.identity.number = number;
         self.initialized = true;
         self.snapshot_index = cluster_state.index;
         self.cluster_state = cluster_state;
@@ -134,7 +134,7 @@
     /// Sends a node the current voter set.
     pub(crate) fn send_membership(&self, to: SocketAddr, effects: &mut Vec<Effect>) {
         let msg = Message::Discover {
-            voter: self.me.clone(),
+            voter: self.identity.clone(),
             initialized: true,
             voters: self.cluster_state.voters.clone(),
             index: self.commit_index(),
@@ -166,7 +166,7 @@
     /// counts.
     pub(super) fn query_blank_voter(&self, to: SocketAddr, now: Tick, effects: &mut Vec<Effect>) {
         if !self.saw_other_cluster {
-            let msg = Message::BlankQuery { asker: self.me.incarnation, sent_at: now };
+            let msg = Message::BlankQuery { asker: self.identity.incarnation, sent_at: now };
             effects.push(Effect::Send { to, msg });
         }
     }
@@ -179,7 +179,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if !self.initialized && !self.saw_other_cluster && !self.is_spare() {
-            let msg = Message::Blank { voter: self.me.clone(), asker, sent_at };
+            let msg = Message::Blank { voter: self.identity.clone(), asker, sent_at };
             effects.push(Effect::Send { to: from, msg });
         }
     }
@@ -187,7 +187,7 @@
     /// Records a blank voter, as of the time when it was asked. Only an answer to this incarnation counts: answers to
     /// an earlier one may predate a cluster that this node bootstrapped and then lost with its disk.
     pub(super) fn record_blank_voter(&mut self, voter: VoterInfo, asker: Incarnation, sent_at: Tick) {
-        if asker == self.me.incarnation && !self.initialized {
+        if asker == self.identity.incarnation && !self.initialized {
             self.discovered_voters.insert(voter.rpc_addr, (voter, sent_at));
         }
     }
@@ -213,7 +213,7 @@
         self.discovered_voters.remove(&initialized.rpc_addr);
         self.saw_other_cluster = !self.is_named_in(voters);
         if self.saw_other_cluster {
-            let msg = Message::JoinRequest { voter: self.me.clone() };
+            let msg = Message::JoinRequest { voter: self.identity.clone() };
             for voter in voters {
                 effects.push(Effect::Send { to: voter.rpc_addr, msg: msg.clone() });
             }
@@ -230,6 +230,6 @@
     }
 
     fn is_named_in(&self, voters: &[VoterInfo]) -> bool {
-        voters.iter().any(|voter| voter.incarnation == self.me.incarnation)
+        voters.iter().any(|voter| voter.incarnation == self.identity.incarnation)
     }
 }
--- a/crates/control-plane/src/consensus/durability.rs
+++ b/crates/control-plane/src/consensus/durability.rs
@@ -81,7 +81,7 @@
     /// Writes a snapshot of the whole state, which begins a new short log.
     pub(super) fn write_snapshot(&mut self, now: Tick, then: Vec<Effect>, effects: &mut Vec<Effect>) {
         let state = DurableState {
-            me: self.me.clone(),
+            identity: self.identity.clone(),
             initialized: self.initialized,
             current_term: self.current_term,
             log_term: self.log_term,
@@ -126,9 +126,9 @@
             return;
         }
         // A voter that has lost its data folder was part of a cluster, and must not bootstrap another.
-        let lost_data_folder = self.initialized && durable.me.incarnation != self.me.incarnation;
-        let (me, seeds, timing) = (self.me.clone(), self.seeds.clone(), self.timing.clone());
-        let restarted = Voter::new(me, &self.cluster, seeds, timing, Some(durable), now);
+        let lost_data_folder = self.initialized && durable.identity.incarnation != self.identity.incarnation;
+        let (identity, seeds, timing) = (self.identity.clone(), self.seeds.clone(), self.timing.clone());
+        let restarted = Voter::new(identity, &self.cluster, seeds, timing, Some(durable), now);
         *self = Voter {
             may_bootstrap: self.may_bootstrap && !lost_data_folder,
             expected_voters: self.expected_voters,
--- a/crates/control-plane/src/consensus/durable.rs
+++ b/crates/control-plane/src/consensus/durable.rs
@@ -12,7 +12,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DurableState {
     /// Identity of the voter.
-    pub me: VoterInfo,
+    #[serde(rename = "me")]
+    pub identity: VoterInfo,
     /// Whether it holds the state of a cluster; otherwise it is blank.
     #[serde(rename = "formed")]
     pub initialized: bool,
@@ -75,9 +76,9 @@
 
 impl DurableState {
     /// The state of a voter that has written nothing but its identity.
-    pub fn blank(me: &VoterInfo) -> Self {
+    pub fn blank(identity: &VoterInfo) -> Self {
         Self {
-            me: me.clone(),
+            identity: identity.clone(),
             initialized: false,
             current_term: Term(0),
             log_term: Term(0),
--- a/crates/control-plane/src/consensus/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -11,7 +11,7 @@
     /// Election timeout of this voter in milliseconds; it differs by voter and term, so that votes are seldom split.
     pub(super) fn election_timeout(&self) -> u64 {
         let base = self.timing.election_timeout_ms();
-        base + base * u64::from(self.me.number) / 4 + base * (self.current_term.0 % 5) / 10
+        base + base * u64::from(self.identity.number) / 4 + base * (self.current_term.0 % 5) / 10
     }
 
     /// Whether its last contact with a leader is too recent to vote for another.
@@ -28,7 +28,7 @@
     /// The next term that this voter may stand for: the number of a term determines its only possible leader.
     fn next_term(&self) -> Term {
         let terms_per_round = MAX_VOTERS as u64 + 1;
-        Term((self.current_term.0 / terms_per_round + 1) * terms_per_round + u64::from(self.me.number))
+        Term((self.current_term.0 / terms_per_round + 1) * terms_per_round + u64::from(self.identity.number))
     }
 
     /// Whether this process has waited for an election timeout since its start. Until then a leader that its former
@@ -40,7 +40,7 @@
     /// Stands for election when that is due; a voter that has been replaced reports its removal instead.
     pub(super) fn election_timer(&mut self, now: Tick, effects: &mut Vec<Effect>) {
         if !self.is_voter(&self.id()) {
-            let own = |voter: &VoterInfo| voter.incarnation == self.me.incarnation;
+            let own = |voter: &VoterInfo| voter.incarnation == self.identity.incarnation;
             self.replaced = !self.cluster_state.voters.iter().any(own);
             self.removed = true;
             effects.push(Effect::Removed);
@@ -209,7 +209,7 @@
     fn elected_by(&self, granted: &[Incarnation], newest: Option<&LogTail>) -> bool {
         let voters = newest.map_or_else(|| self.voters(), |tail| tail.voters(&self.cluster_state));
         let voted = |voter: &&VoterInfo| {
-            voter.incarnation == self.me.incarnation || granted.contains(&voter.incarnation)
+            voter.incarnation == self.identity.incarnation || granted.contains(&voter.incarnation)
         };
         voters.iter().filter(voted).count() > voters.len() / 2
     }
--- a/crates/control-plane/src/consensus/join.rs
+++ b/crates/control-plane/src/consensus/join.rs
@@ -85,7 +85,7 @@
                 self.current_term = term;
                 self.log_term = term;
                 self.log = entries.into();
-                self.me.number = to;
+                self.identity.number = to;
                 self.snapshot_index = state.index;
                 self.cluster_state = state;
                 self.initialized = true;
@@ -105,14 +105,14 @@
     }
 
     fn is_admitted_by(&self, state: &ClusterState) -> bool {
-        let named = state.voters.iter().any(|voter| voter.incarnation == self.me.incarnation);
+        let named = state.voters.iter().any(|voter| voter.incarnation == self.identity.incarnation);
         state.cluster == self.cluster && named
     }
 
     /// The reply of a blank voter, which makes the leader send a snapshot.
     fn empty_append_reply(&self, number: u8, term: Term, sent_at: Tick) -> Message {
         Message::AppendReply {
-            by: VoterId { number, incarnation: self.me.incarnation },
+            by: VoterId { number, incarnation: self.identity.incarnation },
             term,
             installed: false,
             last: Index(0),
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct Voter {
     /// Identity of this voter.
-    pub me: VoterInfo,
+    pub identity: VoterInfo,
     /// Timeouts and intervals.
     pub timing: Timing,
     /// Name of the cluster; state of any other cluster is rejected.
@@ -122,23 +122,23 @@
 impl Voter {
     /// Creates a voter that resumes from its durable state, or a blank one if there is none.
     pub fn new(
-        me: VoterInfo,
+        identity: VoterInfo,
         cluster: &str,
         seeds: Vec<SocketAddr>,
         timing: Timing,
         durable: Option<DurableState>,
         now: Tick,
     ) -> Self {
-        let mut voter = Self::blank(me, cluster, seeds, timing, now);
+        let mut voter = Self::blank(identity, cluster, seeds, timing, now);
         if let Some(durable) = durable {
             voter.restore(durable);
         }
         voter
     }
 
-    fn blank(me: VoterInfo, cluster: &str, seeds: Vec<SocketAddr>, timing: Timing, now: Tick) -> Self {
+    fn blank(identity: VoterInfo, cluster: &str, seeds: Vec<SocketAddr>, timing: Timing, now: Tick) -> Self {
         Self {
-            me,
+            identity,
             timing,
             cluster: cluster.into(),
             seeds,
@@ -176,8 +176,8 @@
     }
 
     fn restore(&mut self, durable: DurableState) {
-        self.me.incarnation = durable.me.incarnation;
-        self.me.number = durable.me.number;
+        self.identity.incarnation = durable.identity.incarnation;
+        self.identity.number = durable.identity.number;
         self.initialized = durable.initialized;
         self.current_term = durable.current_term;
         self.log_term = durable.log_term;
@@ -218,7 +218,7 @@
     /// The voter set without this voter.
     pub fn other_voters(&self) -> Vec<VoterInfo> {
         let mut voters = self.voters();
-        voters.retain(|voter| voter.number != self.me.number);
+        voters.retain(|voter| voter.number != self.identity.number);
         voters
     }
 
@@ -229,7 +229,7 @@
 
     /// Its identifier in messages.
     pub fn id(&self) -> VoterId {
-        VoterId { number: self.me.number, incarnation: self.me.incarnation }
+        VoterId { number: self.identity.number, incarnation: self.identity.incarnation }
     }
 
     /// Whether it was elected leader of its term. Another may lead by now: see [`Voter::has_leadership`].
--- a/crates/control-plane/src/consensus/startup.rs
+++ b/crates/control-plane/src/consensus/startup.rs
@@ -41,7 +41,7 @@
     fn end_startup_wait(&mut self, now: Tick) {
         self.started = now - self.timing.election_timeout_ms();
         // Differs by voter, so that of several that start together one stands for election first.
-        let delay_ms = 2 * self.timing.heartbeat_ms() * u64::from(self.me.number);
+        let delay_ms = 2 * self.timing.heartbeat_ms() * u64::from(self.identity.number);
         let last_contact_for_delay = (now + delay_ms) - self.election_timeout();
         if let VoterRole::Follower { leader: None, last_contact } = &mut self.role {
             *last_contact = (*last_contact).min(last_contact_for_delay);
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -98,7 +98,7 @@
     /// The node's copy of the cluster state.
     pub cluster_state: ClusterState,
     /// The node's identity as a voter.
-    pub me: VoterInfo,
+    pub identity: VoterInfo,
     /// The leader, as far as it is known.
     pub leader: Option<VoterInfo>,
     /// Whether the node holds the state of a cluster.
@@ -134,13 +134,13 @@
         };
         let client = || ControlClient::new(settings.local_node(), SERVICE);
         let (client, bulk_client) = (client(), client());
-        let node = Arc::new_cyclic(|me| ControlNode {
+        let node = Arc::new_cyclic(|node| ControlNode {
             settings,
             clock,
             client,
             bulk_client,
             inner: Mutex::new(inner),
-            log_writer: log_writer(me.clone()),
+            log_writer: log_writer(node.clone()),
             committed,
             discovered: watch::channel(Vec::new()).0,
         });
--- a/crates/control-plane/src/control_node/rpc_service.rs
+++ b/crates/control-plane/src/control_node/rpc_service.rs
@@ -123,7 +123,7 @@
         let reports = inner.reports.iter().filter(|(_, report)| recent(report));
         Status {
             cluster_state: voter.cluster_state.clone(),
-            me: voter.me.clone(),
+            identity: voter.identity.clone(),
             leader: voter.leader(),
             initialized: voter.initialized,
             voting: voter.initialized
--- a/crates/control-plane/src/control_node/start.rs
+++ b/crates/control-plane/src/control_node/start.rs
@@ -51,8 +51,8 @@
     let awaiting_disk = matches!(start, Start::AwaitingDisk(_));
     let learner = matches!(start, Start::Learner(_));
     let state = start.into_state();
-    let (me, seeds, timing) = (state.me.clone(), settings.seeds.clone(), settings.timing.clone());
-    let mut voter = Voter::new(me, &settings.cluster, seeds, timing, Some(state), now);
+    let (identity, seeds, timing) = (state.identity.clone(), settings.seeds.clone(), settings.timing.clone());
+    let mut voter = Voter::new(identity, &settings.cluster, seeds, timing, Some(state), now);
     voter.secret = random();
     voter.may_bootstrap = settings.may_bootstrap;
     voter.expected_voters = bootstrap.expected_voters;
--- a/crates/control-plane/src/daemon.rs
+++ b/crates/control-plane/src/daemon.rs
@@ -40,7 +40,7 @@
     Fut: Future<Output = Result<Response<http::Body>, http::BoxError>> + Send + 'static,
 {
     let node = ControlNode::start(settings.clone(), bootstrap, start, log_writer);
-    let info = NodeInfo::of(&settings, Role::Control, node.status().me.incarnation);
+    let info = NodeInfo::of(&settings, Role::Control, node.status().identity.incarnation);
     let member = LocalMember::new(settings.clone(), info, Clock::default());
     spawn(report_revision(member.clone()));
     if node.is_learner() {
--- a/crates/control-plane/src/operator/api/status.rs
+++ b/crates/control-plane/src/operator/api/status.rs
@@ -41,13 +41,13 @@
         let status = self.node.status();
         let state = &status.cluster_state;
         // Members renew their leases at the leader, so only the leader knows which revision is active on each.
-        let leads = status.leader.as_ref().is_some_and(|leader| leader.node == status.me.node);
+        let leads = status.leader.as_ref().is_some_and(|leader| leader.node == status.identity.node);
         let members: Vec<Value> =
             state.members.values().map(|member| show_member(&status, member, leads)).collect();
         let leader = status.leader.as_ref().map(|leader| leader.node.clone());
         let mut shown = j!({
             "cluster": self.node.settings.cluster,
-            "voter": show_voter(&status.me),
+            "voter": show_voter(&status.identity),
             "term": status.term,
             "leader": leader,
             "initialized": status.initialized,
@@ -61,7 +61,7 @@
             "replicas": state.replicas,
         });
         // Names of earlier releases.
-        shown["seat"] = j!(status.me);
+        shown["seat"] = j!(status.identity);
         shown["view"] = j!(status.term);
         shown["formed"] = j!(status.initialized);
         shown["idx"] = j!(state.index);
--- a/crates/control-plane/src/storage/data_folder.rs
+++ b/crates/control-plane/src/storage/data_folder.rs
@@ -78,13 +78,13 @@
             let what = format!("belongs to cluster {cluster:?}");
             return Err(self.foreign(&what, &format!("one of {:?}", settings.cluster)));
         }
-        if state.me.node.as_str() != settings.node {
-            let what = format!("belongs to node {}", state.me.node);
+        if state.identity.node.as_str() != settings.node {
+            let what = format!("belongs to node {}", state.identity.node);
             return Err(self.foreign(&what, &format!("one of {}", settings.node)));
         }
-        let VoterInfo { number, incarnation, .. } = state.me;
-        let me = VoterInfo { number, incarnation, ..blank_voter(settings) };
-        Ok(DurableState { me, ..state })
+        let VoterInfo { number, incarnation, .. } = state.identity;
+        let identity = VoterInfo { number, incarnation, ..blank_voter(settings) };
+        Ok(DurableState { identity, ..state })
     }
 
     fn move_aside(&self, corruption: &Corruption) -> io::Result<()> {
--- a/crates/control-plane/tests/cluster/mod.rs
+++ b/crates/control-plane/tests/cluster/mod.rs
@@ -122,7 +122,7 @@
         false => Start::from(DurableState::blank(&blank_voter(&settings))),
     };
     let control_node = ControlNode::start(settings.clone(), bootstrap, start, log_writer);
-    let info = NodeInfo::of(&settings, Role::Control, control_node.status().me.incarnation);
+    let info = NodeInfo::of(&settings, Role::Control, control_node.status().identity.incarnation);
     LocalMember::new(settings.clone(), info, Clock::default()).start();
     spawn(control_plane::control_node::listen(rpc_listener, settings.local_node(), control_node.clone()));
     let operator_service = Arc::new(operator_service(control_node.clone()));
@@ -266,7 +266,7 @@
     pub fn leader(&self) -> usize {
         let leader = self.nodes.iter().position(|node| {
             let status = node.control_node.status();
-            status.leader.is_some_and(|leader| leader.node == status.me.node)
+            status.leader.is_some_and(|leader| leader.node == status.identity.node)
         });
         leader.expect("some node is the leader")
     }
--- a/crates/control-plane/tests/compatibility/samples.rs
+++ b/crates/control-plane/tests/compatibility/samples.rs
@@ -115,7 +115,7 @@
 
 pub fn durable_state() -> DurableState {
     DurableState {
-        me: voter(1),
+        identity: voter(1),
         initialized: true,
         current_term: Term(25),
         log_term: Term(17),
--- a/crates/control-plane/tests/consensus.rs
+++ b/crates/control-plane/tests/consensus.rs
@@ -33,7 +33,7 @@
 
 fn initialized(n: u8) -> Voter {
     let image = DurableState {
-        me: voter_info(n, 10 + u64::from(n)),
+        identity: voter_info(n, 10 + u64::from(n)),
         initialized: true,
         current_term: Term(0),
         log_term: Term(0),
@@ -272,7 +272,7 @@
         let voter = voter_info(1, 11);
         Event::Msg(addr(1), Message::Discover { voter, initialized: true, voters, index: Index(4) })
     };
-    let own = blank(2).me.incarnation.0;
+    let own = blank(2).identity.incarnation.0;
     let mut voter = blank(2);
     voter.step(membership_with(own + 1), now);
     assert!(voter.step(request(1, 9), now).is_empty(), "another incarnation was admitted in its place");
@@ -285,7 +285,7 @@
     };
     let effects = voter.step(Event::Synced(token), now);
     let [Message::Vote { by, term: Term(9), tail }] = &sent(&effects)[..] else { panic!("{effects:?}") };
-    assert_eq!(*by, VoterId { number: 2, incarnation: voter.me.incarnation });
+    assert_eq!(*by, VoterId { number: 2, incarnation: voter.identity.incarnation });
     assert!(tail.last == Index(0) && tail.snapshot.is_none() && tail.entries.is_empty());
     assert!(voter.step(request(0, 8), now).is_empty(), "it has voted in a newer term");
     voter.step(membership_with(own + 1), now);
@@ -398,7 +398,7 @@
     };
     let mut voter = initialized(2);
     assert!(
-        voter.step(identity(), now).is_empty() && voter.me.incarnation == Incarnation(12),
+        voter.step(identity(), now).is_empty() && voter.identity.incarnation == Incarnation(12),
         "it has not been replaced"
     );
     assert!(matches!(voter.step(membership_at(4), now)[..], [Effect::Removed]));
@@ -407,7 +407,7 @@
     else {
         panic!("{effects:?}")
     };
-    assert!(!image.initialized && image.me.incarnation == Incarnation(77));
+    assert!(!image.initialized && image.identity.incarnation == Incarnation(77));
     assert!(!voter.initialized && voter.commit_index() == Index(0));
     assert!(
         voter.step(Event::Timer, now + 1_000).is_empty(),
--- a/crates/control-plane/tests/disk_failure_responses.rs
+++ b/crates/control-plane/tests/disk_failure_responses.rs
@@ -18,8 +18,10 @@
         let cluster = Cluster::initialized(simulation, 3).await;
         assert_eq!(cluster.nodes[0].replace(0, "1\nfirst").await, OperationOutcome::Accepted);
         let leader = cluster.leader();
-        let (control_node, me) =
-            (cluster.nodes[leader].control_node.clone(), cluster.nodes[leader].control_node.status().me);
+        let (control_node, identity) = (
+            cluster.nodes[leader].control_node.clone(),
+            cluster.nodes[leader].control_node.status().identity,
+        );
         control_node.step(Event::SyncFailed);
         assert!(!control_node.status().voting && control_node.status().leader.is_none());
         cluster
@@ -48,8 +50,11 @@
             "answered before the wait is over"
         );
         // Its folder turns out to be damaged: it recovers as a blank node and is admitted again.
-        let blank =
-            control_plane::types::VoterInfo { incarnation: common::Incarnation(77), number: u8::MAX, ..me };
+        let blank = control_plane::types::VoterInfo {
+            incarnation: common::Incarnation(77),
+            number: u8::MAX,
+            ..identity
+        };
         control_node.step(Event::Recovered(Box::new(DurableState::blank(&blank))));
         cluster.wait_until("its vote", |cluster| cluster.nodes[leader].control_node.status().voting).await;
         assert_eq!(
@@ -89,8 +94,8 @@
             "two of three blank seeds don't bootstrap"
         );
         let control_node = &cluster.nodes[2].control_node;
-        let me = control_node.status().me;
-        control_node.step(Event::Recovered(Box::new(DurableState::blank(&me))));
+        let identity = control_node.status().identity;
+        control_node.step(Event::Recovered(Box::new(DurableState::blank(&identity))));
         cluster
             .wait_until("a leader", |cluster| {
                 cluster.nodes.iter().all(|node| node.control_node.status().leader.is_some())
--- a/crates/control-plane/tests/disk_faults.rs
+++ b/crates/control-plane/tests/disk_faults.rs
@@ -126,7 +126,7 @@
 
 /// Checks that a recovered state has all records of `synced`, and at most one more: the one that was being written.
 fn check_records(recovered: &DurableState, synced: &DurableState) -> Result<(), String> {
-    if recovered.me.incarnation != synced.me.incarnation {
+    if recovered.identity.incarnation != synced.identity.incarnation {
         return Err("the voter is blank".into());
     }
     let (has, expected) = (last_index(recovered), last_index(synced));
@@ -258,7 +258,7 @@
     run.medium.set_plan(plan);
     assert!(run.recorder.write(&Record::Promise(Term(9))).is_err());
     let state = run.recorder.recover().unwrap();
-    assert!(!state.initialized && state.me.incarnation != Incarnation(5));
+    assert!(!state.initialized && state.identity.incarnation != Incarnation(5));
     let names = fs::read_dir(run.dir.path()).unwrap().map(|e| e.unwrap().file_name());
     assert_eq!(names.filter(|name| name.to_string_lossy().starts_with("data.damaged-")).count(), 1);
 }
--- a/crates/control-plane/tests/file_cluster/mod.rs
+++ b/crates/control-plane/tests/file_cluster/mod.rs
@@ -169,18 +169,20 @@
     /// blank with this incarnation.
     pub fn restart(&mut self, n: usize, wiped_as: Option<u64>) {
         let dir = self.dir.join(format!("s{n}"));
-        let me = VoterInfo { incarnation: Incarnation(wiped_as.unwrap_or(0)), ..self.voters[n].me.clone() };
+        let identity =
+            VoterInfo { incarnation: Incarnation(wiped_as.unwrap_or(0)), ..self.voters[n].identity.clone() };
         if wiped_as.is_some() {
             std::fs::remove_dir_all(&dir).unwrap();
         }
         let image = match FileStore::load(&dir).unwrap() {
             LoadResult::State(image) => *image,
-            LoadResult::Empty => DurableState::blank(&me),
+            LoadResult::Empty => DurableState::blank(&identity),
             other => panic!("s{n}: {other:?}"),
         };
         self.disks[n] = FileStore::open(&dir, &image).unwrap();
         let seeds = (0..3).map(addr).collect();
-        self.voters[n] = Voter::new(image.me.clone(), "c", seeds, Timing::default(), Some(image), self.now);
+        self.voters[n] =
+            Voter::new(image.identity.clone(), "c", seeds, Timing::default(), Some(image), self.now);
         self.in_transit.retain(|(from, to, _)| *from != n && *to != n);
     }
 
--- a/crates/control-plane/tests/invalid_messages.rs
+++ b/crates/control-plane/tests/invalid_messages.rs
@@ -56,7 +56,7 @@
 
 fn voter_from(image: DurableState) -> Voter {
     let seeds = (0..3).map(address).collect();
-    Voter::new(image.me.clone(), "c", seeds, Timing::default(), Some(image), Tick(10_000))
+    Voter::new(image.identity.clone(), "c", seeds, Timing::default(), Some(image), Tick(10_000))
 }
 
 fn blank() -> Voter {
--- a/crates/control-plane/tests/larger_clusters.rs
+++ b/crates/control-plane/tests/larger_clusters.rs
@@ -41,7 +41,7 @@
         ..DurableState::blank(&voter_info(n, 10 + u64::from(n)))
     };
     Voter::new(
-        image.me.clone(),
+        image.identity.clone(),
         "c",
         (0..3).map(addr).collect(),
         Timing::default(),
@@ -83,10 +83,10 @@
     #[case] ms: u64,
     #[case] voters: Option<usize>,
 ) {
-    let me = voter_info(0, 90);
-    let image = DurableState::blank(&me);
+    let identity = voter_info(0, 90);
+    let image = DurableState::blank(&identity);
     let mut voter =
-        Voter::new(me, "c", (0..3).map(addr).collect(), Timing::default(), Some(image), Tick(10_000));
+        Voter::new(identity, "c", (0..3).map(addr).collect(), Timing::default(), Some(image), Tick(10_000));
     voter.expected_voters = 5;
     let mut now = Tick(11_000);
     let end = now + ms;
--- a/crates/control-plane/tests/learner.rs
+++ b/crates/control-plane/tests/learner.rs
@@ -316,7 +316,7 @@
 #[test]
 fn a_learner_proposes_a_single_initial_state() {
     let mut learner = learner();
-    learner.me.rpc_addr = rpc_addr(0);
+    learner.identity.rpc_addr = rpc_addr(0);
     (learner.first_start, learner.expected_voters) = (true, 3);
     let (mut states, mut now) = (Vec::new(), Tick(1_000));
     while now < Tick(3_000) {
--- a/crates/control-plane/tests/model/describe.rs
+++ b/crates/control-plane/tests/model/describe.rs
@@ -63,7 +63,7 @@
             None => format!("n{n} is down"),
             Some(voter) => format!(
                 "n{n}/{}: term {} log term {} committed {} last {} {:?}",
-                voter.me.incarnation,
+                voter.identity.incarnation,
                 voter.current_term,
                 voter.log_term,
                 voter.commit_index(),
--- a/crates/control-plane/tests/model/scenario.rs
+++ b/crates/control-plane/tests/model/scenario.rs
@@ -211,7 +211,7 @@
                 world.restart(world.size);
                 world.run_until_spare_asks_to_join(follower)?;
                 let admitted = |world: &World| {
-                    let spare = world.machine(world.size).disk.synced.me.incarnation;
+                    let spare = world.machine(world.size).disk.synced.identity.incarnation;
                     world.history.value.voters.iter().any(|voter| voter.incarnation == spare)
                 };
                 world.run_until(&[follower], admitted)?;
@@ -266,8 +266,9 @@
 
     /// Whether a machine is a voter and all voters have their states.
     fn is_voter(&self, machine: usize) -> bool {
-        let me = self.machine(machine).disk.synced.me.incarnation;
-        self.all_voters_have_state() && self.history.value.voters.iter().any(|info| info.incarnation == me)
+        let identity = self.machine(machine).disk.synced.identity.incarnation;
+        self.all_voters_have_state()
+            && self.history.value.voters.iter().any(|info| info.incarnation == identity)
     }
 
     /// Runs with one machine cut off until its pre-vote request is in flight.
--- a/crates/control-plane/tests/model/world.rs
+++ b/crates/control-plane/tests/model/world.rs
@@ -243,7 +243,7 @@
         let voters: Vec<VoterInfo> = (0..size).map(|n| voter_info(n, n as u8, incarnation(n))).collect();
         let cluster_state = ClusterState::bootstrapped(CLUSTER, voters.clone());
         let voter = |n: usize| DurableState {
-            me: voters[n].clone(),
+            identity: voters[n].clone(),
             initialized: true,
             current_term: Term(0),
             log_term: Term(0),
@@ -426,7 +426,7 @@
             }
         }
         let votes =
-            self.history.value.voters.iter().any(|info| info.incarnation == disk.synced.me.incarnation);
+            self.history.value.voters.iter().any(|info| info.incarnation == disk.synced.identity.incarnation);
         if self.budget.wipes > 0 && votes && self.all_voters_have_state() && self.all_reachable() {
             all.push(Action::Wipe { machine });
         }
@@ -439,7 +439,7 @@
         let has_state = |info: &VoterInfo| {
             let mut disks = self.machines.iter().map(|machine| &machine.value.disk.synced);
             disks.any(|durable| {
-                durable.me.incarnation == info.incarnation && (durable.initialized || never_lost(info))
+                durable.identity.incarnation == info.incarnation && (durable.initialized || never_lost(info))
             })
         };
         self.history.value.voters.iter().all(has_state)
@@ -451,7 +451,7 @@
             self.schedule.iter().flat_map(|schedule| [schedule.cut_off, schedule.frozen]).flatten();
         let voters = &self.history.value.voters;
         let is_running =
-            |info: &VoterInfo| self.voters().any(|voter| voter.me.incarnation == info.incarnation);
+            |info: &VoterInfo| self.voters().any(|voter| voter.identity.incarnation == info.incarnation);
         unreachable.count() == 0 && voters.iter().all(is_running)
     }
 
@@ -466,7 +466,7 @@
                 continue;
             };
             let candidacy_delay = election_timeout
-                + election_timeout * u64::from(voter.me.number) / 4
+                + election_timeout * u64::from(voter.identity.number) / 4
                 + election_timeout * (voter.current_term.0 % 5) / 10;
             times.push(machine.started + election_timeout);
             match &voter.role {
@@ -611,21 +611,21 @@
         let lost = durable.clone();
         let fresh = VoterInfo {
             number: u8::MAX,
-            incarnation: Incarnation(lost.me.incarnation.0 + NEXT_INCARNATION),
-            ..durable.me.clone()
+            incarnation: Incarnation(lost.identity.incarnation.0 + NEXT_INCARNATION),
+            ..durable.identity.clone()
         };
         let mut blank = DurableState::blank(&fresh);
         if self.variant == Some(Variant::BlankVotesWithFormerIdentity) {
             let voters = (0..self.size).map(|n| voter_info(n, n as u8, 10 + n as u64)).collect();
             blank = DurableState {
-                me: durable.me.clone(),
+                identity: durable.identity.clone(),
                 initialized: true,
                 cluster_state: ClusterState::bootstrapped(CLUSTER, voters),
                 ..blank
             };
         }
         self.edit(machine, |machine| machine.disk.synced = blank);
-        self.record(|history| history.lost.insert(lost.me.incarnation, lost));
+        self.record(|history| history.lost.insert(lost.identity.incarnation, lost));
     }
 
     /// Starts a machine's process from its disk.
@@ -639,7 +639,8 @@
             durable.current_term = durable.log_term;
         }
         let seeds = (0..SEEDS).map(address).collect();
-        let mut voter = Voter::new(durable.me.clone(), CLUSTER, seeds, self.timing(), Some(durable), started);
+        let mut voter =
+            Voter::new(durable.identity.clone(), CLUSTER, seeds, self.timing(), Some(durable), started);
         voter.learner = self.learner == Some(machine);
         self.edit(machine, |machine| {
             machine.process = Some(voter);
@@ -798,7 +799,7 @@
             }
             Effect::Committed { entry, outcome } => self.committed(machine, &entry, &outcome),
             Effect::BecameLeader { term } => {
-                let leader = self.machine(machine).disk.synced.me.incarnation;
+                let leader = self.machine(machine).disk.synced.identity.incarnation;
                 self.record(|history| history.record_leader(term, leader))?;
                 self.history.value.check_election(voters)
             }
@@ -818,11 +819,11 @@
     /// lost.
     fn become_spare(&mut self, machine: usize) -> Result<(), Violation> {
         let old = self.machine(machine).disk.synced.clone();
-        let incarnation = Incarnation(old.me.incarnation.0 + NEXT_INCARNATION);
-        let identity = VoterInfo { number: u8::MAX, incarnation, ..old.me.clone() };
+        let incarnation = Incarnation(old.identity.incarnation.0 + NEXT_INCARNATION);
+        let identity = VoterInfo { number: u8::MAX, incarnation, ..old.identity.clone() };
         self.raw_step(machine, Event::BecomeSpare(Box::new(identity)))?;
-        if self.voter(machine).is_some_and(|voter| voter.me.incarnation == incarnation) {
-            self.record(|history| history.lost.insert(old.me.incarnation, old));
+        if self.voter(machine).is_some_and(|voter| voter.identity.incarnation == incarnation) {
+            self.record(|history| history.lost.insert(old.identity.incarnation, old));
         }
         Ok(())
     }
@@ -886,7 +887,7 @@
         let durable_states: Vec<&DurableState> = disks.chain(self.history.value.lost.values()).collect();
         let has_change = |info: &VoterInfo| {
             durable_states.iter().any(|durable| {
-                durable.me.incarnation == info.incarnation && is_durable(durable, index, change)
+                durable.identity.incarnation == info.incarnation && is_durable(durable, index, change)
             })
         };
         voters.iter().filter(|info| has_change(info)).count()
@@ -907,7 +908,7 @@
             let (reads, newest) = (stale.commit_index(), history.newest());
             return Err(format!(
                 "reads-are-newest: {} serves {reads}, but {newest} is committed",
-                stale.me.node
+                stale.identity.node
             ));
         }
         let Some((newest, (change, _))) = history.order.last_key_value() else { return Ok(()) };
@@ -944,7 +945,7 @@
 
 /// The voters whose votes a candidate counts when it handles this event.
 fn voters_of(voter: &Voter, event: &Event) -> Vec<Incarnation> {
-    let mut voters = vec![voter.me.incarnation];
+    let mut voters = vec![voter.identity.incarnation];
     if let VoterRole::Candidate { votes, .. } = &voter.role {
         voters.extend(votes.keys());
     }
--- a/crates/control-plane/tests/recovery.rs
+++ b/crates/control-plane/tests/recovery.rs
@@ -164,12 +164,12 @@
 fn who_may_bootstrap_after_a_recovery(#[case] incarnation: u64, #[case] may_bootstrap: bool) {
     let dir = tempdir().unwrap();
     let mut cluster = started_cluster(dir.path());
-    let me = control_plane::types::VoterInfo {
+    let identity = control_plane::types::VoterInfo {
         incarnation: Incarnation(incarnation),
-        ..cluster.voters[0].me.clone()
+        ..cluster.voters[0].identity.clone()
     };
     cluster.voters[0].step(Event::SyncFailed, cluster.now);
-    cluster.voters[0].step(Event::Recovered(Box::new(DurableState::blank(&me))), cluster.now);
+    cluster.voters[0].step(Event::Recovered(Box::new(DurableState::blank(&identity))), cluster.now);
     assert_eq!(cluster.voters[0].may_bootstrap, may_bootstrap);
     assert!(!cluster.voters[0].initialized);
 }
--- a/crates/control-plane/tests/samples/mod.rs
+++ b/crates/control-plane/tests/samples/mod.rs
@@ -16,11 +16,11 @@
 }
 
 /// The state of a cluster that was bootstrapped with this voter alone.
-pub fn bootstrapped(me: &VoterInfo) -> DurableState {
+pub fn bootstrapped(identity: &VoterInfo) -> DurableState {
     DurableState {
         initialized: true,
-        cluster_state: ClusterState::bootstrapped("c", vec![me.clone()]),
-        ..DurableState::blank(me)
+        cluster_state: ClusterState::bootstrapped("c", vec![identity.clone()]),
+        ..DurableState::blank(identity)
     }
 }
 
--- a/crates/control-plane/tests/spare.rs
+++ b/crates/control-plane/tests/spare.rs
@@ -25,8 +25,8 @@
         let (frozen, next) = ((leader + 1) % 3, (leader + 2) % 3);
         assert!(matches!(cluster.nodes[leader].replace(0, "1\n").await, OperationOutcome::Accepted));
         cluster.add_spare().await;
-        let spare = cluster.nodes[3].control_node.status().me.incarnation;
-        let old_incarnation = cluster.nodes[frozen].control_node.status().me.incarnation;
+        let spare = cluster.nodes[3].control_node.status().identity.incarnation;
+        let old_incarnation = cluster.nodes[frozen].control_node.status().identity.incarnation;
         cluster.nodes[frozen].freeze();
         cluster
             .wait_until("the spare has replaced the frozen voter", |cluster| {
@@ -37,12 +37,12 @@
         cluster
             .wait_until("the replaced voter is blank and has a new identity", |cluster| {
                 let status = cluster.nodes[frozen].control_node.status();
-                !status.initialized && status.me.incarnation != old_incarnation
+                !status.initialized && status.identity.incarnation != old_incarnation
             })
             .await;
         // After the next failure the replaced voter is the only spare.
         cluster.nodes[next].freeze();
-        let identity = cluster.nodes[frozen].control_node.status().me.incarnation;
+        let identity = cluster.nodes[frozen].control_node.status().identity.incarnation;
         cluster
             .wait_until("it has replaced the next voter", |cluster| {
                 all_know_voter(cluster, &[leader, frozen, 3], identity)
--- a/crates/simulator/src/sim/catch_up/member.rs
+++ b/crates/simulator/src/sim/catch_up/member.rs
@@ -84,7 +84,7 @@
     pub fn start(&mut self, now: Tick) {
         let state = self.durable.clone();
         let seeds = (0..VOTERS).map(address).collect();
-        let mut voter = Voter::new(state.me.clone(), CLUSTER, seeds, timing(), Some(state), now);
+        let mut voter = Voter::new(state.identity.clone(), CLUSTER, seeds, timing(), Some(state), now);
         voter.size_limits = self.size_limits;
         self.voter = Some(voter);
         self.starts += 1;
--- a/crates/simulator/src/sim/catch_up/mod.rs
+++ b/crates/simulator/src/sim/catch_up/mod.rs
@@ -155,7 +155,7 @@
     /// The last entry that the member has acknowledged to the leader; for the leader itself, its last entry.
     fn acknowledged(&self, member: usize) -> Option<Index> {
         let leader = self.leader()?;
-        if usize::from(leader.me.number) == member {
+        if usize::from(leader.identity.number) == member {
             return Some(leader.last_index());
         }
         member::acknowledged(leader).into_iter().find(|peer| usize::from(peer.0) == member).map(|peer| peer.1)
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -61,7 +61,7 @@
             self.voters.iter().filter(|node| holds_state(node)).filter_map(|node| node.voter.as_ref()).any(
                 |process| {
                     process.initialized
-                        && process.me.incarnation == voter.incarnation
+                        && process.identity.incarnation == voter.incarnation
                         && !process.disk_failed
                         && process.voters().iter().all(|other| newest.contains(other))
                 },
--- a/crates/simulator/src/sim/nodes.rs
+++ b/crates/simulator/src/sim/nodes.rs
@@ -36,7 +36,7 @@
     /// Its disk.
     pub disk: SimDisk,
     /// Its name and addresses; number and incarnation come from the disk.
-    pub me: VoterInfo,
+    pub identity: VoterInfo,
     /// Its clock.
     pub clock: SimClock,
     /// Member leases that it tracks as leader.
@@ -101,7 +101,7 @@
 impl SimVoter {
     /// Creates a machine without a process, with a blank disk.
     pub fn new(n: usize, voter_count: usize, clock: SimClock) -> Self {
-        let me = VoterInfo {
+        let identity = VoterInfo {
             number: u8::MAX,
             incarnation: Incarnation(0),
             node: format!("s{n}").as_str().into(),
@@ -112,7 +112,7 @@
         Self {
             voter: None,
             disk: SimDisk::new(None, SIZE_LIMITS),
-            me,
+            identity,
             clock,
             leases: Leases::default(),
             starts: 0,
@@ -126,7 +126,7 @@
 
     /// The identity that a blank disk starts with.
     pub fn blank_identity(&self, incarnation: u64) -> VoterInfo {
-        VoterInfo { incarnation: Incarnation(incarnation), number: u8::MAX, ..self.me.clone() }
+        VoterInfo { incarnation: Incarnation(incarnation), number: u8::MAX, ..self.identity.clone() }
     }
 
     /// Starts a process from the durable state; a blank disk first gets a new incarnation.
@@ -137,13 +137,17 @@
         };
         self.disk.durable = Some(image.clone());
         let seeds = (0..3).map(addr).collect();
-        let me = VoterInfo { number: image.me.number, incarnation: image.me.incarnation, ..self.me.clone() };
-        let mut voter = Voter::new(me, "sim", seeds, timing(), Some(image), self.clock.at(time_ms));
+        let identity = VoterInfo {
+            number: image.identity.number,
+            incarnation: image.identity.incarnation,
+            ..self.identity.clone()
+        };
+        let mut voter = Voter::new(identity, "sim", seeds, timing(), Some(image), self.clock.at(time_ms));
         voter.expected_voters = self.voter_count;
         // Where there are more voters than seed nodes, only a voter of the first start may bootstrap the cluster
         // (design 2.5).
         voter.may_bootstrap = self.voter_count == 3
-            || (self.deployed && !self.disk_lost && self.me.rpc_addr != addr(self.voter_count));
+            || (self.deployed && !self.disk_lost && self.identity.rpc_addr != addr(self.voter_count));
         voter.size_limits =
             if self.unlimited_size { SizeLimits { log: usize::MAX / 64 } } else { SIZE_LIMITS };
         self.voter = Some(voter);
@@ -155,15 +159,15 @@
 impl SimVoter {
     /// Describes this voter's state, for traces.
     pub fn describe(&self) -> String {
-        let Some(process) = &self.voter else { return format!("{} is down", self.me.node) };
+        let Some(process) = &self.voter else { return format!("{} is down", self.identity.node) };
         let voters: Vec<String> =
             process.voters().iter().map(|h| format!("{}/{}", h.node, h.incarnation)).collect();
         format!(
             "{}/{} number {} initialized {} disk failed {} removed {} term {} log term {} committed {} last {} voters {voters:?} \
              pending {} {:?}",
-            self.me.node,
-            process.me.incarnation,
-            process.me.number,
+            self.identity.node,
+            process.identity.incarnation,
+            process.identity.number,
             process.initialized,
             process.disk_failed,
             process.removed,
--- a/crates/simulator/src/sim/world.rs
+++ b/crates/simulator/src/sim/world.rs
@@ -161,7 +161,7 @@
             .iter()
             .filter(|s| s.frozen_until_ms <= self.time_ms)
             .filter(|s| s.voter.as_ref().is_some_and(|x| x.has_leadership(s.clock.at(self.time_ms))))
-            .map(|s| s.me.node.as_str())
+            .map(|s| s.identity.node.as_str())
             .collect();
         if leaders.len() > 1 { Err(format!("two voters lead at once: {leaders:?}")) } else { Ok(()) }
     }
