--- a/crates/simulator/src/fault.rs
+++ b/crates/simulator/src/fault.rs
@@ -1,120 +1,145 @@
-//! Faults of a fleet run, as written on the command line: `SECOND:WHAT:WHOM` (design 7.4).
+//! Faults of a fleet run, written on the command line as `SECOND:WHAT:WHOM` (design 7.4).
 
 use std::str::FromStr;
 
+/// A fault, or what an operator or the platform does to the fleet. `NAMES` has the name of each on the command line.
+///
+/// The order matters: from `Evacuate` on, the kinds concern replicas, zones and documents; those before it concern
+/// machines, links and disks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum What {
-    /// SIGKILL; a node's name.
+pub enum FaultKind {
+    /// Kills a node with SIGKILL.
     Kill,
-    /// SIGTERM: a planned stop.
+    /// Stops a node with SIGTERM, as in planned work.
     Stop,
     /// Starts a node again with what is on its disk.
     Start,
-    /// Starts it with an empty data folder.
+    /// Starts a node with an empty data folder.
     Blank,
+    /// Suspends a node's process (SIGSTOP).
     Freeze,
+    /// Resumes a suspended process (SIGCONT).
     Thaw,
-    /// The machine loses its power: nothing is closed, nothing answers until it is started.
+    /// The machine loses power: no connection is closed, and nothing answers until it is started.
     Dark,
-    /// Cuts a node, a zone or `core` off (`p1`), only outwards (`p1>`), or one link (`s1--s2`).
+    /// Cuts off a node, a zone or `core` (`p1`), only its outgoing traffic (`p1>`), or one link (`s1--s2`).
     Cut,
+    /// Restores the links of a cut.
     Mend,
-    /// All control nodes at once.
+    /// Kills all control nodes at once.
     KillCore,
+    /// Starts all control nodes.
     StartCore,
     /// An empty machine at a new address takes this voter's place; the old one is started later.
     Replace,
-    /// A voter's disk turns slow, stalls, or fails at its next write; then it is well again.
+    /// A control node's disk becomes slow.
     SlowDisk,
+    /// A control node's disk completes no write.
     StallDisk,
+    /// A control node's disk fails at its next write.
     FailDisk,
+    /// A control node's disk is healthy again.
     WellDisk,
+    /// Evacuates a zone.
     Evacuate,
+    /// Ends the evacuation of a zone.
     Restore,
-    /// Two operators at once: one evacuates, the other patches the document.
+    /// Two operators at once: one evacuates a zone, the other patches the document.
     EvacuateAndPatch,
-    /// A replica crashes, comes back cold, is drained, or leaves the list.
+    /// A replica crashes.
     Crash,
+    /// A crashed replica starts again with an empty cache.
     Cold,
+    /// A replica is drained.
     Drain,
+    /// A replica is removed from the list.
     Remove,
-    /// A replica goes dark without a close, and is back.
+    /// A replica stops answering without closing its connections.
     Mute,
+    /// A replica that stopped answering is back.
     Unmute,
-    /// Lost for good: it crashes, and the platform takes it from the list a second later.
+    /// A replica is lost for good: it crashes, and the platform removes it from the list a second later.
     Lose,
-    /// Taken away at short notice: drained, and gone two seconds later.
+    /// A replica is taken away at short notice: drained, and gone two seconds later.
     Take,
-    /// Replaced: another one is listed, then this one is drained and removed.
+    /// A replica is replaced: another one is listed, then this one is drained and removed.
     Swap,
-    /// Every replica says that it is unwell, until it is over.
+    /// Every replica reports itself as unhealthy, until `BrownOver`.
     BrownOut,
+    /// Every replica reports itself as healthy again.
     BrownOver,
-    /// Every replica answers 503 to each job, and reports itself as well, until it is over.
+    /// Every replica answers each job with 503 and still reports itself as healthy, until `Sweet`.
     Sour,
+    /// Every replica serves jobs again.
     Sweet,
-    /// A new document with a small change.
+    /// Applies a new document with a small change.
     Apply,
-    /// Two documents at once.
+    /// Applies two documents at once, on the same base revision.
     Race,
-    /// Three documents in quick succession.
+    /// Applies three documents in quick succession.
     Burst,
-    /// All processes and replicas of a zone at once.
+    /// Kills all processes and replicas of a zone at once.
     KillArea,
+    /// Starts all processes and replicas of a zone.
     StartArea,
 }
 
+/// One fault of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
+    /// When it happens, in seconds after the traffic began.
     pub second: f64,
-    pub what: What,
-    pub whom: String,
+    /// What happens.
+    pub kind: FaultKind,
+    /// The node, replica, zone or link concerned; empty where the kind needs none.
+    pub target: String,
 }
 
-const NAMES: &[(&str, What)] = &[
-    ("kill", What::Kill),
-    ("stop", What::Stop),
-    ("start", What::Start),
-    ("blank", What::Blank),
-    ("freeze", What::Freeze),
-    ("thaw", What::Thaw),
-    ("dark", What::Dark),
-    ("cut", What::Cut),
-    ("mend", What::Mend),
-    ("kill-core", What::KillCore),
-    ("start-core", What::StartCore),
-    ("replace", What::Replace),
-    ("slow-disk", What::SlowDisk),
-    ("stall-disk", What::StallDisk),
-    ("fail-disk", What::FailDisk),
-    ("well-disk", What::WellDisk),
-    ("evacuate", What::Evacuate),
-    ("restore", What::Restore),
-    ("evacuate-and-patch", What::EvacuateAndPatch),
-    ("crash", What::Crash),
-    ("cold", What::Cold),
-    ("drain", What::Drain),
-    ("remove", What::Remove),
-    ("mute", What::Mute),
-    ("unmute", What::Unmute),
-    ("lose", What::Lose),
-    ("take", What::Take),
-    ("swap", What::Swap),
-    ("brown-out", What::BrownOut),
-    ("brown-over", What::BrownOver),
-    ("sour", What::Sour),
-    ("sweet", What::Sweet),
-    ("apply", What::Apply),
-    ("race", What::Race),
-    ("burst", What::Burst),
-    ("kill-area", What::KillArea),
-    ("start-area", What::StartArea),
+/// Each kind with its name on the command line.
+const NAMES: &[(&str, FaultKind)] = &[
+    ("kill", FaultKind::Kill),
+    ("stop", FaultKind::Stop),
+    ("start", FaultKind::Start),
+    ("blank", FaultKind::Blank),
+    ("freeze", FaultKind::Freeze),
+    ("thaw", FaultKind::Thaw),
+    ("dark", FaultKind::Dark),
+    ("cut", FaultKind::Cut),
+    ("mend", FaultKind::Mend),
+    ("kill-core", FaultKind::KillCore),
+    ("start-core", FaultKind::StartCore),
+    ("replace", FaultKind::Replace),
+    ("slow-disk", FaultKind::SlowDisk),
+    ("stall-disk", FaultKind::StallDisk),
+    ("fail-disk", FaultKind::FailDisk),
+    ("well-disk", FaultKind::WellDisk),
+    ("evacuate", FaultKind::Evacuate),
+    ("restore", FaultKind::Restore),
+    ("evacuate-and-patch", FaultKind::EvacuateAndPatch),
+    ("crash", FaultKind::Crash),
+    ("cold", FaultKind::Cold),
+    ("drain", FaultKind::Drain),
+    ("remove", FaultKind::Remove),
+    ("mute", FaultKind::Mute),
+    ("unmute", FaultKind::Unmute),
+    ("lose", FaultKind::Lose),
+    ("take", FaultKind::Take),
+    ("swap", FaultKind::Swap),
+    ("brown-out", FaultKind::BrownOut),
+    ("brown-over", FaultKind::BrownOver),
+    ("sour", FaultKind::Sour),
+    ("sweet", FaultKind::Sweet),
+    ("apply", FaultKind::Apply),
+    ("race", FaultKind::Race),
+    ("burst", FaultKind::Burst),
+    ("kill-area", FaultKind::KillArea),
+    ("start-area", FaultKind::StartArea),
 ];
 
-impl What {
-    /// Part of planned work: nothing that was read may be dropped by it.
+impl FaultKind {
+    /// Whether this is planned work, which must not make any accepted request fail.
     pub fn planned(self) -> bool {
-        use What::*;
+        use FaultKind::*;
         matches!(
             self,
             Stop | Start
@@ -133,17 +158,17 @@
 
 impl FromStr for Fault {
     type Err = String;
-    fn from_str(s: &str) -> Result<Self, String> {
-        let mut parts = s.splitn(3, ':');
+    fn from_str(text: &str) -> Result<Self, String> {
+        let mut parts = text.splitn(3, ':');
         let second = parts.next().and_then(|p| p.parse().ok()).filter(|v: &f64| *v >= 0.0);
-        let what = parts.next().and_then(|p| NAMES.iter().find(|(n, _)| *n == p)).map(|n| n.1);
-        match (second, what) {
-            (Some(second), Some(what)) => {
-                Ok(Fault { second, what, whom: parts.next().unwrap_or("").to_string() })
+        let kind = parts.next().and_then(|p| NAMES.iter().find(|(n, _)| *n == p)).map(|n| n.1);
+        match (second, kind) {
+            (Some(second), Some(kind)) => {
+                Ok(Fault { second, kind, target: parts.next().unwrap_or("").to_string() })
             }
             _ => {
                 let names: Vec<_> = NAMES.iter().map(|n| n.0).collect();
-                Err(format!("{s:?}; allowed: SECOND:WHAT:WHOM, where WHAT is one of {}", names.join(", ")))
+                Err(format!("{text:?}; allowed: SECOND:WHAT:WHOM, where WHAT is one of {}", names.join(", ")))
             }
         }
     }
--- a/crates/simulator/src/timeline.rs
+++ b/crates/simulator/src/timeline.rs
@@ -1,138 +1,166 @@
-//! What was out, and when, by the acts of a run (design 7.5): when a job could have been served.
+//! What was down and when, from the actions of a run (design 7.5); tells when a request could have been served.
 
-use crate::{acts::Act, fault::What, standin::StandIn};
+use crate::{actions::Action, fake_replica::FakeReplica, fault::FaultKind};
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 use tokio::time::Instant;
 
-/// The fleet as the audit must know it.
-pub struct Scene {
+/// What the audit needs to know of the fleet.
+pub struct Topology {
     /// Name, zone, and address of each router.
     pub routers: Vec<(String, &'static str, SocketAddr)>,
+    /// Each zone and its region.
     pub zones: Vec<(&'static str, &'static str)>,
+    /// The service that runs the model.
     pub model: &'static str,
 }
 
-impl Scene {
+impl Topology {
+    /// Region of a zone; empty if the zone is unknown.
     pub fn region_of(&self, zone: &str) -> &'static str {
-        self.zones.iter().find(|a| a.0 == zone).map_or("", |a| a.1)
+        self.zones.iter().find(|action| action.0 == zone).map_or("", |action| action.1)
     }
 }
 
+/// When something went down and when it was back; `None` while it is down.
 type Span = (Instant, Option<Instant>);
 
-/// For each node, replica and evacuation (`evac/AREA`): when it was out.
+/// The downtimes of each router and replica, by name, and of each evacuated zone (`evac/ZONE`).
 #[derive(Default)]
 pub struct Timeline(BTreeMap<String, Vec<Span>>);
 
-fn area_of(name: &str) -> String {
+fn evacuation_key(name: &str) -> String {
     format!("evac/{name}")
 }
 
 impl Timeline {
-    pub fn of(acts: &[Act], scene: &Scene, backs: &[Arc<StandIn>]) -> Timeline {
-        let mut t = Timeline::default();
-        for a in acts {
-            let whom = a.fault.whom.trim_end_matches('>').to_string();
-            let nodes = || -> Vec<String> {
-                let inside = |r: &&(String, &str, SocketAddr)| r.0 == whom || r.1 == whom;
-                scene.routers.iter().filter(inside).map(|r| r.0.clone()).collect()
+    /// The downtimes that these actions caused.
+    pub fn from_actions(actions: &[Action], topology: &Topology, replicas: &[Arc<FakeReplica>]) -> Timeline {
+        let mut timeline = Timeline::default();
+        for action in actions {
+            let target = action.fault.target.trim_end_matches('>').to_string();
+            let routers = || -> Vec<String> {
+                let inside = |r: &&(String, &str, SocketAddr)| r.0 == target || r.1 == target;
+                topology.routers.iter().filter(inside).map(|r| r.0.clone()).collect()
             };
-            let reps = || -> Vec<String> {
-                backs.iter().filter(|b| b.id == whom || b.shape.zone == whom).map(|b| b.id.clone()).collect()
+            let replica_ids = || -> Vec<String> {
+                replicas
+                    .iter()
+                    .filter(|replica| replica.id == target || replica.spec.zone == target)
+                    .map(|replica| replica.id.clone())
+                    .collect()
             };
-            let all = || -> Vec<String> { backs.iter().map(|b| b.id.clone()).collect() };
-            match a.fault.what {
-                What::Kill | What::Stop | What::Freeze | What::Dark | What::Cut => t.out(nodes(), a.at),
-                What::Start | What::Blank | What::Thaw | What::Mend => t.back(nodes(), a.done),
-                What::KillArea => t.out([nodes(), reps()].concat(), a.at),
-                What::StartArea => t.back([nodes(), reps()].concat(), a.done),
-                What::Crash | What::Mute | What::Drain | What::Remove => t.out(reps(), a.at),
-                What::Lose | What::Take | What::Swap => t.out(reps(), a.at),
-                What::Cold | What::Unmute => t.back(reps(), a.done),
-                What::BrownOut | What::Sour => t.out(all(), a.at),
-                What::BrownOver | What::Sweet => t.back(all(), a.done),
-                What::Evacuate | What::EvacuateAndPatch => t.out(vec![area_of(&whom)], a.at),
-                What::Restore if a.ok => t.back(vec![area_of(&whom)], a.done),
+            let all_replicas =
+                || -> Vec<String> { replicas.iter().map(|replica| replica.id.clone()).collect() };
+            match action.fault.kind {
+                FaultKind::Kill | FaultKind::Stop | FaultKind::Freeze | FaultKind::Dark | FaultKind::Cut => {
+                    timeline.mark_down(routers(), action.started);
+                }
+                FaultKind::Start | FaultKind::Blank | FaultKind::Thaw | FaultKind::Mend => {
+                    timeline.mark_up(routers(), action.finished);
+                }
+                FaultKind::KillArea => {
+                    timeline.mark_down([routers(), replica_ids()].concat(), action.started);
+                }
+                FaultKind::StartArea => {
+                    timeline.mark_up([routers(), replica_ids()].concat(), action.finished);
+                }
+                FaultKind::Crash | FaultKind::Mute | FaultKind::Drain | FaultKind::Remove => {
+                    timeline.mark_down(replica_ids(), action.started);
+                }
+                FaultKind::Lose | FaultKind::Take | FaultKind::Swap => {
+                    timeline.mark_down(replica_ids(), action.started);
+                }
+                FaultKind::Cold | FaultKind::Unmute => timeline.mark_up(replica_ids(), action.finished),
+                FaultKind::BrownOut | FaultKind::Sour => timeline.mark_down(all_replicas(), action.started),
+                FaultKind::BrownOver | FaultKind::Sweet => timeline.mark_up(all_replicas(), action.finished),
+                FaultKind::Evacuate | FaultKind::EvacuateAndPatch => {
+                    timeline.mark_down(vec![evacuation_key(&target)], action.started);
+                }
+                FaultKind::Restore if action.ok => {
+                    timeline.mark_up(vec![evacuation_key(&target)], action.finished);
+                }
                 _ => {}
             }
         }
-        t
+        timeline
     }
 
-    fn out(&mut self, names: Vec<String>, at: Instant) {
+    fn mark_down(&mut self, names: Vec<String>, at: Instant) {
         for n in names {
-            let v = self.0.entry(n).or_default();
-            if v.last().is_none_or(|s| s.1.is_some()) {
-                v.push((at, None));
+            let spans = self.0.entry(n).or_default();
+            if spans.last().is_none_or(|span| span.1.is_some()) {
+                spans.push((at, None));
             }
         }
     }
 
-    fn back(&mut self, names: Vec<String>, at: Instant) {
+    fn mark_up(&mut self, names: Vec<String>, at: Instant) {
         for n in names {
-            let open = self.0.get_mut(&n).and_then(|v| v.last_mut());
-            open.into_iter().filter(|s| s.1.is_none()).for_each(|s| s.1 = Some(at));
+            let last = self.0.get_mut(&n).and_then(|spans| spans.last_mut());
+            last.into_iter().filter(|span| span.1.is_none()).for_each(|span| span.1 = Some(at));
         }
     }
 
-    /// Whether something was out at any time between the two.
-    pub fn touched(&self, name: &str, from: Instant, to: Instant) -> bool {
+    /// Whether something was down at any time between the two instants.
+    pub fn was_down_during(&self, name: &str, from: Instant, to: Instant) -> bool {
         let spans = self.0.get(name).map(Vec::as_slice).unwrap_or(&[]);
-        spans.iter().any(|s| s.0 <= to && s.1.is_none_or(|e| e >= from))
+        spans.iter().any(|span| span.0 <= to && span.1.is_none_or(|end| end >= from))
     }
 
-    fn up(&self, name: &str, at: Instant) -> bool {
-        !self.touched(name, at, at)
+    fn is_up(&self, name: &str, at: Instant) -> bool {
+        !self.was_down_during(name, at, at)
     }
 
-    /// Whether a job with these homes could be served at a time: a router and a replica of its
-    /// service in one of them.
-    pub fn servable(
+    /// Whether a request with these home regions could be served at that time: one of them had a router and a
+    /// replica of the service.
+    pub fn can_serve(
         &self,
-        scene: &Scene,
-        backs: &[Arc<StandIn>],
+        topology: &Topology,
+        replicas: &[Arc<FakeReplica>],
         service: &str,
         homes: &[&str],
         at: Instant,
     ) -> bool {
-        let open = |zone: &str| self.up(&area_of(zone), at);
+        let in_use = |zone: &str| self.is_up(&evacuation_key(zone), at);
         homes.iter().any(|h| {
-            let router =
-                scene.routers.iter().any(|r| scene.region_of(r.1) == *h && open(r.1) && self.up(&r.0, at));
-            let replica = backs.iter().any(|b| {
-                b.shape.service == service
-                    && b.shape.region == *h
-                    && open(&b.shape.zone)
-                    && self.up(&b.id, at)
+            let has_router = topology
+                .routers
+                .iter()
+                .any(|r| topology.region_of(r.1) == *h && in_use(r.1) && self.is_up(&r.0, at));
+            let has_replica = replicas.iter().any(|replica| {
+                replica.spec.service == service
+                    && replica.spec.region == *h
+                    && in_use(&replica.spec.zone)
+                    && self.is_up(&replica.id, at)
             });
-            router && replica
+            has_router && has_replica
         })
     }
 
-    /// Since when it could be served without a break, looking back from a time at which it can.
+    /// Since when such a request could be served without interruption up to `at`; `None` if it cannot at `at`.
     pub fn servable_since(
         &self,
-        scene: &Scene,
-        backs: &[Arc<StandIn>],
+        topology: &Topology,
+        replicas: &[Arc<FakeReplica>],
         service: &str,
         homes: &[&str],
         at: Instant,
         began: Instant,
     ) -> Option<Instant> {
-        let ok = |t: Instant| self.servable(scene, backs, service, homes, t);
+        let ok = |time: Instant| self.can_serve(topology, replicas, service, homes, time);
         if !ok(at) {
             return None;
         }
         let mut edges: Vec<Instant> =
-            self.0.values().flatten().flat_map(|s| [Some(s.0), s.1]).flatten().collect();
-        edges.retain(|e| *e <= at && *e >= began);
+            self.0.values().flatten().flat_map(|span| [Some(span.0), span.1]).flatten().collect();
+        edges.retain(|end| *end <= at && *end >= began);
         edges.sort();
         let mut since = at;
-        for e in edges.into_iter().rev() {
-            if !ok(e) {
+        for end in edges.into_iter().rev() {
+            if !ok(end) {
                 return Some(since);
             }
-            since = e;
+            since = end;
         }
         Some(began)
     }
