--- a/crates/control-plane/src/consensus/startup.rs
+++ b/crates/control-plane/src/consensus/startup.rs
@@ -1,5 +1,5 @@
 //! The wait before voting after a start (design 2.3). The former run of the process may have answered a leader, so this
-//! one grants no vote for an election time-out, unless all other voters answer that they do not lead: a leader that
+//! one grants no vote for an election timeout, unless all other voters answer that they do not lead: a leader that
 //! counts on this voter would be one of them, at the same address.
 
 use super::*;
@@ -41,7 +41,7 @@
     fn end_startup_wait(&mut self, now: Tick) {
         self.started = now - self.timing.election_timeout_ms();
         // Differs by voter, so that of several that start together one stands for election first.
-        let delay_ms = 2 * self.timing.heartbeat_ms() * u64::from(self.me.number);
+        let delay_ms = 2 * self.timing.heartbeat_ms() * u64::from(self.identity.number);
         let last_contact_for_delay = (now + delay_ms) - self.election_timeout();
         if let VoterRole::Follower { leader: None, last_contact } = &mut self.role {
             *last_contact = (*last_contact).min(last_contact_for_delay);
--- a/crates/control-plane/src/control_node/mod.rs
+++ b/crates/control-plane/src/control_node/mod.rs
@@ -32,7 +32,7 @@
 };
 use tokio::sync::{oneshot, watch};
 
-/// Longer messages use a separate connection and have a longer time-out.
+/// Longer messages use a separate connection and have a longer timeout.
 const BULK_BYTES: usize = 64 << 10;
 /// Slowest link on which such a message still arrives in time, in bytes per millisecond.
 const BULK_BYTES_PER_MS: u64 = 512;
@@ -98,7 +98,7 @@
     /// The node's copy of the cluster state.
     pub cluster_state: ClusterState,
     /// The node's identity as a voter.
-    pub me: VoterInfo,
+    pub identity: VoterInfo,
     /// The leader, as far as it is known.
     pub leader: Option<VoterInfo>,
     /// Whether the node holds the state of a cluster.
@@ -134,13 +134,13 @@
         };
         let client = || ControlClient::new(settings.local_node(), SERVICE);
         let (client, bulk_client) = (client(), client());
-        let node = Arc::new_cyclic(|me| ControlNode {
+        let node = Arc::new_cyclic(|node| ControlNode {
             settings,
             clock,
             client,
             bulk_client,
             inner: Mutex::new(inner),
-            log_writer: log_writer(me.clone()),
+            log_writer: log_writer(node.clone()),
             committed,
             discovered: watch::channel(Vec::new()).0,
         });
@@ -171,7 +171,7 @@
         self.carry_out(&mut inner, effects);
     }
 
-    /// The client for a message of this length, and the time-out of the call in milliseconds.
+    /// The client for a message of this length, and the timeout of the call in milliseconds.
     fn client_for(&self, message_len: usize) -> (&ControlClient, u64) {
         let timeout_ms = self.settings.timing.rpc_timeout_ms;
         if message_len <= BULK_BYTES {
@@ -200,7 +200,7 @@
                 }
                 Effect::Removed => {
                     let cause = "another node was committed as the holder of this voter's number";
-                    log_event!(Error, "voter replaced", "cause" => cause);
+                    log_event!(Error, "removed", "cause" => cause);
                     let identity = Box::new(blank_voter(&self.settings));
                     let effects = inner.voter.step(Event::BecomeSpare(identity), self.clock.now());
                     self.carry_out(inner, effects);
@@ -209,8 +209,8 @@
                     log_event!(Info, "voters discovered", "voters" => voters.len());
                     self.discovered.send_replace(voters.iter().map(|voter| voter.rpc_addr).collect());
                 }
-                Effect::Refused { from, why } => {
-                    log_event!(Warn, "consensus message refused", "peer" => from, "cause" => why.to_string());
+                Effect::MessageRejected { from, why } => {
+                    log_event!(Warn, "consensus message", "peer" => from, "cause" => why.to_string());
                 }
                 Effect::Logged { .. } | Effect::NotLogged { .. } => {}
             }
--- a/crates/control-plane/src/control_node/rpc_service.rs
+++ b/crates/control-plane/src/control_node/rpc_service.rs
@@ -20,7 +20,7 @@
 
 /// Longest wait of a request for updates, in milliseconds.
 const MAX_WATCH_MS: u64 = 5_000;
-/// Longest time of a forwarded proposal, in RPC time-outs.
+/// Longest time of a forwarded proposal, in RPC timeouts.
 const PROPOSAL_TIMEOUTS: u64 = 4;
 
 /// Answers RPCs until the task is dropped.
@@ -123,7 +123,7 @@
         let reports = inner.reports.iter().filter(|(_, report)| recent(report));
         Status {
             cluster_state: voter.cluster_state.clone(),
-            me: voter.me.clone(),
+            identity: voter.identity.clone(),
             leader: voter.leader(),
             initialized: voter.initialized,
             voting: voter.initialized
--- a/crates/control-plane/src/daemon.rs
+++ b/crates/control-plane/src/daemon.rs
@@ -19,7 +19,7 @@
 };
 use tokio::sync::watch;
 
-/// Longest time that a stop waits for open requests, in RPC time-outs.
+/// Longest time that a stop waits for open requests, in RPC timeouts.
 const STOP_TIMEOUTS: u64 = 4;
 /// Interval at which a stop checks for open requests.
 const STOP_POLL: Duration = Duration::from_millis(20);
@@ -40,7 +40,7 @@
     Fut: Future<Output = Result<Response<http::Body>, http::BoxError>> + Send + 'static,
 {
     let node = ControlNode::start(settings.clone(), bootstrap, start, log_writer);
-    let info = NodeInfo::of(&settings, Role::Control, node.status().me.incarnation);
+    let info = NodeInfo::of(&settings, Role::Control, node.status().identity.incarnation);
     let member = LocalMember::new(settings.clone(), info, Clock::default());
     spawn(report_revision(member.clone()));
     if node.is_learner() {
--- a/crates/control-plane/tests/invalid_messages.rs
+++ b/crates/control-plane/tests/invalid_messages.rs
@@ -56,7 +56,7 @@
 
 fn voter_from(image: DurableState) -> Voter {
     let seeds = (0..3).map(address).collect();
-    Voter::new(image.me.clone(), "c", seeds, Timing::default(), Some(image), Tick(10_000))
+    Voter::new(image.identity.clone(), "c", seeds, Timing::default(), Some(image), Tick(10_000))
 }
 
 fn blank() -> Voter {
@@ -185,7 +185,8 @@
 fn assert_rejected(mut voter: Voter, msg: Message, why: InvalidMessage) {
     let before = describe(&voter);
     let effects = voter.step(Event::Msg(address(1), msg.clone()), NOW);
-    let rejected = matches!(effects.as_slice(), [Effect::Refused { why: reason, .. }] if *reason == why);
+    let rejected =
+        matches!(effects.as_slice(), [Effect::MessageRejected { why: reason, .. }] if *reason == why);
     assert!(rejected, "{msg:?}: {effects:?}");
     assert_eq!(describe(&voter), before, "{msg:?}");
 }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,5 +1,7 @@
 //! The data plane: routers that place users in regions, choose replicas and forward requests (design 5 and 6).
 
+#![warn(missing_docs)]
+
 pub mod attempt;
 pub(crate) mod attempt_history;
 pub mod capacity_grant;
@@ -11,11 +13,11 @@
 pub mod gateway;
 pub mod grant_exchange;
 pub mod health_prober;
-pub mod home_takeover;
 pub mod load;
 pub mod placement;
 pub mod placement_table;
 pub mod plan;
+pub mod publisher_takeover;
 pub mod region_choice;
 pub mod remote_forwarding;
 pub mod replay_guard;
--- a/crates/simulator/src/sim/faults.rs
+++ b/crates/simulator/src/sim/faults.rs
@@ -61,7 +61,7 @@
             self.voters.iter().filter(|node| holds_state(node)).filter_map(|node| node.voter.as_ref()).any(
                 |process| {
                     process.initialized
-                        && process.me.incarnation == voter.incarnation
+                        && process.identity.incarnation == voter.incarnation
                         && !process.disk_failed
                         && process.voters().iter().all(|other| newest.contains(other))
                 },
@@ -175,7 +175,7 @@
         let durable = self.voters[voter_id].disk.durable.clone();
         self.crash(voter_id);
         self.voters[voter_id].disk.wipe();
-        if let (Some(Broken::BlankVotes), Some(image)) =
+        if let (Some(Broken::VotesAfterDiskLoss), Some(image)) =
             (self.broken, durable.filter(|image| image.initialized))
         {
             let cluster_state =
